--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from benchmarks.fit import Series
-from maplestile.control.decide import Rules
-from maplestile.control.plan import ControlPlan, Voter
-from maplestile.net.raft import LogError, Raft
+from maplestile.control.raft_log import LogError, Raft
+from maplestile.control.rollout_planner import Rules
+from maplestile.control.settings import ControlPlan, Voter
 from tests.fleet import free_ports
 
 VOTERS, SECONDS = 3, 6.0
--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -12,8 +12,8 @@
 from random import Random
 
 from benchmarks.fit import Series
-from maplestile import interface as api
-from maplestile.decide import Dispatcher
+from maplestile.dispatch import api
+from maplestile.dispatch.dispatcher import Dispatcher
 
 CALLS_PER_S = 126  # 72,000 over 570 routers
 CALLS_A_CHANGE = 126
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -14,9 +14,9 @@
 
 import structlog
 
-from maplestile.net.peers import Peers
-from maplestile.peers.plan import Plan
-from maplestile.peers.tuning import Tuning
+from maplestile.membership.settings import Plan
+from maplestile.membership.tuning import Tuning
+from maplestile.net.gossip import Peers
 
 HEADER_BYTES = 28  # IPv4 and UDP
 PAGE_KB = resource.getpagesize() // 1024
--- a/benchmarks/name_lists.py
+++ b/benchmarks/name_lists.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from benchmarks.fit import Series
-from maplestile.fleet import Fleet
-from maplestile.limits import Limits
-from maplestile.net.names import LIST_NAME, Names
+from maplestile.net.dns_discovery import LIST_NAME, Names
+from maplestile.requests.endpoint_list import Fleet
 from maplestile.wire.dns import SOA, SRV, TXT, A
+from maplestile.wire.limits import Limits
 from tests.standins import name_bytes, record
 
 ANSWER_BYTES = 8_000
--- a/benchmarks/policy_changes.py
+++ b/benchmarks/policy_changes.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from benchmarks.fit import Series
-from maplestile.model.policy import figures, parse, with_seeds
+from maplestile.tools.model.policy import figures, parse, with_seeds
 
 ROUTERS = (50, 100, 200, 570)
 ROUTERS_AN_AGENT = 10
--- a/maplestile/__main__.py
+++ b/maplestile/__main__.py
@@ -5,10 +5,10 @@
 
 def main() -> int:
     if sys.argv[1:]:
-        from maplestile import cli
+        from maplestile.tools import cli
 
         return cli.main()
-    from maplestile import node
+    from maplestile.router import process as node
 
     return node.platform()
 
--- a/maplestile/herald.py
+++ b/maplestile/agent/policy_controller.py
@@ -15,13 +15,13 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from maplestile import logs
-from maplestile.control.plan import ControlPlan
-from maplestile.net.raft import LogError
+from maplestile.agent.rollout_controller import Plane
+from maplestile.common import logs
+from maplestile.control.policy.agreed import Agreed, Change, Command
+from maplestile.control.policy.planner import Arbiter
+from maplestile.control.raft_log import LogError
+from maplestile.control.settings import ControlPlan
 from maplestile.operation.api import POLICY, POLICY_CHECK
-from maplestile.policy.agreed import Agreed, Change, Command
-from maplestile.policy.decide import Arbiter
-from maplestile.steward import Plane
 
 log = logging.getLogger("maplestile.policy")
 LOOK_S, READ_S, CHECKING_S = 0.05, 1.0, 0.5  # looks at the agreed state; reads, and while a change is checked
--- a/maplestile/roster.py
+++ b/maplestile/agent/process_registry.py
@@ -13,7 +13,7 @@
 from collections.abc import AsyncIterator, Iterator
 from pathlib import Path
 
-from maplestile import durable
+from maplestile.common import durable_file as durable
 
 log = logging.getLogger("maplestile.agent")
 VERSION, NAME = 1, "roster.json"
--- a/maplestile/steward.py
+++ b/maplestile/agent/rollout_controller.py
@@ -9,11 +9,11 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from maplestile import logs
-from maplestile.control.decide import Watcher, Word
-from maplestile.control.plan import ControlPlan
+from maplestile.common import logs
+from maplestile.control.raft_log import LogError
+from maplestile.control.rollout_planner import Watcher, Word
+from maplestile.control.settings import ControlPlan
 from maplestile.control.state import ACTIVE, Command, Control, Lease, Reply, Stage
-from maplestile.net.raft import LogError
 
 log = logging.getLogger("maplestile.control")
 LOOK_S, WORD_S, REST_S = 0.05, 0.5, 2.0  # looks at the agreed state; words during a rollout, and without one
--- a/maplestile/agent.py
+++ b/maplestile/agent/supervisor.py
@@ -19,20 +19,20 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import quote
 
-from maplestile.config import address
-from maplestile.invoke.operator import OperatorError
-from maplestile.invoke.operator import read as read_operator
+from maplestile.common.address import parse_address
+from maplestile.common.errors import Refusal
+from maplestile.common.toml_table import Table
+from maplestile.invoke.operator_file import OperatorError
+from maplestile.invoke.operator_file import read as read_operator
 from maplestile.operation.api import MEMBERS, METRICS, READY, RUNNERS
 from maplestile.operation.client import CallError, call
-from maplestile.refusal import Refusal
-from maplestile.table import Table
 
 if TYPE_CHECKING:  # an agent without a control plane loads nothing of it
-    from maplestile.control.decide import Word
-    from maplestile.control.plan import ControlPlan
-    from maplestile.herald import Herald
-    from maplestile.roster import Adopted, Roster
-    from maplestile.steward import Steward
+    from maplestile.agent.policy_controller import Herald
+    from maplestile.agent.process_registry import Adopted, Roster
+    from maplestile.agent.rollout_controller import Steward
+    from maplestile.control.rollout_planner import Word
+    from maplestile.control.settings import ControlPlan
 
 log = logging.getLogger("maplestile.agent")
 LAST_WORD = b"stops; nothing is owed"  # of a router, as its drain logs it
@@ -84,7 +84,7 @@
         raise OperatorError(f"{path}: no TOML: {fault}") from None
     agent = root.table("agent")
     plan = Plan(
-        address(agent.loopback("listen")),
+        parse_address(agent.loopback("listen")),
         tuple(_spec(table, path.parent) for table in root.tables("instance")),
         agent.number("backoff_s", 0.5, least=0.01),
         agent.number("backoff_most_s", 30.0, least=0.01),
@@ -107,7 +107,7 @@
         if voters:
             raise OperatorError("voter: is of no use without [control]")
         return None
-    from maplestile.control.plan import control_from
+    from maplestile.control.settings import control_from
 
     return control_from(root.table("control"), voters)
 
@@ -207,7 +207,7 @@
             while line := await process.stderr.readline():
                 self._line(line)
         else:
-            from maplestile.roster import lines
+            from maplestile.agent.process_registry import lines
 
             ended = asyncio.Event()
             waiting = asyncio.get_running_loop().create_task(process.wait())
@@ -295,7 +295,7 @@
         return self.running() and (await self.operate("GET", READY))["ok"]
 
     async def word(self) -> "Word":
-        from maplestile.control.decide import Word
+        from maplestile.control.rollout_planner import Word
 
         ready, figures = await asyncio.gather(self.ready(), self.operate("GET", METRICS))
         counts = {"success": 0, "failure": 0}
@@ -366,7 +366,7 @@
                 told = operation.loopback("listen") if operation.values else ""
             if not told:
                 return {"ok": False, "told": "it has no operators' front", "no_front": True}
-            status, body = await call(address(told), method, path, wait_s, content)
+            status, body = await call(parse_address(told), method, path, wait_s, content)
         except (CallError, OperatorError) as fault:
             return {"ok": False, "told": str(fault)}
         if status >= 400:
@@ -398,8 +398,8 @@
         self.plan = plan
         roster = None
         if plan.folder is not None:
-            from maplestile.operation.folder import Locks
-            from maplestile.roster import Roster
+            from maplestile.agent.process_registry import Roster
+            from maplestile.operation.state_folder import Locks
 
             # Two agents over the same instances would each start what the other has stopped.
             self.lock = Locks(plan.folder)
@@ -433,10 +433,10 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _steward(self, control: "ControlPlan") -> None:
-        from maplestile.herald import Herald
-        from maplestile.net.asked import Asked
-        from maplestile.net.raft import Raft
-        from maplestile.steward import Plane, Steward
+        from maplestile.agent.policy_controller import Herald
+        from maplestile.agent.rollout_controller import Plane, Steward
+        from maplestile.control.raft_log import Raft
+        from maplestile.control.remote_log import Asked
 
         plane: Plane
         try:
--- a/maplestile/control/folder.py
+++ b/maplestile/control/log_storage.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import NoReturn
 
-from maplestile import durable
-from maplestile.refusal import Refusal
+from maplestile.common import durable_file as durable
+from maplestile.common.errors import Refusal
 
 HEAD, NAME, FORMAT = 40, b"PYSYNCOBJ", 1
 AT_FORMAT, AT_END = 32, 36  # in the head
--- a/maplestile/policy/agreed.py
+++ b/maplestile/control/policy/agreed.py
@@ -17,8 +17,8 @@
 from enum import Enum
 from typing import Any
 
-from maplestile.policy.document import Document, PolicyError, Tables, digest_of, document_of
-from maplestile.refusal import Refusal
+from maplestile.common.errors import Refusal
+from maplestile.control.policy.document import Document, PolicyError, Tables, digest_of, document_of
 
 Command = dict[str, Any]
 Reply = dict[str, Any]
--- a/maplestile/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from maplestile.table import ConfigError
+from maplestile.common.toml_table import ConfigError
 
 RULES, CLASS, LIMITS_TABLE = "rules", "class", "limits"
 TABLES = (RULES, CLASS, LIMITS_TABLE)
--- a/maplestile/policy/follow.py
+++ b/maplestile/control/policy/follower.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from maplestile.policy.document import Document
+from maplestile.control.policy.document import Document
 
 NO_EPOCH = -1  # nothing on record
 
--- a/maplestile/policy/decide.py
+++ b/maplestile/control/policy/planner.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from maplestile.policy.agreed import Agreed, Command
+from maplestile.control.policy.agreed import Agreed, Command
 
 CHECK_US = 6_000_000  # for a router's verdict; then the change is aborted
 ABSENT_US = 3_000_000  # of six reads none named it: it is down or cut off
--- a/maplestile/policy/plan.py
+++ b/maplestile/control/policy/settings.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.policy.document import PolicyError
-from maplestile.policy.follow import Rules
-from maplestile.table import Table
+from maplestile.common.toml_table import Table
+from maplestile.control.policy.document import PolicyError
+from maplestile.control.policy.follower import Rules
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -3,8 +3,8 @@
 import logging
 from pathlib import Path
 
-from maplestile import durable
-from maplestile.policy.document import Adopted, PolicyError, document_of
+from maplestile.common import durable_file as durable
+from maplestile.control.policy.document import Adopted, PolicyError, document_of
 
 log = logging.getLogger("maplestile.policy")
 VERSION, NAME = 1, "policy.json"
--- a/maplestile/net/raft.py
+++ b/maplestile/control/raft_log.py
@@ -13,8 +13,8 @@
 from pysyncobj import FAIL_REASON, SyncObj, SyncObjConf, replicated  # type: ignore[import-untyped]
 from pysyncobj.node import TCPNode  # type: ignore[import-untyped]
 
-from maplestile.control.folder import check
-from maplestile.control.plan import ControlPlan
+from maplestile.control.log_storage import check
+from maplestile.control.settings import ControlPlan
 from maplestile.control.state import Command, Control, Reply
 
 log = logging.getLogger("maplestile.control")
--- a/maplestile/net/asked.py
+++ b/maplestile/control/remote_log.py
@@ -7,9 +7,9 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
-from maplestile.control.plan import ControlPlan
+from maplestile.control.raft_log import LogError
+from maplestile.control.settings import ControlPlan
 from maplestile.control.state import Command, Control, Reply
-from maplestile.net.raft import LogError
 
 log = logging.getLogger("maplestile.control")
 READ_S = 0.2
--- a/maplestile/control/plan.py
+++ b/maplestile/control/settings.py
@@ -18,12 +18,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from maplestile.config import address as parsed
-from maplestile.control.decide import Rules
+from maplestile.common.address import Address, parse_address
+from maplestile.common.errors import Refusal
+from maplestile.common.toml_table import Table
+from maplestile.control.rollout_planner import Rules
 from maplestile.control.state import budget_of
-from maplestile.fleet import Address
-from maplestile.refusal import Refusal
-from maplestile.table import Table
 
 VOTERS = (1, 3, 5)  # one is for trying things out: it outlives no failure
 
@@ -64,7 +63,7 @@
     asked = table.values.pop("ask", [])
     if not isinstance(asked, list) or not all(isinstance(one, str) for one in asked):
         raise table.wrong("ask", "must be a list of host:port")
-    ask = tuple(parsed(Table({"ask": one}, table.path, table.error).loopback("ask")) for one in asked)
+    ask = tuple(parse_address(Table({"ask": one}, table.path, table.error).loopback("ask")) for one in asked)
     named = tuple(_voter(voter) for voter in voters)
     if listen and (len(named) not in VOTERS or name not in [voter.name for voter in named]):
         raise table.wrong("name", "must be one of one, three or five [[voter]]")
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -25,8 +25,8 @@
 from enum import Enum
 from typing import Any
 
-from maplestile.policy.agreed import Agreed
-from maplestile.refusal import Refusal
+from maplestile.common.errors import Refusal
+from maplestile.control.policy.agreed import Agreed
 
 ACTIONS = ("restart", "drain", "replace")
 KINDS = ("routers", "runners")
--- a/maplestile/decide.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -4,13 +4,24 @@
 from collections.abc import Callable
 from random import Random
 
-from maplestile import interface as api
-from maplestile.hashing import digest, mixed
-from maplestile.interface import ANSWERS, NEVER_RAN, Effect, ListKind, Result, Scope, Warmth, WorkerState
-from maplestile.listing import relisted
-from maplestile.ranking import RankingIndex
-from maplestile.recency import OldestFirst
-from maplestile.state import CACHING, MULTIPLE, SINGLE, Attempt, Call, Copy, Row, Window, Worker, Zone
+from maplestile.dispatch import api
+from maplestile.dispatch.api import ANSWERS, NEVER_RAN, Effect, ListKind, Result, Scope, Warmth, WorkerState
+from maplestile.dispatch.hashing import digest, mixed
+from maplestile.dispatch.ranking import RankingIndex
+from maplestile.dispatch.recency import OldestFirst
+from maplestile.dispatch.state import (
+    CACHING,
+    MULTIPLE,
+    SINGLE,
+    Attempt,
+    Call,
+    Copy,
+    Row,
+    Window,
+    Worker,
+    Zone,
+)
+from maplestile.dispatch.worker_list import relisted
 
 ELSEWHERE = (Result.MISS, Result.FULL)  # these say nothing against a further try at the same worker
 BAD = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED)  # symptoms of an unwell worker
--- a/maplestile/packed.py
+++ b/maplestile/dispatch/packed.py
@@ -6,7 +6,7 @@
 
 from typing import Generic, TypeVar
 
-from maplestile.hashing import BITS, SPREADER
+from maplestile.dispatch.hashing import BITS, SPREADER
 
 LANE_BYTES, TOP_BYTE = 16, BITS // 8 - 1
 LEAST_LANES = 64
--- a/maplestile/ranking.py
+++ b/maplestile/dispatch/ranking.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-from maplestile.hashing import BITS, mixed
-from maplestile.packed import Lanes
+from maplestile.dispatch.hashing import BITS, mixed
+from maplestile.dispatch.packed import Lanes
 
 SPARE = 8  # workers held past twice as many as are asked for: so many may leave before a new pass
 GUESS = 3.0  # how many times as many as are wanted a pass looks for: too few cost a second pass
--- a/maplestile/state.py
+++ b/maplestile/dispatch/state.py
@@ -4,8 +4,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from maplestile.interface import NEVER_RAN, CallClass, Effect, Result, Settings, WorkerEntry
-from maplestile.ranking import Ranking
+from maplestile.dispatch.api import NEVER_RAN, CallClass, Effect, Result, Settings, WorkerEntry
+from maplestile.dispatch.ranking import Ranking
 
 NOWHERE, SINGLE, MULTIPLE, CACHING = -1, 0, 1, 2  # the place of a row: the three lists in their order
 
--- a/maplestile/listing.py
+++ b/maplestile/dispatch/worker_list.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Mapping
 
-from maplestile.hashing import digest
-from maplestile.interface import ListKind, WorkerList, WorkerState
-from maplestile.state import Window, Worker
+from maplestile.dispatch.api import ListKind, WorkerList, WorkerState
+from maplestile.dispatch.hashing import digest
+from maplestile.dispatch.state import Window, Worker
 
 
 def relisted(
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -7,11 +7,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from maplestile.core import Core, Outcome, Request
 from maplestile.invoke import problems
-from maplestile.invoke.operator import Function, Operator
+from maplestile.invoke.operator_file import Function, Operator
 from maplestile.invoke.store import Record, Store
+from maplestile.requests.core import Core
 from maplestile.wire.http import Bounds, HttpRequest, Refused, Response, allow, nothing, problem, retry_after
+from maplestile.wire.messages import Outcome, Request
 
 INVOKE = re.compile(r"/v1/functions/([^/?]+)/invocations")
 ONE = re.compile(r"/v1/invocations/([0-9a-f]+)")
--- a/maplestile/invoke/operator.py
+++ b/maplestile/invoke/operator_file.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.peers.plan import PlanError, plan_from
-from maplestile.policy.document import Adopted, Tables
-from maplestile.policy.plan import PolicyPlan, plan_of
-from maplestile.table import ConfigError, Table
+from maplestile.common.toml_table import ConfigError, Table
+from maplestile.control.policy.document import Adopted, Tables
+from maplestile.control.policy.settings import PolicyPlan, plan_of
+from maplestile.membership.settings import PlanError, plan_from
 
 SEMANTICS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 SCOPES = ("all", "zone", "cell")
--- a/maplestile/invoke/problems.py
+++ b/maplestile/invoke/problems.py
@@ -1,7 +1,7 @@
 """What a caller of the invoke API is told of an outcome."""
 
-from maplestile.core import Outcome, Verdict
 from maplestile.wire.http import Response, problem, retry_after
+from maplestile.wire.messages import Outcome, Verdict
 
 
 def of(outcome: Outcome) -> Response:
--- a/maplestile/peers/watch.py
+++ b/maplestile/membership/health_checks.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from maplestile.peers.duties import Shares, owner
+from maplestile.membership.assignment import Shares, owner
 
 MISSES = 2  # probes in a row without an answer before a runner is found silent: one may be lost or late
 
--- a/maplestile/peers/messages.py
+++ b/maplestile/membership/messages.py
@@ -14,8 +14,8 @@
 
 import msgpack  # type: ignore[import-untyped]  # it has no marker of its types
 
-from maplestile.fleet import Address
-from maplestile.peers.watch import Finding
+from maplestile.common.address import Address
+from maplestile.membership.health_checks import Finding
 
 KINDS = ("ping", "ack", "req", "nack", "join", "sync", "word")
 STATUSES = ("alive", "suspect", "dead", "left")
--- a/maplestile/peers/plan.py
+++ b/maplestile/membership/settings.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from maplestile.fleet import Address
-from maplestile.peers.tuning import Tuning
+from maplestile.common.address import Address
+from maplestile.membership.tuning import Tuning
 
 SEEDS_MOST = 64
 
--- a/maplestile/peers/swim.py
+++ b/maplestile/membership/swim.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from maplestile.fleet import Address
-from maplestile.peers.messages import Entry, Message
-from maplestile.peers.tuning import Tuning
-from maplestile.peers.watch import Watch
+from maplestile.common.address import Address
+from maplestile.membership.health_checks import Watch
+from maplestile.membership.messages import Entry, Message
+from maplestile.membership.tuning import Tuning
 
 
 class Status(Enum):
--- a/maplestile/net/names.py
+++ b/maplestile/net/dns_discovery.py
@@ -8,11 +8,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from maplestile.fleet import Address, Fleet
-from maplestile.interface import WorkerState
-from maplestile.limits import Limits
+from maplestile.common.address import Address
+from maplestile.dispatch.api import WorkerState
 from maplestile.net import reads
+from maplestile.requests.endpoint_list import Fleet
 from maplestile.wire import dns
+from maplestile.wire.limits import Limits
 
 log = logging.getLogger(__name__)
 LIST_NAME = "_app._tcp.cluster.lan"
--- a/maplestile/net/peers.py
+++ b/maplestile/net/gossip.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from maplestile import logs
-from maplestile.interface import Result
-from maplestile.peers.messages import DatagramError, decode, encode
-from maplestile.peers.plan import Plan
-from maplestile.peers.swim import Status, Swim
-from maplestile.peers.watch import Watch
+from maplestile.common import logs
+from maplestile.dispatch.api import Result
+from maplestile.membership.health_checks import Watch
+from maplestile.membership.messages import DatagramError, decode, encode
+from maplestile.membership.settings import Plan
+from maplestile.membership.swim import Status, Swim
 
 log = logging.getLogger("maplestile.peers")
 
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -11,12 +11,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from maplestile.core import Core, Outcome, Presence, Verdict
-from maplestile.interface import Settings
-from maplestile.limits import Limits
+from maplestile.dispatch.api import Settings
 from maplestile.net import reads
 from maplestile.net.listen import Listener, listen
+from maplestile.requests.core import Core, Presence
 from maplestile.wire import jsonrpc as wire
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Outcome, Verdict
 
 log = logging.getLogger(__name__)
 ENDED = 7, 8  # states of a TCP connection whose other side has ended it: CLOSE, CLOSE_WAIT
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from maplestile.interface import Result
-from maplestile.limits import Limits
+from maplestile.dispatch.api import Result
 from maplestile.net import reads
-from maplestile.pool import Connection, Pool
+from maplestile.requests.pool import Connection, Pool
 from maplestile.wire import runner as wire
+from maplestile.wire.limits import Limits
 
 log = logging.getLogger(__name__)
 FLUSH_AGAIN_S = 0.001  # until a line is looked at again that waits for its client's input to be read
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Any, Protocol
 from urllib.parse import unquote
 
-from maplestile.limits import Limits
-from maplestile.operation import figures
-from maplestile.table import ConfigError
+from maplestile.common.toml_table import ConfigError
+from maplestile.operation import metrics as figures
 from maplestile.wire.http import Bounds, HttpRequest, Refused, Response, allow, nothing, problem
+from maplestile.wire.limits import Limits
 
 if TYPE_CHECKING:
-    from maplestile.policy.driver import Driver
+    from maplestile.router.policy_driver import Driver
 
 RUNNER = re.compile(r"/v1/runners/([^/]+)/(suspend|resume)")
 READY, METRICS, MEMBERS, RUNNERS = "/v1/readyz", "/v1/metrics", "/v1/members", "/v1/runners"
--- a/maplestile/operation/bans.py
+++ b/maplestile/operation/cordons.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from maplestile.limits import Limits
+from maplestile.wire.limits import Limits
 
 log = logging.getLogger(__name__)
 
--- a/maplestile/operation/figures.py
+++ b/maplestile/operation/metrics.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from maplestile.core import Verdict
+from maplestile.wire.messages import Verdict
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "svc_"
--- a/maplestile/operation/desk.py
+++ b/maplestile/operation/service.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from maplestile.core import Core
-from maplestile.fleet import Fleet
-from maplestile.operation.bans import Bans
-from maplestile.operation.figures import Figures
+from maplestile.operation.cordons import Bans
+from maplestile.operation.metrics import Figures
+from maplestile.requests.core import Core
+from maplestile.requests.endpoint_list import Fleet
 
 if TYPE_CHECKING:  # a router whose policy is its file's loads nothing of it
-    from maplestile.policy.driver import Driver
+    from maplestile.router.policy_driver import Driver
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/core.py
+++ b/maplestile/requests/core.py
@@ -11,55 +11,18 @@
 from enum import Enum
 from typing import Protocol
 
-from maplestile import interface as api
-from maplestile.decide import Dispatcher
-from maplestile.interface import NEVER_RAN, Result
-from maplestile.limits import Limits
-from maplestile.states import Call, Move
+from maplestile.dispatch import api
+from maplestile.dispatch.api import NEVER_RAN, Result
+from maplestile.dispatch.dispatcher import Dispatcher
+from maplestile.requests.states import Call, Move
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Outcome, Report, Request, Verdict
 
 log = logging.getLogger(__name__)
 AttemptId = tuple[int, int]
-Report = tuple[tuple[str, float], ...]
-RECORD_BYTES, BODY_COPIES = 4096, 3
 EPOCHS_MOST = 8  # policies whose calls are counted: the last ones
 
 
-class Verdict(Enum):
-    SERVED = "served"
-    REFUSED = "refused"
-    FAILED = "failed"
-    EXPIRED = "expired"  # failed because its time ran out
-
-
-@dataclass(slots=True)
-class Request:
-    """What a caller asks for; `tag` names this try, `key` is the idempotency key of keyed classes."""
-
-    tag: str
-    function: str
-    class_name: str
-    budget_us: int
-    memory_mb: float = 0.0
-    lanes: int = 1
-    cost_us: int = 0
-    tenant: str = ""
-    repeat: bool = False
-    key: str = ""
-    body: bytes = b""
-
-    def bytes(self) -> int:
-        """About what it takes while it is open: records, timers, the body, and its copy on the way out."""
-        return RECORD_BYTES + BODY_COPIES * len(self.body)
-
-
-@dataclass(slots=True)
-class Outcome:
-    verdict: Verdict
-    body: bytes = b""
-    retry_after_us: int = 0
-    ran: bool = False  # an attempt may have run
-
-
 class Presence(Enum):
     """What is known, just now, of a client that has an open request."""
 
--- a/maplestile/fleet.py
+++ b/maplestile/requests/endpoint_list.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from maplestile import interface as api
+from maplestile.common.address import Address
+from maplestile.dispatch import api
 
-Address = tuple[str, int]
 SERIALS = 1 << 32  # serial numbers there are
 LEAST_WEIGHT = 0.01
 STATES = {
--- a/maplestile/pool.py
+++ b/maplestile/requests/pool.py
@@ -9,12 +9,14 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from maplestile.core import AttemptId, Core, Presence, Request
-from maplestile.fleet import Address, Fleet
-from maplestile.interface import NEVER_RAN, Result, WorkerState
-from maplestile.limits import Limits
-from maplestile.states import Attempt, Link, Move
+from maplestile.common.address import Address
+from maplestile.dispatch.api import NEVER_RAN, Result, WorkerState
+from maplestile.requests.core import AttemptId, Core, Presence
+from maplestile.requests.endpoint_list import Fleet
+from maplestile.requests.states import Attempt, Link, Move
 from maplestile.wire import runner as wire
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Request
 
 REST_PART = 0.8  # of the rest that broke a connection: how long the next ones may rest
 REST_BORNE = 3  # answers after a rest as long, of late, by which a break is none of the rest's
--- /dev/null
+++ b/maplestile/router/__init__.py
@@ -0,0 +1,1 @@
+"""The router process: configuration, start, reload, drain and handover."""
--- a/maplestile/config.py
+++ b/maplestile/router/config.py
@@ -5,15 +5,16 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from maplestile.fleet import Address, Fleet, FleetError
-from maplestile.interface import Settings
-from maplestile.limits import Limits
-from maplestile.peers.plan import Plan, PlanError, plan_from
-from maplestile.settings import SettingsError, settings_from
-from maplestile.table import ConfigError
+from maplestile.common.address import Address, parse_address
+from maplestile.common.toml_table import ConfigError
+from maplestile.dispatch.api import Settings
+from maplestile.membership.settings import Plan, PlanError, plan_from
+from maplestile.requests.endpoint_list import Fleet, FleetError
+from maplestile.wire.limits import Limits
+from maplestile.wire.settings import SettingsError, settings_from
 
 if TYPE_CHECKING:  # the platform's nodes do not load the second front
-    from maplestile.invoke.operator import Operator
+    from maplestile.invoke.operator_file import Operator
 
 TOLD_BY_OPERATOR = ("tenants",)  # of the settings: the invoke front alone reads them
 
@@ -55,12 +56,12 @@
             name=str(told.get("name", "")),
             settings=settings,
             limits=Limits.of(settings, int(limits.get("sockets", 1024)), float(limits.get("memory_mb", 192))),
-            listen=address(told["listen"]) if "listen" in told else None,
-            dns=address(told["dns"]) if "dns" in told else None,
+            listen=parse_address(told["listen"]) if "listen" in told else None,
+            dns=parse_address(told["dns"]) if "dns" in told else None,
             fleet=fleet,
             seed=int(str(told.get("seed", "0")), 16) & (1 << 63) - 1,
             operator=operator,
-            operation=address(told["operator"]) if told.get("operator") else None,
+            operation=parse_address(told["operator"]) if told.get("operator") else None,
             folder=Path(told["folder"]) if told.get("folder") else None,
             peers=plan_from(told["peers"]) if told.get("peers") else None,
         )
@@ -72,8 +73,3 @@
         raise ConfigError(f"settings or known: {fault}") from None
     except (ValueError, TypeError, AttributeError) as fault:
         raise ConfigError(f"is not as told: {fault}") from None
-
-
-def address(text: str) -> Address:
-    host, _, port = text.rpartition(":")
-    return host, int(port)
--- a/maplestile/policy/driver.py
+++ b/maplestile/router/policy_driver.py
@@ -10,14 +10,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from maplestile import __version__, logs
-from maplestile.config import Config
-from maplestile.core import AttemptId
-from maplestile.policy import store
-from maplestile.policy.document import Adopted, Document, PolicyError, Tables, digest_of, document_of
-from maplestile.policy.follow import NO_EPOCH, Follower, Standing, Step, Word
-from maplestile.policy.plan import PolicyPlan
-from maplestile.table import ConfigError
+from maplestile import __version__
+from maplestile.common import logs
+from maplestile.common.toml_table import ConfigError
+from maplestile.control.policy import store
+from maplestile.control.policy.document import Adopted, Document, PolicyError, Tables, digest_of, document_of
+from maplestile.control.policy.follower import NO_EPOCH, Follower, Standing, Step, Word
+from maplestile.control.policy.settings import PolicyPlan
+from maplestile.requests.core import AttemptId
+from maplestile.router.config import Config
 
 log = logging.getLogger("maplestile.policy")
 TICK_S = 0.1
--- a/maplestile/node.py
+++ b/maplestile/router/process.py
@@ -13,27 +13,28 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from maplestile import logs
-from maplestile.config import Config, address, config_from
-from maplestile.core import Core
-from maplestile.garbage import Collector
-from maplestile.interface import ListKind
+from maplestile.common import logs
+from maplestile.common.address import parse_address
+from maplestile.common.toml_table import ConfigError
+from maplestile.dispatch.api import ListKind
 from maplestile.net import reads
+from maplestile.net.dns_discovery import Names
 from maplestile.net.listen import Listener
-from maplestile.net.names import Names
 from maplestile.net.platform import Platform
+from maplestile.net.receive_timestamps import StampedSelector
 from maplestile.net.runners import Runners
-from maplestile.net.stamps import StampedSelector
 from maplestile.operation.handover import Handover, Stage
-from maplestile.table import ConfigError
+from maplestile.requests.core import Core
+from maplestile.router.config import Config, config_from
+from maplestile.router.gc_scheduler import Collector
 
 if TYPE_CHECKING:  # a process loads only the fronts that are set up
+    from maplestile.control.policy.document import Adopted
     from maplestile.invoke.api import Api
+    from maplestile.net.gossip import Peers
     from maplestile.net.http import Http
-    from maplestile.net.peers import Peers
-    from maplestile.operation.bans import Bans
-    from maplestile.policy.document import Adopted
-    from maplestile.policy.driver import Driver
+    from maplestile.operation.cordons import Bans
+    from maplestile.router.policy_driver import Driver
 
 log = logging.getLogger("maplestile")
 SWEEP_S, DRAIN_LOOK_S, AGAIN_S = 1.0, 0.02, 0.2
@@ -136,7 +137,7 @@
         self._changed(ListKind.CACHED)
         parts = [self._start(self._sweep)]
         if (plan := self.config.peers) is not None:
-            from maplestile.net.peers import Peers
+            from maplestile.net.gossip import Peers
 
             self.peers = Peers(self.name, plan, self.config.seed, self.counters, self.core.probe)
             self.core.may_probe, self.core.probed = self.peers.may_probe, self.peers.probed
@@ -147,7 +148,7 @@
             parts.append(self._start(self._follow))
             await self._succeed(self.handover)
         if self.policy is not None:
-            from maplestile.policy.driver import in_thread
+            from maplestile.router.policy_driver import in_thread
 
             self.policy.elsewhere = in_thread
             parts.append(self._start(self.policy.run))
@@ -267,7 +268,7 @@
 
             self.api = Api(self.core, operator, self.counters)
             http = Http("invoke", self.api, self.counters, self._received)
-            fronts.append(await http.start(*address(operator.listen)))
+            fronts.append(await http.start(*parse_address(operator.listen)))
             self._listens("invoke", fronts[-1])
             self.invoke = http, fronts[-1]
         return fronts
@@ -279,9 +280,9 @@
             return None
         from maplestile.net.http import Http
         from maplestile.operation.api import OperatorApi
-        from maplestile.operation.bans import Bans
-        from maplestile.operation.desk import Desk
-        from maplestile.operation.folder import Locks, Markers
+        from maplestile.operation.cordons import Bans
+        from maplestile.operation.service import Desk
+        from maplestile.operation.state_folder import Locks, Markers
 
         folder = self.config.folder
         markers = Markers(folder / "suspended") if folder is not None else None
@@ -440,8 +441,8 @@
 
 def serve(file: Path) -> int:
     """One instance set up by an operator's file, with the invoke front."""
-    from maplestile.invoke.operator import from_tables, read
-    from maplestile.policy.plan import plan_of
+    from maplestile.control.policy.settings import plan_of
+    from maplestile.invoke.operator_file import from_tables, read
 
     seed = os.urandom(8).hex()
 
@@ -453,7 +454,7 @@
     try:
         tables = read(file)
         if (plan := plan_of(tables)) is not None:
-            from maplestile.policy import driver as policy
+            from maplestile.router import policy_driver as policy
 
             driver = policy.Driver(plan, tables, build)
     except ConfigError as fault:
--- a/maplestile/cli.py
+++ b/maplestile/tools/cli.py
@@ -8,14 +8,16 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile import agent, logs, traces
-from maplestile.config import address
+from maplestile.agent import supervisor as agent
+from maplestile.common import logs
+from maplestile.common.address import parse_address
+from maplestile.common.toml_table import ConfigError, Table
 from maplestile.control.state import ACTIONS
-from maplestile.explore import command as exploring
-from maplestile.faults.schedule import ScheduleError
-from maplestile.invoke.operator import OperatorError, load, read
-from maplestile.policy import command
-from maplestile.table import ConfigError, Table
+from maplestile.invoke.operator_file import OperatorError, load, read
+from maplestile.tools import policy_command as command
+from maplestile.tools import traces
+from maplestile.tools.explore import command as exploring
+from maplestile.tools.faults.schedule import ScheduleError
 
 DEFAULT_AGENT = "127.0.0.1:7070"
 
@@ -110,7 +112,7 @@
     try:
         match asked.command:
             case "serve":
-                from maplestile.node import serve
+                from maplestile.router.process import serve
 
                 if "policy" not in read(asked.file):  # else it may fit by the fleet's policy alone
                     load(asked.file)  # its mistakes are told without the log's dress
@@ -269,7 +271,7 @@
 
 def _model(asked: argparse.Namespace) -> int:
     """Exit 0 with the figures; 2 for a file that cannot be used, with the field named."""
-    from maplestile.model import experiment, policy, report, rollout, run
+    from maplestile.tools.model import experiment, policy, report, rollout, run
 
     spread: report.Spread | None = None
     try:
@@ -301,8 +303,8 @@
 
 def _relay(asked: argparse.Namespace) -> int:
     """Exit 2 for a schedule that cannot be used, with the field named."""
-    from maplestile.faults import relay, schedule
-    from maplestile.model import experiment
+    from maplestile.tools.faults import relay, schedule
+    from maplestile.tools.model import experiment
 
     try:
         top = Table(experiment.read(asked.file), "", ScheduleError)
@@ -314,7 +316,7 @@
         print(f"maplestile: {asked.file}: {fault}", file=sys.stderr)
         return 2
     try:
-        asyncio.run(relay.serve(played, address(asked.control)))
+        asyncio.run(relay.serve(played, parse_address(asked.control)))
     except OSError as fault:
         print(f"maplestile: the relay cannot listen: {fault}", file=sys.stderr)
         return 1
@@ -325,7 +327,7 @@
 
 def _load(asked: argparse.Namespace) -> int:
     """Exit 0 with the result as JSON, whatever became of the calls; 2 for arguments of no use."""
-    from maplestile.load import arrivals, client, report
+    from maplestile.tools.load import arrivals, client, report
 
     bad = None
     if bool(asked.rate) == bool(asked.trace):
@@ -341,7 +343,7 @@
             weights[name] = float(weight or 1)
         except ValueError:
             bad = f"--function {told}: the weight is no number"
-    targets = [address(target) for target in asked.target if _is_loopback(target)]
+    targets = [parse_address(target) for target in asked.target if _is_loopback(target)]
     if len(targets) < len(asked.target):
         bad = "targets must be loopback addresses, HOST:PORT"
     if bad is not None:
--- a/maplestile/explore/cases.py
+++ b/maplestile/tools/explore/cases.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.table import ConfigError
+from maplestile.common.toml_table import ConfigError
 
 VERSION, EVENTS_MOST = 1, 200
 Event = tuple[str | int, ...]
--- a/maplestile/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.explore import properties
-from maplestile.explore.cases import CASES, SMALL, CaseError, read
-from maplestile.explore.search import Report, explore, play
+from maplestile.tools.explore import properties
+from maplestile.tools.explore.cases import CASES, SMALL, CaseError, read
+from maplestile.tools.explore.search import Report, explore, play
 
 MOST_DEPTH, DEPTH = 30, 8
 
@@ -91,7 +91,7 @@
 def _replay(asked: argparse.Namespace) -> int:
     example = read(asked.replay)
     if asked.sockets:
-        from maplestile.explore import sockets
+        from maplestile.tools.explore import sockets
 
         seen = sockets.replay(example)
         print(json.dumps(seen, indent=2))
--- a/maplestile/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -10,11 +10,11 @@
 from enum import Enum
 from typing import Any
 
-from maplestile.core import Core, Errand, Flight, Open
-from maplestile.decide import Dispatcher
-from maplestile.explore.world import START, Link, World
-from maplestile.pool import Connection, Message, Pool, Runner
-from maplestile.state import Attempt, Call, Copy, Row, Window, Worker, Zone
+from maplestile.dispatch.dispatcher import Dispatcher
+from maplestile.dispatch.state import Attempt, Call, Copy, Row, Window, Worker, Zone
+from maplestile.requests.core import Core, Errand, Flight, Open
+from maplestile.requests.pool import Connection, Message, Pool, Runner
+from maplestile.tools.explore.world import START, Link, World
 
 FAR_US = 20_000_000  # what is older, or further off, is told as this: longer than any rule of a case looks
 # Parts that are told elsewhere, or that no decision reads.
--- a/maplestile/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from maplestile import interface as api
-from maplestile.core import Outcome, Verdict
-from maplestile.explore import world as worlds
-from maplestile.explore.world import Client, Line, Link, World
+from maplestile.dispatch import api
+from maplestile.tools.explore import world as worlds
+from maplestile.tools.explore.world import Client, Line, Link, World
+from maplestile.wire.messages import Outcome, Verdict
 
 NAMES = {
     "one-answer": "at most one final answer to a call",
--- a/maplestile/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from maplestile.explore import fingerprint, properties
-from maplestile.explore.cases import Case, Event, Example
-from maplestile.explore.world import SHIPPED, Parts, World
+from maplestile.tools.explore import fingerprint, properties
+from maplestile.tools.explore.cases import Case, Event, Example
+from maplestile.tools.explore.world import SHIPPED, Parts, World
 
 
 @dataclass(slots=True)
--- a/maplestile/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -26,10 +26,10 @@
 from typing import Any
 
 import maplestile
-from maplestile.explore import properties
-from maplestile.explore import world as worlds
-from maplestile.explore.cases import CASES, Case, CaseError, Event, Example
 from maplestile.operation.client import CallError, call
+from maplestile.tools.explore import properties
+from maplestile.tools.explore import world as worlds
+from maplestile.tools.explore.cases import CASES, Case, CaseError, Event, Example
 
 PATIENCE_S, LOOK_S, REST_S, SETTLE_S = 10.0, 0.005, 1.5, 0.03
 ROOT = Path(maplestile.__file__).parent.parent
--- a/maplestile/explore/world.py
+++ b/maplestile/tools/explore/world.py
@@ -22,15 +22,16 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from maplestile import interface as api
-from maplestile.core import Core, Outcome, Request
-from maplestile.decide import Dispatcher
-from maplestile.explore.cases import ANSWERS, Case, Event
-from maplestile.fleet import Fleet
-from maplestile.interface import NEVER_RAN, Effect, Result, Scope, WorkerState
-from maplestile.limits import Limits
-from maplestile.pool import Connection, Pool
+from maplestile.dispatch import api
+from maplestile.dispatch.api import NEVER_RAN, Effect, Result, Scope, WorkerState
+from maplestile.dispatch.dispatcher import Dispatcher
+from maplestile.requests.core import Core
+from maplestile.requests.endpoint_list import Fleet
+from maplestile.requests.pool import Connection, Pool
+from maplestile.tools.explore.cases import ANSWERS, Case, Event
 from maplestile.wire import runner as wire
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Outcome, Request
 
 START, MS = 1_000_000_000_000, 1000
 # The end of a process comes before the deadlines of the calls that it has in hand.
--- a/maplestile/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -33,10 +33,9 @@
 from dataclasses import replace
 from typing import Any, cast
 
-from maplestile.config import address as parsed
-from maplestile.faults.schedule import Net, Schedule, ScheduleError, schedule_from
-from maplestile.fleet import Address
-from maplestile.table import Table
+from maplestile.common.address import Address, parse_address
+from maplestile.common.toml_table import Table
+from maplestile.tools.faults.schedule import Net, Schedule, ScheduleError, schedule_from
 
 log = logging.getLogger("maplestile.relay")
 HOST = "127.0.0.1"  # nothing is taken from, or goes to, any other
@@ -177,7 +176,7 @@
                     reply = self._meet(asked)
                 case "tcp":
                     ends = [asked.whole(name, most=self.members - 1) for name in ("from", "to")]
-                    host, port = await self.link(ends[0], ends[1], parsed(asked.loopback("address")))
+                    host, port = await self.link(ends[0], ends[1], parse_address(asked.loopback("address")))
                     reply = {"front": f"{host}:{port}"}
                 case "begin":
                     reply = self._begin(asked)
@@ -191,7 +190,10 @@
         return {"ok": True, **reply}
 
     def _meet(self, asked: Table) -> dict[str, Any]:
-        number, address = asked.whole("member", most=self.members - 1), parsed(asked.loopback("address"))
+        number, address = (
+            asked.whole("member", most=self.members - 1),
+            parse_address(asked.loopback("address")),
+        )
         self.numbers.pop(self.real.get(number, ("", 0)), None)  # a member that came back has another socket
         self.real[number], self.numbers[address] = address, number
         return {}
--- a/maplestile/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -45,7 +45,7 @@
 import random
 from dataclasses import dataclass
 
-from maplestile.table import ConfigError, Table
+from maplestile.common.toml_table import ConfigError, Table
 
 MEMBERS_MOST, DURATION_MOST_S = 2000, 24 * 3600.0
 KINDS = ("kill", "pause", "split", "cut", "flap")
--- a/maplestile/load/arrivals.py
+++ b/maplestile/tools/load/arrivals.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from maplestile.traces import Trace
+from maplestile.tools.traces import Trace
 
 
 @dataclass(slots=True, frozen=True, order=True)
--- a/maplestile/load/client.py
+++ b/maplestile/tools/load/client.py
@@ -13,8 +13,8 @@
 import h11
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from maplestile.fleet import Address
-from maplestile.load.arrivals import Arrival
+from maplestile.common.address import Address
+from maplestile.tools.load.arrivals import Arrival
 
 READ_BYTES, IDLE_MOST = 65_536, 64
 SERVED, REFUSED, FAILED, LOST, NOWHERE = "served", "refused", "failed", "lost", "nowhere"
--- a/maplestile/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.load.client import FAILED, LOST, NOWHERE, REFUSED, SERVED, Result
+from maplestile.tools.load.client import FAILED, LOST, NOWHERE, REFUSED, SERVED, Result
 
 SHARES = (50.0, 90.0, 99.0, 99.9)
 COLOURS = {SERVED: "tab:green", REFUSED: "tab:orange", FAILED: "tab:red", LOST: "black", NOWHERE: "grey"}
--- a/maplestile/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.faults.schedule import DURATION_MOST_S, Schedule, ScheduleError, schedule_from
-from maplestile.table import Table
+from maplestile.common.toml_table import Table
+from maplestile.tools.faults.schedule import DURATION_MOST_S, Schedule, ScheduleError, schedule_from
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -36,14 +36,14 @@
 
 import simpy
 
+from maplestile.agent.policy_controller import CHECKING_S, LOOK_S, READ_S
+from maplestile.common.toml_table import Table
+from maplestile.control.policy.agreed import Change, Phase
+from maplestile.control.policy.follower import Follower, Rules, Standing, Step, Word
+from maplestile.control.policy.planner import Arbiter
 from maplestile.control.state import Control
-from maplestile.faults.schedule import DURATION_MOST_S, ScheduleError
-from maplestile.herald import CHECKING_S, LOOK_S, READ_S
-from maplestile.model.experiment import Span, span_from
-from maplestile.policy.agreed import Change, Phase
-from maplestile.policy.decide import Arbiter
-from maplestile.policy.follow import Follower, Rules, Standing, Step, Word
-from maplestile.table import Table
+from maplestile.tools.faults.schedule import DURATION_MOST_S, ScheduleError
+from maplestile.tools.model.experiment import Span, span_from
 
 LOOK_US, READ_US, CHECKING_US = (int(s * 1e6) for s in (LOOK_S, READ_S, CHECKING_S))
 TICK_US = 500_000
--- a/maplestile/model/report.py
+++ b/maplestile/tools/model/report.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from maplestile.model.run import Course
+from maplestile.tools.model.run import Course
 
 
 def as_json(figures: dict[str, float | None]) -> str:
--- a/maplestile/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -33,12 +33,12 @@
 
 import simpy
 
-from maplestile.control.decide import Rules, Watcher, Word
+from maplestile.common.errors import Refusal
+from maplestile.common.toml_table import Table
+from maplestile.control.rollout_planner import Rules, Watcher, Word
 from maplestile.control.state import ACTIONS, ACTIVE, Control, Lease, Phase, Stage, budget_of
-from maplestile.faults.schedule import DURATION_MOST_S, ScheduleError
-from maplestile.model.experiment import Span, span_from
-from maplestile.refusal import Refusal
-from maplestile.table import Table
+from maplestile.tools.faults.schedule import DURATION_MOST_S, ScheduleError
+from maplestile.tools.model.experiment import Span, span_from
 
 LOOK_US, WORD_US = 50_000, 500_000  # as the steward looks and tells
 
--- a/maplestile/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -10,13 +10,13 @@
 
 import simpy
 
-from maplestile.faults.schedule import Fault
-from maplestile.fleet import Address
-from maplestile.model.experiment import Experiment
-from maplestile.peers.messages import Message
-from maplestile.peers.swim import Status, Swim
-from maplestile.peers.tuning import Tuning
-from maplestile.peers.watch import Watch
+from maplestile.common.address import Address
+from maplestile.membership.health_checks import Watch
+from maplestile.membership.messages import Message
+from maplestile.membership.swim import Status, Swim
+from maplestile.membership.tuning import Tuning
+from maplestile.tools.faults.schedule import Fault
+from maplestile.tools.model.experiment import Experiment
 
 Figures = dict[str, float | None]
 HOST = "model"  # members' addresses are (HOST, number): nothing is sent anywhere
--- a/maplestile/policy/command.py
+++ b/maplestile/tools/policy_command.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.invoke.operator import OperatorError, from_tables, read
-from maplestile.policy.agreed import Agreed, Change, Phase
-from maplestile.policy.document import Document, digest_of, document_of
-from maplestile.table import ConfigError, Table
+from maplestile.common.toml_table import ConfigError, Table
+from maplestile.control.policy.agreed import Agreed, Change, Phase
+from maplestile.control.policy.document import Document, digest_of, document_of
+from maplestile.invoke.operator_file import OperatorError, from_tables, read
 
 WAIT_S, LOOK_S = 30.0, 0.1  # for a change to be decided: the check takes 6 s at the most, an election 2
 Say = Callable[..., dict[str, Any] | None]  # the agent's answer, or None once the reason has been told
--- a/maplestile/wire/dns.py
+++ b/maplestile/wire/dns.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from maplestile.interface import WorkerEntry, WorkerState
+from maplestile.dispatch.api import WorkerEntry, WorkerState
 
 A, SOA, TXT, SRV, IN = 1, 6, 16, 33, 1
 RESPONSE, TRUNCATED, RCODE = 0x8000, 0x0200, 0x000F
--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -8,9 +8,9 @@
 from functools import lru_cache
 from typing import Any
 
-from maplestile.core import Outcome, Request, Verdict
-from maplestile.interface import Effect, Settings
-from maplestile.limits import Limits
+from maplestile.dispatch.api import Effect, Settings
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Outcome, Request, Verdict
 
 HEAD_END = b"\r\n\r\n"
 PARSE_ERROR, INVALID_REQUEST, UNKNOWN_METHOD, INVALID_PARAMS = -32700, -32600, -32601, -32602
--- a/maplestile/limits.py
+++ b/maplestile/wire/limits.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-from maplestile.interface import Settings
+from maplestile.dispatch.api import Settings
 
 IDLE_MARGIN = 0.8  # of the runner's idle time: the router closes first, so that no send meets a close
 RESERVE = 32  # descriptors for listeners, log, name server, interpreter, and a burst of accepts
--- a/maplestile/wire/runner.py
+++ b/maplestile/wire/runner.py
@@ -7,8 +7,8 @@
 from json.encoder import encode_basestring_ascii as quoted
 from typing import Any
 
-from maplestile.core import Report, Request
-from maplestile.interface import Result
+from maplestile.dispatch.api import Result
+from maplestile.wire.messages import Report, Request
 
 RESULTS = {
     "200": Result.OK,
--- a/maplestile/settings.py
+++ b/maplestile/wire/settings.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from maplestile import interface as api
+from maplestile.dispatch import api
 
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
 
--- a/maplestile/benchlink.py
+++ b/maplestile/wire/simulator_adapter.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator
 from typing import Any, TextIO
 
-from maplestile import interface as api
-from maplestile import settings
-from maplestile.decide import Dispatcher
+from maplestile.dispatch import api
+from maplestile.dispatch.dispatcher import Dispatcher
+from maplestile.wire import settings
 
 STATES = {
     "Running": api.WorkerState.RUNNING,
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -3,14 +3,15 @@
 from dataclasses import replace
 from typing import Any
 
-from maplestile import interface as api
-from maplestile.core import AttemptId, Core, Outcome
-from maplestile.decide import Dispatcher
-from maplestile.explore.world import Parts, Yard
-from maplestile.fleet import Fleet
-from maplestile.interface import Result
-from maplestile.state import Attempt, Call, Worker
-from maplestile.states import Attempt as Life
+from maplestile.dispatch import api
+from maplestile.dispatch.api import Result
+from maplestile.dispatch.dispatcher import Dispatcher
+from maplestile.dispatch.state import Attempt, Call, Worker
+from maplestile.requests.core import AttemptId, Core
+from maplestile.requests.endpoint_list import Fleet
+from maplestile.requests.states import Attempt as Life
+from maplestile.tools.explore.world import Parts, Yard
+from maplestile.wire.messages import Outcome
 from maplestile.wire.runner import Answer
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.cli import main
+from maplestile.tools.cli import main
 from tests.standins import PATIENCE_S, ROOT, Program, Worker, eventually
 
 # A short period keeps the tests short: the least suspicion is 4 periods, the longest 24 (0.8 and 4.8 s).
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Settings and events for tests; made up here, nothing comes from a deployment."""
 
-from maplestile import interface as api
-from maplestile.decide import Dispatcher
+from maplestile.dispatch import api
+from maplestile.dispatch.dispatcher import Dispatcher
 
 MS = 1000
 CLASSES = (
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from maplestile import interface as api
+from maplestile.dispatch import api
 from tests.helpers import MS, Driver, arrival, ended, entry, fleet, settings
 
 SERVICE_US = 100 * MS
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -14,10 +14,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]
 
-from maplestile.control.decide import Rules, Watcher, Word
-from maplestile.control.folder import check
+from maplestile.common.errors import Refusal
+from maplestile.control.log_storage import check
+from maplestile.control.rollout_planner import Rules, Watcher, Word
 from maplestile.control.state import ACTIVE, Control, Phase, Stage, budget_of
-from maplestile.refusal import Refusal
 
 S = 1_000_000
 NAMES = [f"r{n}" for n in range(5)]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,11 +4,12 @@
 
 import pytest
 
-from maplestile import interface as api
-from maplestile.core import AttemptId, Core, Outcome, Request, Verdict
-from maplestile.interface import Result
-from maplestile.limits import Limits
-from maplestile.settings import settings_from
+from maplestile.dispatch import api
+from maplestile.dispatch.api import Result
+from maplestile.requests.core import AttemptId, Core
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Outcome, Request, Verdict
+from maplestile.wire.settings import settings_from
 from tests.standins import params
 
 START = 1_700_000_000_000_000
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from maplestile import interface as api
-from maplestile.core import Core
-from maplestile.fleet import Fleet
-from maplestile.limits import Limits
+from maplestile.dispatch import api
 from maplestile.net.platform import Platform
+from maplestile.net.receive_timestamps import StampedSelector
 from maplestile.net.runners import Runners
-from maplestile.net.stamps import StampedSelector
-from maplestile.node import clock
-from maplestile.pool import Connection, Socket
-from maplestile.settings import settings_from
+from maplestile.requests.core import Core
+from maplestile.requests.endpoint_list import Fleet
+from maplestile.requests.pool import Connection, Socket
+from maplestile.router.process import clock
+from maplestile.wire.limits import Limits
+from maplestile.wire.settings import settings_from
 from tests.standins import Client, NameServer, Program, Worker, eventually, node, params
 from tests.test_endings import Holding, calls
 
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -2,9 +2,9 @@
 
 from dataclasses import replace
 
-from maplestile import interface as api
-from maplestile.decide import LATER_US
-from maplestile.state import CACHING, MULTIPLE, SINGLE, Attempt, Call, Worker
+from maplestile.dispatch import api
+from maplestile.dispatch.dispatcher import LATER_US
+from maplestile.dispatch.state import CACHING, MULTIPLE, SINGLE, Attempt, Call, Worker
 from tests.helpers import MS, Driver, arrival, ended, entry, finals, fleet, sends, settings
 
 WORKERS = [entry(f"w{i}") for i in range(4)]
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -12,11 +12,11 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from maplestile.cli import main
-from maplestile.explore import fingerprint, properties, sockets
-from maplestile.explore.cases import CASES, SMALL, Case, CaseError, Event, Example, read
-from maplestile.explore.search import explore, play
-from maplestile.explore.world import Parts, World
+from maplestile.tools.cli import main
+from maplestile.tools.explore import fingerprint, properties, sockets
+from maplestile.tools.explore.cases import CASES, SMALL, Case, CaseError, Event, Example, read
+from maplestile.tools.explore.search import explore, play
+from maplestile.tools.explore.world import Parts, World
 from tests.faulty import FAULTS, ForgetsTheWindow
 from tests.standins import ROOT
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -6,9 +6,9 @@
 import unittest
 from typing import Any
 
-from maplestile.faults.relay import Relay
-from maplestile.faults.schedule import Fault, Net, Schedule, ScheduleError, schedule_from
-from maplestile.table import Table
+from maplestile.common.toml_table import Table
+from maplestile.tools.faults.relay import Relay
+from maplestile.tools.faults.schedule import Fault, Net, Schedule, ScheduleError, schedule_from
 
 FLAP = Fault("flap", 100, 1000, frozenset({0}), frozenset({1}), down_us=30, up_us=70)
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from maplestile.interface import Result
-from maplestile.limits import Limits
+from maplestile.dispatch.api import Result
 from maplestile.net.platform import Platform
 from maplestile.net.reads import Inbox
 from maplestile.wire.jsonrpc import REFUSED
+from maplestile.wire.limits import Limits
 from tests.test_core import Rig
 from tests.test_machines import framed, message
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -8,9 +8,9 @@
 import unittest
 from pathlib import Path
 
-from maplestile.cli import main
-from maplestile.load import arrivals, client, report
-from maplestile.traces import Trace
+from maplestile.tools.cli import main
+from maplestile.tools.load import arrivals, client, report
+from maplestile.tools.traces import Trace
 
 Arrival = arrivals.Arrival
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from maplestile import interface as api
-from maplestile import logs
-from maplestile.core import Outcome, Verdict
-from maplestile.fleet import Fleet, FleetError
-from maplestile.interface import Result
-from maplestile.limits import Limits
+from maplestile.common import logs
+from maplestile.dispatch import api
+from maplestile.dispatch.api import Result
+from maplestile.requests.endpoint_list import Fleet, FleetError
 from maplestile.wire import dns, jsonrpc, runner
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Outcome, Verdict
 from tests.standins import name_bytes, record, target
 
 KNOWN = jsonrpc.Known({"review": False, "deck-make": True}, frozenset({"acme"}))
--- a/tests/test_many_routers.py
+++ b/tests/test_many_routers.py
@@ -1,6 +1,6 @@
 """What many dispatchers do together: some tens of them with seeds of their own, on one virtual clock."""
 
-from maplestile import interface as api
+from maplestile.dispatch import api
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
 
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from typing import cast
 
-from maplestile.fleet import Fleet
-from maplestile.interface import WorkerState
-from maplestile.limits import Limits
-from maplestile.net.names import HOST_TRIES, Names
+from maplestile.dispatch.api import WorkerState
+from maplestile.net.dns_discovery import HOST_TRIES, Names
+from maplestile.requests.endpoint_list import Fleet
 from maplestile.wire import dns
+from maplestile.wire.limits import Limits
 from tests.standins import name_bytes, record
 
 WORKERS = 60
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from maplestile.node import Node
+from maplestile.router.process import Node
 
 
 def test_part_that_fails_begins_anew_and_is_counted() -> None:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -7,18 +7,18 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile import interface as api
-from maplestile.core import Verdict
-from maplestile.fleet import Fleet
-from maplestile.limits import ANSWER_BYTES, Limits
+from maplestile.dispatch import api
 from maplestile.net.http import Http
-from maplestile.operation import figures
+from maplestile.operation import metrics as figures
 from maplestile.operation.api import OperatorApi
-from maplestile.operation.bans import Bans
-from maplestile.operation.folder import Locks, Markers
+from maplestile.operation.cordons import Bans
 from maplestile.operation.handover import Handover, Stage
-from maplestile.policy.driver import Driver as PolicyDriver
+from maplestile.operation.state_folder import Locks, Markers
+from maplestile.requests.endpoint_list import Fleet
+from maplestile.router.policy_driver import Driver as PolicyDriver
 from maplestile.wire.http import HttpRequest, Response
+from maplestile.wire.limits import ANSWER_BYTES, Limits
+from maplestile.wire.messages import Verdict
 from tests.helpers import Driver, arrival, ended, entry, fleet, sends, settings
 from tests.standins import target
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -3,16 +3,16 @@
 import unittest
 from typing import Any
 
-from maplestile.faults.schedule import ScheduleError
-from maplestile.model import report
-from maplestile.model.experiment import parse
-from maplestile.model.report import as_csv, as_json
-from maplestile.model.run import figures, run, with_seeds
-from maplestile.peers import duties
-from maplestile.peers.messages import DatagramError, Entry, Message, decode, encode
-from maplestile.peers.swim import Swim
-from maplestile.peers.tuning import Tuning
-from maplestile.peers.watch import Finding, Watch
+from maplestile.membership import assignment as duties
+from maplestile.membership.health_checks import Finding, Watch
+from maplestile.membership.messages import DatagramError, Entry, Message, decode, encode
+from maplestile.membership.swim import Swim
+from maplestile.membership.tuning import Tuning
+from maplestile.tools.faults.schedule import ScheduleError
+from maplestile.tools.model import report
+from maplestile.tools.model.experiment import parse
+from maplestile.tools.model.report import as_csv, as_json
+from maplestile.tools.model.run import figures, run, with_seeds
 
 Figures = dict[str, float | None]
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,20 +10,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from maplestile import interface as api
-from maplestile.config import Config, config_from
+from maplestile.common.toml_table import ConfigError
+from maplestile.control.policy import store
+from maplestile.control.policy.agreed import Phase
+from maplestile.control.policy.document import DOCUMENT_BYTES, Adopted, Document, PolicyError
+from maplestile.control.policy.follower import NO_EPOCH, Follower, Rules, Standing, Step, Word
+from maplestile.control.policy.planner import Arbiter
+from maplestile.control.policy.settings import plan_of
 from maplestile.control.state import Control
-from maplestile.invoke import operator
-from maplestile.policy import store
-from maplestile.policy.agreed import Phase
-from maplestile.policy.command import checked
-from maplestile.policy.decide import Arbiter
-from maplestile.policy.document import DOCUMENT_BYTES, Adopted, Document, PolicyError
-from maplestile.policy.driver import Driver as PolicyDriver
-from maplestile.policy.driver import monotonic_us
-from maplestile.policy.follow import NO_EPOCH, Follower, Rules, Standing, Step, Word
-from maplestile.policy.plan import plan_of
-from maplestile.table import ConfigError
+from maplestile.dispatch import api
+from maplestile.invoke import operator_file as operator
+from maplestile.router.config import Config, config_from
+from maplestile.router.policy_driver import Driver as PolicyDriver
+from maplestile.router.policy_driver import monotonic_us
+from maplestile.tools.policy_command import checked
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
 from tests.standins import ROOT
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,13 +10,14 @@
 from dataclasses import replace
 from typing import Any, cast
 
-from maplestile import interface as api
-from maplestile.core import AttemptId, Core, Request
-from maplestile.fleet import Fleet
-from maplestile.interface import Result
-from maplestile.limits import Limits
+from maplestile.dispatch import api
+from maplestile.dispatch.api import Result
+from maplestile.net.receive_timestamps import StampedSelector
 from maplestile.net.runners import Runners
-from maplestile.net.stamps import StampedSelector
+from maplestile.requests.core import AttemptId, Core
+from maplestile.requests.endpoint_list import Fleet
+from maplestile.wire.limits import Limits
+from maplestile.wire.messages import Request
 from tests.standins import Worker
 
 
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.agent import ask
-from maplestile.roster import Adopted, Lost, Roster, lines, started_of
+from maplestile.agent.process_registry import Adopted, Lost, Roster, lines, started_of
+from maplestile.agent.supervisor import ask
 from tests.fleet import AGENTS, free_ports
 from tests.standins import PATIENCE_S, ROOT, Program, eventually
 from tests.test_process_policy import PolicyFleet, PolicyTest
--- a/tests/test_process_invoke.py
+++ b/tests/test_process_invoke.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from maplestile.load.arrivals import Arrival
-from maplestile.load.client import Ask, Load
+from maplestile.tools.load.arrivals import Arrival
+from maplestile.tools.load.client import Ask, Load
 from tests.standins import ROOT, Client, Program, Worker, eventually
 
 Answer = tuple[int, bytes, dict[str, str]]
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from pathlib import Path
 
-from maplestile.cli import main
+from maplestile.tools.cli import main
 from tests.standins import ITEM, PATIENCE_S, REFUSED, Client, NameServer, Program, Worker, eventually, node
 
 
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.agent import ask
+from maplestile.agent.supervisor import ask
 from tests.fleet import AGENTS, EACH, FOREVER, Fleet
 from tests.standins import PATIENCE_S, ROOT, eventually
 from tests.test_process_rollout import Calls
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile import agent
+from maplestile.agent import supervisor as agent
 from tests.fleet import AGENTS, EACH, FOREVER, ROLLOUT_S, Fleet
 from tests.standins import PATIENCE_S, ROOT, eventually
 
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -17,12 +17,12 @@
 
 import pytest
 
-from maplestile import traces
-from maplestile.agent import ask
-from maplestile.cli import main
-from maplestile.garbage import Collector
-from maplestile.invoke.operator import OperatorError, parse
+from maplestile.agent.supervisor import ask
+from maplestile.invoke.operator_file import OperatorError, parse
 from maplestile.invoke.store import Record, Store
+from maplestile.router.gc_scheduler import Collector
+from maplestile.tools import traces
+from maplestile.tools.cli import main
 from maplestile.wire.http import Response
 from tests.standins import ROOT, Program
 
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from maplestile.hashing import digest, mixed
-from maplestile.ranking import LEAST_WEIGHT, WEIGHTS_MOST, Ranking, RankingIndex
-from maplestile.recency import OldestFirst
+from maplestile.dispatch.hashing import digest, mixed
+from maplestile.dispatch.ranking import LEAST_WEIGHT, WEIGHTS_MOST, Ranking, RankingIndex
+from maplestile.dispatch.recency import OldestFirst
 
 
 @dataclass(frozen=True)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from maplestile import interface as api
+from maplestile.dispatch import api
 from tests.helpers import CLASSES, MS, Driver, arrival, ended, entry, fleet, settings
 
 WORKERS = ["w0", "w1", "w2", "w3"]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from maplestile import benchlink as link
-from maplestile import interface as api
+from maplestile.dispatch import api
+from maplestile.wire import simulator_adapter as link
 
 W = "10.0.0.1:80"
 EVENTS: list[tuple[str, api.Event]] = [
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -14,8 +14,8 @@
 import unittest
 from typing import Any
 
-from maplestile.model.experiment import parse
-from maplestile.model.run import run
+from maplestile.tools.model.experiment import parse
+from maplestile.tools.model.run import run
 from tests.fleet import PERIOD_S, Routers
 from tests.standins import eventually
 
