--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from maplestile.agent.rollout_controller import Plane
+from maplestile.agent.rollout_controller import ReplicatedLog
 from maplestile.common import logs
-from maplestile.control.policy.agreed import Agreed, Change, Command
-from maplestile.control.policy.planner import Arbiter
+from maplestile.control.policy.agreed import AgreedPolicies, Change, Command
+from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.control.raft_log import LogError
-from maplestile.control.settings import ControlPlan
+from maplestile.control.settings import ControlSettings
 from maplestile.operation.api import POLICY, POLICY_CHECK
 
 log = logging.getLogger("maplestile.policy")
@@ -59,9 +59,13 @@
     judging: asyncio.Task[None] | None = None
 
 
-class Herald:
+class PolicyController:
     def __init__(
-        self, plan: ControlPlan, plane: Plane, routers: Mapping[str, Router], counters: Counter[str]
+        self,
+        plan: ControlSettings,
+        plane: ReplicatedLog,
+        routers: Mapping[str, Router],
+        counters: Counter[str],
     ) -> None:
         self.plan, self.plane, self.routers, self.counters = plan, plane, routers, counters
         self.events = logs.events("policy")
@@ -69,12 +73,12 @@
         self.read_s = 0.0
         self.epoch = -1  # of this replica, as it was logged last
         self.reading: asyncio.Task[None] | None = None
-        self.arbiter: Arbiter | None = None  # while this voter leads
+        self.arbiter: PolicyPlanner | None = None  # while this voter leads
         self.term = -1
         self.deciding: asyncio.Task[None] | None = None
 
     @property
-    def agreed(self) -> Agreed:
+    def agreed(self) -> AgreedPolicies:
         return self.plane.control.policy
 
     async def run(self) -> None:
@@ -119,8 +123,7 @@
         asked_us = time.monotonic_ns() // 1000
         answering = {name: self.known[name] for name in names if self.known[name].answers}
         told = {name: known.told for name, known in self.known.items() if known.told}
-        command = {"do": "policy read", "agent": self.plan.name, "instances": list(answering),
-                   "told": told}  # fmt: skip
+        command = {"do": "policy read", "agent": self.plan.name, "instances": list(answering), "told": told}
         with contextlib.suppress(LogError):  # counted there; its routers hear nothing new meanwhile
             reply = await self.plane.submit(command)
             if reply["ok"]:
@@ -187,8 +190,13 @@
             return
         else:
             reason = "" if answer["ok"] else str(answer["told"]) or "it says no, and not why"
-        command = {"do": "policy verdict", "agent": self.plan.name, "change": change.number,
-                   "instance": name, "reason": reason}  # fmt: skip
+        command = {
+            "do": "policy verdict",
+            "agent": self.plan.name,
+            "change": change.number,
+            "instance": name,
+            "reason": reason,
+        }
         try:
             reply = await self.plane.submit(command)
         except LogError as fault:
@@ -208,7 +216,7 @@
             self.arbiter = None
             return
         if self.arbiter is None or status["term"] != self.term:
-            self.arbiter, self.term = Arbiter(), status["term"]
+            self.arbiter, self.term = PolicyPlanner(), status["term"]
         if not _idle(self.deciding):
             return
         now_us = time.monotonic_ns() // 1000
@@ -252,8 +260,12 @@
         for name, agent in sorted(self.plane.control.instances.items()):
             heard_s, told = self.plane.told.get(agent, (None, {}))
             instances[name] = {"agent": agent, "heard_s": heard_s, **told.get(name, {})}
-        return {"agreed": self.agreed.told(), "instances": instances, "ready": self.plane.ready(),
-                "raft": self.plane.status()}  # fmt: skip
+        return {
+            "agreed": self.agreed.told(),
+            "instances": instances,
+            "ready": self.plane.ready(),
+            "raft": self.plane.status(),
+        }
 
 
 def _idle(task: "asyncio.Task[None] | None") -> bool:
--- a/maplestile/agent/process_registry.py
+++ b/maplestile/agent/process_registry.py
@@ -22,25 +22,25 @@
 PARENT, STARTED = 1, 19  # of /proc/PID/stat, from the field after the name; the start in ticks since the boot
 
 
-class Lost(Exception):
+class ProcessGone(Exception):
     """There is no such process any more."""
 
 
-class Adopted:
+class AdoptedProcess:
     """A process that another one has started: what `asyncio.subprocess.Process` is for a child of one's own,
     but that nobody can tell its exit code."""
 
     def __init__(self, pid: int, started: int) -> None:
-        """Raises Lost where that process is not there, or another has its number by now."""
+        """Raises ProcessGone where that process is not there, or another has its number by now."""
         self.pid = pid
         self.returncode: int | None = None
         try:
             self.file = os.pidfd_open(pid)
         except OSError as fault:
-            raise Lost(str(fault)) from None
+            raise ProcessGone(str(fault)) from None
         if started_of(pid) != started:  # with the handle in hand the number cannot change its owner
             os.close(self.file)
-            raise Lost("another process has its number")
+            raise ProcessGone("another process has its number")
         self.ended = asyncio.Event()
         asyncio.get_running_loop().add_reader(self.file, self._over)
 
@@ -60,7 +60,7 @@
         return 0
 
 
-class Roster:
+class ProcessRegistry:
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
@@ -76,14 +76,14 @@
         path.touch()
         return path
 
-    def left(self, name: str) -> Adopted | None:
+    def left(self, name: str) -> AdoptedProcess | None:
         """The process of that name that an earlier agent has left, if it is there. Guards against one that is
         not on record, since its agent was killed just then, or its disk was full, or the roster is damaged:
         such a one holds the ports, and another would be started in vain again and again."""
         on_record = [self.known[name]] if name in self.known else []
         for pid, started in itertools.chain(on_record, _writers(self.log(name))):
-            with contextlib.suppress(Lost):
-                return Adopted(pid, started)
+            with contextlib.suppress(ProcessGone):
+                return AdoptedProcess(pid, started)
         return None
 
     def put(self, name: str, pid: int | None) -> None:
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -11,20 +11,20 @@
 
 from maplestile.common import logs
 from maplestile.control.raft_log import LogError
-from maplestile.control.rollout_planner import Watcher, Word
-from maplestile.control.settings import ControlPlan
-from maplestile.control.state import ACTIVE, Command, Control, Lease, Reply, Stage
+from maplestile.control.rollout_planner import HealthReport, RolloutPlanner
+from maplestile.control.settings import ControlSettings
+from maplestile.control.state import ACTIVE, Command, ControlState, Lease, Reply, Stage
 
 log = logging.getLogger("maplestile.control")
 LOOK_S, WORD_S, REST_S = 0.05, 0.5, 2.0  # looks at the agreed state; words during a rollout, and without one
 READY_S, AGAIN_S = 0.1, 0.5
 
 
-class Plane(Protocol):
+class ReplicatedLog(Protocol):
     """The agreed state as this agent reaches it: its own voter, or another agent's."""
 
     @property
-    def control(self) -> Control: ...
+    def control(self) -> ControlState: ...
     @property
     def words(self) -> Mapping[str, tuple[int, dict[str, Any]]]: ...
     @property
@@ -56,7 +56,7 @@
         ...
 
 
-class Hands(Process, Protocol):
+class RouterHandle(Process, Protocol):
     """And with a router."""
 
     @property
@@ -65,7 +65,7 @@
         ...
 
     async def ready(self) -> bool: ...
-    async def word(self) -> Word: ...
+    async def word(self) -> HealthReport: ...
     async def gone(self) -> set[str]:
         """Members that are dead or left in its view, and runners found silent; empty where it has no view."""
         ...
@@ -77,11 +77,15 @@
     async def suspend(self, runner: str, out: bool) -> bool: ...
 
 
-class Steward:
+class RolloutController:
     def __init__(
-        self, plan: ControlPlan, plane: Plane, hands: Mapping[str, Hands], others: Mapping[str, Process],
+        self,
+        plan: ControlSettings,
+        plane: ReplicatedLog,
+        hands: Mapping[str, RouterHandle],
+        others: Mapping[str, Process],
         counters: Counter[str],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.plan, self.plane, self.hands, self.counters = plan, plane, hands, counters
         self.others = others  # processes that are no routers; runners, if a router lists them by that name
         self.listed: dict[str, bool] = {}  # the runners that the routers here list, and whether managed here
@@ -90,7 +94,7 @@
         self.asking = set[int]()  # leases that this process asked to begin, without an answer yet
         self.registered = False
         self.worded = -REST_S
-        self.watcher: Watcher | None = None  # while this voter leads
+        self.watcher: RolloutPlanner | None = None  # while this voter leads
         self.term = -1
         self.heard: dict[str, int] = {}  # the number of the last word of each agent that the watcher has
         self.members_out: frozenset[str] = frozenset()
@@ -158,7 +162,7 @@
                 step = self._step(lease, self.hands[lease.instance])
                 self.steps[lease.number] = asyncio.get_running_loop().create_task(step)
 
-    async def _step(self, lease: Lease, hands: Hands) -> None:
+    async def _step(self, lease: Lease, hands: RouterHandle) -> None:
         told = {"instance": lease.instance, "lease": lease.number}
         action, stage = lease.action, lease.stage
         # Not the first: begun by the process before this one, and its instances have been started since, but
@@ -301,13 +305,13 @@
             self.watcher = None
             return
         if self.watcher is None or status["term"] != self.term:
-            self.watcher, self.term = Watcher(self.plan.rules, now_us), status["term"]
+            self.watcher, self.term = RolloutPlanner(self.plan.rules, now_us), status["term"]
             self.heard = {agent: number for agent, (number, _) in self.plane.words.items()}
             self.events.info("leads", term=self.term, voter=self.plan.name)
         for agent, (number, words) in self.plane.words.items():
             if number != self.heard.get(agent):
                 self.heard[agent] = number
-                self.watcher.hear({name: Word(*word) for name, word in words.items()}, now_us)
+                self.watcher.hear({name: HealthReport(*word) for name, word in words.items()}, now_us)
         if self.deciding is not None and not self.deciding.done():
             return
         command = self.watcher.decide(self.plane.control, self.members_out, self.term, now_us)
@@ -335,8 +339,14 @@
     async def asked(self, what: str, command: Command) -> dict[str, Any]:
         """`status`, or a command of an operator's; `{"error": reason}` where it is not agreed on."""
         if what == "status":
-            return {"rollout": {**self.plane.control.told(), "raft": self.plane.status(),
-                                "ready": self.plane.ready(), "counters": dict(self.counters)}}  # fmt: skip
+            return {
+                "rollout": {
+                    **self.plane.control.told(),
+                    "raft": self.plane.status(),
+                    "ready": self.plane.ready(),
+                    "counters": dict(self.counters),
+                }
+            }
         if what == "start" and command.get("budget") is None:
             command = {**command, "budget": self.plan.budget}
         try:
--- a/maplestile/agent/supervisor.py
+++ b/maplestile/agent/supervisor.py
@@ -20,19 +20,19 @@
 from urllib.parse import quote
 
 from maplestile.common.address import parse_address
-from maplestile.common.errors import Refusal
-from maplestile.common.toml_table import Table
+from maplestile.common.errors import CommandRejected
+from maplestile.common.toml_table import TomlTable
 from maplestile.invoke.operator_file import OperatorError
 from maplestile.invoke.operator_file import read as read_operator
 from maplestile.operation.api import MEMBERS, METRICS, READY, RUNNERS
 from maplestile.operation.client import CallError, call
 
 if TYPE_CHECKING:  # an agent without a control plane loads nothing of it
-    from maplestile.agent.policy_controller import Herald
-    from maplestile.agent.process_registry import Adopted, Roster
-    from maplestile.agent.rollout_controller import Steward
-    from maplestile.control.rollout_planner import Word
-    from maplestile.control.settings import ControlPlan
+    from maplestile.agent.policy_controller import PolicyController
+    from maplestile.agent.process_registry import AdoptedProcess, ProcessRegistry
+    from maplestile.agent.rollout_controller import RolloutController
+    from maplestile.control.rollout_planner import HealthReport
+    from maplestile.control.settings import ControlSettings
 
 log = logging.getLogger("maplestile.agent")
 LAST_WORD = b"stops; nothing is owed"  # of a router, as its drain logs it
@@ -71,13 +71,13 @@
     backoff_most_s: float
     steady_s: float
     stop_s: float
-    control: "ControlPlan | None" = None
+    control: "ControlSettings | None" = None
     folder: Path | None = None  # of its roster, and of its instances' logs
 
 
 def load(path: Path) -> Plan:
     try:
-        root = Table(tomllib.loads(path.read_text(encoding="utf-8")), "", OperatorError)
+        root = TomlTable(tomllib.loads(path.read_text(encoding="utf-8")), "", OperatorError)
     except OSError as fault:
         raise OperatorError(f"{path}: {fault.strerror}") from None
     except tomllib.TOMLDecodeError as fault:
@@ -101,7 +101,7 @@
     return plan
 
 
-def _control(root: Table) -> "ControlPlan | None":
+def _control(root: TomlTable) -> "ControlSettings | None":
     voters = root.tables("voter", needed=False)
     if "control" not in root.values:
         if voters:
@@ -112,7 +112,7 @@
     return control_from(root.table("control"), voters)
 
 
-def _spec(table: Table, folder: Path) -> Spec:
+def _spec(table: TomlTable, folder: Path) -> Spec:
     name, file = table.text("name"), table.text("file", "")
     operator = table.loopback("operator") if "operator" in table.values else ""
     command, environment = table.values.pop("command", None), table.values.pop("env", {})
@@ -133,11 +133,11 @@
     """One process: started, watched, started again after a wait that doubles with each early end."""
 
     def __init__(
-        self, spec: Spec, plan: Plan, reread: Callable[[str], Spec], roster: "Roster | None" = None
+        self, spec: Spec, plan: Plan, reread: Callable[[str], Spec], roster: "ProcessRegistry | None" = None
     ) -> None:
         self.spec, self.plan, self.reread, self.roster = spec, plan, reread, roster
         self.before = spec  # the last `renew`
-        self.process: asyncio.subprocess.Process | Adopted | None = None
+        self.process: asyncio.subprocess.Process | AdoptedProcess | None = None
         self.adopted = False  # the process is one that an earlier agent has started
         self.parted = False  # it has said that it stops, with nothing owed
         self.state, self.starts, self.since, self.last_exit = "new", 0, time.time(), ""
@@ -190,9 +190,11 @@
     async def _begin(self) -> asyncio.subprocess.Process:
         environment = {**os.environ, **dict(self.spec.environment)}
         begin = partial(
-            asyncio.create_subprocess_exec, *self.spec.command, env=environment,
+            asyncio.create_subprocess_exec,
+            *self.spec.command,
+            env=environment,
             stdin=asyncio.subprocess.DEVNULL,
-        )  # fmt: skip
+        )
         if self.roster is None:
             return await begin(stderr=asyncio.subprocess.PIPE)
         with self.roster.log(self.spec.name).open("ab") as file:
@@ -201,7 +203,7 @@
     def _log_size(self) -> int:
         return 0 if self.roster is None else self.roster.log(self.spec.name).stat().st_size
 
-    async def _watch(self, process: "asyncio.subprocess.Process | Adopted", since: int) -> None:
+    async def _watch(self, process: "asyncio.subprocess.Process | AdoptedProcess", since: int) -> None:
         if self.roster is None:
             assert isinstance(process, asyncio.subprocess.Process) and process.stderr is not None
             while line := await process.stderr.readline():
@@ -294,8 +296,8 @@
     async def ready(self) -> bool:
         return self.running() and (await self.operate("GET", READY))["ok"]
 
-    async def word(self) -> "Word":
-        from maplestile.control.rollout_planner import Word
+    async def word(self) -> "HealthReport":
+        from maplestile.control.rollout_planner import HealthReport
 
         ready, figures = await asyncio.gather(self.ready(), self.operate("GET", METRICS))
         counts = {"success": 0, "failure": 0}
@@ -303,7 +305,7 @@
             for name in counts:
                 if line.startswith(f"svc_{name}_total{{"):
                     counts[name] += int(line.rpartition(" ")[2])
-        return Word(ready, counts["success"], counts["failure"])
+        return HealthReport(ready, counts["success"], counts["failure"])
 
     async def gone(self) -> set[str]:
         told = await self.operate("GET", MEMBERS)
@@ -362,7 +364,7 @@
         try:
             told = self.spec.operator
             if not told and self.spec.file is not None:
-                operation = Table(read_operator(self.spec.file), "", OperatorError).table("operation")
+                operation = TomlTable(read_operator(self.spec.file), "", OperatorError).table("operation")
                 told = operation.loopback("listen") if operation.values else ""
             if not told:
                 return {"ok": False, "told": "it has no operators' front", "no_front": True}
@@ -387,9 +389,12 @@
 
     def status(self) -> dict[str, Any]:
         return {
-            "state": self.state, "pid": self.process.pid if self.process else None, "starts": self.starts,
-            "for_s": round(time.time() - self.since, 1), "last_exit": self.last_exit,
-        }  # fmt: skip
+            "state": self.state,
+            "pid": self.process.pid if self.process else None,
+            "starts": self.starts,
+            "for_s": round(time.time() - self.since, 1),
+            "last_exit": self.last_exit,
+        }
 
 
 class Agent:
@@ -398,19 +403,19 @@
         self.plan = plan
         roster = None
         if plan.folder is not None:
-            from maplestile.agent.process_registry import Roster
-            from maplestile.operation.state_folder import Locks
+            from maplestile.agent.process_registry import ProcessRegistry
+            from maplestile.operation.state_folder import ProcessLocks
 
             # Two agents over the same instances would each start what the other has stopped.
-            self.lock = Locks(plan.folder)
+            self.lock = ProcessLocks(plan.folder)
             if not self.lock.take("agent"):
                 raise OSError(f"another agent has the folder {plan.folder}")
-            roster = Roster(plan.folder)
+            roster = ProcessRegistry(plan.folder)
         self.instances = {spec.name: Instance(spec, plan, reread, roster) for spec in plan.instances}
         self.ended = asyncio.Event()
         self.counters: Counter[str] = Counter()
-        self.steward: Steward | None = None
-        self.herald: Herald | None = None
+        self.steward: RolloutController | None = None
+        self.herald: PolicyController | None = None
         self.no_control = "no [control] in its file"
 
     async def run(self) -> None:
@@ -432,15 +437,17 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _steward(self, control: "ControlPlan") -> None:
-        from maplestile.agent.policy_controller import Herald
-        from maplestile.agent.rollout_controller import Plane, Steward
-        from maplestile.control.raft_log import Raft
-        from maplestile.control.remote_log import Asked
+    async def _steward(self, control: "ControlSettings") -> None:
+        from maplestile.agent.policy_controller import PolicyController
+        from maplestile.agent.rollout_controller import ReplicatedLog, RolloutController
+        from maplestile.control.raft_log import RaftLog
+        from maplestile.control.remote_log import RemoteLog
 
-        plane: Plane
+        plane: ReplicatedLog
         try:
-            plane = Raft(control, self.counters) if control.listen else Asked(control, ask, self.counters)
+            plane = (
+                RaftLog(control, self.counters) if control.listen else RemoteLog(control, ask, self.counters)
+            )
         except Exception as fault:  # whatever the library raises over its folder or address
             self._without_control(fault)
             return
@@ -448,8 +455,8 @@
         hands = {name: one for name, one in self.instances.items() if one.spec.file or one.spec.operator}
         # Of the others those whose names are runners' ids are the processes of these.
         others = {name: one for name, one in self.instances.items() if name not in hands}
-        self.steward = Steward(control, plane, hands, others, self.counters)
-        self.herald = Herald(control, plane, hands, self.counters)
+        self.steward = RolloutController(control, plane, hands, others, self.counters)
+        self.herald = PolicyController(control, plane, hands, self.counters)
         telling = asyncio.get_running_loop().create_task(self.herald.run())
         try:
             await self.steward.run()
@@ -462,7 +469,7 @@
         """Guards against what it last knew, told to operators for the state of the fleet."""
         self.steward = self.herald = None
         self.no_control = f"it does not run: {fault}"
-        trace = None if isinstance(fault, Refusal | OSError) else fault
+        trace = None if isinstance(fault, CommandRejected | OSError) else fault
         log.error("the control plane does not run; the instances go on without it: %s", fault, exc_info=trace)
 
     def _hang_up(self) -> None:
--- a/maplestile/common/toml_table.py
+++ b/maplestile/common/toml_table.py
@@ -11,7 +11,7 @@
     """A configuration that cannot be used; the text names the field."""
 
 
-class Table:
+class TomlTable:
     """A table of a file. `path` is where it stands ("" for the top); `error` is what it raises, with the
     place first: `net.loss: must be a number from 0 to 1`."""
 
@@ -97,14 +97,14 @@
             raise self.wrong(name, f"must be a list of numbers from 0 to {below - 1}")
         return tuple(value)
 
-    def table(self, name: str) -> "Table":
-        return Table(self.values.pop(name, {}), self.place(name), self.error)
+    def table(self, name: str) -> "TomlTable":
+        return TomlTable(self.values.pop(name, {}), self.place(name), self.error)
 
-    def tables(self, name: str, needed: bool = True) -> list["Table"]:
+    def tables(self, name: str, needed: bool = True) -> list["TomlTable"]:
         rows = self.values.pop(name, [])
         if not isinstance(rows, list) or needed and not rows:
             raise self.wrong(name, f"at least one [[{name}]] is needed")
-        return [Table(row, f"{self.place(name)}[{n}]", self.error) for n, row in enumerate(rows)]
+        return [TomlTable(row, f"{self.place(name)}[{n}]", self.error) for n, row in enumerate(rows)]
 
     def end(self) -> None:
         if self.values:
--- a/maplestile/control/log_storage.py
+++ b/maplestile/control/log_storage.py
@@ -17,7 +17,7 @@
 from typing import NoReturn
 
 from maplestile.common import durable_file as durable
-from maplestile.common.errors import Refusal
+from maplestile.common.errors import CommandRejected
 
 HEAD, NAME, FORMAT = 40, b"PYSYNCOBJ", 1
 AT_FORMAT, AT_END = 32, 36  # in the head
@@ -35,18 +35,20 @@
 
 
 def check(folder: Path, voter: str) -> None:
-    """Raises Refusal, which names the file and the place, or OSError; else the folder is this voter's."""
+    """Check that the folder is this voter's. Raises CommandRejected, which names the place, or OSError."""
     told = durable.read(folder / VOTER, VERSION)
     if told is not None and told != voter:
-        raise Refusal(f"{folder / VOTER}: the folder is of voter '{told}'")
+        raise CommandRejected(f"{folder / VOTER}: the folder is of voter '{told}'")
     journal, meta, snapshot = (folder / name for name in ("journal", "journal.meta", "snapshot"))
     if journal.exists():
         last_term = _journal(journal)
         term = _meta(meta)
         if last_term > term:
-            raise Refusal(f"{meta}: its term is {term}, and the journal has one of {last_term}: it is stale")
+            raise CommandRejected(
+                f"{meta}: its term is {term}, and the journal has one of {last_term}: it is stale"
+            )
     elif meta.exists() or snapshot.exists():
-        raise Refusal(f"{journal}: is missing beside what belongs to it")
+        raise CommandRejected(f"{journal}: is missing beside what belongs to it")
     if snapshot.exists():
         _snapshot(snapshot)
     if told is None:
@@ -57,19 +59,21 @@
     """The term of its last record; 0 if it has none."""
     data = path.read_bytes()
     if len(data) < HEAD or not data.startswith(NAME) or SIZE.unpack_from(data, AT_FORMAT)[0] != FORMAT:
-        raise Refusal(f"{path}: no journal of this form")
+        raise CommandRejected(f"{path}: no journal of this form")
     end, at, index, term = SIZE.unpack_from(data, AT_END)[0], HEAD, 0, 0
     if not HEAD <= end <= len(data):
-        raise Refusal(f"{path}: {len(data)} bytes, and its records end at {end}: it was cut")
+        raise CommandRejected(f"{path}: {len(data)} bytes, and its records end at {end}: it was cut")
     while at < end:
         size = SIZE.unpack_from(data, at)[0] if at + SIZE.size <= end else 0
         after = at + SIZE.size + size
         if size < INDEX.size or after + SIZE.size > end or SIZE.unpack_from(data, after)[0] != size:
-            raise Refusal(f"{path}: byte {at}: a record that is not whole")
+            raise CommandRejected(f"{path}: byte {at}: a record that is not whole")
         before = index, term
         index, term = INDEX.unpack_from(data, at + SIZE.size)
         if (before[0] and index != before[0] + 1) or not before[1] <= term < TERM_MOST:
-            raise Refusal(f"{path}: byte {at}: entry {index} of term {term} after {before[0]} of {before[1]}")
+            raise CommandRejected(
+                f"{path}: byte {at}: entry {index} of term {term} after {before[0]} of {before[1]}"
+            )
         at = after + SIZE.size
     return term
 
@@ -83,9 +87,9 @@
     except FileNotFoundError:
         return 0
     except Exception as fault:  # whatever bytes may raise there
-        raise Refusal(f"{path}: of no use: {type(fault).__name__}: {fault}") from None
+        raise CommandRejected(f"{path}: of no use: {type(fault).__name__}: {fault}") from None
     if type(term) is not int or not 0 <= term < TERM_MOST:
-        raise Refusal(f"{path}: currentTerm: no term: {term!r}")
+        raise CommandRejected(f"{path}: currentTerm: no term: {term!r}")
     return term
 
 
@@ -97,4 +101,4 @@
             while file.read(READ_BYTES):
                 pass
     except (OSError, EOFError, zlib.error) as fault:
-        raise Refusal(f"{path}: not whole: {fault}") from None
+        raise CommandRejected(f"{path}: not whole: {fault}") from None
--- a/maplestile/control/policy/agreed.py
+++ b/maplestile/control/policy/agreed.py
@@ -1,6 +1,6 @@
 """What the fleet has agreed on of its policy: the epochs, and the change that is being checked.
 
-A part of `control.state.Control`, which every voter applies alike; so there is no clock and no chance here.
+A part of `control.state.ControlState`, which every voter applies alike: it reads no clock and draws nothing.
 
     propose, by an operator --> CHECKING --commit, by the leader: live routers have checked it--> COMMITTED
                                    +--a verdict refuses it, or abort: one gave none in time--> ABORTED
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import Any
 
-from maplestile.common.errors import Refusal
+from maplestile.common.errors import CommandRejected
 from maplestile.control.policy.document import Document, PolicyError, Tables, digest_of, document_of
 
 Command = dict[str, Any]
@@ -54,7 +54,7 @@
     rollback: int | None = None
 
 
-class Agreed:
+class AgreedPolicies:
     def __init__(self) -> None:
         self.epochs = [Epoch(0, None)]
         self.change: Change | None = None
@@ -78,11 +78,13 @@
     def commands(self, instances: dict[str, str]) -> dict[str, Any]:
         """The handlers by their names; `instances` tells the agent that manages each."""
         return {
-            "policy propose": self._propose, "policy rollback": self._rollback,
+            "policy propose": self._propose,
+            "policy rollback": self._rollback,
             "policy verdict": lambda command: self._verdict(command, instances),
             "policy commit": lambda command: self._commit(command, instances),
-            "policy abort": self._abort, "policy read": lambda command: self._read(command, instances),
-        }  # fmt: skip
+            "policy abort": self._abort,
+            "policy read": lambda command: self._read(command, instances),
+        }
 
     # By operators.
 
@@ -98,7 +100,7 @@
         if found is None or found is self.epoch:
             kept = ", ".join(str(one.number) for one in self.epochs[:-1]) or "none"
             what = "nothing before" if told is None else f"no epoch {told}"
-            raise Refusal(f"there is {what} to go back to: {kept} kept")
+            raise CommandRejected(f"there is {what} to go back to: {kept} kept")
         return self._begin(command, document_of(found.document), found.number)
 
     def _before(self) -> int:
@@ -109,15 +111,17 @@
     def _ready(self, command: Command) -> int:
         base, under_way = int(command["base"]), self.checking()
         if under_way is not None:
-            raise Refusal(f"change {under_way.number} is being checked: ask again once it is decided")
+            raise CommandRejected(f"change {under_way.number} is being checked: ask again once it is decided")
         if base != self.epoch.number:
-            raise Refusal(f"made on epoch {base}, and the epoch is {self.epoch.number}: look at it first")
+            raise CommandRejected(
+                f"made on epoch {base}, and the epoch is {self.epoch.number}: look at it first"
+            )
         return base
 
     def _begin(self, command: Command, document: Document | None, rollback: int | None) -> Reply:
         base = self._ready(command)
         if digest_of(document) == digest_of(document_of(self.epoch.document)):
-            raise Refusal(f"epoch {base} is this policy already")
+            raise CommandRejected(f"epoch {base} is this policy already")
         self._keep()
         self.number += 1
         tables = None if document is None else document.tables()
@@ -130,7 +134,7 @@
     def _verdict(self, command: Command, instances: dict[str, str]) -> Reply:
         change, name, reason = self._current(command), str(command["instance"]), str(command["reason"])
         if instances.get(name) != command["agent"]:
-            raise Refusal(f"{command['agent']} does not manage '{name}'")
+            raise CommandRejected(f"{command['agent']} does not manage '{name}'")
         change.verdicts[name] = reason[:REASON_MOST]
         if reason:  # nowhere, then
             change.phase, change.reason = Phase.ABORTED, f"{name} refuses it: {reason[:REASON_MOST]}"
@@ -150,12 +154,12 @@
         change, absent = self._current(command), [str(name) for name in command["absent"]]
         serving = [name for name in absent if self.serves(name)]
         if serving:
-            raise Refusal(f"not absent: {', '.join(serving)}")
+            raise CommandRejected(f"not absent: {', '.join(serving)}")
         missing = [n for n in sorted(instances) if n not in absent and change.verdicts.get(n) != ""]
         if missing:
-            raise Refusal(f"not checked by {', '.join(missing)}")
+            raise CommandRejected(f"not checked by {', '.join(missing)}")
         if not change.verdicts:
-            raise Refusal("no router has checked it")
+            raise CommandRejected("no router has checked it")
         change.phase, change.absent = Phase.COMMITTED, absent
         for name in [known for known in self.members if known not in instances]:
             del self.members[name]
@@ -173,7 +177,7 @@
     def _current(self, command: Command) -> Change:
         change = self.checking()
         if change is None or change.number != command["change"]:
-            raise Refusal(f"change {command['change']} is not being checked")
+            raise CommandRejected(f"change {command['change']} is not being checked")
         return change
 
     def _keep(self) -> None:
@@ -182,7 +186,7 @@
             self.history = [*self.history, self.change][-CHANGES_KEPT:]
 
     @classmethod
-    def of(cls, told: dict[str, Any]) -> "Agreed":
+    def of(cls, told: dict[str, Any]) -> "AgreedPolicies":
         """What `told` tells, read back elsewhere. Raises KeyError, TypeError or ValueError."""
 
         def change(one: dict[str, Any]) -> Change:
@@ -206,12 +210,14 @@
             "epochs": [asdict(one) for one in self.epochs],
             "change": None if self.change is None else change(self.change),
             "history": [change(one) for one in self.history],
-            "number": self.number, "reads": self.reads, "members": dict(self.members),
-        }  # fmt: skip
+            "number": self.number,
+            "reads": self.reads,
+            "members": dict(self.members),
+        }
 
 
 def _document(told: object) -> Document | None:
     try:
         return document_of(told)
     except PolicyError as fault:
-        raise Refusal(str(fault)) from None
+        raise CommandRejected(str(fault)) from None
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Adopted:
+class AdoptedPolicy:
     """An epoch and its document; None stands for the file's own policy."""
 
     epoch: int
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -20,7 +20,7 @@
 NO_EPOCH = -1  # nothing on record
 
 
-class Standing(Enum):
+class PolicyStatus(Enum):
     WAITING = "waiting"
     CURRENT = "current"
     STALE = "stale"
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class PolicyAnnouncement:
     """What the agent tells: at `fenced_us` or later this epoch was the committed one."""
 
     epoch: int
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pledge:
+class PreparedPolicy:
     """A change that was found to fit, and may be committed any moment: nothing may make it unfit."""
 
     change: int
@@ -69,9 +69,9 @@
     since_us: int  # since when it may have missed a commit: its start, or the end of a standstill
     ticked_us: int = field(init=False)
     confirmed_us: int = 0  # the last moment at which its epoch is known to have been the committed one
-    standing: Standing = Standing.WAITING
+    standing: PolicyStatus = PolicyStatus.WAITING
     reason: str = ""  # of a refusal
-    pledge: Pledge | None = None
+    pledge: PreparedPolicy | None = None
 
     def __post_init__(self) -> None:
         self.ticked_us = self.since_us
@@ -81,28 +81,28 @@
         gap_us, self.ticked_us = now_us - self.ticked_us, now_us
         if gap_us > self.rules.pause_us:
             self.since_us = now_us
-            if self.standing in (Standing.CURRENT, Standing.STALE):
-                self.standing = Standing.WAITING
-        if self.standing is Standing.CURRENT and now_us - self.confirmed_us > self.rules.stale_us:
-            self.standing = Standing.STALE
+            if self.standing in (PolicyStatus.CURRENT, PolicyStatus.STALE):
+                self.standing = PolicyStatus.WAITING
+        if self.standing is PolicyStatus.CURRENT and now_us - self.confirmed_us > self.rules.stale_us:
+            self.standing = PolicyStatus.STALE
         waited = now_us - self.since_us > self.rules.wait_us
-        if self.standing is Standing.WAITING and waited and self.epoch != NO_EPOCH:
-            self.standing = Standing.STALE
+        if self.standing is PolicyStatus.WAITING and waited and self.epoch != NO_EPOCH:
+            self.standing = PolicyStatus.STALE
 
     def admits(self, now_us: int) -> bool:
         """Whether new calls are taken."""
         self.tick(now_us)
-        return self.standing in (Standing.CURRENT, Standing.STALE)
+        return self.standing in (PolicyStatus.CURRENT, PolicyStatus.STALE)
 
     def stale_us(self, now_us: int) -> int:
         """For how long its epoch has not been known to be the committed one; 0 while it is."""
-        return now_us - (self.confirmed_us or self.since_us) if self.standing is Standing.STALE else 0
+        return now_us - (self.confirmed_us or self.since_us) if self.standing is PolicyStatus.STALE else 0
 
     def promise(self, change: int, document: Document | None) -> None:
         """The driver has found that the change fits this build and file."""
-        self.pledge = Pledge(change, document)
+        self.pledge = PreparedPolicy(change, document)
 
-    def hear(self, word: Word, now_us: int) -> Step:
+    def hear(self, word: PolicyAnnouncement, now_us: int) -> Step:
         self.tick(now_us)
         if word.epoch < self.epoch:
             return Step.OLDER
@@ -110,23 +110,23 @@
             self.pledge = None  # decided; if it was committed the document comes with its epoch
         if word.epoch > self.epoch:
             return Step.ADOPT if word.whole else Step.FETCH
-        if self.standing is Standing.REFUSED:  # its own epoch, on record, that its file or build refused
+        if self.standing is PolicyStatus.REFUSED:  # its own epoch, on record, that its file or build refused
             return Step.ADOPT if word.whole else Step.FETCH
         self._confirm(word, now_us)
         return Step.NOTHING
 
-    def adopted(self, word: Word, now_us: int) -> None:
+    def adopted(self, word: PolicyAnnouncement, now_us: int) -> None:
         """The driver has put the word's epoch on record and in force."""
         self.epoch, self.reason = word.epoch, ""
-        if self.standing is Standing.REFUSED:
-            self.standing = Standing.WAITING
+        if self.standing is PolicyStatus.REFUSED:
+            self.standing = PolicyStatus.WAITING
         self._confirm(word, now_us)
 
     def refused(self, reason: str) -> None:
         """This build or file refuses what is committed: it decides no new call by anything else."""
-        self.standing, self.reason = Standing.REFUSED, reason
+        self.standing, self.reason = PolicyStatus.REFUSED, reason
 
-    def _confirm(self, word: Word, now_us: int) -> None:
+    def _confirm(self, word: PolicyAnnouncement, now_us: int) -> None:
         if word.fenced_us < self.since_us or now_us - word.fenced_us > self.rules.stale_us:
             return  # what was committed since then is not known
-        self.confirmed_us, self.standing = max(self.confirmed_us, word.fenced_us), Standing.CURRENT
+        self.confirmed_us, self.standing = max(self.confirmed_us, word.fenced_us), PolicyStatus.CURRENT
--- a/maplestile/control/policy/planner.py
+++ b/maplestile/control/policy/planner.py
@@ -1,26 +1,26 @@
 """When a change of policy may be committed, and when it is given up. Free of I/O.
 
 The leader's driver hands in the agreed state with its own monotonic time in microseconds, and submits what
-comes back to the log, where `agreed.Agreed` judges it once more. A leader that has just been elected starts
-with an empty `Arbiter`: verdicts and reads are in the log, its patience begins anew."""
+comes back to the log, where `agreed.AgreedPolicies` judges it once more. A leader that has just been elected
+starts with an empty `PolicyPlanner`: verdicts and reads are in the log, its patience begins anew."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from maplestile.control.policy.agreed import Agreed, Command
+from maplestile.control.policy.agreed import AgreedPolicies, Command
 
 CHECK_US = 6_000_000  # for a router's verdict; then the change is aborted
 ABSENT_US = 3_000_000  # of six reads none named it: it is down or cut off
 
 
 @dataclass(slots=True)
-class Arbiter:
+class PolicyPlanner:
     check_us: int = CHECK_US
     absent_us: int = ABSENT_US
     change: int = 0
     since_us: int = 0  # when this leader first saw the change
 
-    def decide(self, agreed: Agreed, instances: Iterable[str], now_us: int) -> Command | None:
+    def decide(self, agreed: AgreedPolicies, instances: Iterable[str], now_us: int) -> Command | None:
         """At most one command: the log answers it before the next is thought of."""
         change = agreed.checking()
         if change is None:
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -11,26 +11,26 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.common.toml_table import Table
+from maplestile.common.toml_table import TomlTable
 from maplestile.control.policy.document import PolicyError
 from maplestile.control.policy.follower import Rules
 
 
 @dataclass(slots=True, frozen=True)
-class PolicyPlan:
+class PolicySettings:
     folder: Path
     rules: Rules
     trace: bool = False
 
 
-def plan_of(tables: Mapping[str, Any]) -> PolicyPlan | None:
+def plan_of(tables: Mapping[str, Any]) -> PolicySettings | None:
     """Of an operator's file; None where it has no such table. Raises PolicyError naming the field."""
     if "policy" not in tables:
         return None
-    table = Table(tables["policy"], "policy", PolicyError)
-    if "listen" not in Table(tables.get("operation", {}), "operation", PolicyError).values:
+    table = TomlTable(tables["policy"], "policy", PolicyError)
+    if "listen" not in TomlTable(tables.get("operation", {}), "operation", PolicyError).values:
         raise PolicyError("policy: needs [operation] listen: there its agent tells what is committed")
-    plan = PolicyPlan(
+    plan = PolicySettings(
         Path(table.text("folder")),
         Rules(
             stale_us=int(table.number("stale_s", 5.0, least=0.5) * 1e6),
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -1,7 +1,7 @@
 """The agreed state of the control plane on Raft, by pysyncobj: this voter's replica, and commands to the log.
 
 The library does the consensus: elections, the log, its journal on disk, snapshots. It runs on this process's
-event loop by ticks, so `Control` is touched by one thread alone."""
+event loop by ticks, so `ControlState` is touched by one thread alone."""
 
 import asyncio
 import logging
@@ -14,8 +14,8 @@
 from pysyncobj.node import TCPNode  # type: ignore[import-untyped]
 
 from maplestile.control.log_storage import check
-from maplestile.control.settings import ControlPlan
-from maplestile.control.state import Command, Control, Reply
+from maplestile.control.settings import ControlSettings
+from maplestile.control.state import Command, ControlState, Reply
 
 log = logging.getLogger("maplestile.control")
 TICK_S = 0.01
@@ -26,8 +26,14 @@
 NOT_TAKEN = (FAIL_REASON.QUEUE_FULL, FAIL_REASON.MISSING_LEADER, FAIL_REASON.DISCARDED)
 LEADER = 2  # the library's number for that state
 # What is agreed rarely and must be seen soon: a leader lost is replaced within 0.4 to 1.4 s of its last word.
-TIMES = {"raftMinTimeout": 0.5, "raftMaxTimeout": 1.4, "appendEntriesPeriod": 0.1, "connectionTimeout": 3.5,
-         "connectionRetryTime": 0.5, "leaderFallbackTimeout": 1.5}  # fmt: skip
+TIMES = {
+    "raftMinTimeout": 0.5,
+    "raftMaxTimeout": 1.4,
+    "appendEntriesPeriod": 0.1,
+    "connectionTimeout": 3.5,
+    "connectionRetryTime": 0.5,
+    "leaderFallbackTimeout": 1.5,
+}
 
 
 class LogError(Exception):
@@ -38,7 +44,7 @@
     """What the log's entries are applied to, on every voter alike."""
 
     def __init__(self, me: TCPNode, others: list[TCPNode], conf: SyncObjConf) -> None:
-        self.control = Control()
+        self.control = ControlState()
         self.words: dict[str, tuple[int, dict[str, Any]]] = {}  # the last word of each agent, and its number
         self.told: dict[str, tuple[float, dict[str, Any]]] = {}  # when, by this machine's clock, and what
         super().__init__(me, others, conf)
@@ -66,11 +72,11 @@
     return Reached(address) if reach != address else TCPNode(address)
 
 
-class Raft:
+class RaftLog:
     """This process's voter."""
 
-    def __init__(self, plan: ControlPlan, counters: Counter[str]) -> None:
-        """Raises Refusal or OSError where its folder is of no use."""
+    def __init__(self, plan: ControlSettings, counters: Counter[str]) -> None:
+        """Raises CommandRejected or OSError where its folder is of no use."""
         assert plan.folder is not None
         self.plan, self.counters = plan, counters
         plan.folder.mkdir(parents=True, exist_ok=True)
@@ -80,14 +86,19 @@
         # No command waits here for a leader: asked of a voter that is cut off, it must not take effect once
         # that is healed, long after its operator has heard that it failed.
         conf = SyncObjConf(
-            autoTick=False, bindAddress=plan.listen, commandsWaitLeader=False, useFork=False,
-            journalFile=str(plan.folder / "journal"), fullDumpFile=str(plan.folder / "snapshot"), **TIMES,
-        )  # fmt: skip
+            autoTick=False,
+            bindAddress=plan.listen,
+            commandsWaitLeader=False,
+            useFork=False,
+            journalFile=str(plan.folder / "journal"),
+            fullDumpFile=str(plan.folder / "snapshot"),
+            **TIMES,
+        )
         self.replica = Replica(TCPNode(mine.address), others, conf)
 
     @property
-    def control(self) -> Control:
-        control: Control = self.replica.control
+    def control(self) -> ControlState:
+        control: ControlState = self.replica.control
         return control
 
     @property
@@ -105,11 +116,16 @@
         return bool(self.replica.isReady())
 
     def status(self) -> dict[str, Any]:
-        """The voter as operators see it: its state, the leader's address, and Raft's term and index."""
+        """The voter as operators see it: its state, the leader's address, and RaftLog's term and index."""
         told = self.replica.getStatus()
         leader = next((v.name for v in self.plan.voters if v.address == str(told["leader"])), None)
-        return {"voter": self.plan.name, "leading": told["state"] == LEADER, "leader": leader,
-                "term": told["raft_term"], "index": told["commit_idx"]}  # fmt: skip
+        return {
+            "voter": self.plan.name,
+            "leading": told["state"] == LEADER,
+            "leader": leader,
+            "term": told["raft_term"],
+            "index": told["commit_idx"],
+        }
 
     async def run(self) -> None:
         try:
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -8,18 +8,18 @@
 from typing import Any
 
 from maplestile.control.raft_log import LogError
-from maplestile.control.settings import ControlPlan
-from maplestile.control.state import Command, Control, Reply
+from maplestile.control.settings import ControlSettings
+from maplestile.control.state import Command, ControlState, Reply
 
 log = logging.getLogger("maplestile.control")
 READ_S = 0.2
 Ask = Callable[..., Awaitable[dict[str, Any]]]
 
 
-class Asked:
-    def __init__(self, plan: ControlPlan, ask: Ask, counters: Counter[str]) -> None:
+class RemoteLog:
+    def __init__(self, plan: ControlSettings, ask: Ask, counters: Counter[str]) -> None:
         self.plan, self.ask, self.counters = plan, ask, counters
-        self.control = Control()
+        self.control = ControlState()
         self.words: Mapping[str, tuple[int, dict[str, Any]]] = {}
         self.told: Mapping[str, tuple[float, dict[str, Any]]] = {}
         self.current = False
@@ -52,7 +52,7 @@
                 if "error" in told:
                     raise LogError(told["error"])
                 control: dict[str, Any] = told["control"]
-                self.control, self.current = Control.of(control["state"]), bool(control["ready"])
+                self.control, self.current = ControlState.of(control["state"]), bool(control["ready"])
                 self.told = {agent: (one[0], one[1]) for agent, one in control.get("told", {}).items()}
                 return control
             except (OSError, TimeoutError, ValueError, KeyError, TypeError, LogError) as fault:
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -1,13 +1,13 @@
 """When the next step of a rollout may start, and when a rollout halts by itself. Free of I/O.
 
 The leader's driver hands in what it sees, with its own monotonic time in microseconds, and submits what comes
-back to the log, where `state.Control` judges it once more. A leader that has just been elected starts with an
-empty `Watcher`: it waits until it has heard of every instance before it grants anything."""
+back to the log, where `state.ControlState` judges it once more. A newly elected leader starts with
+an empty `RolloutPlanner`: it waits until it has heard of every instance before it grants anything."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from maplestile.control.state import Command, Control, Phase, Stage
+from maplestile.control.state import Command, ControlState, Phase, Stage
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class HealthReport:
     """What an agent tells of one instance: whether it can serve, and its calls since its start."""
 
     ready: bool
@@ -34,28 +34,30 @@
 
 @dataclass(slots=True)
 class Heard:
-    word: Word
+    word: HealthReport
     at_us: int
 
 
 @dataclass(slots=True)
-class Watcher:
+class RolloutPlanner:
     """The leader's own memory: when it first saw each lease, and what it heard of each instance and when."""
 
     rules: Rules
     began_us: int
     heard: dict[str, Heard] = field(default_factory=dict)
     leases: dict[int, int] = field(default_factory=dict)  # number to when it was seen first
-    released: dict[str, Word] = field(default_factory=dict)  # calls of an instance when its step ended
+    released: dict[str, HealthReport] = field(
+        default_factory=dict
+    )  # calls of an instance when its step ended
     resting: dict[str, int] = field(default_factory=dict)  # those whose steps ended of late, and when
     ended: tuple[int, int, int] = (0, 0, 0)  # the rollout, and how many of its done and undone were seen
     over_us: int = 0  # since when more are out than the budget; 0 if they are not
 
-    def hear(self, words: Mapping[str, Word], now_us: int) -> None:
+    def hear(self, words: Mapping[str, HealthReport], now_us: int) -> None:
         for name, word in words.items():
             self.heard[name] = Heard(word, now_us)
 
-    def down(self, control: Control, kind: str, members_out: frozenset[str], now_us: int) -> list[str]:
+    def down(self, control: ControlState, kind: str, members_out: frozenset[str], now_us: int) -> list[str]:
         """Those out without a lease. Instances: not ready, not heard of lately, or out by membership.
         Runners: those that their owners among the routers find silent (`members_out` holds them, too)."""
         if kind == "runners":
@@ -67,7 +69,9 @@
         heard = self.heard.get(name)
         return heard is not None and heard.word.ready and now_us - heard.at_us <= self.rules.fresh_us
 
-    def decide(self, control: Control, members_out: frozenset[str], term: int, now_us: int) -> Command | None:
+    def decide(
+        self, control: ControlState, members_out: frozenset[str], term: int, now_us: int
+    ) -> Command | None:
         """At most one command: the log answers it before the next is thought of."""
         rollout = control.rollout
         self._follow(control, now_us)
@@ -87,10 +91,16 @@
         counted = {*control.out(rollout.kind), *down, *self.resting, step[0]}
         if len(counted) > rollout.budget:
             return None
-        return {"do": "grant", "rollout": rollout.number, "instance": step[0], "down": down,
-                "after": control.number, "term": term}  # fmt: skip
-
-    def _follow(self, control: Control, now_us: int) -> None:
+        return {
+            "do": "grant",
+            "rollout": rollout.number,
+            "instance": step[0],
+            "down": down,
+            "after": control.number,
+            "term": term,
+        }
+
+    def _follow(self, control: ControlState, now_us: int) -> None:
         numbers = {lease.number for lease in control.leases.values()}
         self.leases = {n: self.leases.get(n, now_us) for n in numbers}
         rollout = control.rollout
@@ -103,13 +113,13 @@
                 self.resting[name] = now_us
             for name in rollout.done[done:]:
                 heard = self.heard.get(name)
-                self.released[name] = heard.word if heard is not None else Word(False)
+                self.released[name] = heard.word if heard is not None else HealthReport(False)
             self.ended = rollout.number, len(rollout.done), len(rollout.undone)
         self.resting = {n: at for n, at in self.resting.items() if now_us - at < self.rules.settle_us}
         if rollout is None or rollout.phase not in (Phase.RUNNING, Phase.HALTED):
             self.released = {}
 
-    def _ailing(self, control: Control, down: list[str], out: int, now_us: int) -> str:
+    def _ailing(self, control: ControlState, down: list[str], out: int, now_us: int) -> str:
         """Why the rollout has to halt; empty if it need not."""
         rollout = control.rollout
         assert rollout is not None
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 
 from maplestile.common.address import Address, parse_address
-from maplestile.common.errors import Refusal
-from maplestile.common.toml_table import Table
+from maplestile.common.errors import CommandRejected
+from maplestile.common.toml_table import TomlTable
 from maplestile.control.rollout_planner import Rules
 from maplestile.control.state import budget_of
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ControlPlan:
+class ControlSettings:
     name: str  # of this agent
     listen: str  # "" for one that is no voter
     folder: Path | None
@@ -45,7 +45,7 @@
     rules: Rules
 
 
-def control_from(table: Table, voters: list[Table]) -> ControlPlan:
+def control_from(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
     """Raises the table's own error, naming the field."""
     rules = Rules(
         step_us=int(table.number("step_s", 60.0, least=0.1) * 1e6),
@@ -56,14 +56,16 @@
     budget = table.values.pop("budget", 1)
     try:
         budget_of(budget, 100)
-    except Refusal as refusal:
+    except CommandRejected as refusal:
         raise table.error(f"{table.place('budget')}: {refusal}") from None
     name, listen = table.text("name"), table.loopback("listen") if "listen" in table.values else ""
     folder = Path(table.text("folder")) if listen else None
     asked = table.values.pop("ask", [])
     if not isinstance(asked, list) or not all(isinstance(one, str) for one in asked):
         raise table.wrong("ask", "must be a list of host:port")
-    ask = tuple(parse_address(Table({"ask": one}, table.path, table.error).loopback("ask")) for one in asked)
+    ask = tuple(
+        parse_address(TomlTable({"ask": one}, table.path, table.error).loopback("ask")) for one in asked
+    )
     named = tuple(_voter(voter) for voter in voters)
     if listen and (len(named) not in VOTERS or name not in [voter.name for voter in named]):
         raise table.wrong("name", "must be one of one, three or five [[voter]]")
@@ -72,10 +74,10 @@
     if not listen and not ask:
         raise table.wrong("ask", "must name agents of voters where there is no 'listen'")
     table.end()
-    return ControlPlan(name, listen, folder, named, ask, budget, rules)
+    return ControlSettings(name, listen, folder, named, ask, budget, rules)
 
 
-def _voter(table: Table) -> Voter:
+def _voter(table: TomlTable) -> Voter:
     address = table.loopback("address")
     reach = table.loopback("reach") if "reach" in table.values else address
     voter = Voter(table.text("name"), address, reach)
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -25,8 +25,8 @@
 from enum import Enum
 from typing import Any
 
-from maplestile.common.errors import Refusal
-from maplestile.control.policy.agreed import Agreed
+from maplestile.common.errors import CommandRejected
+from maplestile.control.policy.agreed import AgreedPolicies
 
 ACTIONS = ("restart", "drain", "replace")
 KINDS = ("routers", "runners")
@@ -78,7 +78,7 @@
     kind: str = "routers"  # or runners
 
 
-class Control:
+class ControlState:
     """The agreed state. `apply` is the one way to change it."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
         self.leases: dict[str, Lease] = {}  # by instance
         self.number = 0  # of the last rollout or lease: one count for both, so that no number comes again
         self.worst_out = dict.fromkeys(KINDS, 0)  # the most that were ever out at once by leases
-        self.policy = Agreed()
+        self.policy = AgreedPolicies()
 
     def __setstate__(self, told: dict[str, Any]) -> None:
         """Of a snapshot: one that an earlier release has written lacks what is agreed on only since."""
@@ -100,17 +100,26 @@
     def apply(self, command: Command) -> Reply:
         """`{"ok": True, ...}`, or `{"ok": False, "reason": text}` with nothing changed."""
         handlers: dict[str, Callable[[Command], Reply]] = {
-            "register": self._register, "start": self._start, "grant": self._grant, "begin": self._begin,
-            "back": self._back, "out": self._out, "halt": self._halt, "resume": self._resume,
-            "undo": self._undo, "release": self._release, "part": self._part, "renewed": self._renewed,
+            "register": self._register,
+            "start": self._start,
+            "grant": self._grant,
+            "begin": self._begin,
+            "back": self._back,
+            "out": self._out,
+            "halt": self._halt,
+            "resume": self._resume,
+            "undo": self._undo,
+            "release": self._release,
+            "part": self._part,
+            "renewed": self._renewed,
             **self.policy.commands(self.instances),
-        }  # fmt: skip
+        }
         handler = handlers.get(str(command.get("do")))
         if handler is None:
             return {"ok": False, "reason": f"no command '{command.get('do')}'"}
         try:
             reply = handler(command)
-        except Refusal as refusal:
+        except CommandRejected as refusal:
             return {"ok": False, "reason": str(refusal)}
         except (KeyError, TypeError, ValueError) as fault:  # guards the log against a damaged command
             return {"ok": False, "reason": f"damaged command: {type(fault).__name__}: {fault}"}
@@ -125,7 +134,7 @@
         agent, names = _name(command["agent"]), [_name(name) for name in command["instances"]]
         for name in names:
             if self.instances.get(name, agent) != agent:
-                raise Refusal(f"instance '{name}' is managed by {self.instances[name]}")
+                raise CommandRejected(f"instance '{name}' is managed by {self.instances[name]}")
         for name in [known for known, owner in self.instances.items() if owner == agent]:
             if name not in names and name not in self.leases:
                 del self.instances[name]
@@ -159,30 +168,32 @@
     def _start(self, command: Command) -> Reply:
         action, budget, kind = str(command["action"]), command["budget"], str(command.get("kind", "routers"))
         if kind not in KINDS:
-            raise Refusal(f"kind: must be one of {', '.join(KINDS)}")
+            raise CommandRejected(f"kind: must be one of {', '.join(KINDS)}")
         known = self.known(kind)
         targets = tuple(dict.fromkeys(command["targets"] or sorted(known)))
         if self.rollout is not None and self.rollout.phase in ACTIVE:
             told = f"rollout {self.rollout.number} is {self.rollout.phase.value}"
-            raise Refusal(f"{told}: it has to end, or be undone, first")
+            raise CommandRejected(f"{told}: it has to end, or be undone, first")
         if action not in ACTIONS:
-            raise Refusal(f"action: must be one of {', '.join(ACTIONS)}")
+            raise CommandRejected(f"action: must be one of {', '.join(ACTIONS)}")
         unknown = [name for name in targets if name not in known]
         if unknown:
-            raise Refusal(f"unknown {'runner' if kind == 'runners' else 'instance'}: {', '.join(unknown)}")
+            raise CommandRejected(
+                f"unknown {'runner' if kind == 'runners' else 'instance'}: {', '.join(unknown)}"
+            )
         if not 0 < len(targets) <= TARGETS_MOST:
-            raise Refusal("nothing to roll out to")
+            raise CommandRejected("nothing to roll out to")
         unmanaged = [name for name in targets if not known[name]]
         if unmanaged and action != "drain":
-            raise Refusal(f"no agent manages {', '.join(unmanaged)}: only a drain is possible")
+            raise CommandRejected(f"no agent manages {', '.join(unmanaged)}: only a drain is possible")
         most, already = budget_of(budget, len(known)), self.out(kind)
         out = [name for name in targets if name in self.leases]
         if out:
-            raise Refusal(f"out already: {', '.join(out)}")
+            raise CommandRejected(f"out already: {', '.join(out)}")
         if action == "drain" and len(targets) + len(already) > most:
-            raise Refusal(f"a drain leaves {len(targets)} out, and the budget is {most}")
+            raise CommandRejected(f"a drain leaves {len(targets)} out, and the budget is {most}")
         if len(already) >= most:
-            raise Refusal(f"{len(already)} out already, and the budget is {most}")
+            raise CommandRejected(f"{len(already)} out already, and the budget is {most}")
         if self.rollout is not None:
             self.history = [*self.history, self.rollout][-HISTORY_MOST:]
         self.number += 1
@@ -192,7 +203,7 @@
     def _halt(self, command: Command) -> Reply:
         rollout = self._current(command)
         if rollout.phase not in (Phase.RUNNING, Phase.UNDOING):
-            raise Refusal(f"rollout {rollout.number} is {rollout.phase.value}")
+            raise CommandRejected(f"rollout {rollout.number} is {rollout.phase.value}")
         rollout.reason = str(command.get("reason") or "by an operator")
         rollout.phase = Phase.HALTED
         self._drop_unbegun()
@@ -201,7 +212,7 @@
     def _resume(self, command: Command) -> Reply:
         rollout = self._current(command)
         if rollout.phase is not Phase.HALTED:
-            raise Refusal(f"rollout {rollout.number} is {rollout.phase.value}")
+            raise CommandRejected(f"rollout {rollout.number} is {rollout.phase.value}")
         rollout.phase, rollout.reason = (Phase.UNDOING if rollout.undone else Phase.RUNNING), ""
         self._end(rollout)
         return {"rollout": rollout.number}
@@ -210,7 +221,7 @@
         """What was taken out comes back, in reverse order; also after a rollout has ended."""
         rollout = self._current(command)
         if rollout.phase in (Phase.UNDOING, Phase.UNDONE):
-            raise Refusal(f"rollout {rollout.number} is {rollout.phase.value}")
+            raise CommandRejected(f"rollout {rollout.number} is {rollout.phase.value}")
         rollout.phase, rollout.reason = Phase.UNDOING, str(command.get("reason") or "")
         self._drop_unbegun()
         self._end(rollout)
@@ -220,9 +231,9 @@
         """An operator vouches for an instance whose lease will not end by itself."""
         lease = self.leases.get(str(command["instance"]))
         if lease is None:
-            raise Refusal(f"'{command['instance']}' is not out")
+            raise CommandRejected(f"'{command['instance']}' is not out")
         if "lease" in command and command["lease"] != lease.number:
-            raise Refusal(f"'{lease.instance}' is out by lease {lease.number}")
+            raise CommandRejected(f"'{lease.instance}' is out by lease {lease.number}")
         del self.leases[lease.instance]
         if self.rollout is not None:
             self._end(self.rollout)
@@ -256,12 +267,12 @@
         rollout, step = self._current(command), self.next_step()
         name = str(command["instance"])
         if command["after"] != self.number:
-            raise Refusal("something else was granted since")
+            raise CommandRejected("something else was granted since")
         if step is None or step[0] != name:
-            raise Refusal(f"it is not the turn of '{name}'")
+            raise CommandRejected(f"it is not the turn of '{name}'")
         counted = {*self.out(rollout.kind), *map(str, command["down"]), name}
         if len(counted) > rollout.budget:
-            raise Refusal(f"{len(counted)} would be out, and the budget is {rollout.budget}")
+            raise CommandRejected(f"{len(counted)} would be out, and the budget is {rollout.budget}")
         self.number += 1
         holder, stage, parts = self.known(rollout.kind)[name], Stage.GRANTED, None
         if rollout.kind == "runners":
@@ -275,7 +286,7 @@
         """By the holder, before it touches the instance: what it read of the lease may be old."""
         lease = self._lease(command)
         if lease.stage is not Stage.GRANTED or lease.parts is not None:
-            raise Refusal(f"lease {lease.number} is {lease.stage.value}")
+            raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
         lease.stage = Stage.BEGUN
         return {"action": lease.action}
 
@@ -283,7 +294,7 @@
         """By the holder: it has seen the instance serve again."""
         lease = self._lease(command)
         if lease.stage is Stage.GRANTED or lease.action == "drain" or lease.parts is not None:
-            raise Refusal(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
+            raise CommandRejected(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
         del self.leases[lease.instance]
         self._ended(lease)
         return {}
@@ -292,7 +303,7 @@
         """By the holder: the instance is drained, with nothing in flight, and stays out."""
         lease = self._lease(command)
         if lease.stage is not Stage.BEGUN or lease.action != "drain" or lease.parts is not None:
-            raise Refusal(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
+            raise CommandRejected(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
         lease.stage = Stage.OUT
         self._ended(lease)
         return {}
@@ -302,12 +313,12 @@
         any more (`out`), or use it again (`in`)."""
         lease, agent, did = self.leases.get(str(command["instance"])), str(command["agent"]), command["did"]
         if lease is None or lease.number != command["lease"] or lease.parts is None:
-            raise Refusal(f"there is no lease {command['lease']} of a runner '{command['instance']}'")
+            raise CommandRejected(f"there is no lease {command['lease']} of a runner '{command['instance']}'")
         if agent not in lease.parts:
-            raise Refusal(f"{agent} has no part in lease {lease.number}")
+            raise CommandRejected(f"{agent} has no part in lease {lease.number}")
         stages = (Stage.RETURNING,) if did == "in" else (Stage.GRANTED, Stage.BEGUN)
         if did not in ("begun", "out", "in") or lease.stage not in stages:
-            raise Refusal(f"lease {lease.number} is {lease.stage.value}")
+            raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
         lease.parts[agent] = did
         if did == "in" and set(lease.parts.values()) == {"in"}:
             del self.leases[lease.instance]
@@ -324,7 +335,7 @@
         """By the holder: the runner's process has been replaced, and routers may use it again."""
         lease = self._lease(command)
         if lease.stage is not Stage.AWAY or lease.parts is None:
-            raise Refusal(f"lease {lease.number} is {lease.stage.value}")
+            raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
         lease.stage, lease.parts = Stage.RETURNING, dict.fromkeys(lease.parts, "")
         return {}
 
@@ -351,15 +362,17 @@
     def _current(self, command: Command) -> Rollout:
         rollout = self.rollout
         if rollout is None:
-            raise Refusal("there is no rollout")
+            raise CommandRejected("there is no rollout")
         if command.get("rollout") not in (None, rollout.number):
-            raise Refusal(f"the rollout is {rollout.number}")
+            raise CommandRejected(f"the rollout is {rollout.number}")
         return rollout
 
     def _lease(self, command: Command) -> Lease:
         lease = self.leases.get(str(command["instance"]))
         if lease is None or lease.number != command["lease"] or lease.holder != command["agent"]:
-            raise Refusal(f"{command['agent']} holds no lease {command['lease']} of '{command['instance']}'")
+            raise CommandRejected(
+                f"{command['agent']} holds no lease {command['lease']} of '{command['instance']}'"
+            )
         return lease
 
     def _drop_unbegun(self) -> None:
@@ -371,7 +384,7 @@
                 del self.leases[name]
 
     @classmethod
-    def of(cls, told: dict[str, Any]) -> "Control":
+    def of(cls, told: dict[str, Any]) -> "ControlState":
         """What `told` tells, read back elsewhere. Raises KeyError, TypeError or ValueError."""
 
         def rollout(one: dict[str, Any]) -> Rollout:
@@ -385,7 +398,7 @@
         control.history = [rollout(one) for one in told["history"]]
         leases = (Lease(**{**one, "stage": Stage(one["stage"])}) for one in told["leases"])
         control.leases = {lease.instance: lease for lease in leases}
-        control.policy = Agreed.of(told["policy"])
+        control.policy = AgreedPolicies.of(told["policy"])
         return control
 
     def told(self) -> dict[str, Any]:
@@ -395,27 +408,29 @@
             return asdict(one) | {"phase": one.phase.value, "targets": list(one.targets)}
 
         return {
-            "instances": dict(self.instances), "runners": dict(self.runners),
+            "instances": dict(self.instances),
+            "runners": dict(self.runners),
             "listed": {agent: list(names) for agent, names in self.listed.items()},
-            "number": self.number, "worst_out": dict(self.worst_out),
+            "number": self.number,
+            "worst_out": dict(self.worst_out),
             "rollout": None if self.rollout is None else rollout(self.rollout),
             "history": [rollout(one) for one in self.history],
             "leases": [asdict(lease) | {"stage": lease.stage.value} for lease in self.leases.values()],
             "policy": self.policy.told(),
-        }  # fmt: skip
+        }
 
 
 def budget_of(told: object, instances: int) -> int:
-    """A count (`2`), or a share of the fleet (`"25%"`, rounded down and at least one). Raises Refusal."""
+    """A count (`2`), or a share of the fleet (`"25%"`, rounded down, at least 1). Raises CommandRejected."""
     if isinstance(told, str) and told.endswith("%") and told[:-1].isdigit():
         share = int(told[:-1])
         if not 1 <= share <= 100:
-            raise Refusal(f"budget: {told} is not from 1% to 100%")
+            raise CommandRejected(f"budget: {told} is not from 1% to 100%")
         return max(1, instances * share // 100)
     if isinstance(told, str) and told.isdigit():
         told = int(told)
     if isinstance(told, bool) or not isinstance(told, int) or told < 1:
-        raise Refusal(f"budget: must be a count from 1 or a share such as 25%, not {told!r}")
+        raise CommandRejected(f"budget: must be a count from 1 or a share such as 25%, not {told!r}")
     return told
 
 
--- a/maplestile/dispatch/api.py
+++ b/maplestile/dispatch/api.py
@@ -6,15 +6,15 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What repeating a call of a class does."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which workers drop the repeats of a keyed call."""
 
     ALL = "all"
@@ -45,33 +45,33 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    SUPERSEDED = "moot"
     MISS = "miss"
 
 
-NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT, Result.MISS)  # the wire's proofs
-ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.MISS, Result.MOOT)  # a worker's own word
+NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.SUPERSEDED, Result.MISS)  # the wire's proofs
+ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.MISS, Result.SUPERSEDED)  # a worker's own word
 
 
 class Warmth(Enum):
     """What an outcome tells of the copy that the attempt met."""
 
-    UNTOLD = 0
-    STOOD = 1
-    BEGAN_LOAD = 2
-    AWAITED_LOAD = 3
+    UNKNOWN = 0
+    WARM = 1
+    STARTED_LOAD = 2
+    WAITED_FOR_LOAD = 3
     LOAD_FAILED = 4
 
 
 @dataclass(slots=True, frozen=True)
 class CallClass:
     name: str
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
-    effect: Effect
-    scope: Scope
-    window_us: int
-    late_worth: float = 0.0
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window_us: int
+    late_priority_weight: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -79,28 +79,28 @@
     """What a dispatcher is told at its start; 0 or empty stands for what is not told."""
 
     classes: tuple[CallClass, ...]
-    dispatchers: int
+    router_count: int
     zone: str
     tick_us: int
-    must_ask_for_list: bool
-    may_order: bool
+    must_poll_list: bool
+    may_request_loads: bool
     loads_on_miss: bool
-    keep_us: int
+    keep_alive_us: int
     kind_memory_mb: tuple[tuple[str, float], ...]
-    order_timeout_us: int
-    order_window_us: int
-    orders_free: float
-    orders_per_call: float
+    load_timeout_us: int
+    load_request_window_us: int
+    load_requests_free: float
+    load_requests_per_call: float
     max_attempts: int
     may_cancel: bool
-    may_duplicate: bool
+    may_hedge: bool
     may_probe: bool
     answer_slack_us: int
     drain_grace_us: int
-    cold_share: float
-    cold_us: int
-    fall_multiple: float
-    fall_us: int
+    slow_start_share: float
+    slow_start_us: int
+    overload_multiple: float
+    overload_window_us: int
     # What only the network side needs.
     streams_per_connection: int = 32
     idle_close_us: int = 0
@@ -122,7 +122,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WorkerList:
+class WorkerListReceived:
     kind: ListKind
     version: int
     entries: tuple[WorkerEntry, ...]
@@ -147,7 +147,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClientGone:
+class ClientDisconnected:
     """Its client has closed the connection: nothing more begins for the call; what is out may still end."""
 
     call: int
@@ -170,12 +170,12 @@
     elapsed_us: int
     call_ended: bool
     warmth: Warmth
-    alike: int
+    queued_ahead: int
     report: tuple[tuple[str, float], ...]
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeEnded:
+class HealthCheckEnded:
     worker: str
     result: Result
     elapsed_us: int
@@ -183,7 +183,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OrderEnded:
+class LoadRequestEnded:
     worker: str
     function: str
     result: Result
@@ -205,27 +205,27 @@
 
 
 @dataclass(slots=True)
-class TimerDue:
+class TimerFired:
     token: int
 
 
 Event = (
-    WorkerList
+    WorkerListReceived
     | CallArrived
     | CallExpired
-    | ClientGone
+    | ClientDisconnected
     | StreamStarted
     | AttemptEnded
-    | ProbeEnded
-    | OrderEnded
+    | HealthCheckEnded
+    | LoadRequestEnded
     | PeerMessage
     | PolicyChanged
-    | TimerDue
+    | TimerFired
 )
 
 
 @dataclass(slots=True)
-class Send:
+class SendAttempt:
     """Begin the call's next attempt; attempts are numbered from 0 in the order of their sends."""
 
     call: int
@@ -236,18 +236,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class RejectCall:
     call: int
     retry_after_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class Fail:
+class FailCall:
     call: int
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     call: int
     attempt: int
 
@@ -259,12 +259,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class SendHealthCheck:
     worker: str
 
 
 @dataclass(slots=True, frozen=True)
-class Order:
+class RequestLoad:
     """Have at least `copies` of the function held at the worker; 0 only asks how many stand."""
 
     worker: str
@@ -273,49 +273,49 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Unload:
+class RequestUnload:
     worker: str
     function: str
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendToPeer:
     peer: int
     content: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class CloseIdle:
+class CloseIdleConnections:
     worker: str
 
 
 @dataclass(slots=True, frozen=True)
-class WatchList:
+class WatchEndpoints:
     """Ask for the worker list's changes from now on."""
 
 
 @dataclass(slots=True, frozen=True)
-class FetchList:
+class FetchEndpoints:
     """Ask for the whole worker list once."""
 
 
 @dataclass(slots=True, frozen=True)
-class Log:
+class WriteLog:
     text: str
 
 
 Action = (
-    Send
-    | Refuse
-    | Fail
-    | Cancel
+    SendAttempt
+    | RejectCall
+    | FailCall
+    | CancelAttempt
     | SetTimer
-    | Probe
-    | Order
-    | Unload
-    | Tell
-    | CloseIdle
-    | WatchList
-    | FetchList
-    | Log
+    | SendHealthCheck
+    | RequestLoad
+    | RequestUnload
+    | SendToPeer
+    | CloseIdleConnections
+    | WatchEndpoints
+    | FetchEndpoints
+    | WriteLog
 )
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from maplestile.dispatch.api import NEVER_RAN, CallClass, Effect, Result, Settings, WorkerEntry
+from maplestile.dispatch.api import NEVER_RAN, CallClass, Idempotency, Result, Settings, WorkerEntry
 from maplestile.dispatch.ranking import Ranking
 
 NOWHERE, SINGLE, MULTIPLE, CACHING = -1, 0, 1, 2  # the place of a row: the three lists in their order
@@ -129,7 +129,7 @@
         return self.place != NOWHERE
 
     def aged(self) -> int:
-        return self.gap_us - self.last_us  # (gap + now - last) / 2 in the paper; all rows age alike
+        return self.gap_us - self.last_us  # (gap + now - last) / 2 in the paper; all rows age queued_ahead
 
     def copy(self, worker: Worker) -> Copy:
         copy = worker.copies.get(self.function)
@@ -164,8 +164,8 @@
 
     def kept_us(self) -> int:
         """Until when workers surely drop repeats of a keyed call that may have run; 0 for any other."""
-        ran = self.ran() if self.kind.effect is Effect.KEYED else []
-        return ran[0].sent_us + self.kind.window_us if ran else 0
+        ran = self.ran() if self.kind.idempotency is Idempotency.WITH_KEY else []
+        return ran[0].sent_us + self.kind.deduplication_window_us if ran else 0
 
     def outstanding(self) -> list[Attempt]:
         return [a for a in self.attempts if a.result is None]
--- a/maplestile/dispatch/worker_list.py
+++ b/maplestile/dispatch/worker_list.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Mapping
 
-from maplestile.dispatch.api import ListKind, WorkerList, WorkerState
+from maplestile.dispatch.api import ListKind, WorkerListReceived, WorkerState
 from maplestile.dispatch.hashing import digest
 from maplestile.dispatch.state import Window, Worker
 
 
 def relisted(
-    workers: Mapping[str, Worker], event: WorkerList, fall_us: int
+    workers: Mapping[str, Worker], event: WorkerListReceived, overload_window_us: int
 ) -> tuple[dict[str, Worker], list[Worker]]:
     """The workers after a list or its changes, and those that have come up; the others keep their records."""
     kept, started = dict(workers), list[Worker]()
@@ -21,7 +21,7 @@
             continue
         # A restarted worker is a new record: it is empty, and its old symptoms say nothing of it.
         if known is None or entry.started_us > known.entry.started_us:
-            known = Worker(entry, Window(fall_us), digest(entry.worker))
+            known = Worker(entry, Window(overload_window_us), digest(entry.worker))
             started.append(known)
         known.entry = entry
         kept[entry.worker] = known
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -37,9 +37,13 @@
         old = self.operator
         same = (old.deadlines_us, old.keyed) == (new.deadlines_us, new.keyed)
         self.operator = replace(
-            new, listen=old.listen, deadlines_us=old.deadlines_us, keyed=old.keyed, node=old.node,
+            new,
+            listen=old.listen,
+            deadlines_us=old.deadlines_us,
+            keyed=old.keyed,
+            node=old.node,
             functions=new.functions if same else old.functions,
-        )  # fmt: skip
+        )
         self.store.most, self.store.keep_us = new.records, new.record_us
         self.bounds = self._bounds()
         return self.operator != old
@@ -53,9 +57,13 @@
     def _bounds(self) -> Bounds:
         told, limits = self.operator, self.core.limits
         return Bounds(
-            told.connections, told.idle_s, limits.http_request_us, told.body_bytes, limits.http_linger_us,
+            told.connections,
+            told.idle_s,
+            limits.http_request_us,
+            told.body_bytes,
+            limits.http_linger_us,
             limits.accept_burst,
-        )  # fmt: skip
+        )
 
     def handle(self, request: HttpRequest, respond: Callable[[Response], None]) -> Callable[[], None]:
         self.counters["invoke.requests"] += 1
@@ -132,9 +140,18 @@
     ) -> Request:
         once = key or (secrets.token_hex(16) if class_name in self.operator.keyed else "")
         return Request(
-            secrets.token_hex(8), function.name, class_name, budget_us, function.memory_mb, function.lanes,
-            0, tenant, False, once, body,
-        )  # fmt: skip
+            secrets.token_hex(8),
+            function.name,
+            class_name,
+            budget_us,
+            function.memory_mb,
+            function.lanes,
+            0,
+            tenant,
+            False,
+            once,
+            body,
+        )
 
     def _plain(
         self, call: Request, received_us: int, respond: Callable[[Response], None]
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.common.toml_table import ConfigError, Table
-from maplestile.control.policy.document import Adopted, Tables
-from maplestile.control.policy.settings import PolicyPlan, plan_of
-from maplestile.membership.settings import PlanError, plan_from
+from maplestile.common.toml_table import ConfigError, TomlTable
+from maplestile.control.policy.document import AdoptedPolicy, Tables
+from maplestile.control.policy.settings import PolicySettings, plan_of
+from maplestile.membership.settings import MembershipSettingsError, plan_from
 
 SEMANTICS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 SCOPES = ("all", "zone", "cell")
@@ -51,7 +51,7 @@
     connections: int
     idle_s: float
     node: Mapping[str, Any] = field(hash=False)
-    policy: PolicyPlan | None = None  # where the fleet decides on it
+    policy: PolicySettings | None = None  # where the fleet decides on it
     epoch: int = 0
 
 
@@ -78,11 +78,11 @@
     return from_tables(tables_of(text))
 
 
-def from_tables(tables: Mapping[str, Any], adopted: Adopted | None = None) -> Operator:
+def from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> Operator:
     """With the policy of that epoch in the place of the file's own."""
     if adopted is not None and adopted.document is not None:
         tables = adopted.document.over(tables)
-    policy, root = plan_of(tables), Table(tables, "", OperatorError)
+    policy, root = plan_of(tables), TomlTable(tables, "", OperatorError)
     root.values.pop("policy", None)
     name = str(root.values.pop("name", "maplestile"))
     invoke, limits, rules = root.table("invoke"), root.table("limits"), root.table("rules")
@@ -98,29 +98,41 @@
     node: dict[str, Any] = {
         "name": name,
         "settings": {
-            "grades": grades, "tenants": [{"name": tenant} for tenant in tenants],
-            "kinds": list(kind_names), "instances": rules.whole("routers", 1, least=1),
-            "granularityUs": 4_000, "discovery": "push",
+            "grades": grades,
+            "tenants": [{"name": tenant} for tenant in tenants],
+            "kinds": list(kind_names),
+            "instances": rules.whole("routers", 1, least=1),
+            "granularityUs": 4_000,
+            "discovery": "push",
             "familyInfo": {
-                "orders": rules.flag("orders", True), "whenAbsent": "load",
+                "orders": rules.flag("orders", True),
+                "whenAbsent": "load",
                 "lingerIdleUs": int(rules.number("keep_s", 10.0, least=0.1) * 1e6),
-                "machineMb": [kind[1] for kind in kinds], "answerWithinUs": 10_000_000,
+                "machineMb": [kind[1] for kind in kinds],
+                "answerWithinUs": 10_000_000,
             },
             "limits": {
-                "attemptsCap": rules.whole("attempts", 5, least=1), "cancelling": True,
+                "attemptsCap": rules.whole("attempts", 5, least=1),
+                "cancelling": True,
                 "mayDuplicate": rules.flag("second_copies", True),
-                "probes": True, "streamsPerConn": 32, "idleCloseUs": 15_000_000,
+                "probes": True,
+                "streamsPerConn": 32,
+                "idleCloseUs": 15_000_000,
                 "connectTimeoutUs": int(rules.number("connect_timeout_ms", 250.0, least=1) * 1e3),
                 "maxOpen": limits.whole("open_requests", 2_000, least=1),
             },
             "guarantees": {
-                "answerSlackUs": 16_000, "drainGraceUs": 2_000_000, "startCapacity": 0.16,
-                "coldUs": 18_000_000, "fallMultiple": 4.0, "overloadForUs": 2_000_000,
+                "answerSlackUs": 16_000,
+                "drainGraceUs": 2_000_000,
+                "startCapacity": 0.16,
+                "coldUs": 18_000_000,
+                "fallMultiple": 4.0,
+                "overloadForUs": 2_000_000,
             },
         },
         "limits": {"sockets": limits.whole("sockets", 1024, least=64)},
         "known": {"index": 0, "updates": [{"index": 0, "endpoints": {"all": True, "targets": workers}}]},
-    }  # fmt: skip
+    }
     if platform.values:
         node["listen"] = platform.address("listen")
     if names.values:
@@ -152,24 +164,25 @@
     return operator
 
 
-def _peers(table: Table) -> dict[str, Any]:
+def _peers(table: TomlTable) -> dict[str, Any]:
     """Membership among instances: checked here by its fields, and whole by `peers.plan`."""
     told = {
-        "listen": table.loopback("listen"), "seeds": table.values.pop("seeds", []),
+        "listen": table.loopback("listen"),
+        "seeds": table.values.pop("seeds", []),
         "advertise": table.loopback("advertise") if "advertise" in table.values else None,
         "periodUs": int(table.number("period_ms", 1000.0, least=10) * 1000),
         "ackUs": int(table.number("ack_ms", 400.0, least=1) * 1000),
         "lifeguard": table.flag("lifeguard", True),
         "watchUs": int(table.number("watch_ms", 1000.0) * 1000),
-    }  # fmt: skip
+    }
     try:
         plan_from(told)
-    except PlanError as fault:
+    except MembershipSettingsError as fault:
         raise OperatorError(str(fault)) from None
     return told
 
 
-def _unique(tables: list[Table], name: str = "name") -> list[Table]:
+def _unique(tables: list[TomlTable], name: str = "name") -> list[TomlTable]:
     seen = set[object]()
     for table in tables:
         value = table.values.get(name)
@@ -179,7 +192,7 @@
     return tables
 
 
-def _grade(table: Table) -> dict[str, Any]:
+def _grade(table: TomlTable) -> dict[str, Any]:
     aim = table.number("aim_ms", least=1)
     grade = {
         "name": table.text("name"),
@@ -188,13 +201,13 @@
         "semantics": SEMANTICS[table.choice("semantics", tuple(SEMANTICS))],
         "keyScope": table.choice("scope", SCOPES, "all"),
         "windowUs": int(table.number("window_ms", 0.0) * 1e3),
-        "lateValue": table.number("late_worth", 0.0),
+        "lateValue": table.number("late_priority_weight", 0.0),
     }
     table.end()
     return grade
 
 
-def _function(table: Table, classes: Mapping[str, object]) -> Function:
+def _function(table: TomlTable, classes: Mapping[str, object]) -> Function:
     function = Function(
         table.text("name"),
         table.choice("class", tuple(classes)),
@@ -205,19 +218,19 @@
     return function
 
 
-def _tenant(table: Table) -> Tenant:
+def _tenant(table: TomlTable) -> Tenant:
     tenant = Tenant(table.text("name"), table.whole("open_most", 0))
     table.end()
     return tenant
 
 
-def _kind(table: Table) -> tuple[str, float]:
+def _kind(table: TomlTable) -> tuple[str, float]:
     kind = table.text("name"), table.number("memory_mb", least=1)
     table.end()
     return kind
 
 
-def _worker(table: Table, kinds: tuple[str, ...]) -> dict[str, Any]:
+def _worker(table: TomlTable, kinds: tuple[str, ...]) -> dict[str, Any]:
     worker = {
         "uid": table.text("id"),
         "endpoint": table.address("address"),
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -10,13 +10,13 @@
 
 from maplestile.wire.http import Response, problem
 
-Scope = tuple[str, str, str]  # function, tenant, idempotency key
+DeduplicationScope = tuple[str, str, str]  # function, tenant, idempotency key
 
 
 @dataclass(slots=True, eq=False)
 class Record:
     id: str
-    scope: Scope | None
+    scope: DeduplicationScope | None
     print: bytes  # what was asked, to tell a repeat from another call under the same key
     deadline_us: int
     call: int = 0
@@ -33,7 +33,7 @@
     ) -> None:
         self.most, self.keep_us, self.at, self.counters = most, keep_us, at, counters
         self.records: dict[str, Record] = {}
-        self.by_scope: dict[Scope, Record] = {}
+        self.by_scope: dict[DeduplicationScope, Record] = {}
 
     def full(self) -> bool:
         return len(self.records) >= self.most
--- a/maplestile/membership/assignment.py
+++ b/maplestile/membership/assignment.py
@@ -2,7 +2,7 @@
 
 Every member that sees the same live set gives each duty the same owner, so the fleet does a duty about once
 instead of once a member; a member that ends moves only its own duties. Members that disagree (a split, a
-slow member) may both own one: both do it, which is harmless, and `Shares.overlap` counts it."""
+slow member) may both own one: both do it, which is harmless, and `CheckAssignment.overlap` counts it."""
 
 import hashlib
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
     return max(live, key=lambda member: (weight(duty, member), member))
 
 
-class Shares:
+class CheckAssignment:
     """One member's duties, judged anew when its view changes."""
 
     def __init__(self, me: str) -> None:
--- a/maplestile/membership/health_checks.py
+++ b/maplestile/membership/health_checks.py
@@ -12,13 +12,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from maplestile.membership.assignment import Shares, owner
+from maplestile.membership.assignment import CheckAssignment, owner
 
 MISSES = 2  # probes in a row without an answer before a runner is found silent: one may be lost or late
 
 
 @dataclass(slots=True, frozen=True)
-class Finding:
+class HealthFinding:
     """What its owner found: whether `runner` answers; `version` and `by` say which of two is the later."""
 
     runner: str
@@ -26,21 +26,21 @@
     version: int
     by: str
 
-    def later(self, other: "Finding | None") -> bool:
+    def later(self, other: "HealthFinding | None") -> bool:
         return other is None or (self.version, self.by) > (other.version, other.by)
 
 
-class Watch:
+class SharedHealthChecks:
     """One member's part. The driver asks `due` what to probe now, and tells `ended` how each probe ended."""
 
     def __init__(self, me: str, every_us: int, runners_most: int = 4096) -> None:
         self.me, self.every_us, self.runners_most = me, every_us, runners_most
-        self.shares = Shares(me)
+        self.shares = CheckAssignment(me)
         self.runners: tuple[str, ...] = ()
         self.live: tuple[str, ...] = (me,)
         self.agreed: tuple[str, ...] = (me,)
         self.isolated = False
-        self.findings: dict[str, Finding] = {}
+        self.findings: dict[str, HealthFinding] = {}
         self.untold: dict[str, int] = {}  # findings to pass on, with how often they went out so far
         self.next_us: dict[str, int] = {}  # of the runners owned here, when each is due
         self.misses: dict[str, int] = {}  # of the runners owned here, in a row
@@ -77,7 +77,7 @@
     def due_us(self) -> int | None:
         return min(self.next_us.values(), default=None)
 
-    def ended(self, runner: str, answers: bool) -> Finding | None:
+    def ended(self, runner: str, answers: bool) -> HealthFinding | None:
         """How a probe ended, of an owner or not; a finding that is news, and goes to the others."""
         known = self.findings.get(runner)
         if runner not in self.next_us:
@@ -85,22 +85,22 @@
         self.misses[runner] = 0 if answers else self.misses.get(runner, 0) + 1
         if known is not None and known.answers == answers or 0 < self.misses[runner] < MISSES:
             return None
-        finding = Finding(runner, answers, known.version + 1 if known else 1, self.me)
+        finding = HealthFinding(runner, answers, known.version + 1 if known else 1, self.me)
         self._keep(finding)
         return finding
 
-    def take(self, finding: Finding) -> bool:
+    def take(self, finding: HealthFinding) -> bool:
         """A finding told by another; whether it is news."""
         if finding.runner not in self.runners or not finding.later(self.findings.get(finding.runner)):
             return False
         self._keep(finding)
         return True
 
-    def _keep(self, finding: Finding) -> None:
+    def _keep(self, finding: HealthFinding) -> None:
         self.findings[finding.runner] = finding
         self.untold[finding.runner] = 0
 
-    def tell(self, most: int, times: int) -> list[Finding]:
+    def tell(self, most: int, times: int) -> list[HealthFinding]:
         """Findings to piggyback on a message: those told least so far, each `times` times in all."""
         chosen = sorted(self.untold, key=lambda runner: (self.untold[runner], runner))[:most]
         for runner in chosen:
@@ -109,7 +109,7 @@
                 del self.untold[runner]
         return [self.findings[runner] for runner in chosen]
 
-    def everything(self) -> list[Finding]:
+    def everything(self) -> list[HealthFinding]:
         return list(self.findings.values())
 
     def may_probe(self, runner: str) -> bool:
--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -15,7 +15,7 @@
 import msgpack  # type: ignore[import-untyped]  # it has no marker of its types
 
 from maplestile.common.address import Address
-from maplestile.membership.health_checks import Finding
+from maplestile.membership.health_checks import HealthFinding
 
 KINDS = ("ping", "ack", "req", "nack", "join", "sync", "word")
 STATUSES = ("alive", "suspect", "dead", "left")
@@ -46,7 +46,7 @@
     target_address: Address | None = None
     reply_to: Address = ("", 0)
     gossip: list[Entry] = field(default_factory=list)
-    findings: list[Finding] = field(default_factory=list)
+    findings: list[HealthFinding] = field(default_factory=list)
     digest: int | None = None  # of the sender's view, 64 bits; see `Swim.digest`
 
 
@@ -103,7 +103,7 @@
     return value
 
 
-def _finding(told: Any, place: str) -> Finding:
+def _finding(told: Any, place: str) -> HealthFinding:
     if not isinstance(told, list) or len(told) != 4:
         raise DatagramError(f"{place}: not a list of four")
     runner, answers, version, by = told
@@ -113,7 +113,7 @@
         raise DatagramError(f"{place}[1]: not true or false")
     if not isinstance(version, int) or isinstance(version, bool) or not 0 <= version < 1 << 63:
         raise DatagramError(f"{place}[2]: not a version")
-    return Finding(runner, answers, version, _name(by, f"{place}[3]"))
+    return HealthFinding(runner, answers, version, _name(by, f"{place}[3]"))
 
 
 def _entry(told: Any, place: str) -> Entry:
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -15,7 +15,7 @@
 from enum import Enum
 
 from maplestile.common.address import Address
-from maplestile.membership.health_checks import Watch
+from maplestile.membership.health_checks import SharedHealthChecks
 from maplestile.membership.messages import Entry, Message
 from maplestile.membership.tuning import Tuning
 
@@ -77,7 +77,13 @@
     both after each call. Raises nothing on what peers send: a message of no use is counted in `faults`."""
 
     def __init__(
-        self, name: str, address: Address, tuning: Tuning, seed: int, now_us: int, watch: Watch | None = None
+        self,
+        name: str,
+        address: Address,
+        tuning: Tuning,
+        seed: int,
+        now_us: int,
+        watch: SharedHealthChecks | None = None,
     ) -> None:
         self.name, self.address, self.tuning, self.watch = name, address, tuning, watch
         self.random = random.Random(seed)
--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -11,7 +11,7 @@
 from maplestile.common.address import Address
 from maplestile.dispatch.api import WorkerState
 from maplestile.net import reads
-from maplestile.requests.endpoint_list import Fleet
+from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire import dns
 from maplestile.wire.limits import Limits
 
@@ -41,14 +41,19 @@
         self.counters["names.socket_errors"] += 1  # nobody listens there; the query's time-out follows
 
 
-class Names:
+class DnsDiscovery:
     """Asks one name server; `before` asks the one that was told before it, until this one has answered."""
 
     def __init__(
-        self, server: Address, fleet: Fleet, limits: Limits, counters: Counter[str],
-        changed: Callable[[], None], starved: Callable[[], object] = lambda: None,
+        self,
+        server: Address,
+        fleet: EndpointList,
+        limits: Limits,
+        counters: Counter[str],
+        changed: Callable[[], None],
+        starved: Callable[[], object] = lambda: None,
         before: asyncio.Task[None] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.server, self.fleet, self.limits, self.counters = server, fleet, limits, counters
         self.changed, self.starved, self.before = changed, starved, before
         self.heard = False  # a usable answer has come
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -10,9 +10,9 @@
 
 from maplestile.common import logs
 from maplestile.dispatch.api import Result
-from maplestile.membership.health_checks import Watch
+from maplestile.membership.health_checks import SharedHealthChecks
 from maplestile.membership.messages import DatagramError, decode, encode
-from maplestile.membership.settings import Plan
+from maplestile.membership.settings import MembershipSettings
 from maplestile.membership.swim import Status, Swim
 
 log = logging.getLogger("maplestile.peers")
@@ -22,14 +22,19 @@
     return time.monotonic_ns() // 1000
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipDriver(asyncio.DatagramProtocol):
     """One member on one UDP socket."""
 
     def __init__(
-        self, name: str, plan: Plan, seed: int, counters: Counter[str], probe: Callable[[str], None]
+        self,
+        name: str,
+        plan: MembershipSettings,
+        seed: int,
+        counters: Counter[str],
+        probe: Callable[[str], None],
     ) -> None:
         self.probe = probe
-        self.watch = Watch(name, plan.watch_us) if plan.watch_us else None
+        self.watch = SharedHealthChecks(name, plan.watch_us) if plan.watch_us else None
         self.name, self.plan, self.tuning, self.seed = name, plan, plan.tuning, seed
         self.swim = Swim(name, plan.listen, plan.tuning, seed, monotonic_us())  # anew once the socket stands
         self.seeds, self.counters = list(plan.seeds), counters
@@ -77,7 +82,7 @@
         return self.watch is None or self.watch.may_probe(runner)
 
     def probed(self, runner: str, result: Result) -> None:
-        if self.watch is None or result is Result.MOOT:  # never sent: the runner drains, and may answer
+        if self.watch is None or result is Result.SUPERSEDED:  # never sent: the runner drains, and may answer
             return
         finding = self.watch.ended(runner, result is Result.OK)
         if finding is not None:
@@ -124,25 +129,36 @@
         """The view, for operators: `{"member", "isolated", "health", "agreed", "members": [...]}`."""
         swim = self.swim
         return {
-            "member": swim.name, "incarnation": swim.incarnation, "isolated": swim.isolated,
-            "health": swim.health, "agreed": sorted(swim.agreed),
+            "member": swim.name,
+            "incarnation": swim.incarnation,
+            "isolated": swim.isolated,
+            "health": swim.health,
+            "agreed": sorted(swim.agreed),
             "members": [
-                {"name": m.name, "address": f"{m.address[0]}:{m.address[1]}", "status": m.status.value,
-                 "incarnation": m.incarnation}
+                {
+                    "name": m.name,
+                    "address": f"{m.address[0]}:{m.address[1]}",
+                    "status": m.status.value,
+                    "incarnation": m.incarnation,
+                }
                 for m in swim.view()
             ],
             "watch": None if self.watch is None else self._watched(self.watch),
-        }  # fmt: skip
+        }
 
     @staticmethod
-    def _watched(watch: Watch) -> dict[str, Any]:
+    def _watched(watch: SharedHealthChecks) -> dict[str, Any]:
         """The runners this member probes for all, those that their owners find silent, and what moved."""
         silent = sorted(name for name, found in watch.findings.items() if not found.answers)
         shares = watch.shares
         return {
-            "mine": sorted(watch.next_us), "silent": silent, "taken_over": shares.taken_over,
-            "given_up": shares.given_up, "overlap": shares.overlap, "left": watch.left,
-        }  # fmt: skip
+            "mine": sorted(watch.next_us),
+            "silent": silent,
+            "taken_over": shares.taken_over,
+            "given_up": shares.given_up,
+            "overlap": shares.overlap,
+            "left": watch.left,
+        }
 
     def figures(self) -> dict[str, int]:
         """For the operators' figures: members by state, whether this one is cut off, and its duties."""
--- a/maplestile/net/http.py
+++ b/maplestile/net/http.py
@@ -30,7 +30,7 @@
     """The client has gone."""
 
 
-class Http:
+class HttpFront:
     def __init__(
         self, front: str, app: Application, counters: Counter[str], received: Callable[[], int]
     ) -> None:
@@ -106,7 +106,7 @@
 class Exchange:
     """One connection: request after request, each answered before the next is read."""
 
-    def __init__(self, http: Http, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(self, http: HttpFront, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.http, self.reader, self.writer = http, reader, writer
         self.wire = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_BYTES)
         self.ahead = 0
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -75,11 +75,15 @@
                 self.reader.end()
 
 
-class Platform:
+class PlatformFront:
     def __init__(
-        self, core: Core, limits: Limits, counters: Counter[str], stamps: reads.Stamps,
+        self,
+        core: Core,
+        limits: Limits,
+        counters: Counter[str],
+        stamps: reads.ReceiveTimestamps,
         ready: Callable[[], bool],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.core, self.limits, self.counters = core, limits, counters
         self.stamps, self.ready = stamps, ready
         self.known = wire.Known.of(core.settings)
--- a/maplestile/net/reads.py
+++ b/maplestile/net/reads.py
@@ -40,7 +40,7 @@
                 pass
 
 
-class Stamps(Protocol):
+class ReceiveTimestamps(Protocol):
     @property
     def since_us(self) -> int:
         """The earliest moment at which bytes that are found just now can have come."""
@@ -56,7 +56,7 @@
     """A stream that tells at once that its peer has closed, though what came before is not taken up yet; and
     from when on what is read can have waited."""
 
-    def __init__(self, limit: int, stamps: Stamps) -> None:
+    def __init__(self, limit: int, stamps: ReceiveTimestamps) -> None:
         super().__init__(limit)
         self.most = limit
         self.stamps, self.rested_us = stamps, 0
--- a/maplestile/net/receive_timestamps.py
+++ b/maplestile/net/receive_timestamps.py
@@ -9,7 +9,7 @@
 STOOD_S = 0.1  # so long between two selects, or after the end of one: the process was busy, or stood still
 
 
-class StampedSelector(selectors.DefaultSelector):
+class TimestampingSelector(selectors.DefaultSelector):
     """Keeps the time from which on the events of the last select can have happened."""
 
     def __init__(self, clock: Callable[[], int]) -> None:
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -49,7 +49,7 @@
             self.pool.drained(self.connection)
 
 
-class Runners(Pool):
+class RunnerPool(Pool):
     """The core's pool on sockets."""
 
     def __init__(self, limits: Limits, clock: Callable[[], int], counters: Counter[str]) -> None:
@@ -91,7 +91,7 @@
             log.warning("runner %s: %s; connection condemned", connection.runner.uid, fault)
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, OSError) and fault.errno in reads.NO_DESCRIPTOR:
-                end = Result.MOOT  # clients hold all descriptors: that says nothing of the runner
+                end = Result.SUPERSEDED  # clients hold all descriptors: that says nothing of the runner
                 self.starved()
             log.debug("runner %s: %r", connection.runner.uid, fault)
         finally:
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -12,7 +12,7 @@
 from maplestile.wire.limits import Limits
 
 if TYPE_CHECKING:
-    from maplestile.router.policy_driver import Driver
+    from maplestile.router.policy_driver import PolicyDriver
 
 RUNNER = re.compile(r"/v1/runners/([^/]+)/(suspend|resume)")
 READY, METRICS, MEMBERS, RUNNERS = "/v1/readyz", "/v1/metrics", "/v1/members", "/v1/runners"
@@ -27,10 +27,10 @@
         """Why it cannot serve yet; empty if it can."""
         ...
 
-    def figures(self) -> figures.Figures: ...
+    def figures(self) -> figures.MetricsReport: ...
 
     @property
-    def policy(self) -> "Driver | None":
+    def policy(self) -> "PolicyDriver | None":
         """Its part in the fleet's policy; None where the file decides."""
         ...
 
@@ -53,10 +53,14 @@
     def __init__(self, router: Router, limits: Limits) -> None:
         self.router, whole_us = router, limits.operator_request_us
         self.bounds = Bounds(
-            limits.operator_connections, whole_us / 1e6, whole_us,
+            limits.operator_connections,
+            whole_us / 1e6,
+            whole_us,
             limits.operator_body_bytes if router.policy is None else limits.operator_policy_bytes,
-            limits.operator_linger_us, limits.accept_burst, one_call=True,
-        )  # fmt: skip
+            limits.operator_linger_us,
+            limits.accept_burst,
+            one_call=True,
+        )
 
     def handle(self, request: HttpRequest, respond: Callable[[Response], None]) -> Callable[[], None]:
         try:
--- a/maplestile/operation/client.py
+++ b/maplestile/operation/client.py
@@ -26,8 +26,11 @@
     reader, writer = await asyncio.open_connection(*address)
     wire = h11.Connection(h11.CLIENT)
     try:
-        headers = [("Host", f"{address[0]}:{address[1]}"), ("Connection", "close"),
-                   ("Content-Length", str(len(content)))]  # fmt: skip
+        headers = [
+            ("Host", f"{address[0]}:{address[1]}"),
+            ("Connection", "close"),
+            ("Content-Length", str(len(content))),
+        ]
         request = h11.Request(method=method, target=path, headers=headers)
         events = (request, *([h11.Data(content)] if content else []), h11.EndOfMessage())
         writer.write(b"".join(wire.send(event) or b"" for event in events))
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -1,7 +1,7 @@
 """Runners that operators have taken out, by hand and for as long as they say so.
 
-A ban is shown to the decisions and to the pool as a drain (`Fleet.suspended`). Bans stand on a shelf that the
-process of an upgrade shares with the one before it; either may be called."""
+A ban is shown to the decisions and to the pool as a drain (`EndpointList.suspended`). Cordons stand on a
+shelf that the process of an upgrade shares with the one before it; either may be called."""
 
 import logging
 from collections import Counter
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 
-class Shelf(Protocol):
+class CordonStore(Protocol):
     """Names that outlive the process; each call may raise OSError."""
 
     def names(self) -> set[str]: ...
@@ -21,9 +21,9 @@
     def remove(self, name: str) -> None: ...
 
 
-class Bans:
+class Cordons:
     def __init__(
-        self, shelf: Shelf | None, limits: Limits, counters: Counter[str], changed: Callable[[], None]
+        self, shelf: CordonStore | None, limits: Limits, counters: Counter[str], changed: Callable[[], None]
     ) -> None:
         self.shelf, self.limits, self.counters, self.changed = shelf, limits, counters, changed
         self.banned = frozenset[str]()
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -19,7 +19,7 @@
 
 
 class Locking(Protocol):
-    """Locks that end with their process; each call may raise OSError."""
+    """ProcessLocks that end with their process; each call may raise OSError."""
 
     def take(self, name: str) -> bool: ...
     def give(self, name: str) -> None: ...
--- a/maplestile/operation/metrics.py
+++ b/maplestile/operation/metrics.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
+class MetricsReport:
     """What stood at the moment of the call; the counts go from 0 at the start of the process."""
 
     classes: tuple[str, ...]
@@ -49,7 +49,7 @@
     epochs: Mapping[int, Mapping[str, int]] = field(default_factory=dict)  # calls and attempts under each
 
 
-def text(figures: Figures) -> str:
+def text(figures: MetricsReport) -> str:
     lines = list[str]()
     for name, told, verdicts in ENDS:
         samples = [
@@ -61,9 +61,13 @@
         ("backend_calls_total", "counter", "Attempts written whole to runners.", figures.backend_calls),
         ("inflight", "gauge", "Requests taken and not ended.", figures.inflight),
         ("hosts_listed", "gauge", "Runners on the list.", figures.hosts_listed),
-        ("hosts_down", "gauge", "Runners on the list that get no calls now, by hand or by choice.",
-         figures.hosts_down),
-    ):  # fmt: skip
+        (
+            "hosts_down",
+            "gauge",
+            "Runners on the list that get no calls now, by hand or by choice.",
+            figures.hosts_down,
+        ),
+    ):
         lines += _family(name, kind, told, [("", value)])
     for name, value in figures.membership.items():
         lines += _family(f"peers_{name}", "gauge", MEMBERSHIP[name], [("", value)])
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -5,33 +5,33 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from maplestile.operation.cordons import Bans
-from maplestile.operation.metrics import Figures
+from maplestile.operation.cordons import Cordons
+from maplestile.operation.metrics import MetricsReport
 from maplestile.requests.core import Core
-from maplestile.requests.endpoint_list import Fleet
+from maplestile.requests.endpoint_list import EndpointList
 
 if TYPE_CHECKING:  # a router whose policy is its file's loads nothing of it
-    from maplestile.router.policy_driver import Driver
+    from maplestile.router.policy_driver import PolicyDriver
 
 
 @dataclass(slots=True, frozen=True)
-class Desk:
+class OperatorService:
     core: Core
-    fleet: Fleet
-    bans: Bans
+    fleet: EndpointList
+    bans: Cordons
     backend_calls: Callable[[], int]
     lacking: Callable[[], str]
     view: Callable[[], dict[str, Any] | None]
     membership: Callable[[], dict[str, int]]  # empty where membership is off
-    policy: "Driver | None" = None  # where the fleet decides on it
+    policy: "PolicyDriver | None" = None  # where the fleet decides on it
 
     def ready(self) -> str:
         return self.lacking()
 
-    def figures(self) -> Figures:
+    def figures(self) -> MetricsReport:
         listed = self.fleet.entries.keys()
         served = sorted({name for name, _ in self.core.answers})  # also of classes that a policy took away
-        return Figures(
+        return MetricsReport(
             classes=tuple(dict.fromkeys((*(k.name for k in self.core.settings.classes), *served))),
             answers=self.core.answers,
             backend_calls=self.backend_calls(),
@@ -50,10 +50,14 @@
         flights = Counter(flight.worker for flight in self.core.flights.values())
         avoided = self.core.avoided()
         return [
-            {"id": runner, "suspended": runner in self.bans.banned, "avoided": runner in avoided,
-             "inflight": flights[runner]}
+            {
+                "id": runner,
+                "suspended": runner in self.bans.banned,
+                "avoided": runner in avoided,
+                "inflight": flights[runner],
+            }
             for runner in sorted(self.fleet.entries)
-        ]  # fmt: skip
+        ]
 
     def suspend(self, runner: str) -> bool:
         return self.bans.suspend(runner)
--- a/maplestile/operation/state_folder.py
+++ b/maplestile/operation/state_folder.py
@@ -9,7 +9,7 @@
 PREFIX = "r-"  # so that no name is hidden, or means a folder
 
 
-class Markers:
+class FileCordonStore:
     """Names as empty files: each comes and goes by one system call, whole, with no lock."""
 
     def __init__(self, folder: Path) -> None:
@@ -31,7 +31,7 @@
         return self.folder / (PREFIX + quote(name, safe=""))
 
 
-class Locks:
+class ProcessLocks:
     """Advisory locks on files; the kernel frees them when their process ends, however it ends."""
 
     def __init__(self, folder: Path) -> None:
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -14,7 +14,7 @@
 from maplestile.dispatch import api
 from maplestile.dispatch.api import NEVER_RAN, Result
 from maplestile.dispatch.dispatcher import Dispatcher
-from maplestile.requests.states import Call, Move
+from maplestile.requests.states import CallState, Transition
 from maplestile.wire.limits import Limits
 from maplestile.wire.messages import Outcome, Report, Request, Verdict
 
@@ -40,7 +40,7 @@
     """What the core needs of the workers' side; ends come back through the core's `*_ended` methods."""
 
     def send(self, attempt: AttemptId, worker: str, request: Request, wait_us: int, until_us: int) -> None:
-        """Write it as soon as that can be, but from `until_us` on (if over 0) no more: it ends as MOOT."""
+        """Write it soon, but not from `until_us` on (if over 0): then it ends as SUPERSEDED."""
         ...
 
     def cancel(self, attempt: AttemptId) -> None: ...
@@ -58,27 +58,27 @@
 
 
 @dataclass(slots=True)
-class Open:
+class PendingRequest:
     """A request that is owed its final answer."""
 
     request: Request
     due_us: int
     answer: Callable[[Outcome], None]
     presence: Callable[[], Presence]
-    state: Call = Call.OWED
+    state: CallState = CallState.PENDING
     attempts: int = 0
     ran: bool = False
     epoch: int = 0  # of the policy that it was taken under
 
 
 @dataclass(slots=True)
-class Flight:
+class InFlightAttempt:
     worker: str
     sent_us: int
 
 
 @dataclass(slots=True)
-class Errand:
+class ControlRequest:
     """An order to load or a probe on its way."""
 
     worker: str
@@ -97,7 +97,7 @@
     counters: Counter[str] = field(default_factory=Counter)
     answers: Counter[tuple[str, Verdict]] = field(default_factory=Counter)  # by class
     dispatcher: Dispatcher = field(init=False)
-    move: Move = field(init=False)
+    move: Transition = field(init=False)
     # Where routers know each other: whether a probe of the module's goes out from here, and how any ended.
     may_probe: Callable[[str], bool] = lambda worker: True
     probed: Callable[[str, Result], None] = lambda worker, result: None
@@ -105,9 +105,9 @@
     admits: Callable[[], bool] | None = None
     sent: Callable[[AttemptId, int], None] | None = None
     epochs: dict[int, Counter[str]] = field(default_factory=dict)  # calls and attempts decided under each
-    open: dict[int, Open] = field(default_factory=dict)
-    flights: dict[AttemptId, Flight] = field(default_factory=dict)
-    errands: dict[int, Errand] = field(default_factory=dict)
+    open: dict[int, PendingRequest] = field(default_factory=dict)
+    flights: dict[AttemptId, InFlightAttempt] = field(default_factory=dict)
+    errands: dict[int, ControlRequest] = field(default_factory=dict)
     events: deque[api.Event] = field(default_factory=deque)
     timers: dict[int, list[Callable[[], object]]] = field(default_factory=dict)  # by the tick when due
     ticks: list[int] = field(default_factory=list)
@@ -120,7 +120,7 @@
     closed: bool = False  # nothing more is taken
 
     def __post_init__(self) -> None:
-        self.dispatcher, self.move = Dispatcher(self.settings, self.seed), Move(self.counters)
+        self.dispatcher, self.move = Dispatcher(self.settings, self.seed), Transition(self.counters)
         self.decided = self.epochs.setdefault(self.settings.epoch, Counter())
 
     def adopt(self, settings: api.Settings, limits: Limits) -> None:
@@ -134,9 +134,12 @@
     # What the fronts call.
 
     def submit(
-        self, request: Request, received_us: int, answer: Callable[[Outcome], None],
+        self,
+        request: Request,
+        received_us: int,
+        answer: Callable[[Outcome], None],
         presence: Callable[[], Presence] = always_waiting,
-    ) -> int:  # fmt: skip
+    ) -> int:
         """Take a request whose last byte came at `received_us`; its answer may come before this returns.
         `presence` looks at the client's connection and is asked before an attempt that may be late."""
         self.number += 1
@@ -147,7 +150,7 @@
         leaving = 0 < self.leave_us < due_us
         if leaving:
             due_us = self.leave_us
-        self.open[call] = Open(request, due_us, answer, presence, epoch=self.settings.epoch)
+        self.open[call] = PendingRequest(request, due_us, answer, presence, epoch=self.settings.epoch)
         self.open_bytes += request.bytes()
         full = len(self.open) > self.limits.open_requests or self.open_bytes > self.limits.open_bytes
         # Guards memory against a flood, and the requests in hand against a loop that lags ever more.
@@ -164,16 +167,23 @@
         self.at(due_us, lambda: self._overdue(call))
         self.give(
             api.CallArrived(
-                call, request.function, request.class_name, max(0, due_us - now), request.memory_mb,
-                request.lanes, request.cost_us, request.tenant, request.repeat,
+                call,
+                request.function,
+                request.class_name,
+                max(0, due_us - now),
+                request.memory_mb,
+                request.lanes,
+                request.cost_us,
+                request.tenant,
+                request.repeat,
             )
-        )  # fmt: skip
+        )
         return call
 
     def withdraw(self, call: int) -> None:
         """The client waits no longer: nothing is owed, and what is out is called off by the module."""
         if (owed := self.open.pop(call, None)) is not None:
-            self.move(owed, Call.WITHDRAWN)
+            self.move(owed, CallState.WITHDRAWN)
             self.open_bytes -= owed.request.bytes()
             self.counters["requests.withdrawn"] += 1
             self.give(api.CallExpired(call))
@@ -184,7 +194,7 @@
         while what is out may still end, and is answered in case somebody reads it."""
         if (owed := self.open.get(call)) is not None:
             self.counters["requests.client_gone"] += 1
-            self.give(api.ClientGone(call))
+            self.give(api.ClientDisconnected(call))
             self._withhold(call, owed.attempts)
 
     def presence(self, attempt: AttemptId) -> Presence:
@@ -209,7 +219,7 @@
         """Guards against an attempt that waits for its connection and begins long after its client left."""
         for attempt in ((call, number) for number in range(attempts)):
             if attempt in self.flights and self.pool.withhold(attempt):
-                self.attempt_ended(attempt, Result.MOOT)
+                self.attempt_ended(attempt, Result.SUPERSEDED)
 
     # What those who run it ask.
 
@@ -220,12 +230,17 @@
 
     # What the pool and the name server's driver call.
 
-    def list_changed(self, event: api.WorkerList) -> None:
+    def list_changed(self, event: api.WorkerListReceived) -> None:
         self.counters["lists.taken"] += 1
         self.give(event)
 
     def attempt_ended(
-        self, attempt: AttemptId, result: Result, body: bytes = b"", alike: int = 0, report: Report = ()
+        self,
+        attempt: AttemptId,
+        result: Result,
+        body: bytes = b"",
+        queued_ahead: int = 0,
+        report: Report = (),
     ) -> None:
         flight = self.flights.pop(attempt, None)
         if flight is None:  # late: timed out, called off, or ended before
@@ -239,8 +254,10 @@
             self._finish(attempt[0], Outcome(Verdict.SERVED, body, ran=True))
         elapsed_us = max(0, self.clock() - flight.sent_us)
         ended = attempt[0] not in self.open
-        warmth = api.Warmth.UNTOLD
-        self.give(api.AttemptEnded(*attempt, flight.worker, result, elapsed_us, ended, warmth, alike, report))
+        warmth = api.Warmth.UNKNOWN
+        self.give(
+            api.AttemptEnded(*attempt, flight.worker, result, elapsed_us, ended, warmth, queued_ahead, report)
+        )
 
     def probe(self, worker: str) -> None:
         """One probe, whoever wants it; its end goes to the module and to `probed`."""
@@ -254,7 +271,7 @@
             return
         self.counters[f"orders.{result.value}"] += 1
         elapsed_us = max(0, self.clock() - errand.sent_us)
-        self.give(api.OrderEnded(errand.worker, errand.function, result, elapsed_us, copies))
+        self.give(api.LoadRequestEnded(errand.worker, errand.function, result, elapsed_us, copies))
 
     def probe_ended(self, tag: int, result: Result, report: Report = ()) -> None:
         errand = self.errands.pop(tag, None)
@@ -262,7 +279,7 @@
             self.counters[f"probes.{result.value}"] += 1
             self.probed(errand.worker, result)
             elapsed_us = max(0, self.clock() - errand.sent_us)
-            self.give(api.ProbeEnded(errand.worker, result, elapsed_us, report))
+            self.give(api.HealthCheckEnded(errand.worker, result, elapsed_us, report))
 
     # Time.
 
@@ -318,39 +335,39 @@
 
     def _act(self, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.SendAttempt():
                 self._send(action)
             case api.SetTimer(due_us, token):
-                self.at(due_us, lambda: self.give(api.TimerDue(token)))
-            case api.Refuse(call, retry_after_us):
+                self.at(due_us, lambda: self.give(api.TimerFired(token)))
+            case api.RejectCall(call, retry_after_us):
                 self._finish(call, Outcome(Verdict.REFUSED, retry_after_us=retry_after_us))
-            case api.Fail(call):
+            case api.FailCall(call):
                 self._fail(call)
-            case api.Cancel(call, attempt):
+            case api.CancelAttempt(call, attempt):
                 if (call, attempt) in self.flights:
                     self.pool.cancel((call, attempt))
                     self.attempt_ended((call, attempt), Result.CANCELLED)
-            case api.Order(worker, function, copies):
-                tag = self._errand(worker, function, self.limits.order_timeout_us, self.order_ended)
+            case api.RequestLoad(worker, function, copies):
+                tag = self._errand(worker, function, self.limits.load_timeout_us, self.order_ended)
                 self.counters["orders.sent"] += 1
                 self.pool.order(tag, worker, function, copies)
-            case api.Unload(worker, function):
+            case api.RequestUnload(worker, function):
                 self.counters["unloads.sent"] += 1
                 self.pool.unload(worker, function)
-            case api.Probe(worker):
+            case api.SendHealthCheck(worker):
                 if self.may_probe(worker):
                     self.probe(worker)
                 else:
                     self.counters["probes.left_to_owner"] += 1
-            case api.CloseIdle(worker):
+            case api.CloseIdleConnections(worker):
                 self.pool.close_idle(worker)
-            case api.Log(text):
+            case api.WriteLog(text):
                 log.info("module: %s", text)
-            case api.WatchList() | api.FetchList() | api.Tell():
+            case api.WatchEndpoints() | api.FetchEndpoints() | api.SendToPeer():
                 # The list is polled all the time, and there is no way to talk to other routers.
                 self.counters["actions.without_effect"] += 1
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.SendAttempt) -> None:
         call, now = self.open.get(action.call), self.clock()
         if call is None:
             self.counters["attempts.void"] += 1  # over since the decision; the module hears of that next
@@ -358,7 +375,7 @@
         attempt = (action.call, call.attempts)
         call.attempts += 1
         wait_us = min(action.timeout_us or call.due_us - now, call.due_us - now)
-        self.flights[attempt] = Flight(action.worker, now)
+        self.flights[attempt] = InFlightAttempt(action.worker, now)
         self.counters["attempts.sent"] += 1
         if action.epoch in self.epochs:
             self.epochs[action.epoch]["attempts"] += 1
@@ -377,7 +394,7 @@
     def _errand(self, worker: str, function: str, wait_us: int, ended: Callable[[int, Result], None]) -> int:
         self.number += 1
         tag, now = self.number, self.clock()
-        self.errands[tag] = Errand(worker, function, now)
+        self.errands[tag] = ControlRequest(worker, function, now)
 
         def unheard() -> None:
             if tag in self.errands:
@@ -408,7 +425,7 @@
         """The one way to a final answer; a second one for the same call goes nowhere."""
         owed = self.open.pop(call, None)
         if owed is not None:
-            self.move(owed, Call.ANSWERED)
+            self.move(owed, CallState.ANSWERED)
             self.open_bytes -= owed.request.bytes()
             self.answers[owed.request.class_name, outcome.verdict] += 1
             owed.answer(outcome)
--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -17,12 +17,12 @@
 }
 
 
-class FleetError(Exception):
+class EndpointListError(Exception):
     """An event that cannot be used; the text names the field."""
 
 
 @dataclass(slots=True)
-class Fleet:
+class EndpointList:
     """`version` counts the events of the name server; a list no newer than it is old news."""
 
     version: int = -1
@@ -43,9 +43,9 @@
                 self.version = max(self.version, int(update["index"]))
             self.version = max(self.version, int(known.get("index", self.version)))
         except KeyError as missing:
-            raise FleetError(f"known: field {missing} is missing or unknown") from None
+            raise EndpointListError(f"known: field {missing} is missing or unknown") from None
         except (TypeError, ValueError, AttributeError) as fault:
-            raise FleetError(f"known: {fault}") from None
+            raise EndpointListError(f"known: {fault}") from None
 
     def behind(self, serial: int) -> bool:
         """A serial is older than the list at hand, in the serial numbers of RFC 1982: they wrap."""
@@ -69,7 +69,7 @@
         for uid in drained:
             self.entries[uid] = replace(self.entries[uid], state=api.WorkerState.DRAINING)
 
-    def replace(self, other: "Fleet") -> None:
+    def replace(self, other: "EndpointList") -> None:
         """The list of another configuration; its number never falls, since the numbers go on."""
         self.version = max(self.version, other.version)
         self.entries, self.addresses = dict(other.entries), dict(other.addresses)
@@ -92,8 +92,8 @@
             for uid, entry in self.entries.items()
         )
 
-    def event(self, kind: api.ListKind = api.ListKind.FULL) -> api.WorkerList:
-        return api.WorkerList(kind, self.version, self.shown())
+    def event(self, kind: api.ListKind = api.ListKind.FULL) -> api.WorkerListReceived:
+        return api.WorkerListReceived(kind, self.version, self.shown())
 
 
 def _target(told: Mapping[str, Any]) -> tuple[api.WorkerEntry, Address]:
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -12,8 +12,8 @@
 from maplestile.common.address import Address
 from maplestile.dispatch.api import NEVER_RAN, Result, WorkerState
 from maplestile.requests.core import AttemptId, Core, Presence
-from maplestile.requests.endpoint_list import Fleet
-from maplestile.requests.states import Attempt, Link, Move
+from maplestile.requests.endpoint_list import EndpointList
+from maplestile.requests.states import AttemptState, ConnectionState, Transition
 from maplestile.wire import runner as wire
 from maplestile.wire.limits import Limits
 from maplestile.wire.messages import Request
@@ -53,7 +53,7 @@
     probe: bool = False
     written_us: int = 0
     until_us: int = 0  # not to be written from then on, if over 0
-    state: Attempt = Attempt.QUEUED  # of the attempt, or of the errand
+    state: AttemptState = AttemptState.QUEUED  # of the attempt, or of the errand
     request: Request | None = None
     due_us: int = 0  # when the attempt is given up
 
@@ -63,7 +63,7 @@
     runner: "Runner"
     opened_us: int
     used_us: int
-    state: Link = Link.OPENING
+    state: ConnectionState = ConnectionState.OPENING
     socket: Socket | None = None  # from the moment it is up
     queue: deque[Message] = field(default_factory=deque)
     open: dict[str, AttemptId] = field(default_factory=dict)
@@ -74,7 +74,7 @@
     rested_us: int = 0  # before the first request that it carries, until it is heard
 
     def closed(self) -> bool:
-        return self.state is Link.CLOSED
+        return self.state is ConnectionState.CLOSED
 
     def streams(self) -> int:
         return len(self.open) + len(self.errands) + len(self.queue)
@@ -95,7 +95,7 @@
 
     def __init__(self, limits: Limits, clock: Callable[[], int], counters: Counter[str]) -> None:
         self.limits, self.clock, self.counters = limits, clock, counters
-        self.move = Move(counters)
+        self.move = Transition(counters)
         self.core: Core
         self.runners: dict[str, Runner] = {}
         self.where: dict[AttemptId, tuple[Connection, Message]] = {}
@@ -125,7 +125,7 @@
 
     # The list.
 
-    def update(self, fleet: Fleet) -> None:
+    def update(self, fleet: EndpointList) -> None:
         for entry in fleet.shown():
             uid, takes_new = entry.worker, entry.state is WorkerState.RUNNING
             address = fleet.addresses[uid]
@@ -162,20 +162,20 @@
         connection, message = self.where.pop(attempt, (None, None))
         if connection is None or message is None:
             return
-        if message.state is Attempt.QUEUED:  # never written: nothing to call off
-            self.move(message, Attempt.CALLED_OFF)
+        if message.state is AttemptState.QUEUED:  # never written: nothing to call off
+            self.move(message, AttemptState.CANCELLED)
             connection.queue.remove(message)
             return
-        self.move(message, Attempt.CALLED_OFF)
+        self.move(message, AttemptState.CANCELLED)
         # A tag that a client has used twice at once may stand for another attempt by now.
         if connection.open.get(message.tag) != attempt:
             return
         del connection.open[message.tag]
         silent_us = self.clock() - message.written_us
         silent = connection.heard_us < message.written_us and silent_us > self.limits.runner_silent_us
-        if silent and connection.state is Link.UP:
+        if silent and connection.state is ConnectionState.UP:
             # A machine that is cut off gives no sign; a new connection to it would not come up.
-            self.move(connection, Link.DOUBTFUL)
+            self.move(connection, ConnectionState.UNVERIFIED)
         self._write(connection, Message(wire.cancel(message.tag), False))
 
     def withhold(self, attempt: AttemptId) -> bool:
@@ -183,10 +183,10 @@
         if connection is None or message is None:
             return False
         message.until_us = self.clock()  # should its connection break before all of it is out
-        if message.state is not Attempt.QUEUED:
+        if message.state is not AttemptState.QUEUED:
             return False
         del self.where[attempt]
-        self.move(message, Attempt.UNSENT)
+        self.move(message, AttemptState.UNSENT)
         connection.queue.remove(message)
         return True
 
@@ -222,7 +222,7 @@
         over = self.connections > self.limits.runner_connections  # another process shares the descriptors now
         for runner in list(self.runners.values()):
             for connection in runner.connections[:]:
-                if connection.state is Link.DOUBTFUL and not connection.streams():
+                if connection.state is ConnectionState.UNVERIFIED and not connection.streams():
                     self.close(connection, Result.RESET)
             self._close_unused(runner, now - self.keep_us if runner.listed and not over else None)
             if not runner.listed and not runner.connections:
@@ -253,10 +253,13 @@
         # A second copy of the answer that turned a tag away would pass for the answer to its next try.
         most = self.limits.runner_streams
         free = [
-            c for c in runner.connections
-            if c.streams() < most and c.state is not Link.DOUBTFUL
-            and tag not in c.open and tag not in c.turned
-        ]  # fmt: skip
+            c
+            for c in runner.connections
+            if c.streams() < most
+            and c.state is not ConnectionState.UNVERIFIED
+            and tag not in c.open
+            and tag not in c.turned
+        ]
         # The fullest first, so that the others can fall idle and be closed; of idle ones the one used last.
         best = max(free, key=lambda c: (c.socket is not None, c.streams(), c.used_us), default=None)
         if best is not None and (best.streams() or self.clock() - best.used_us < self.keep_us):
@@ -278,7 +281,7 @@
     def _make_room(self) -> bool:
         """The descriptors are budgeted: close the connection that has carried nothing longest. Guards calls
         to a further runner, where many have left idle connections, from counting as refused there."""
-        idle = (c for c in self.all if c.state is Link.UP and not c.streams())
+        idle = (c for c in self.all if c.state is ConnectionState.UP and not c.streams())
         oldest = min(idle, key=lambda c: c.used_us, default=None)
         if oldest is None:
             return False
@@ -288,7 +291,7 @@
 
     def up(self, connection: Connection, socket: Socket) -> None:
         connection.socket = socket
-        self.move(connection, Link.UP)
+        self.move(connection, ConnectionState.UP)
         self._flush(connection)
 
     def heard(self, connection: Connection) -> None:
@@ -297,8 +300,8 @@
         if connection.rested_us:
             self.borne.append((connection.heard_us, connection.rested_us))
         connection.rested_us = 0
-        if connection.state is Link.DOUBTFUL:
-            self.move(connection, Link.UP)
+        if connection.state is ConnectionState.UNVERIFIED:
+            self.move(connection, ConnectionState.UP)
 
     def settled(self, connection: Connection) -> None:
         self._flush(connection)
@@ -324,10 +327,10 @@
             del connection.queue[postponed]
             if presence is Presence.GONE:
                 self.counters["runners.client_gone"] += 1
-                self._unsent(message, Result.MOOT)
+                self._unsent(message, Result.SUPERSEDED)
             elif self._stale(message, connection):
                 self.counters["runners.stale"] += 1
-                self._unsent(message, Result.MOOT)
+                self._unsent(message, Result.SUPERSEDED)
             else:
                 self._begin(socket, connection, message)
         if postponed and not connection.closed():
@@ -357,7 +360,7 @@
             connection.open[message.tag] = message.attempt
         elif message.tag:
             connection.errands[message.tag] = (message.order, message.probe)
-        self.move(message, Attempt.PART)
+        self.move(message, AttemptState.PARTIALLY_WRITTEN)
         if message.request is not None:
             message.line = wire.call(message.request, message.due_us - self.clock())
         whole = socket.write(message.line)
@@ -386,32 +389,34 @@
         """The system has all of it."""
         if message.attempt is not None:
             self.calls_written += 1
-        if message.state is Attempt.PART:  # else it was called off, or answered, before its last byte
-            self.move(message, Attempt.WRITTEN)
+        if (
+            message.state is AttemptState.PARTIALLY_WRITTEN
+        ):  # else it was called off, or answered, before its last byte
+            self.move(message, AttemptState.WRITTEN)
 
-    def _end(self, attempt: AttemptId, to: Attempt) -> None:
+    def _end(self, attempt: AttemptId, to: AttemptState) -> None:
         found = self.where.pop(attempt, None)
         if found is not None:
             self.move(found[1], to)
 
     def _unsent(self, message: Message, result: Result) -> None:
-        self.move(message, Attempt.UNSENT)
+        self.move(message, AttemptState.UNSENT)
         if message.attempt is not None:
             self.where.pop(message.attempt, None)
             self.core.attempt_ended(message.attempt, result)
         elif message.probe:
             self.core.probe_ended(message.order, result)
         elif message.order:
-            self.core.order_ended(message.order, Result.FULL if result is Result.MOOT else result)
+            self.core.order_ended(message.order, Result.FULL if result is Result.SUPERSEDED else result)
 
     def answered(self, connection: Connection, answer: wire.Answer) -> None:
         attempt = connection.open.pop(answer.call, None)
         errand = connection.errands.pop(answer.call, None)
         if attempt is not None:
-            self._end(attempt, Attempt.ANSWERED)
+            self._end(attempt, AttemptState.ANSWERED)
             if answer.result in NEVER_RAN:
                 connection.turned.append(answer.call)
-            self.core.attempt_ended(attempt, answer.result, answer.body, answer.alike, answer.report)
+            self.core.attempt_ended(attempt, answer.result, answer.body, answer.queued_ahead, answer.report)
         elif errand is None:
             self.counters["runners.late"] += 1
         elif errand[1]:
@@ -422,9 +427,9 @@
     def close(self, connection: Connection, result: Result, again: bool = True) -> None:
         """It is over: tell the core of all that was open: `result` if written whole, else it never ran. With
         `again` what was not written whole goes by another connection to that runner, if this one came up."""
-        if connection.state is Link.CLOSED:
+        if connection.state is ConnectionState.CLOSED:
             return
-        self.move(connection, Link.CLOSED)
+        self.move(connection, ConnectionState.CLOSED)
         connection.runner.connections.remove(connection)
         self.connections -= 1
         del self.all[connection]
@@ -443,17 +448,21 @@
         if result is Result.RESET and connection.rested_us:
             self._rested_too_long(connection)
         for attempt in written.values():
-            self._end(attempt, Attempt.BROKEN)
+            self._end(attempt, AttemptState.CONNECTION_LOST)
             self.core.attempt_ended(attempt, result)
         for number, probe in errands.values():
             (self.core.probe_ended if probe else self.core.order_ended)(number, result)
         for message in unsent:
-            if message.state is Attempt.PART:  # called off or answered meanwhile, it ends as it is
-                self.move(message, Attempt.QUEUED)
+            if (
+                message.state is AttemptState.PARTIALLY_WRITTEN
+            ):  # called off or answered meanwhile, it ends as it is
+                self.move(message, AttemptState.QUEUED)
             # A connection that came up and broke says nothing of the runner: the rest goes by another.
             again = again and connection.socket is not None
             if not (again and self._again(connection.runner, message)):
-                self._unsent(message, Result.MOOT if result is Result.MOOT else Result.CONNECT_FAILED)
+                self._unsent(
+                    message, Result.SUPERSEDED if result is Result.SUPERSEDED else Result.CONNECT_FAILED
+                )
 
     def _rested_too_long(self, connection: Connection) -> None:
         """It broke at the first request after a rest, before it was heard, and where that came at once the
--- a/maplestile/requests/states.py
+++ b/maplestile/requests/states.py
@@ -1,7 +1,7 @@
 """The lives of a call, of an attempt on its way to a runner, and of a connection to one.
 
-The core and the pool move them by `Move` alone, so a transition that is not in the table cannot pass unseen:
-it is counted (`states.forbidden`) and logged, and the state moves on, since a router must not fall over it;
+The core and the pool move them by `Transition` alone, so a transition that is not in the table is counted
+(`states.forbidden`) and logged. The state moves on all the same, since a router must not fall over it;
 `maplestile explore` shows that none is ever met. `docs/attempt-states.md` says why each one is as it is."""
 
 import logging
@@ -18,62 +18,69 @@
     then: tuple["State", ...]
 
 
-class Call(State):
+class CallState(State):
     """A request of a client's."""
 
-    OWED = "owed"  # its one final answer
+    PENDING = "owed"  # its one final answer
     ANSWERED = "answered"
     WITHDRAWN = "withdrawn"  # its client waits no longer
 
 
-class Attempt(State):
+class AttemptState(State):
     """A line to a runner: a call's attempt, an order to load, a probe."""
 
     QUEUED = "queued"  # behind its connection, or what is written there: not a byte is out
-    PART = "part"  # the system has taken some of it, perhaps all
+    PARTIALLY_WRITTEN = "part"  # the system has taken some of it, perhaps all
     WRITTEN = "written"  # the system has all of it: from here on it may run
     ANSWERED = "answered"
     UNSENT = "unsent"  # never whole at the runner: it did not run
-    BROKEN = "broken"  # its connection ended, and it may have run
-    CALLED_OFF = "called off"
+    CONNECTION_LOST = "broken"  # its connection ended, and it may have run
+    CANCELLED = "called off"
 
 
-class Link(State):
+class ConnectionState(State):
     """A connection to a runner."""
 
     OPENING = "opening"
     UP = "up"
-    DOUBTFUL = "doubtful"  # silent for longer than its requests could wait: carries nothing new until heard
+    UNVERIFIED = "doubtful"  # silent for longer than its requests could wait: carries nothing new until heard
     CLOSED = "closed"
 
 
-MOVES: dict[State, tuple[State, ...]] = {
-    Call.OWED: (Call.ANSWERED, Call.WITHDRAWN),
-    # Queued again from PART: its connection broke before the system had it all, and it goes by another.
-    Attempt.QUEUED: (Attempt.PART, Attempt.UNSENT, Attempt.CALLED_OFF),
-    Attempt.PART: (Attempt.WRITTEN, Attempt.QUEUED, Attempt.ANSWERED, Attempt.UNSENT, Attempt.BROKEN,
-                   Attempt.CALLED_OFF),
-    Attempt.WRITTEN: (Attempt.ANSWERED, Attempt.BROKEN, Attempt.CALLED_OFF),
-    Link.OPENING: (Link.UP, Link.CLOSED),
-    Link.UP: (Link.DOUBTFUL, Link.CLOSED),
-    Link.DOUBTFUL: (Link.UP, Link.CLOSED),
-}  # fmt: skip
-for one in (*Call, *Attempt, *Link):
-    one.then = MOVES.get(one, ())
-Life = TypeVar("Life", bound=State)
-
-
-class Has(Protocol[Life]):
-    state: Life
-
-
-class Move:
+TRANSITIONS: dict[State, tuple[State, ...]] = {
+    CallState.PENDING: (CallState.ANSWERED, CallState.WITHDRAWN),
+    # Queued again from PARTIALLY_WRITTEN: its connection broke before the system had it all, and it goes by
+    # another.
+    AttemptState.QUEUED: (AttemptState.PARTIALLY_WRITTEN, AttemptState.UNSENT, AttemptState.CANCELLED),
+    AttemptState.PARTIALLY_WRITTEN: (
+        AttemptState.WRITTEN,
+        AttemptState.QUEUED,
+        AttemptState.ANSWERED,
+        AttemptState.UNSENT,
+        AttemptState.CONNECTION_LOST,
+        AttemptState.CANCELLED,
+    ),
+    AttemptState.WRITTEN: (AttemptState.ANSWERED, AttemptState.CONNECTION_LOST, AttemptState.CANCELLED),
+    ConnectionState.OPENING: (ConnectionState.UP, ConnectionState.CLOSED),
+    ConnectionState.UP: (ConnectionState.UNVERIFIED, ConnectionState.CLOSED),
+    ConnectionState.UNVERIFIED: (ConnectionState.UP, ConnectionState.CLOSED),
+}
+for one in (*CallState, *AttemptState, *ConnectionState):
+    one.then = TRANSITIONS.get(one, ())
+StateType = TypeVar("StateType", bound=State)
+
+
+class Stateful(Protocol[StateType]):
+    state: StateType
+
+
+class Transition:
     """The one way from state to state."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.counters = counters
 
-    def __call__(self, thing: Has[Life], to: Life) -> None:
+    def __call__(self, thing: Stateful[StateType], to: StateType) -> None:
         if to not in thing.state.then:
             self.counters["states.forbidden"] += 1
             kind = type(to).__name__
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -8,8 +8,8 @@
 from maplestile.common.address import Address, parse_address
 from maplestile.common.toml_table import ConfigError
 from maplestile.dispatch.api import Settings
-from maplestile.membership.settings import Plan, PlanError, plan_from
-from maplestile.requests.endpoint_list import Fleet, FleetError
+from maplestile.membership.settings import MembershipSettings, MembershipSettingsError, plan_from
+from maplestile.requests.endpoint_list import EndpointList, EndpointListError
 from maplestile.wire.limits import Limits
 from maplestile.wire.settings import SettingsError, settings_from
 
@@ -26,12 +26,14 @@
     limits: Limits
     listen: Address | None
     dns: Address | None
-    fleet: Fleet
+    fleet: EndpointList
     seed: int
     operator: "Operator | None" = None
     operation: Address | None = None  # where operators call; what follows is of no use without it
     folder: Path | None = None  # that outlives this process, and is shared with the one that replaces it
-    peers: Plan | None = None  # membership among instances; never on the platform, where routers cannot talk
+    peers: MembershipSettings | None = (
+        None  # membership among instances; never on the platform, where routers cannot talk
+    )
 
     def restarts(self, new: "Config") -> list[str]:
         """What the new one tells otherwise and only a restart can take: the module and the budgets are
@@ -48,7 +50,7 @@
 
 def config_from(told: Mapping[str, Any], operator: "Operator | None" = None) -> Config:
     try:
-        settings, limits, fleet = settings_from(told["settings"]), told.get("limits", {}), Fleet()
+        settings, limits, fleet = settings_from(told["settings"]), told.get("limits", {}), EndpointList()
         if operator is not None:
             settings = replace(settings, epoch=operator.epoch)
         fleet.apply_known(told.get("known", {"updates": []}))
@@ -67,9 +69,9 @@
         )
     except KeyError as missing:
         raise ConfigError(f"lacks {missing}") from None
-    except PlanError as fault:
+    except MembershipSettingsError as fault:
         raise ConfigError(str(fault)) from None
-    except (SettingsError, FleetError) as fault:
+    except (SettingsError, EndpointListError) as fault:
         raise ConfigError(f"settings or known: {fault}") from None
     except (ValueError, TypeError, AttributeError) as fault:
         raise ConfigError(f"is not as told: {fault}") from None
--- a/maplestile/router/gc_scheduler.py
+++ b/maplestile/router/gc_scheduler.py
@@ -15,7 +15,7 @@
 CONNECTIONS = ("clients.connections", "runners.connections", "invoke.connections", "operator.connections")
 
 
-class Collector:
+class GcScheduler:
     def __init__(self, counters: Counter[str]) -> None:
         self.counters, self.began_s, self.full_s, self.opened = counters, 0.0, 0.0, 0
 
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -14,9 +14,16 @@
 from maplestile.common import logs
 from maplestile.common.toml_table import ConfigError
 from maplestile.control.policy import store
-from maplestile.control.policy.document import Adopted, Document, PolicyError, Tables, digest_of, document_of
-from maplestile.control.policy.follower import NO_EPOCH, Follower, Standing, Step, Word
-from maplestile.control.policy.settings import PolicyPlan
+from maplestile.control.policy.document import (
+    AdoptedPolicy,
+    Document,
+    PolicyError,
+    Tables,
+    digest_of,
+    document_of,
+)
+from maplestile.control.policy.follower import NO_EPOCH, Follower, PolicyAnnouncement, PolicyStatus, Step
+from maplestile.control.policy.settings import PolicySettings
 from maplestile.requests.core import AttemptId
 from maplestile.router.config import Config
 
@@ -24,7 +31,7 @@
 TICK_S = 0.1
 LIVE = ("function", "tenant", "worker", "limits")  # tables of the file that a reload takes
 
-Build = Callable[[Tables, Adopted | None], Config]
+Build = Callable[[Tables, AdoptedPolicy | None], Config]
 
 # Do the one off the loop, then the other on it, with how the first has failed, if it has.
 Elsewhere = Callable[[Callable[[], None], Callable[[BaseException | None], None]], None]
@@ -48,8 +55,8 @@
     return time.monotonic_ns() // 1000
 
 
-class Driver:
-    def __init__(self, plan: PolicyPlan, tables: Tables, build: Build) -> None:
+class PolicyDriver:
+    def __init__(self, plan: PolicySettings, tables: Tables, build: Build) -> None:
         """Raises PolicyError where the file's own policy has no form of use."""
         self.plan, self.tables, self.build = plan, tables, build
         self.base = Document.own(tables)  # in force until an epoch brings another
@@ -64,13 +71,13 @@
         record = store.read(plan.folder)
         self.document = None if record is None else record.document
         self.follower = Follower(plan.rules, NO_EPOCH if record is None else record.epoch, monotonic_us())
-        self.standing = Standing.WAITING
+        self.standing = PolicyStatus.WAITING
         self.begun = False
 
     # The configuration.
 
-    def adopted(self) -> Adopted:
-        return Adopted(max(0, self.follower.epoch), self.document or self.base)
+    def adopted(self) -> AdoptedPolicy:
+        return AdoptedPolicy(max(0, self.follower.epoch), self.document or self.base)
 
     def configure(self, tables: Tables) -> Config:
         """At the start, and at each reload: the file with the policy in force in the place of its own. Raises
@@ -80,14 +87,17 @@
         config = self.build(tables, self.adopted())
         if (pledge := self.follower.pledge) is not None:
             try:  # it may be committed any moment, and this router has said that it fits
-                self.build(tables, Adopted(self.follower.epoch + 1, pledge.document or self.base))
+                self.build(tables, AdoptedPolicy(self.follower.epoch + 1, pledge.document or self.base))
             except ConfigError as fault:
                 told = f"does not fit the policy that is being agreed on (change {pledge.change}): {fault}"
                 raise PolicyError(told) from None
         if Document.own(tables) != self.base:
             self.counters["policy.reloads_refused"] += 1
-            log.warning("policy: the file's policy has changed and is not taken: the fleet decides, "
-                        "and its epoch is %d; `maplestile policy propose`", self.follower.epoch)  # fmt: skip
+            log.warning(
+                "policy: the file's policy has changed and is not taken: the fleet decides, "
+                "and its epoch is %d; `maplestile policy propose`",
+                self.follower.epoch,
+            )
         self.tables = self.tables | {name: tables[name] for name in LIVE if name in tables}
         return config
 
@@ -117,9 +127,9 @@
         self._note()
         reply(self.view() | ({"fetch": True} if step is Step.FETCH else {}))
 
-    def _adopt(self, word: Word, reply: Callable[[dict[str, Any]], None]) -> None:
+    def _adopt(self, word: PolicyAnnouncement, reply: Callable[[dict[str, Any]], None]) -> None:
         """On record first, off the loop, since a disk may take its time; then in force."""
-        adopted = Adopted(word.epoch, word.document)
+        adopted = AdoptedPolicy(word.epoch, word.document)
 
         def written(fault: BaseException | None) -> None:
             self.writing = False
@@ -142,10 +152,10 @@
         self.writing = True
         self.elsewhere(lambda: store.write(self.plan.folder, adopted), written)
 
-    def _built(self, adopted: Adopted) -> Config:
-        return self.build(self.tables, Adopted(adopted.epoch, adopted.document or self.base))
+    def _built(self, adopted: AdoptedPolicy) -> Config:
+        return self.build(self.tables, AdoptedPolicy(adopted.epoch, adopted.document or self.base))
 
-    def _take(self, word: Word, config: Config) -> None:
+    def _take(self, word: PolicyAnnouncement, config: Config) -> None:
         self.document = word.document
         self.take(config)
         self.follower.adopted(word, monotonic_us())
@@ -164,7 +174,7 @@
         change = _whole(told, "change")
         document = document_of(told.get("document")) if isinstance(told, dict) else None
         try:
-            self.build(self.tables, Adopted(max(0, self.follower.epoch) + 1, document or self.base))
+            self.build(self.tables, AdoptedPolicy(max(0, self.follower.epoch) + 1, document or self.base))
         except PolicyError:
             raise
         except ConfigError as fault:
@@ -182,7 +192,7 @@
         """Why it takes no calls; empty if it does."""
         if self.admits():
             return ""
-        if self.follower.standing is Standing.REFUSED:
+        if self.follower.standing is PolicyStatus.REFUSED:
             return f"the fleet's policy is refused here: {self.follower.reason}"
         return "the fleet has not told its policy yet"
 
@@ -190,21 +200,25 @@
         follower, now = self.follower, monotonic_us()
         follower.tick(now)
         return {
-            "epoch": max(0, follower.epoch), "digest": digest_of(self.document),
-            "standing": follower.standing.value, "stale_s": round(follower.stale_us(now) / 1e6, 1),
-            "reason": follower.reason, "build": __version__,
+            "epoch": max(0, follower.epoch),
+            "digest": digest_of(self.document),
+            "standing": follower.standing.value,
+            "stale_s": round(follower.stale_us(now) / 1e6, 1),
+            "reason": follower.reason,
+            "build": __version__,
             "calls": {str(epoch): dict(counts) for epoch, counts in self.calls.items()},
-        }  # fmt: skip
+        }
 
     def figures(self) -> dict[str, float]:
         follower, now = self.follower, monotonic_us()
         return {
-            "epoch": max(0, follower.epoch), "stale": int(follower.standing is Standing.STALE),
+            "epoch": max(0, follower.epoch),
+            "stale": int(follower.standing is PolicyStatus.STALE),
             "stale_seconds": round(follower.stale_us(now) / 1e6, 1),
-            "refused": int(follower.standing is Standing.REFUSED),
+            "refused": int(follower.standing is PolicyStatus.REFUSED),
             "reloads_refused_total": self.counters["policy.reloads_refused"],
             "mixed_calls_total": self.counters["policy.mixed_calls"],
-        }  # fmt: skip
+        }
 
     def sent(self, attempt: AttemptId, epoch: int) -> None:
         self.events.info("attempt", call=attempt[0], attempt=attempt[1], epoch=epoch)
@@ -223,10 +237,12 @@
             self.events.info(follower.standing.value, **told)
 
 
-def _word(told: object) -> Word:
+def _word(told: object) -> PolicyAnnouncement:
     epoch, fenced_us, checking = (_whole(told, name) for name in ("epoch", "fenced_us", "checking"))
     assert isinstance(told, dict)  # it had its numbers
-    return Word(epoch, fenced_us, checking, "document" in told, document_of(told.get("document")))
+    return PolicyAnnouncement(
+        epoch, fenced_us, checking, "document" in told, document_of(told.get("document"))
+    )
 
 
 def _whole(told: object, name: str) -> int:
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -18,23 +18,23 @@
 from maplestile.common.toml_table import ConfigError
 from maplestile.dispatch.api import ListKind
 from maplestile.net import reads
-from maplestile.net.dns_discovery import Names
+from maplestile.net.dns_discovery import DnsDiscovery
 from maplestile.net.listen import Listener
-from maplestile.net.platform import Platform
-from maplestile.net.receive_timestamps import StampedSelector
-from maplestile.net.runners import Runners
+from maplestile.net.platform import PlatformFront
+from maplestile.net.receive_timestamps import TimestampingSelector
+from maplestile.net.runners import RunnerPool
 from maplestile.operation.handover import Handover, Stage
 from maplestile.requests.core import Core
 from maplestile.router.config import Config, config_from
-from maplestile.router.gc_scheduler import Collector
+from maplestile.router.gc_scheduler import GcScheduler
 
 if TYPE_CHECKING:  # a process loads only the fronts that are set up
-    from maplestile.control.policy.document import Adopted
+    from maplestile.control.policy.document import AdoptedPolicy
     from maplestile.invoke.api import Api
-    from maplestile.net.gossip import Peers
-    from maplestile.net.http import Http
-    from maplestile.operation.cordons import Bans
-    from maplestile.router.policy_driver import Driver
+    from maplestile.net.gossip import GossipDriver
+    from maplestile.net.http import HttpFront
+    from maplestile.operation.cordons import Cordons
+    from maplestile.router.policy_driver import PolicyDriver
 
 log = logging.getLogger("maplestile")
 SWEEP_S, DRAIN_LOOK_S, AGAIN_S = 1.0, 0.02, 0.2
@@ -46,18 +46,21 @@
     return time.time_ns() // 1000
 
 
-class Node:
+class RouterProcess:
     """The parts of one function router, put together."""
 
     def __init__(
-        self, configure: Callable[[], Config], selector: StampedSelector, policy: "Driver | None" = None
+        self,
+        configure: Callable[[], Config],
+        selector: TimestampingSelector,
+        policy: "PolicyDriver | None" = None,
     ) -> None:
         self.configure, self.config = configure, configure()
         self.name, self.limits, self.fleet = self.config.name, self.config.limits, self.config.fleet
         self.selector = selector
         self.counters: Counter[str] = Counter()
-        self.collector = Collector(self.counters)
-        self.runners = Runners(self.limits, clock, self.counters)
+        self.collector = GcScheduler(self.counters)
+        self.runners = RunnerPool(self.limits, clock, self.counters)
         seed, settings = self.config.seed, self.config.settings
         self.core = Core(settings, self.limits, seed, self.runners, clock, self._alarm, self.counters)
         self.runners.core, self.runners.starved = self.core, self._starved
@@ -67,15 +70,15 @@
         self.listening = False
         self.began_us, self.live = clock(), 1
         self.api: Api | None = None
-        self.invoke: tuple[Http, Listener] | None = None
+        self.invoke: tuple[HttpFront, Listener] | None = None
         self.accepting: Listener | None = None  # the platform's front
-        self.names: Names | None = None
+        self.names: DnsDiscovery | None = None
         self.asking: asyncio.Task[None] | None = None
-        self.platform: Platform | None = None
-        self.bans: Bans | None = None
+        self.platform: PlatformFront | None = None
+        self.bans: Cordons | None = None
         self.handover: Handover | None = None
         self.current = False
-        self.peers: Peers | None = None
+        self.peers: GossipDriver | None = None
         self.policy = policy
         if policy is not None:
             policy.counters, policy.take, policy.calls = self.counters, self._take_policy, self.core.epochs
@@ -137,9 +140,9 @@
         self._changed(ListKind.CACHED)
         parts = [self._start(self._sweep)]
         if (plan := self.config.peers) is not None:
-            from maplestile.net.gossip import Peers
+            from maplestile.net.gossip import GossipDriver
 
-            self.peers = Peers(self.name, plan, self.config.seed, self.counters, self.core.probe)
+            self.peers = GossipDriver(self.name, plan, self.config.seed, self.counters, self.core.probe)
             self.core.may_probe, self.core.probed = self.peers.may_probe, self.peers.probed
             self.peers.listed(self.fleet.entries)
             parts.append(self._start(self.peers.run))
@@ -191,7 +194,7 @@
             self.asking.cancel()
         self.asking = self.names = None
         if server is not None:
-            self.names = Names(
+            self.names = DnsDiscovery(
                 server, self.fleet, self.limits, self.counters, self._changed, self._starved, before
             )
             self.asking = self._start(self.names.run)
@@ -256,7 +259,7 @@
     async def _listen(self) -> list[Listener]:
         fronts = list[Listener]()
         if self.config.listen is not None:
-            self.platform = Platform(self.core, self.limits, self.counters, self.selector, self._ready)
+            self.platform = PlatformFront(self.core, self.limits, self.counters, self.selector, self._ready)
             # Also where the folder is of no use: two processes that cannot hand over may still serve in turn.
             shared = self.config.operation is not None and self.config.operator is None
             self.accepting = await self.platform.start(*self.config.listen, shared)
@@ -264,10 +267,10 @@
             self._listens("platform", self.accepting)
         if (operator := self.config.operator) is not None:
             from maplestile.invoke.api import Api
-            from maplestile.net.http import Http
+            from maplestile.net.http import HttpFront
 
             self.api = Api(self.core, operator, self.counters)
-            http = Http("invoke", self.api, self.counters, self._received)
+            http = HttpFront("invoke", self.api, self.counters, self._received)
             fronts.append(await http.start(*parse_address(operator.listen)))
             self._listens("invoke", fronts[-1])
             self.invoke = http, fronts[-1]
@@ -278,28 +281,33 @@
         before this one."""
         if self.config.operation is None:
             return None
-        from maplestile.net.http import Http
+        from maplestile.net.http import HttpFront
         from maplestile.operation.api import OperatorApi
-        from maplestile.operation.cordons import Bans
-        from maplestile.operation.service import Desk
-        from maplestile.operation.state_folder import Locks, Markers
+        from maplestile.operation.cordons import Cordons
+        from maplestile.operation.service import OperatorService
+        from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
 
         folder = self.config.folder
-        markers = Markers(folder / "suspended") if folder is not None else None
-        self.bans = Bans(markers, self.limits, self.counters, self._changed)
+        markers = FileCordonStore(folder / "suspended") if folder is not None else None
+        self.bans = Cordons(markers, self.limits, self.counters, self._changed)
         self.bans.look()
         # A router with an invoke front has records that another process would not know.
         if folder is not None and self.config.operator is None:
             try:
-                self.handover = Handover(Locks(folder))
+                self.handover = Handover(ProcessLocks(folder))
             except OSError as fault:
                 log.warning("%s cannot be replaced while it serves: %s", self.name, fault)
-        desk = Desk(
-            self.core, self.fleet, self.bans, lambda: self.runners.calls_written, self._lacking,
+        desk = OperatorService(
+            self.core,
+            self.fleet,
+            self.bans,
+            lambda: self.runners.calls_written,
+            self._lacking,
             lambda: None if self.peers is None else self.peers.members(),
-            lambda: {} if self.peers is None else self.peers.figures(), self.policy,
-        )  # fmt: skip
-        http = Http("operator", OperatorApi(desk, self.limits), self.counters, self._received)
+            lambda: {} if self.peers is None else self.peers.figures(),
+            self.policy,
+        )
+        http = HttpFront("operator", OperatorApi(desk, self.limits), self.counters, self._received)
         front = await http.start(*self.config.operation)
         self._listens("operator", front)
         return front
@@ -415,7 +423,9 @@
             return False
         return self.api.store.uncollected(clock())
 
-    async def _part(self, platform: Platform, fronts: list[Listener], end_us: int, choosy_us: int) -> None:
+    async def _part(
+        self, platform: PlatformFront, fronts: list[Listener], end_us: int, choosy_us: int
+    ) -> None:
         """Nobody is accepted any more, or by another process; the connections that stand end one by one, once
         quiet, and from `choosy_us` on also in a moment's rest. Guards what comes just before the exit: read
         by a process that ends without looking back, it would never be answered."""
@@ -446,17 +456,17 @@
 
     seed = os.urandom(8).hex()
 
-    def build(tables: Mapping[str, Any], adopted: "Adopted | None" = None) -> Config:
+    def build(tables: Mapping[str, Any], adopted: "AdoptedPolicy | None" = None) -> Config:
         operator = from_tables(tables, adopted)
         return config_from({**operator.node, "seed": seed}, operator)
 
-    driver: Driver | None = None
+    driver: PolicyDriver | None = None
     try:
         tables = read(file)
         if (plan := plan_of(tables)) is not None:
             from maplestile.router import policy_driver as policy
 
-            driver = policy.Driver(plan, tables, build)
+            driver = policy.PolicyDriver(plan, tables, build)
     except ConfigError as fault:
         print(f"maplestile: {fault}", file=sys.stderr)
         return 1
@@ -473,16 +483,16 @@
     return _run(read_config)
 
 
-def _run(configure: Callable[[], Config], policy: "Driver | None" = None) -> int:
+def _run(configure: Callable[[], Config], policy: "PolicyDriver | None" = None) -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until its handler stands; the default ends the program
     logs.start()
     try:
-        selector = StampedSelector(clock)
+        selector = TimestampingSelector(clock)
         loop: asyncio.AbstractEventLoop = asyncio.SelectorEventLoop(selector)
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
 
             async def start() -> None:
-                await Node(configure, selector, policy).run()
+                await RouterProcess(configure, selector, policy).run()
 
             runner.run(start())
     except (ConfigError, OSError) as fault:
--- a/maplestile/tools/cli.py
+++ b/maplestile/tools/cli.py
@@ -11,7 +11,7 @@
 from maplestile.agent import supervisor as agent
 from maplestile.common import logs
 from maplestile.common.address import parse_address
-from maplestile.common.toml_table import ConfigError, Table
+from maplestile.common.toml_table import ConfigError, TomlTable
 from maplestile.control.state import ACTIONS
 from maplestile.invoke.operator_file import OperatorError, load, read
 from maplestile.tools import policy_command as command
@@ -185,8 +185,12 @@
     command: dict[str, Any] = {}
     match asked.what:
         case "start":
-            command = {"action": asked.action, "targets": asked.instance, "budget": asked.budget,
-                       "kind": "runners" if asked.runners else "routers"}  # fmt: skip
+            command = {
+                "action": asked.action,
+                "targets": asked.instance,
+                "budget": asked.budget,
+                "kind": "runners" if asked.runners else "routers",
+            }
         case "halt" | "undo":
             command = {"reason": asked.reason}
         case "release":
@@ -307,7 +311,7 @@
     from maplestile.tools.model import experiment
 
     try:
-        top = Table(experiment.read(asked.file), "", ScheduleError)
+        top = TomlTable(experiment.read(asked.file), "", ScheduleError)
         played = schedule.schedule_from(top)
         for more in ("duration_s", "lifeguard", "period_ms", "duties"):
             top.values.pop(more, None)  # of the model alone, which reads the same file
@@ -366,7 +370,7 @@
 
 def _is_loopback(told: str) -> bool:
     try:
-        Table({"target": told}, "", OperatorError).loopback("target")
+        TomlTable({"target": told}, "", OperatorError).loopback("target")
     except OperatorError:
         return False
     return True
--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -23,8 +23,9 @@
     explore = commands.add_parser("explore", help="play every order of events of small cases")
     explore.add_argument("--case", action="append", default=[], metavar="NAME", help="default: small ones")
     explore.add_argument("--all", action="store_true", help="every case")
-    explore.add_argument("--depth", type=int, default=0, metavar="N",
-                         help="no more events (default: 8 or less)")  # fmt: skip
+    explore.add_argument(
+        "--depth", type=int, default=0, metavar="N", help="no more events (default: 8 or less)"
+    )
     explore.add_argument("--states", type=int, default=0, metavar="N", help="no more states of a case")
     explore.add_argument("--seconds", type=float, default=0.0, help="no longer for a case")
     explore.add_argument("--save", type=Path, metavar="FOLDER", help="write counterexamples there")
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -39,8 +39,12 @@
     kind = worlds.CLASSES[client.class_name]
     lines = [line for line in world.arrivals if world.client_of(line.told["call"]) is client]
     ran = any(line.may_run() for line in lines)
-    harmless = kind.effect is api.Effect.SAFE or not ran
-    harmless = harmless or kind.effect is api.Effect.KEYED and kind.scope is api.Scope.ALL
+    harmless = kind.idempotency is api.Idempotency.IDEMPOTENT or not ran
+    harmless = (
+        harmless
+        or kind.idempotency is api.Idempotency.WITH_KEY
+        and kind.deduplication_scope is api.DeduplicationScope.ALL
+    )
     if outcome.verdict is Verdict.REFUSED and not harmless:
         world.broken("harmless-refusal", f"{client.class_name}: refused, and it may have run")
 
@@ -62,20 +66,21 @@
     if len(before) >= worlds.attempts_of(client.epoch):
         world.broken("attempt-limit", f"{client.class_name}: attempt {len(before) + 1}")
     ran = [one for one in before if one.may_run()]
-    if not ran or kind.effect is api.Effect.SAFE:
+    if not ran or kind.idempotency is api.Idempotency.IDEMPOTENT:
         return
-    if kind.effect is api.Effect.UNSAFE:
+    if kind.idempotency is api.Idempotency.NOT_IDEMPOTENT:
         world.broken("unsafe-once", f"at {ran[0].link.worker}, then at {line.link.worker}")
         return
     first, case = ran[0].link, world.case
     one, other = int(first.worker[1:]), int(line.link.worker[1:])
     same = {
-        api.Scope.ALL: True, api.Scope.ZONE: case.zones[one] == case.zones[other],
-        api.Scope.CELL: case.cells[one] == case.cells[other],
-    }  # fmt: skip
-    if not same[kind.scope]:
+        api.DeduplicationScope.ALL: True,
+        api.DeduplicationScope.ZONE: case.zones[one] == case.zones[other],
+        api.DeduplicationScope.CELL: case.cells[one] == case.cells[other],
+    }
+    if not same[kind.deduplication_scope]:
         world.broken("keyed-in-scope", f"{client.class_name}: at {first.worker}, then at {line.link.worker}")
-    elif world.now >= ran[0].at_us + kind.window_us:
+    elif world.now >= ran[0].at_us + kind.deduplication_window_us:
         age_ms = (world.now - ran[0].at_us) / worlds.MS
         world.broken("keyed-in-scope", f"{client.class_name}: again after {age_ms:g} ms")
 
@@ -107,13 +112,17 @@
         if client.owed():
             world.broken("answer-by-deadline", f"{client.class_name}: no answer")
     kept = {
-        "open": core.open, "flights": core.flights, "bytes": core.open_bytes,
+        "open": core.open,
+        "flights": core.flights,
+        "bytes": core.open_bytes,
         # The module orders copies by itself, also now; what it has to forget is what is overdue.
         "errands": [one for one in core.errands.values() if world.now > one.sent_us + 2 * worlds.ORDER_US],
-        "calls": module.calls, "attempts": module.attempts, "where": pool.where,
+        "calls": module.calls,
+        "attempts": module.attempts,
+        "where": pool.where,
         "waiting": [row.function for row in module.rows.values() if row.waiting],
         "links": [c.open for r in pool.runners.values() for c in r.connections if c.open],
-    }  # fmt: skip
+    }
     for name, what in kept.items():
         if what:
             world.broken("nothing-kept", f"{name}: {what}")
