--- a/maplestile/tools/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -34,7 +34,7 @@
 from typing import Any, cast
 
 from maplestile.common.address import Address, parse_address
-from maplestile.common.toml_table import Table
+from maplestile.common.toml_table import TomlTable
 from maplestile.tools.faults.schedule import Net, Schedule, ScheduleError, schedule_from
 
 log = logging.getLogger("maplestile.relay")
@@ -114,9 +114,13 @@
         return host, port
 
     async def _serve(
-        self, origin: int, target: int, address: Address,
-        reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-    ) -> None:  # fmt: skip
+        self,
+        origin: int,
+        target: int,
+        address: Address,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
         self.counts["tcp.connections"] += 1
         far: asyncio.StreamWriter | None = None
         try:
@@ -170,7 +174,7 @@
         except ValueError:
             return {"error": "not JSON"}
         try:
-            asked = Table(values, "", ScheduleError)
+            asked = TomlTable(values, "", ScheduleError)
             match asked.choice("do", ("udp", "tcp", "begin", "heal", "counts")):
                 case "udp":
                     reply = self._meet(asked)
@@ -189,7 +193,7 @@
             return {"error": str(fault)}
         return {"ok": True, **reply}
 
-    def _meet(self, asked: Table) -> dict[str, Any]:
+    def _meet(self, asked: TomlTable) -> dict[str, Any]:
         number, address = (
             asked.whole("member", most=self.members - 1),
             parse_address(asked.loopback("address")),
@@ -198,7 +202,7 @@
         self.real[number], self.numbers[address] = address, number
         return {}
 
-    def _begin(self, asked: Table) -> dict[str, Any]:
+    def _begin(self, asked: TomlTable) -> dict[str, Any]:
         schedule = self.schedule
         if "schedule" in asked.values:
             table = asked.table("schedule")
--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -45,7 +45,7 @@
 import random
 from dataclasses import dataclass
 
-from maplestile.common.toml_table import ConfigError, Table
+from maplestile.common.toml_table import ConfigError, TomlTable
 
 MEMBERS_MOST, DURATION_MOST_S = 2000, 24 * 3600.0
 KINDS = ("kill", "pause", "split", "cut", "flap")
@@ -127,7 +127,7 @@
         return self.net.delay_us + int(chance.expovariate(1.0) * self.net.jitter_us)
 
 
-def schedule_from(top: Table) -> Schedule:
+def schedule_from(top: TomlTable) -> Schedule:
     """Takes the schedule's own fields out of `top`, and leaves the others for its caller."""
     members = top.whole("members", least=2, most=MEMBERS_MOST)
     seed, net = top.whole("seed", most=(1 << 63) - 1), top.table("net")
@@ -144,11 +144,11 @@
     return Schedule(seed, members, told, tuple(sorted(faults, key=lambda fault: fault.at_us)))
 
 
-def _us(table: Table, name: str, default: float) -> int:
+def _us(table: TomlTable, name: str, default: float) -> int:
     return int(table.number(name, default, most=60_000) * 1000)
 
 
-def _fault(kind: str, told: Table, members: int) -> Fault:
+def _fault(kind: str, told: TomlTable, members: int) -> Fault:
     at_us = _seconds(told, "at_s")
     if kind == "kill":
         fault = Fault(kind, at_us, FOREVER_US, _member(told, members))
@@ -171,9 +171,9 @@
     return fault
 
 
-def _seconds(told: Table, name: str, least: float = 0.0) -> int:
+def _seconds(told: TomlTable, name: str, least: float = 0.0) -> int:
     return int(told.number(name, least=least, most=DURATION_MOST_S) * 1e6)
 
 
-def _member(told: Table, members: int) -> frozenset[int]:
+def _member(told: TomlTable, members: int) -> frozenset[int]:
     return frozenset((told.whole("member", most=members - 1),))
--- a/maplestile/tools/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -15,13 +15,16 @@
     calls, served = sum(result.ends.values()), result.ends[SERVED]
     latency = {f"p{share:g}": result.latency.get_value_at_percentile(share) / 1000 for share in SHARES}
     return {
-        "calls": calls, "ends": dict(sorted(result.ends.items())), "seconds": round(result.seconds, 3),
+        "calls": calls,
+        "ends": dict(sorted(result.ends.items())),
+        "seconds": round(result.seconds, 3),
         "served_share": round(served / calls, 6) if calls else None,
         "latency_ms": latency | {"max": result.latency.get_max_value() / 1000} if served else None,
         "statuses": {str(status): count for status, count in sorted(result.statuses.items())},
         "served_by_target": dict(sorted(result.targets.items())),
-        "moved": result.moved, "own_lag_ms": round(result.late_us / 1000, 3),
-    }  # fmt: skip
+        "moved": result.moved,
+        "own_lag_ms": round(result.late_us / 1000, 3),
+    }
 
 
 def plot(result: Result, title: str, path: Path) -> None:
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.common.toml_table import Table
+from maplestile.common.toml_table import TomlTable
 from maplestile.tools.faults.schedule import DURATION_MOST_S, Schedule, ScheduleError, schedule_from
 
 
@@ -35,7 +35,7 @@
     which: int = 0
 
 
-def span_from(table: Table, name: str = "", count: int = 0) -> Span:
+def span_from(table: TomlTable, name: str = "", count: int = 0) -> Span:
     """`at_s`, `for_s`, and the field `name`, a place below `count`, if any. Raises the table's error."""
     at_us, for_us = (int(table.number(one, most=DURATION_MOST_S) * 1e6) for one in ("at_s", "for_s"))
     span = Span(at_us, for_us, table.whole(name, most=count - 1) if name else 0)
@@ -58,7 +58,7 @@
 
 
 def parse(told: dict[str, Any]) -> Experiment:
-    top = Table(told, "", ScheduleError)
+    top = TomlTable(told, "", ScheduleError)
     experiment = Experiment(
         schedule_from(top),
         duration_us=int(top.number("duration_s", least=0.001, most=DURATION_MOST_S) * 1e6),
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -11,7 +11,7 @@
 import simpy
 
 from maplestile.common.address import Address
-from maplestile.membership.health_checks import Watch
+from maplestile.membership.health_checks import SharedHealthChecks
 from maplestile.membership.messages import Message
 from maplestile.membership.swim import Status, Swim
 from maplestile.membership.tuning import Tuning
@@ -28,7 +28,7 @@
 class Member:
     number: int
     swim: Swim
-    watch: Watch | None
+    watch: SharedHealthChecks | None
     killed: bool = False
     paused_until_us: int = 0
     inbox: list[Message] = field(default_factory=list)
@@ -70,7 +70,7 @@
     def _member(self, number: int) -> Member:
         name, watch = f"m{number}", None
         if self.experiment.duties:
-            watch = Watch(name, self.experiment.period_us)
+            watch = SharedHealthChecks(name, self.experiment.period_us)
         seed = self.schedule.seed * 1_000_003 + number
         return Member(number, Swim(name, (HOST, number), self.tuning, seed, 0, watch), watch)
 
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.common.toml_table import ConfigError, Table
-from maplestile.control.policy.agreed import Agreed, Change, Phase
+from maplestile.common.toml_table import ConfigError, TomlTable
+from maplestile.control.policy.agreed import AgreedPolicies, Change, Phase
 from maplestile.control.policy.document import Document, digest_of, document_of
 from maplestile.invoke.operator_file import OperatorError, from_tables, read
 
@@ -49,10 +49,11 @@
     first = classes[0] if isinstance(classes, list) and classes else {}
     name = first.get("name") if isinstance(first, dict) else None
     router = {
-        "invoke": {"listen": "127.0.0.1:0"}, "kind": [{"name": "k", "memory_mb": 1}],
+        "invoke": {"listen": "127.0.0.1:0"},
+        "kind": [{"name": "k", "memory_mb": 1}],
         "worker": [{"id": "w", "address": "127.0.0.1:1"}],
         "function": [{"name": "f", "class": name or "?", "memory_mb": 1}],
-    }  # fmt: skip
+    }
     from_tables(document.over(router))
     return document
 
@@ -71,7 +72,7 @@
     if asked.what == "status":
         print(json.dumps(status, indent=2)) if asked.json else _print(status)
         return 0
-    agreed = Agreed.of(status["agreed"])
+    agreed = AgreedPolicies.of(status["agreed"])
     command["base"] = agreed.epoch.number if asked.base is None else asked.base
     if asked.what == "rollback":
         command["to"] = asked.to
@@ -96,7 +97,7 @@
         status = _status(asked, say)
         if status is None:
             return 1
-        agreed = Agreed.of(status["agreed"])
+        agreed = AgreedPolicies.of(status["agreed"])
         change = next((one for one in (agreed.change, *agreed.history) if one and one.number == number), None)
         if change is not None and change.phase is not Phase.CHECKING:
             return _told(asked, change)
@@ -109,8 +110,13 @@
 def _told(asked: argparse.Namespace, change: Change) -> int:
     committed = change.phase is Phase.COMMITTED
     if asked.json:
-        told = {"change": change.number, "phase": change.phase.value, "reason": change.reason,
-                "epoch": change.base + committed, "absent": change.absent}  # fmt: skip
+        told = {
+            "change": change.number,
+            "phase": change.phase.value,
+            "reason": change.reason,
+            "epoch": change.base + committed,
+            "absent": change.absent,
+        }
         print(json.dumps(told))
     elif committed:
         print(f"epoch {change.base + 1} is committed")
@@ -122,7 +128,7 @@
 
 
 def _print(status: dict[str, Any]) -> None:
-    agreed, raft = Agreed.of(status["agreed"]), status["raft"]
+    agreed, raft = AgreedPolicies.of(status["agreed"]), status["raft"]
     epoch = agreed.epoch
     policy = digest_of(document_of(epoch.document)) or "the files' own"
     back = f", of epoch {epoch.rollback} again" if epoch.rollback is not None else ""
@@ -149,5 +155,5 @@
 
 def is_policy_file(path: Path) -> bool:
     """Whether a file has tables of policy alone, and so is checked as such by `maplestile check`."""
-    tables = Table(read(path), "", OperatorError).values
+    tables = TomlTable(read(path), "", OperatorError).values
     return bool(tables) and "invoke" not in tables and "function" not in tables
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -194,13 +194,16 @@
 def summary(trace: Trace, top: int = 0) -> Iterator[dict[str, object]]:
     for usage in trace.ranked(top):
         yield {
-            "app": usage.app, "function": usage.name, "calls": int(usage.calls),
-            "rate_per_s": _short(usage.rate()), "mean_gap_s": _short(usage.gap_s()),
+            "app": usage.app,
+            "function": usage.name,
+            "calls": int(usage.calls),
+            "rate_per_s": _short(usage.rate()),
+            "mean_gap_s": _short(usage.gap_s()),
             "longest_gap_s": _short(usage.gap_most_s if usage.gaps else None),
             "mean_ms": _short(usage.duration_ms()),
             "most_ms": _short(usage.duration_most_ms if usage.durations else None),
             "memory_mb": _short(trace.memory_mb(usage)),
-        }  # fmt: skip
+        }
 
 
 def _short(value: float | None) -> float | None:
--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -8,7 +8,7 @@
 from functools import lru_cache
 from typing import Any
 
-from maplestile.dispatch.api import Effect, Settings
+from maplestile.dispatch.api import Idempotency, Settings
 from maplestile.wire.limits import Limits
 from maplestile.wire.messages import Outcome, Request, Verdict
 
@@ -40,7 +40,7 @@
 
     @classmethod
     def of(cls, settings: Settings) -> "Known":
-        classes = {kind.name: kind.effect is Effect.KEYED for kind in settings.classes}
+        classes = {kind.name: kind.idempotency is Idempotency.WITH_KEY for kind in settings.classes}
         return cls(classes, frozenset(settings.tenants))
 
 
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -68,7 +68,7 @@
     runner_stall_us: int = 100_000
     connect_timeout_us: int = 250_000
     runner_idle_us: int = 12_000_000
-    order_timeout_us: int = 10_000_000
+    load_timeout_us: int = 10_000_000
     probe_timeout_us: int = 250_000
     # The name server: polled well inside the 1.5 s after which a change counts as told.
     names_poll_us: int = 250_000
@@ -118,7 +118,7 @@
             runner_streams=settings.streams_per_connection,
             connect_timeout_us=settings.connect_timeout_us or default.connect_timeout_us,
             runner_idle_us=int(IDLE_MARGIN * settings.idle_close_us) or default.runner_idle_us,
-            order_timeout_us=settings.order_timeout_us or default.order_timeout_us,
+            load_timeout_us=settings.load_timeout_us or default.load_timeout_us,
             descriptors=descriptors,
             memory_mb=memory_mb,
         ).shared(1)
--- a/maplestile/wire/runner.py
+++ b/maplestile/wire/runner.py
@@ -15,7 +15,7 @@
     "404": Result.MISS,
     "503": Result.FULL,
     "500": Result.ERROR,
-    "504": Result.MOOT,
+    "504": Result.SUPERSEDED,
     "alive": Result.OK,
     "dead": Result.ERROR,
     "status": Result.OK,
@@ -30,7 +30,7 @@
 class Answer:
     call: str
     result: Result
-    alike: int
+    queued_ahead: int
     copies: int
     report: Report
     body: bytes
@@ -91,7 +91,7 @@
         return Answer(
             call=str(message["call"]),
             result=RESULTS[str(message["kind"])],
-            alike=int(head.get("ahead", 0)),
+            queued_ahead=int(head.get("ahead", 0)),
             copies=int(head.get("units", 0)),
             report=_report(head.get("stats") or message.get("stats") or ""),
             body=binascii.a2b_base64(message.get("bytes") or "", strict_mode=True),
--- a/maplestile/wire/settings.py
+++ b/maplestile/wire/settings.py
@@ -5,7 +5,11 @@
 
 from maplestile.dispatch import api
 
-EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
+EFFECTS = {
+    "free": api.Idempotency.IDEMPOTENT,
+    "guarded": api.Idempotency.WITH_KEY,
+    "single_shot": api.Idempotency.NOT_IDEMPOTENT,
+}
 
 
 class SettingsError(Exception):
@@ -17,28 +21,28 @@
         limits, rules, fam = told["limits"], told["guarantees"], told.get("familyInfo", {})
         return api.Settings(
             classes=tuple(_class_from(grade) for grade in told["grades"]),
-            dispatchers=told["instances"],
+            router_count=told["instances"],
             zone=told.get("zone", ""),
             tick_us=told["granularityUs"],
-            must_ask_for_list=told.get("discovery") == "ask",
-            may_order=fam.get("orders", False),
+            must_poll_list=told.get("discovery") == "ask",
+            may_request_loads=fam.get("orders", False),
             loads_on_miss=fam.get("whenAbsent", "load") == "load",
-            keep_us=fam.get("lingerIdleUs", 0),
+            keep_alive_us=fam.get("lingerIdleUs", 0),
             kind_memory_mb=tuple(zip(told.get("kinds", []), fam.get("machineMb", []), strict=False)),
-            order_timeout_us=fam.get("answerWithinUs", 0),
-            order_window_us=fam.get("loadsWithinUs", 0),
-            orders_free=fam.get("loadFree", 0),
-            orders_per_call=fam.get("loadShare", 0),
+            load_timeout_us=fam.get("answerWithinUs", 0),
+            load_request_window_us=fam.get("loadsWithinUs", 0),
+            load_requests_free=fam.get("loadFree", 0),
+            load_requests_per_call=fam.get("loadShare", 0),
             max_attempts=limits["attemptsCap"],
             may_cancel=limits["cancelling"],
-            may_duplicate=limits["mayDuplicate"],
+            may_hedge=limits["mayDuplicate"],
             may_probe=limits["probes"],
             answer_slack_us=rules["answerSlackUs"],
             drain_grace_us=rules["drainGraceUs"],
-            cold_share=rules["startCapacity"],
-            cold_us=rules["coldUs"],
-            fall_multiple=rules["fallMultiple"],
-            fall_us=rules["overloadForUs"],
+            slow_start_share=rules["startCapacity"],
+            slow_start_us=rules["coldUs"],
+            overload_multiple=rules["fallMultiple"],
+            overload_window_us=rules["overloadForUs"],
             streams_per_connection=limits.get("streamsPerConn", 32),
             idle_close_us=limits.get("idleCloseUs", 0),
             connect_timeout_us=limits.get("connectTimeoutUs", 0),
@@ -56,10 +60,10 @@
         raise SettingsError(f"has the unknown semantics '{grade['semantics']}'")
     return api.CallClass(
         name=grade["name"],
-        aim_us=grade["aimUs"],
+        latency_objective_us=grade["aimUs"],
         deadline_us=grade["deadlineUs"],
-        effect=EFFECTS[grade["semantics"]],
-        scope=api.Scope(grade.get("keyScope", "all")),
-        window_us=grade.get("windowUs", 0),
-        late_worth=grade.get("lateValue", 0.0),
+        idempotency=EFFECTS[grade["semantics"]],
+        deduplication_scope=api.DeduplicationScope(grade.get("keyScope", "all")),
+        deduplication_window_us=grade.get("windowUs", 0),
+        late_priority_weight=grade.get("lateValue", 0.0),
     )
--- a/maplestile/wire/simulator_adapter.py
+++ b/maplestile/wire/simulator_adapter.py
@@ -23,7 +23,7 @@
     "unreachable": api.Result.CONNECT_FAILED,
     "broken": api.Result.RESET,
     "withdrawn": api.Result.CANCELLED,
-    "void": api.Result.MOOT,
+    "void": api.Result.SUPERSEDED,
     "absent": api.Result.MISS,
 }
 NOTES_PER_COUNT = 8  # the wire packs the count of like requests above a note of three bits
@@ -117,10 +117,10 @@
     """The event of a line, or None for a message this adapter does not know."""
     match f.name:
         case "WAKE":
-            return api.TimerDue(f.whole("mark"))
+            return api.TimerFired(f.whole("mark"))
         case "ROSTER_CHANGE":
             kinds = {kind.value: kind for kind in api.ListKind}
-            return api.WorkerList(f.member("how", kinds), f.whole("index", 0), entries)
+            return api.WorkerListReceived(f.member("how", kinds), f.whole("index", 0), entries)
         case "ARRIVAL":
             return api.CallArrived(
                 call=f.whole("req"),
@@ -140,7 +140,7 @@
                 f.whole("req"), f.whole("attempt"), f.text("runner"), f.whole("elapsedUs", 0)
             )
         case "SETTLED":
-            alike, note = divmod(f.whole("remark", 0), NOTES_PER_COUNT)
+            queued_ahead, note = divmod(f.whole("remark", 0), NOTES_PER_COUNT)
             known = {warmth.value for warmth in api.Warmth}
             return api.AttemptEnded(
                 call=f.whole("req"),
@@ -150,15 +150,15 @@
                 elapsed_us=f.whole("elapsedUs", 0),
                 call_ended=f.text("ended", "0") == "1",
                 warmth=api.Warmth(note if note in known else 0),
-                alike=alike,
+                queued_ahead=queued_ahead,
                 report=f.report(),
             )
         case "HEALTH":
-            return api.ProbeEnded(
+            return api.HealthCheckEnded(
                 f.text("runner"), f.member("how", RESULTS), f.whole("elapsedUs", 0), f.report()
             )
         case "HELD_NOW":
-            return api.OrderEnded(
+            return api.LoadRequestEnded(
                 f.text("runner"),
                 f.text("model"),
                 f.member("how", RESULTS),
@@ -175,29 +175,29 @@
     match action:
         case api.SetTimer(due_us, token):
             return f"AFTER who={who} timeUs={due_us} mark={token}"
-        case api.Send(call, worker, timeout_us):
+        case api.SendAttempt(call, worker, timeout_us):
             return f"CALL_OUT who={who} req={call} giveUpAfterUs={timeout_us} runner={worker}"
-        case api.Order(worker, function, copies):
+        case api.RequestLoad(worker, function, copies):
             return f"ENSURE who={who} runner={worker} model={function} count={copies}"
-        case api.Refuse(call, retry_after_us):
+        case api.RejectCall(call, retry_after_us):
             return f"TURN_AWAY who={who} req={call} retryAfterUs={retry_after_us}"
-        case api.Fail(call):
+        case api.FailCall(call):
             return f"FINISH_ERROR who={who} req={call}"
-        case api.Cancel(call, attempt):
+        case api.CancelAttempt(call, attempt):
             return f"RECALL who={who} req={call} attempt={attempt}"
-        case api.Probe(worker):
+        case api.SendHealthCheck(worker):
             return f"HEALTH_CHECK who={who} runner={worker}"
-        case api.Unload(worker, function):
+        case api.RequestUnload(worker, function):
             return f"SHELVE who={who} runner={worker} model={function}"
-        case api.Tell(peer, content):
+        case api.SendToPeer(peer, content):
             return f"ANNOUNCE who={who} whom={peer} content={base64.b64encode(content).decode() or '-'}"
-        case api.CloseIdle(worker):
+        case api.CloseIdleConnections(worker):
             return f"DISCONNECT who={who} runner={worker}"
-        case api.WatchList():
+        case api.WatchEndpoints():
             return f"SUBSCRIBE who={who} want=1"
-        case api.FetchList():
+        case api.FetchEndpoints():
             return f"PULL who={who}"
-        case api.Log(text):
+        case api.WriteLog(text):
             return f"LOG who={who} what={text}"
 
 
