--- /dev/null
+++ b/tests/record_control.py
@@ -0,0 +1,262 @@
+"""Records what the control plane writes: `python -m tests.record_control` rewrites `tests/recorded/control`.
+
+`recorded()` gives each file's name and content; the test compares them with the files. A voter's folder is
+recorded only by `--folder`, since parts of it depend on time; the program has to go on reading that one."""
+
+import asyncio
+import json
+import shutil
+import struct
+import sys
+import tempfile
+from collections import Counter
+from collections.abc import Iterable
+from pathlib import Path
+from typing import Any
+
+import msgpack  # type: ignore[import-untyped]  # it has no marker of its types
+
+from maplestile import agent, durable
+from maplestile.control.plan import ControlPlan
+from maplestile.control.state import Control
+from maplestile.net.raft import Raft
+from maplestile.operation.folder import Markers
+from maplestile.peers import messages
+from maplestile.peers.watch import Finding
+from maplestile.policy import store
+from maplestile.policy.document import Adopted, document_of
+from tests.control_script import DOCUMENT, SCRIPT, TOLD, WORDS
+
+RECORDED = Path(__file__).parent / "recorded" / "control"
+FOLDER = RECORDED / "voter"
+JOURNAL_HEAD = 40
+JOURNAL_END_AT = 36
+PATIENCE_S = 30.0
+AGENT_FILE = """
+[agent]
+listen = "127.0.0.1:1"
+[[instance]]
+name = "r0"
+command = ["true"]
+operator = "127.0.0.1:1"
+[[instance]]
+name = "w0"
+command = ["true"]
+[control]
+name = "a0"
+{control}
+budget = "25%"
+"""
+VOTER = """listen = "127.0.0.1:0"
+folder = "{folder}"
+"""
+VOTERS = """
+[[voter]]
+name = "a0"
+address = "127.0.0.1:1"
+"""
+
+
+def as_lines(values: Iterable[object]) -> bytes:
+    return "".join(json.dumps(value) + "\n" for value in values).encode()
+
+
+def as_document(value: object) -> bytes:
+    return (json.dumps(value, indent=1) + "\n").encode()
+
+
+# The replicated log.
+
+
+def log_commands() -> dict[str, bytes]:
+    control, exchanges, changes = Control(), list[object](), list[object]()
+    for command in SCRIPT:
+        before = control.told()
+        exchanges.append({"command": command, "reply": control.apply(command)})
+        changes.append({key: value for key, value in control.told().items() if value != before[key]})
+    return {
+        "log-commands.jsonl": as_lines(exchanges),
+        "log-changes.jsonl": as_lines(changes),
+        "state.json": as_document(control.told()),
+        "state-empty.json": as_document(Control().told()),
+    }
+
+
+# A voter.
+
+
+def agent_plan(folder: Path, control: str, voters: str = "") -> agent.Plan:
+    path = folder / "agent.toml"
+    path.write_text(AGENT_FILE.format(control=control) + voters)
+    return agent.load(path)
+
+
+def voter_plan(folder: Path) -> ControlPlan:
+    control = agent_plan(folder, VOTER.format(folder=folder / "voter"), VOTERS).control
+    assert control is not None
+    return control
+
+
+async def run_voter(plan: ControlPlan, commands: list[dict[str, Any]]) -> Raft:
+    """A voter alone in its cluster, started on its folder, given commands, and stopped."""
+    raft = Raft(plan, Counter())
+    running = asyncio.get_running_loop().create_task(raft.run())
+    try:
+        async with asyncio.timeout(PATIENCE_S):
+            while not raft.ready():
+                await asyncio.sleep(0.01)
+            # Each is put into the log in this order before the first is answered.
+            await asyncio.gather(*(raft.submit(command) for command in commands))
+    finally:
+        running.cancel()
+        await asyncio.gather(running, return_exceptions=True)
+    return raft
+
+
+def plan_folder(plan: ControlPlan) -> Path:
+    assert plan.folder is not None
+    return plan.folder
+
+
+def journal_records(path: Path) -> bytes:
+    """The records of a journal, without its head, which names the library's version, and without its rest."""
+    data = path.read_bytes()
+    end: int = struct.unpack_from("<I", data, JOURNAL_END_AT)[0]
+    return data[JOURNAL_HEAD:end]
+
+
+def voter_files() -> dict[str, bytes]:
+    with tempfile.TemporaryDirectory() as told:
+        folder = Path(told)
+        plan = voter_plan(folder)
+        asyncio.run(run_voter(plan, [*SCRIPT, WORDS, TOLD]))
+        journal = journal_records(plan_folder(plan) / "journal")
+        owner = (plan_folder(plan) / "voter").read_bytes()
+    return {"journal-records.bin": journal, "voter.json": owner}
+
+
+def record_folder() -> None:
+    """Of two runs. The library writes a snapshot at the start; the whole script is in the journal."""
+    shutil.rmtree(FOLDER, ignore_errors=True)
+    with tempfile.TemporaryDirectory() as told:
+        plan = voter_plan(Path(told))
+        asyncio.run(run_voter(plan, SCRIPT[:100]))
+        asyncio.run(run_voter(plan, [*SCRIPT[100:], WORDS]))
+        shutil.copytree(plan_folder(plan), FOLDER)
+
+
+# Records on disk.
+
+ROSTER = "roster.json"  # of processes that are not there: read and written again by the test
+LONG_NAME = "runner/with space:8080%é"
+
+
+def disk_records() -> dict[str, bytes]:
+    with tempfile.TemporaryDirectory() as told:
+        folder = Path(told)
+        durable.write(folder / "durable.json", 3, {"b": [1, None, True], "a": {"é": 1.5}})
+        files = {"durable.json": (folder / "durable.json").read_bytes()}
+        for name, document in (("own", None), ("document", DOCUMENT)):
+            store.write(folder / name, Adopted(7, document_of(document)))
+            files[f"policy-{name}.json"] = (folder / name / store.NAME).read_bytes()
+        markers = Markers(folder / "suspended")
+        for runner in ("w0", LONG_NAME, "..", "r-w1", ""):
+            markers.put(runner)
+        markers.put("gone")
+        markers.remove("gone")
+        files["suspended.txt"] = as_lines(sorted(path.name for path in (folder / "suspended").iterdir()))
+    return files
+
+
+# Gossip datagrams.
+
+HERE, THERE = ("127.0.0.1", 7001), ("127.0.0.2", 65535)
+GOSSIP = [
+    messages.Entry("alive", "n1", HERE, 0, "n1"),
+    messages.Entry("suspect", "n2", THERE, 3, "n1"),
+    messages.Entry("dead", "né", ("::1", 0), (1 << 63) - 1, "n2"),
+    messages.Entry("left", "n" * 64, HERE, 70_000, "n3"),
+]
+FINDINGS = [Finding("w0", True, 5, "n1"), Finding("w" * 128, False, 1 << 40, "n2")]
+MESSAGES = {
+    "ping": messages.Message("ping", 1, "n1", "n2", reply_to=HERE, digest=2**64 - 1),
+    "ack": messages.Message("ack", 2**32 - 1, "n2", reply_to=THERE, digest=0, gossip=GOSSIP),
+    "req": messages.Message("req", 300, "n1", "n3", THERE, HERE, GOSSIP[:1]),
+    "nack": messages.Message("nack", 0, "n3", reply_to=HERE),
+    "join": messages.Message("join", 0, "n4", reply_to=HERE, gossip=GOSSIP[:1]),
+    "sync": messages.Message("sync", 9, "n1", reply_to=HERE, gossip=GOSSIP, findings=FINDINGS, digest=77),
+    "word": messages.Message("word", 10, "n1", reply_to=HERE, findings=FINDINGS),
+}
+
+
+PING = {"k": "ping", "q": 1, "s": "n1", "t": "n2", "r": ["127.0.0.1", 7001], "d": 2**64 - 1}
+REQUEST = PING | {"k": "req", "a": ["127.0.0.1", 7001]}
+ENTRY = ["alive", "n1", "127.0.0.1", 7001, 0, "n1"]
+FINDING = ["w0", True, 5, "n1"]
+
+
+def _with(place: int, value: object, values: list[Any]) -> list[Any]:
+    return [*values[:place], value, *values[place + 1 :]]
+
+
+BAD_MAPS: list[object] = [
+    [], "ping", None, {},
+    *({key: value for key, value in REQUEST.items() if key != left} for left in "kqstar"),
+    *(PING | {"k": kind} for kind in ("PING", "p" * 100, 1, b"ping")),
+    *(PING | {"q": number} for number in (-1, 1 << 32, True, "1", 1.0)),
+    *(PING | {"s": name} for name in ("", "n" * 65, "é" * 33, 7)),
+    *(PING | {"t": name} for name in ("", "n" * 65, None)),
+    *(PING | {"r": address} for address in ("x:1", ["x"], ["x", -1], ["x", 65536], ["x" * 256, 1], [1, 1])),
+    *(REQUEST | {"a": address} for address in (None, ["x", "1"])),
+    *(PING | {"d": digest} for digest in (-1, None, "d", True)),
+    *(PING | {"g": rumours} for rumours in ("g", dict[str, int](), [1], [ENTRY, ENTRY[:5]])),
+    *(PING | {"g": [_with(0, status, ENTRY)]} for status in ("lost", 1)),
+    *(PING | {"g": [ENTRY, _with(place, bad, ENTRY)]} for place, bad in
+      ((1, ""), (1, 5), (2, 5), (3, 65536), (4, -1), (4, 1 << 63), (4, True), (5, ""), (5, None))),
+    *(PING | {"f": findings} for findings in ("f", [1], [FINDING[:3]])),
+    *(PING | {"f": [FINDING, _with(place, bad, FINDING)]} for place, bad in
+      ((0, ""), (0, "w" * 129), (1, 1), (2, -1), (2, 1 << 63), (2, False), (3, ""), (3, "n" * 65))),
+    {1: 2},
+    PING | {"g": [0] * (messages.ENTRIES_MOST + 1)},
+]  # fmt: skip
+FOREIGN_MAPS = [PING | {"z": 1}, PING | {"a": 5}, PING | {"g": [], "f": []}, PING | {"": {"a": [None]}}]
+
+
+def bad_datagrams() -> list[dict[str, str]]:
+    whole = msgpack.packb(PING)
+    spoiled = [b"", b"\xc1", b"not msgpack", whole[:-1], whole + b"\0", b"\x81\xa1k\xa1\xff", b"\x91" * 600]
+    refused = list[dict[str, str]]()
+    for datagram in [*spoiled, *(msgpack.packb(told) for told in BAD_MAPS)]:
+        try:
+            messages.decode(datagram)
+        except messages.DatagramError as fault:
+            refused.append({"datagram": datagram.hex(), "told": str(fault)})
+        else:
+            raise AssertionError(f"was taken: {datagram!r}")
+    return refused
+
+
+def datagrams() -> dict[str, bytes]:
+    files = {f"datagram-{kind}.bin": messages.encode(message) for kind, message in MESSAGES.items()}
+    files["bad-datagrams.jsonl"] = as_lines(bad_datagrams())
+    files["foreign-datagrams.jsonl"] = as_lines(
+        {"datagram": msgpack.packb(told).hex()} for told in FOREIGN_MAPS
+    )
+    return files
+
+
+def recorded() -> dict[str, bytes]:
+    return {**log_commands(), **voter_files(), **disk_records(), **datagrams()}
+
+
+def main(arguments: list[str]) -> None:
+    RECORDED.mkdir(parents=True, exist_ok=True)
+    for name, content in recorded().items():
+        (RECORDED / name).write_bytes(content)
+    durable.write(RECORDED / ROSTER, 1, {"r0": [4194300, 17], "w0": [4194301, 18]})
+    if "--folder" in arguments:
+        record_folder()
+
+
+if __name__ == "__main__":
+    main(sys.argv[1:])
--- /dev/null
+++ b/tests/test_recorded_control.py
@@ -0,0 +1,194 @@
+"""The bytes that the control plane writes and reads, against those recorded in `tests/recorded/control`."""
+
+import asyncio
+import json
+import shutil
+import tempfile
+import unittest
+from pathlib import Path
+from typing import Any
+
+from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]
+
+from maplestile import durable
+from maplestile.control.folder import check
+from maplestile.control.state import Control
+from maplestile.operation.folder import Markers
+from maplestile.peers import messages
+from maplestile.policy import store
+from maplestile.policy.document import Adopted, document_of
+from maplestile.refusal import Refusal
+from maplestile.roster import Roster
+from tests import record_control as record
+from tests.control_script import DOCUMENT, SCRIPT, TOLD, WORDS
+
+
+def content(name: str) -> bytes:
+    return (record.RECORDED / name).read_bytes()
+
+
+def lines(name: str) -> list[Any]:
+    return [json.loads(line) for line in content(name).splitlines()]
+
+
+def states() -> list[dict[str, Any]]:
+    """The empty state, and that after each command."""
+    told = [json.loads(content("state-empty.json"))]
+    for change in lines("log-changes.jsonl"):
+        told.append({**told[-1], **change})
+    return told
+
+
+class WrittenTest(unittest.TestCase):
+    maxDiff = None
+
+    def test_the_same_bytes_are_written(self) -> None:
+        for name, written in record.recorded().items():
+            with self.subTest(name):
+                self.assertEqual(written, content(name))
+
+    def test_every_recording_is_compared(self) -> None:
+        files = {path.name for path in record.RECORDED.iterdir() if path.is_file()}
+        self.assertEqual(files, set(record.recorded()) | {"roster.json"})
+
+
+class ReplicatedLogTest(unittest.TestCase):
+    def test_each_command_is_answered_as_recorded_and_leaves_the_recorded_state(self) -> None:
+        control = Control()
+        for exchange, state in zip(lines("log-commands.jsonl"), states()[1:], strict=True):
+            with self.subTest(exchange["command"]):
+                self.assertEqual(control.apply(exchange["command"]), exchange["reply"])
+                self.assertEqual(control.told(), state)
+        self.assertEqual(control.told(), json.loads(content("state.json")))
+
+    def test_a_refused_command_changes_nothing(self) -> None:
+        for exchange, change in zip(lines("log-commands.jsonl"), lines("log-changes.jsonl"), strict=True):
+            if not exchange["reply"]["ok"]:
+                self.assertEqual(change, {}, exchange)
+
+    def test_each_state_is_read_back_and_takes_the_next_command_alike(self) -> None:
+        for exchange, before, after in zip(
+            lines("log-commands.jsonl"), states()[:-1], states()[1:], strict=True
+        ):
+            control = Control.of(json.loads(json.dumps(before)))
+            self.assertEqual(control.told(), before)
+            self.assertEqual(control.apply(exchange["command"]), exchange["reply"])
+            self.assertEqual(control.told(), after)
+
+    def test_a_state_of_no_use_is_refused(self) -> None:
+        state = json.loads(content("state.json"))
+        for key in state:
+            with self.subTest(key), self.assertRaises((KeyError, TypeError, ValueError)):
+                Control.of({name: value for name, value in state.items() if name != key})
+        for rollout in ({"phase": "asleep"}, {"foreign": 1}):
+            with self.subTest(rollout), self.assertRaises((KeyError, TypeError, ValueError)):
+                Control.of({**state, "rollout": {**state["rollout"], **rollout}})
+
+
+class VoterTest(unittest.TestCase):
+    def setUp(self) -> None:
+        kept = tempfile.TemporaryDirectory()
+        self.addCleanup(kept.cleanup)
+        self.plan = record.voter_plan(Path(kept.name))
+        self.folder = record.plan_folder(self.plan)
+        shutil.copytree(record.FOLDER, self.folder)
+
+    def test_the_recorded_folder_is_taken_for_this_voter_alone(self) -> None:
+        check(self.folder, "a0")
+        with self.assertRaises(Refusal) as refused:
+            check(self.folder, "a1")
+        self.assertEqual(str(refused.exception), f"{self.folder / 'voter'}: the folder is of voter 'a0'")
+
+    def test_a_voter_started_on_the_recorded_folder_has_the_recorded_state(self) -> None:
+        raft = asyncio.run(record.run_voter(self.plan, []))
+        self.assertEqual(raft.control.told(), json.loads(content("state.json")))
+        self.assertEqual(dict(raft.words), {"a0": (1, WORDS["words"])})
+
+    def test_a_voter_started_on_recorded_records_alone_has_the_recorded_state(self) -> None:
+        shutil.rmtree(self.folder)
+        self.folder.mkdir()
+        records = content("journal-records.bin")
+        head = bytearray((record.FOLDER / "journal").read_bytes()[: record.JOURNAL_HEAD])
+        end = record.JOURNAL_HEAD + len(records)
+        head[record.JOURNAL_END_AT :] = end.to_bytes(4, "little")
+        (self.folder / "journal").write_bytes(bytes(head) + records)
+        shutil.copy(record.FOLDER / "journal.meta", self.folder)
+        raft = asyncio.run(record.run_voter(self.plan, []))
+        expected = Control()
+        for command in (*SCRIPT, TOLD):
+            expected.apply(command)
+        self.assertEqual(raft.control.told(), expected.told())
+        self.assertEqual({agent: told for agent, (_, told) in raft.told.items()}, {"a0": TOLD["told"]})
+
+    def test_the_recorded_journal_holds_the_script(self) -> None:
+        journal = FileJournal(str(self.folder / "journal"))
+        self.addCleanup(journal._destroy)
+        # Two entries of the library's own at the first start, one at the second.
+        self.assertEqual(len(journal), len(SCRIPT) + 1 + 3)
+
+
+class DiskTest(unittest.TestCase):
+    def setUp(self) -> None:
+        kept = tempfile.TemporaryDirectory()
+        self.addCleanup(kept.cleanup)
+        self.folder = Path(kept.name)
+
+    def place(self, recording: str, name: str) -> Path:
+        path = self.folder / name
+        path.write_bytes(content(recording))
+        return path
+
+    def test_a_durable_record_is_read_in_its_version_alone(self) -> None:
+        path = self.place("durable.json", "durable.json")
+        self.assertEqual(durable.read(path, 3), {"b": [1, None, True], "a": {"é": 1.5}})
+        with self.assertLogs("maplestile.durable") as logged:
+            self.assertIsNone(durable.read(path, 4))
+            path.write_bytes(content("durable.json").replace(b"1.5", b"1.6"))
+            self.assertIsNone(durable.read(path, 3))
+        told = f"{path} is of no use: another version, or not as it was written"
+        self.assertEqual([one.getMessage() for one in logged.records], [told, told])
+
+    def test_the_policy_of_a_router_is_read(self) -> None:
+        self.place("policy-own.json", "policy.json")
+        self.assertEqual(store.read(self.folder), Adopted(7, None))
+        self.place("policy-document.json", "policy.json")
+        self.assertEqual(store.read(self.folder), Adopted(7, document_of(DOCUMENT)))
+
+    def test_the_roster_is_read_and_written_as_recorded(self) -> None:
+        path = self.place("roster.json", "roster.json")
+        roster = Roster(self.folder)
+        self.assertEqual(roster.known, {"r0": (4194300, 17), "w0": (4194301, 18)})
+        roster.put("r1", None)
+        self.assertEqual(path.read_bytes(), content("roster.json"))
+        roster.put("w0", None)
+        roster.put("r0", None)
+        self.assertEqual(durable.read(path, 1), {})
+
+    def test_the_suspended_runners_are_read(self) -> None:
+        for name in lines("suspended.txt"):
+            (self.folder / name).touch()
+        (self.folder / "other").touch()
+        self.assertEqual(Markers(self.folder).names(), {"w0", record.LONG_NAME, "..", "r-w1", ""})
+
+
+class DatagramTest(unittest.TestCase):
+    def test_each_kind_is_read(self) -> None:
+        self.assertEqual(set(record.MESSAGES), set(messages.KINDS))
+        for kind, message in record.MESSAGES.items():
+            with self.subTest(kind):
+                self.assertEqual(messages.decode(content(f"datagram-{kind}.bin")), message)
+
+    def test_each_bad_one_is_refused_with_the_recorded_words(self) -> None:
+        for bad in lines("bad-datagrams.jsonl"):
+            with self.subTest(bad["told"]), self.assertRaises(messages.DatagramError) as refused:
+                messages.decode(bytes.fromhex(bad["datagram"]))
+            self.assertEqual(str(refused.exception), bad["told"])
+
+    def test_foreign_keys_are_passed_over(self) -> None:
+        for foreign in lines("foreign-datagrams.jsonl"):
+            read = messages.decode(bytes.fromhex(foreign["datagram"]))
+            self.assertEqual(read, record.MESSAGES["ping"])
+
+
+if __name__ == "__main__":
+    unittest.main()
