--- a/tests/record_agent.py
+++ b/tests/record_agent.py
@@ -20,13 +20,17 @@
 from maplestile.herald import Herald, Known
 from maplestile.net.asked import Asked
 from maplestile.net.raft import LogError
+from maplestile.policy.document import PolicyError
+from maplestile.policy.driver import monotonic_us
 from maplestile.steward import Steward
 from tests.control_script import DOCUMENT, POLICY_CHANGES, REGISTRATIONS, SCRIPT
 from tests.recordings import NOBODY, agent_plan, as_lines
+from tests.test_policy import Rig
 
 PATIENCE_S = 30.0
 PORT = re.compile(r"127\.0\.0\.1:[0-9]+")
 AGE = re.compile(r'"for_s": [0-9.]+')
+STALE = re.compile(r'"stale_s": [0-9.]+')
 LINE_BYTES = 1 << 20
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -487,6 +491,65 @@
     }
 
 
+# A router's answers to what the herald tells it.
+
+ROUTER_WORDS: list[object] = [
+    {"epoch": 0, "checking": 0},
+    {"epoch": 0, "checking": 0, "document": None},
+    {"epoch": 1, "checking": 0, "foreign": [1]},
+    {"epoch": 1, "checking": 0, "document": "policy"},
+    {"epoch": 0, "checking": 0, "document": None},
+    {"epoch": 2, "checking": 0, "document": {"rules": {"newer": 1}}},
+    {"epoch": 2, "checking": 0, "document": {"listen": {}}},
+    {"epoch": 2, "checking": 0, "document": [1]},
+    {"epoch": -1, "checking": 0},
+    {"epoch": True, "checking": 0},
+    {"epoch": 2},
+    {"checking": 0},
+    {},
+    [],
+    None,
+]
+ROUTER_CHECKS: list[object] = [
+    {"change": 4, "document": "policy"},
+    {"change": 5, "document": None},
+    {"change": 6},
+    {"change": 6, "document": {"rules": {"newer": 1}}},
+    {"change": 6, "document": {"limits": {"listeners": 1}}},
+    {"change": "6", "document": None},
+    {"document": None},
+    {},
+    None,
+]
+
+
+def _policy_in(told: object, rig: Rig) -> object:
+    """The word with the rig's own policy, changed a little, where it stands for one."""
+    if isinstance(told, dict) and told.get("document") == "policy":
+        return told | {"document": rig.policy(attempts=2)}
+    return told
+
+
+def answered_by_router(folder: Path) -> dict[str, bytes]:
+    rig, words, checks = Rig(folder), list[object](), list[object]()
+    for word in ROUTER_WORDS:
+        answers = list[object]()
+        timed = word | {"fenced_us": monotonic_us()} if isinstance(word, dict) else word
+        try:
+            rig.driver.hear(_policy_in(timed, rig), answers.append)
+        except PolicyError as fault:
+            answers.append({"refused": str(fault)})
+        words.append({"word": _policy_in(word, rig), "answers": answers})
+    for check in ROUTER_CHECKS:
+        asked = _policy_in(check, rig)
+        try:
+            checks.append({"check": asked, "answer": rig.driver.check(asked)})
+        except PolicyError as fault:
+            checks.append({"check": asked, "refused": str(fault)})
+    told = STALE.sub('"stale_s": 0.0', as_lines(words).decode())
+    return {"router-words.jsonl": told.encode(), "router-checks.jsonl": as_lines(checks)}
+
+
 def agent_lines() -> dict[str, bytes]:
     files = dict[str, bytes]()
     with tempfile.TemporaryDirectory() as told:
@@ -494,4 +557,5 @@
         for make in (answers, asked_of_voter, submitted_by_steward, told_by_herald):
             files.update(asyncio.run(make(folder)))
         files.update(asked_by_command_line(folder))
+        files.update(answered_by_router(folder / "router"))
     return files
