--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -409,6 +409,8 @@
             if copies:
                 self.hold(machine, action.function)
             self.give(ended)
+            if self.chance(0.02):  # news of a worker that is not listed
+                self.give(replace(ended, worker="worker-unlisted"))
 
         self.after(load_us, loaded)
 
