--- /dev/null
+++ b/tests/recording.py
@@ -0,0 +1,129 @@
+"""What the recorders share: running the command line, masking what varies, and the recorded files."""
+
+import contextlib
+import dataclasses
+import io
+import json
+import re
+import socket
+import sys
+import tempfile
+import threading
+from collections.abc import Callable, Iterator, Mapping
+from enum import Enum
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+from maplestile.cli import main
+from tests.standins import PATIENCE_S, ROOT
+
+RECORDED = ROOT / "tests" / "recorded"
+Recorder = Callable[[], str]
+COLUMNS = "100"  # argparse folds its help to the width of the terminal
+
+# Everything that may vary from run to run is masked here and nowhere else.
+MASKS: tuple[tuple[re.Pattern[str], str], ...] = (
+    (re.compile(re.escape(str(ROOT))), "ROOT"),
+    (re.compile(re.escape(sys.executable) + r"(?![\w.])"), "PYTHON"),
+    (re.compile(re.escape(tempfile.gettempdir()) + r"/tmp[a-z0-9_]+"), "TEMPORARY"),
+    (re.compile(r"127\.0\.0\.1:[1-9]\d{4}\b"), "127.0.0.1:PORT"),
+    (re.compile(r"\('127\.0\.0\.1', [1-9]\d{4}\)"), "('127.0.0.1', PORT)"),
+)
+
+
+def masked(text: str) -> str:
+    for pattern, mask in MASKS:
+        text = pattern.sub(mask, text)
+    return text
+
+
+def run(*arguments: str, mask: bool = True) -> str:
+    """One use of the command line: the arguments, the exit code, and both streams."""
+    out, err = io.StringIO(), io.StringIO()
+    width = mock.patch.dict("os.environ", {"COLUMNS": COLUMNS})
+    with width, contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
+        try:
+            code: object = main(list(arguments))
+        except SystemExit as end:
+            code = end.code
+    shown = ["$ maplestile " + " ".join(arguments), f"exit {code}"]
+    for name, stream in (("stdout", out), ("stderr", err)):
+        if stream.getvalue():
+            shown += [f"-- {name}", stream.getvalue().rstrip("\n")]
+    text = "\n".join(shown) + "\n"
+    return masked(text) if mask else text
+
+
+def relative(path: Path) -> str:
+    return str(path.relative_to(ROOT))
+
+
+def plain(value: object) -> Any:
+    """Any value in JSON's types. Dataclasses become lists of their values, in the order of their fields,
+    so that what is recorded knows no name of a class or of an attribute."""
+    if isinstance(value, Enum):
+        return plain(value.value)
+    if dataclasses.is_dataclass(value) and not isinstance(value, type):
+        return [plain(getattr(value, one.name)) for one in dataclasses.fields(value)]
+    if isinstance(value, Mapping):
+        return {str(plain(key)): plain(each) for key, each in value.items()}
+    if isinstance(value, set | frozenset):
+        return sorted((plain(each) for each in value), key=str)
+    if isinstance(value, list | tuple):
+        return [plain(each) for each in value]
+    if isinstance(value, bytes | memoryview):
+        return bytes(value).decode("latin-1")
+    if value is None or isinstance(value, str | int | float | bool):
+        return value
+    return str(value)
+
+
+def as_json(value: object) -> str:
+    return masked(json.dumps(plain(value), indent=1)) + "\n"
+
+
+class StandInAgent:
+    """Answers each question of the command line with one reply, and keeps the lines that it was asked."""
+
+    def __init__(self, reply: object) -> None:
+        self.reply = json.dumps(reply).encode() + b"\n"
+        self.asked: list[str] = []
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        threading.Thread(target=self._serve, daemon=True).start()
+
+    def _serve(self) -> None:
+        while True:
+            try:
+                peer = self.listener.accept()[0]
+            except OSError:
+                return
+            peer.settimeout(PATIENCE_S)
+            with peer, peer.makefile("rb") as lines:
+                self.asked.append(lines.readline().decode().rstrip("\n"))
+                peer.sendall(self.reply)
+
+    def close(self) -> None:
+        self.listener.shutdown(socket.SHUT_RDWR)
+        self.listener.close()
+
+
+@contextlib.contextmanager
+def agent(reply: object) -> Iterator[StandInAgent]:
+    one = StandInAgent(reply)
+    try:
+        yield one
+    finally:
+        one.close()
+
+
+def record(recorders: Mapping[str, Recorder]) -> None:
+    """Write the files that the tests compare with."""
+    RECORDED.mkdir(exist_ok=True)
+    for name, recorder in recorders.items():
+        (RECORDED / name).write_text(recorder())
+
+
+def recorded(name: str) -> str:
+    return (RECORDED / name).read_text()
