--- a/tests/recording.py
+++ b/tests/recording.py
@@ -9,7 +9,7 @@
 import sys
 import tempfile
 import threading
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from enum import Enum
 from pathlib import Path
 from typing import Any
@@ -25,15 +25,27 @@
 # Everything that may vary from run to run is masked here and nowhere else.
 MASKS: tuple[tuple[re.Pattern[str], str], ...] = (
     (re.compile(re.escape(str(ROOT))), "ROOT"),
+    (re.compile(r"is not a valid \w+"), "is not a valid CLASS"),  # of an enumeration: a name of the code
     (re.compile(re.escape(sys.executable) + r"(?![\w.])"), "PYTHON"),
     (re.compile(re.escape(tempfile.gettempdir()) + r"/tmp[a-z0-9_]+"), "TEMPORARY"),
     (re.compile(r"127\.0\.0\.1:[1-9]\d{4}\b"), "127.0.0.1:PORT"),
     (re.compile(r"\('127\.0\.0\.1', [1-9]\d{4}\)"), "('127.0.0.1', PORT)"),
 )
 
+# Of what a real process tells; the stand-ins' answers are fixed and need none of these.
+PROCESS_MASKS = (
+    *MASKS,
+    (re.compile(r'"incarnation": \d+'), '"incarnation": NUMBER'),
+    (re.compile(r'"fenced_us": \d+'), '"fenced_us": TIME'),
+    (re.compile(r'"pid": \d+'), '"pid": PID'),
+    (re.compile(r'"for_s": [\d.]+'), '"for_s": SECONDS'),
+    # The length of a body with an incarnation and a port in it.
+    (re.compile(r'Content-Length: \d+(?=\n(?:.+\n)*\n\{"member":)'), "Content-Length: LENGTH"),
+)
+
 
-def masked(text: str) -> str:
-    for pattern, mask in MASKS:
+def masked(text: str, masks: Iterable[tuple[re.Pattern[str], str]] = MASKS) -> str:
+    for pattern, mask in masks:
         text = pattern.sub(mask, text)
     return text
 
@@ -76,7 +88,9 @@
         return bytes(value).decode("latin-1")
     if value is None or isinstance(value, str | int | float | bool):
         return value
-    return str(value)
+    if isinstance(value, Path):
+        return str(value)
+    raise TypeError(f"no plain form of {type(value)}")
 
 
 def as_json(value: object) -> str:
