--- a/maplestile/agent.py
+++ b/maplestile/agent.py
@@ -26,6 +26,7 @@
 from maplestile.operation.client import CallError, call
 from maplestile.refusal import Refusal
 from maplestile.table import Table
+from maplestile.waiting import wait_until_set
 
 if TYPE_CHECKING:  # an agent without a control plane loads nothing of it
     from maplestile.control.decide import Word
@@ -179,11 +180,7 @@
                 wait_s = self.plan.backoff_s
             log.warning("%s: %s; starts again in %.2f s", self.spec.name, self.last_exit, wait_s)
             await self._now("waiting")
-            try:
-                async with asyncio.timeout(wait_s):
-                    await self.hurry.wait()
-            except TimeoutError:
-                pass
+            await wait_until_set(self.hurry, wait_s)
             self.hurry.clear()
             wait_s = min(self.plan.backoff_most_s, 2 * wait_s)
 
--- a/maplestile/net/peers.py
+++ b/maplestile/net/peers.py
@@ -1,7 +1,6 @@
 """The membership protocol on UDP: datagrams in and out of `peers.swim.Swim`, and its timer."""
 
 import asyncio
-import contextlib
 import logging
 import time
 from collections import Counter
@@ -14,6 +13,7 @@
 from maplestile.peers.plan import Plan
 from maplestile.peers.swim import Status, Swim
 from maplestile.peers.watch import Watch
+from maplestile.waiting import wait_until_set
 
 log = logging.getLogger("maplestile.peers")
 
@@ -50,8 +50,7 @@
             while True:
                 wait_s = max(0.0, (self._due_us() - monotonic_us()) / 1e6)
                 self.wake.clear()
-                with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self.wake.wait(), min(wait_s, 1.0))
+                await wait_until_set(self.wake, min(wait_s, 1.0))
                 self.swim.tick(monotonic_us())
                 self._flush()
                 if self.watch is not None:
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -16,6 +16,7 @@
 from maplestile.limits import Limits
 from maplestile.net import reads
 from maplestile.net.listen import Listener, listen
+from maplestile.waiting import wait_until_set
 from maplestile.wire import jsonrpc as wire
 
 log = logging.getLogger(__name__)
@@ -286,9 +287,7 @@
     async def _all_answered(self, client: Client) -> None:
         while client.calls and not client.writer.is_closing():
             client.idle.clear()
-            with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S):
-                    await client.idle.wait()
+            await wait_until_set(client.idle, LOOK_S)
             client.look()
 
     def _stirred(self, client: Client) -> None:
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -197,7 +197,8 @@
                 continue
             raise AssertionError("another process passed for it")
         left.send_signal(signal.SIGTERM)
-        assert await asyncio.wait_for(left.wait(), PATIENCE_S) == 0
+        async with asyncio.timeout(PATIENCE_S):
+            assert await left.wait() == 0
         left.send_signal(signal.SIGTERM)  # nobody there: nothing happens
         child.wait()
         assert Roster(folder).left("r") is None
