--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -14,7 +14,7 @@
 
 def played(folder: Path, lines: list[str]) -> tuple[int, str]:
     (folder / "pytest.ini").write_text("[pytest]\n")
-    (folder / "conftest.py").write_text((ROOT / "tests" / "conftest.py").read_text())
+    (folder / "conftest.py").write_text((ROOT / "tests" / "known_red.py").read_text())
     (folder / "test_a.py").write_text(TESTS)
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -291,6 +291,7 @@
         )
         agent = Program("agent", str(folder / "agent.toml"))
         self.addCleanup(agent.kill)
+        self.addCleanup(agent.stop)  # before that: it ends its instances, which a kill would leave behind
         at = ["--agent", "127.0.0.1:" + agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")]
 
         def command(*words: str) -> tuple[int, str]:
