--- a/maplestile/membership/health_checks.py
+++ b/maplestile/membership/health_checks.py
@@ -1,25 +1,27 @@
-"""The probes of runners, shared among the members: each runner is probed by the one that owns it.
+"""Health checks of runners, shared among the members: each runner is probed by the member that owns it.
 
 Without this every router probes every runner for itself, and a fleet of N sends N probes where one would do.
-Here a runner's owner by rendezvous hashing (`duties.py`) probes it once in `every_us` and tells the others
-when what it finds changes; they leave their own probes of a runner that its owner finds silent, and probe
-once for themselves when it answers its owner again, since the path from here may be another.
+Here a runner's owner by rendezvous hashing (`assignment.py`) probes it once an interval, and reports to the
+others when the outcome changes. They skip their own probes of a runner that its owner finds silent, and probe
+for themselves when it answers its owner again, since the path from here may be another.
 
-A finding is a register whose last write wins: its version counts up from the last one known, and equal
-versions are told apart by the writer's name. Two owners of one runner, as in a split, may write against each
-other; the next probe of the one owner that is left sets it right. Free of I/O; times in microseconds."""
+A finding is a last-writer-wins register: its version counts up from the last one known, and equal versions
+are ordered by the writer's name. Two owners of one runner, as in a partition, may write against each other;
+the next probe of the one owner that is left sets it right. Free of I/O; times in microseconds.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from maplestile.membership.assignment import CheckAssignment, owner
+from maplestile.membership.assignment import CheckAssignment
 
-MISSES = 2  # probes in a row without an answer before a runner is found silent: one may be lost or late
+MISSES_UNTIL_SILENT = 2  # probes in a row without an answer: one may be lost or late
+RUNNERS_MAX = 4096
 
 
 @dataclass(slots=True, frozen=True)
 class HealthFinding:
-    """What its owner found: whether `runner` answers; `version` and `by` say which of two is the later."""
+    """What its owner found: whether `runner` answers; `version` and `by` order the findings of a runner."""
 
     runner: str
     answers: bool
@@ -27,99 +29,121 @@
     by: str
 
     def later(self, other: "HealthFinding | None") -> bool:
+        """Return whether this finding replaces `other`."""
         return other is None or (self.version, self.by) > (other.version, other.by)
 
 
 class SharedHealthChecks:
-    """One member's part. The driver asks `due` what to probe now, and tells `ended` how each probe ended."""
+    """One member's part: which runners to probe when, and what is known of all of them.
 
-    def __init__(self, me: str, every_us: int, runners_most: int = 4096) -> None:
-        self.me, self.every_us, self.runners_most = me, every_us, runners_most
-        self.shares = CheckAssignment(me)
+    The driver calls `due` for the runners to probe now, and `ended` with the outcome of each probe.
+    """
+
+    def __init__(self, own_name: str, interval_us: int, runners_max: int = RUNNERS_MAX) -> None:
+        self.own_name = own_name
+        self.interval_us = interval_us
+        self.runners_max = runners_max
+        self.assignment = CheckAssignment(own_name)
         self.runners: tuple[str, ...] = ()
-        self.live: tuple[str, ...] = (me,)
-        self.agreed: tuple[str, ...] = (me,)
+        self.live: tuple[str, ...] = (own_name,)
+        self.agreed: tuple[str, ...] = (own_name,)
         self.isolated = False
         self.findings: dict[str, HealthFinding] = {}
-        self.untold: dict[str, int] = {}  # findings to pass on, with how often they went out so far
-        self.next_us: dict[str, int] = {}  # of the runners owned here, when each is due
-        self.misses: dict[str, int] = {}  # of the runners owned here, in a row
-        self.left = 0  # probes of the module's that were left to a runner's owner
+        self.skipped_probes = 0  # probes of this router's own that were left to a runner's owner
+        self.next_probe_us: dict[str, int] = {}  # of the runners owned here, when each is due
+        self._transmissions: dict[str, int] = {}  # of the findings to pass on, how often they went out so far
+        self._misses: dict[str, int] = {}  # of the runners owned here, probes in a row without an answer
 
     def listed(self, runners: Iterable[str]) -> None:
-        """The list of runners has changed; what is known of those that went is forgotten."""
-        self.runners = tuple(sorted(runners))[: self.runners_most]
-        here = set(self.runners)
-        for kept in (self.findings, self.untold, self.next_us, self.misses):
-            for runner in [name for name in kept if name not in here]:
-                del kept[runner]
-        self._judge()
+        """Take a new list of runners; what is known of those no longer listed is forgotten."""
+        self.runners = tuple(sorted(runners))[: self.runners_max]
+        listed = set(self.runners)
+        for by_runner in (self.findings, self._transmissions, self.next_probe_us, self._misses):
+            for runner in [name for name in by_runner if name not in listed]:
+                del by_runner[runner]
+        self._assign()
 
     def seen(self, live: Iterable[str], agreed: Iterable[str], isolated: bool) -> None:
-        """The view has changed: duties move at once."""
-        told = tuple(live), tuple(sorted(agreed))
+        """Take a new view; checks move at once."""
         self.isolated = isolated
-        if told != (self.live, self.agreed):
-            self.live, self.agreed = told
-            self._judge()
-
-    def _judge(self) -> None:
-        mine = self.shares.judge(self.runners, self.live, self.agreed)
-        self.next_us = {runner: self.next_us.get(runner, 0) for runner in sorted(mine)}
+        live_members = tuple(live)
+        agreed_members = tuple(sorted(agreed))
+        if live_members != self.live or agreed_members != self.agreed:
+            self.live = live_members
+            self.agreed = agreed_members
+            self._assign()
 
     def due(self, now_us: int) -> list[str]:
-        """The runners to probe now. One that was just taken over is due at once."""
-        due = [runner for runner, at_us in self.next_us.items() if at_us <= now_us]
+        """Return the runners to probe now. One that was just taken over is due at once."""
+        due = [runner for runner, due_us in self.next_probe_us.items() if due_us <= now_us]
         for runner in due:
-            self.next_us[runner] = now_us + self.every_us
+            self.next_probe_us[runner] = now_us + self.interval_us
         return due
 
     def due_us(self) -> int | None:
-        return min(self.next_us.values(), default=None)
+        """Return when the next probe is due, or None where no runner is owned here."""
+        return min(self.next_probe_us.values(), default=None)
 
     def ended(self, runner: str, answers: bool) -> HealthFinding | None:
-        """How a probe ended, of an owner or not; a finding that is news, and goes to the others."""
+        """Take the outcome of a probe, and return the finding if it is a new one.
+
+        A probe of a runner that another member owns makes no finding.
+        """
+        if runner not in self.next_probe_us:
+            return None
+        misses = 0 if answers else self._misses.get(runner, 0) + 1
+        self._misses[runner] = misses
         known = self.findings.get(runner)
-        if runner not in self.next_us:
+        if known is not None and known.answers == answers:
             return None
-        self.misses[runner] = 0 if answers else self.misses.get(runner, 0) + 1
-        if known is not None and known.answers == answers or 0 < self.misses[runner] < MISSES:
+        if 0 < misses < MISSES_UNTIL_SILENT:
             return None
-        finding = HealthFinding(runner, answers, known.version + 1 if known else 1, self.me)
+        finding = HealthFinding(runner, answers, known.version + 1 if known else 1, self.own_name)
         self._keep(finding)
         return finding
 
-    def take(self, finding: HealthFinding) -> bool:
-        """A finding told by another; whether it is news."""
+    def merge(self, finding: HealthFinding) -> bool:
+        """Take another member's finding, and return whether it replaced the one known here."""
         if finding.runner not in self.runners or not finding.later(self.findings.get(finding.runner)):
             return False
         self._keep(finding)
         return True
 
-    def _keep(self, finding: HealthFinding) -> None:
-        self.findings[finding.runner] = finding
-        self.untold[finding.runner] = 0
+    def piggyback(self, count: int, transmit_limit: int) -> list[HealthFinding]:
+        """Return up to `count` findings to send along, least sent first.
 
-    def tell(self, most: int, times: int) -> list[HealthFinding]:
-        """Findings to piggyback on a message: those told least so far, each `times` times in all."""
-        chosen = sorted(self.untold, key=lambda runner: (self.untold[runner], runner))[:most]
+        Each finding is sent `transmit_limit` times in all.
+        """
+        by_transmissions = sorted(
+            self._transmissions, key=lambda runner: (self._transmissions[runner], runner)
+        )
+        chosen = by_transmissions[:count]
         for runner in chosen:
-            self.untold[runner] += 1
-            if self.untold[runner] >= times:
-                del self.untold[runner]
+            self._transmissions[runner] += 1
+            if self._transmissions[runner] >= transmit_limit:
+                del self._transmissions[runner]
         return [self.findings[runner] for runner in chosen]
 
-    def everything(self) -> list[HealthFinding]:
+    def all_findings(self) -> list[HealthFinding]:
+        """Return what is known of every runner, for a full-state exchange."""
         return list(self.findings.values())
 
     def may_probe(self, runner: str) -> bool:
-        """Whether the module here probes `runner` itself. One that is cut off trusts no other's findings;
-        a runner that answers its owner is probed from here all the same, since the path differs."""
+        """Return whether this router probes `runner` for itself.
+
+        A member that is cut off trusts no other's findings; a runner that answers its owner is probed from
+        here all the same, since the path differs.
+        """
         finding = self.findings.get(runner)
-        if self.isolated or finding is None or finding.answers or runner in self.next_us:
+        if self.isolated or finding is None or finding.answers or runner in self.next_probe_us:
             return True
-        self.left += 1
+        self.skipped_probes += 1
         return False
 
-    def owner(self, runner: str) -> str:
-        return owner(runner, sorted({*self.live, self.me}))
+    def _assign(self) -> None:
+        assigned = self.assignment.assign(self.runners, self.live, self.agreed)
+        self.next_probe_us = {runner: self.next_probe_us.get(runner, 0) for runner in sorted(assigned)}
+
+    def _keep(self, finding: HealthFinding) -> None:
+        self.findings[finding.runner] = finding
+        self._transmissions[finding.runner] = 0
--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -1,15 +1,16 @@
-"""The membership protocol's messages, and their form on the wire: one msgpack map a datagram.
-
-A datagram that msgpack cannot read, or whose map is not of the shape below, raises `DatagramError` with the
-place that is wrong; nothing of it is taken.
+"""The membership protocol's messages, and their codec: one msgpack map a datagram.
 
     {"k": kind, "q": seq, "s": source, "t": target, "a": [host, port] of the target (req only),
      "r": [host, port] to answer to, "d": digest of the view (pings and acks),
      "g": [[status, name, host, port, incarnation, by], ...],
      "f": [[runner, whether it answers, version, by], ...]}
+
+A datagram that msgpack cannot read, or whose map is not of this shape, raises `DatagramError` with the place
+that is wrong; nothing of it is taken.
 """
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
 import msgpack  # type: ignore[import-untyped]  # it has no marker of its types
@@ -17,9 +18,43 @@
 from maplestile.common.address import Address
 from maplestile.membership.health_checks import HealthFinding
 
-KINDS = ("ping", "ack", "req", "nack", "join", "sync", "word")
-STATUSES = ("alive", "suspect", "dead", "left")
-NAME_BYTES, RUNNER_BYTES, ENTRIES_MOST = 64, 128, 4096
+
+class MessageKind(StrEnum):
+    """The kinds of messages, as they stand on the wire."""
+
+    PING = "ping"
+    ACK = "ack"
+    REQ = "req"  # SWIM's ping-req: a request to ping the target for the sender
+    NACK = "nack"  # Lifeguard: the helper is reached, but the target has not answered it yet
+    JOIN = "join"  # a full state, and a request for the receiver's
+    SYNC = "sync"  # a full state
+    WORD = "word"  # gossip only
+
+
+class Status(StrEnum):
+    """A member's status, as it stands on the wire."""
+
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    DEAD = "dead"
+    LEFT = "left"
+
+
+KINDS = tuple(kind.value for kind in MessageKind)
+STATUSES = tuple(status.value for status in Status)
+KINDS_WITH_TARGET = (MessageKind.PING, MessageKind.REQ)
+
+NAME_BYTES = 64
+RUNNER_BYTES = 128
+HOST_CHARACTERS = 255
+ENTRIES_MOST = 4096  # in any list of a datagram
+SEQUENCE_BITS = 32
+DIGEST_BITS = 64
+COUNTER_BITS = 63  # of incarnations and versions
+PORTS = 1 << 16
+ADDRESS_FIELDS = 2
+UPDATE_FIELDS = 6
+FINDING_FIELDS = 4
 
 
 class DatagramError(ValueError):
@@ -27,8 +62,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
-    """One rumour: `name` at `address` has `status` in its `incarnation`, as `by` tells."""
+class MemberUpdate:
+    """One piece of gossip: `name` at `address` has `status` in its `incarnation`, as `by` reports."""
 
     status: str
     name: str
@@ -37,109 +72,136 @@
     by: str
 
 
+Entry = MemberUpdate  # the name that other packages use
+
+
 @dataclass(slots=True)
 class Message:
+    """One message of the protocol; `seq` ties an answer to its probe."""
+
     kind: str
     seq: int
     source: str
     target: str = ""
     target_address: Address | None = None
     reply_to: Address = ("", 0)
-    gossip: list[Entry] = field(default_factory=list)
+    gossip: list[MemberUpdate] = field(default_factory=list)
     findings: list[HealthFinding] = field(default_factory=list)
-    digest: int | None = None  # of the sender's view, 64 bits; see `Swim.digest`
+    digest: int | None = None  # of the sender's view, 64 bits; see `MemberList.digest`
 
 
 def encode(message: Message) -> bytes:
-    told: dict[str, Any] = {
+    """Return the datagram of a message."""
+    payload: dict[str, Any] = {
         "k": message.kind,
         "q": message.seq,
         "s": message.source,
         "r": list(message.reply_to),
     }
     if message.target:
-        told["t"] = message.target
+        payload["t"] = message.target
     if message.target_address is not None:
-        told["a"] = list(message.target_address)
+        payload["a"] = list(message.target_address)
     if message.digest is not None:
-        told["d"] = message.digest
+        payload["d"] = message.digest
     if message.gossip:
-        told["g"] = [
-            [e.status, e.name, e.address[0], e.address[1], e.incarnation, e.by] for e in message.gossip
-        ]
+        payload["g"] = [_update_payload(update) for update in message.gossip]
     if message.findings:
-        told["f"] = [[f.runner, f.answers, f.version, f.by] for f in message.findings]
-    return bytes(msgpack.packb(told))
+        payload["f"] = [_finding_payload(finding) for finding in message.findings]
+    return bytes(msgpack.packb(payload))
 
 
 def decode(datagram: bytes) -> Message:
+    """Return the message of a datagram. Raises DatagramError."""
+    payload = _unpack(datagram)
+    kind = _kind(payload)
+    message = Message(
+        kind,
+        _number(payload, "q", SEQUENCE_BITS),
+        _name(payload.get("s"), "s"),
+        reply_to=_address(payload.get("r"), "r"),
+    )
+    if kind in KINDS_WITH_TARGET:
+        message.target = _name(payload.get("t"), "t")
+    if kind == MessageKind.REQ:
+        message.target_address = _address(payload.get("a"), "a")
+    if "d" in payload:
+        message.digest = _number(payload, "d", DIGEST_BITS)
+    message.gossip = [_update(item, f"g[{index}]") for index, item in enumerate(_list(payload, "g"))]
+    message.findings = [_finding(item, f"f[{index}]") for index, item in enumerate(_list(payload, "f"))]
+    return message
+
+
+def _update_payload(update: MemberUpdate) -> list[str | int]:
+    host, port = update.address
+    return [update.status, update.name, host, port, update.incarnation, update.by]
+
+
+def _finding_payload(finding: HealthFinding) -> list[str | int]:
+    return [finding.runner, finding.answers, finding.version, finding.by]
+
+
+def _unpack(datagram: bytes) -> dict[str, Any]:
     try:
-        told = msgpack.unpackb(datagram, raw=False, strict_map_key=True, max_array_len=ENTRIES_MOST)
-    except (ValueError, msgpack.ExtraData, msgpack.FormatError, msgpack.StackError) as fault:
-        raise DatagramError(f"datagram: not msgpack: {type(fault).__name__}") from None
-    if not isinstance(told, dict):
+        payload = msgpack.unpackb(datagram, raw=False, strict_map_key=True, max_array_len=ENTRIES_MOST)
+    except (ValueError, msgpack.ExtraData, msgpack.FormatError, msgpack.StackError) as error:
+        raise DatagramError(f"datagram: not msgpack: {type(error).__name__}") from None
+    if not isinstance(payload, dict):
         raise DatagramError("datagram: not a map")
-    kind = _text(told, "k")
+    return payload
+
+
+def _kind(payload: dict[str, Any]) -> str:
+    kind = payload.get("k")
+    if not isinstance(kind, str):
+        raise DatagramError("k: not a text")
     if kind not in KINDS:
         raise DatagramError(f"k: unknown kind {kind[:NAME_BYTES]!r}")
-    message = Message(
-        kind, _number(told, "q", 32), _name(told.get("s"), "s"), reply_to=_address(told.get("r"), "r")
-    )
-    if kind in ("ping", "req"):
-        message.target = _name(told.get("t"), "t")
-    if kind == "req":
-        message.target_address = _address(told.get("a"), "a")
-    if "d" in told:
-        message.digest = _number(told, "d", 64)
-    message.gossip = [_entry(entry, f"g[{place}]") for place, entry in enumerate(_list(told, "g"))]
-    message.findings = [_finding(one, f"f[{place}]") for place, one in enumerate(_list(told, "f"))]
-    return message
+    return kind
 
 
-def _list(told: dict[str, Any], key: str) -> list[Any]:
-    value = told.get(key, [])
+def _list(payload: dict[str, Any], key: str) -> list[Any]:
+    value = payload.get(key, [])
     if not isinstance(value, list):
         raise DatagramError(f"{key}: not a list")
     return value
 
 
-def _finding(told: Any, place: str) -> HealthFinding:
-    if not isinstance(told, list) or len(told) != 4:
+def _finding(item: Any, place: str) -> HealthFinding:
+    if not isinstance(item, list) or len(item) != FINDING_FIELDS:
         raise DatagramError(f"{place}: not a list of four")
-    runner, answers, version, by = told
+    runner, answers, version, by = item
     if not isinstance(runner, str) or not 0 < len(runner.encode()) <= RUNNER_BYTES:
         raise DatagramError(f"{place}[0]: not a runner's id")
     if not isinstance(answers, bool):
         raise DatagramError(f"{place}[1]: not true or false")
-    if not isinstance(version, int) or isinstance(version, bool) or not 0 <= version < 1 << 63:
+    if not _is_unsigned(version, COUNTER_BITS):
         raise DatagramError(f"{place}[2]: not a version")
     return HealthFinding(runner, answers, version, _name(by, f"{place}[3]"))
 
 
-def _entry(told: Any, place: str) -> Entry:
-    if not isinstance(told, list) or len(told) != 6:
+def _update(item: Any, place: str) -> MemberUpdate:
+    if not isinstance(item, list) or len(item) != UPDATE_FIELDS:
         raise DatagramError(f"{place}: not a list of six")
-    status, name, host, port, incarnation, by = told
+    status, name, host, port, incarnation, by = item
     if status not in STATUSES:
         raise DatagramError(f"{place}[0]: unknown status")
     address = _address([host, port], place)
-    if not isinstance(incarnation, int) or isinstance(incarnation, bool) or not 0 <= incarnation < 1 << 63:
+    if not _is_unsigned(incarnation, COUNTER_BITS):
         raise DatagramError(f"{place}[4]: not an incarnation")
-    return Entry(status, _name(name, f"{place}[1]"), address, incarnation, _name(by, f"{place}[5]"))
+    return MemberUpdate(status, _name(name, f"{place}[1]"), address, incarnation, _name(by, f"{place}[5]"))
 
 
-def _text(told: dict[str, Any], key: str) -> str:
-    value = told.get(key)
-    if not isinstance(value, str):
-        raise DatagramError(f"{key}: not a text")
+def _number(payload: dict[str, Any], key: str, bits: int) -> int:
+    value = payload.get(key)
+    if not isinstance(value, int) or not _is_unsigned(value, bits):
+        raise DatagramError(f"{key}: not a number of {bits} bits")
     return value
 
 
-def _number(told: dict[str, Any], key: str, bits: int) -> int:
-    value = told.get(key)
-    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < 1 << bits:
-        raise DatagramError(f"{key}: not a number of {bits} bits")
-    return value
+def _is_unsigned(value: Any, bits: int) -> bool:
+    """Return whether a value is an unsigned integer of so many bits; a truth value is none."""
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < 1 << bits
 
 
 def _name(value: Any, place: str) -> str:
@@ -149,9 +211,11 @@
 
 
 def _address(value: Any, place: str) -> Address:
-    if not isinstance(value, list) or len(value) != 2:
+    if not isinstance(value, list) or len(value) != ADDRESS_FIELDS:
         raise DatagramError(f"{place}: not [host, port]")
     host, port = value
-    if not isinstance(host, str) or len(host) > 255 or not isinstance(port, int) or not 0 <= port < 65536:
+    if not isinstance(host, str) or len(host) > HOST_CHARACTERS:
+        raise DatagramError(f"{place}: not [host, port]")
+    if not isinstance(port, int) or not 0 <= port < PORTS:
         raise DatagramError(f"{place}: not [host, port]")
     return host, port
--- a/maplestile/membership/settings.py
+++ b/maplestile/membership/settings.py
@@ -1,13 +1,15 @@
-"""The `[peers]` table of an operator's file, read into the node's form and then into `MembershipSettings`.
-
-[peers]
-listen = "127.0.0.1:7946"          # UDP, loopback only
-seeds = ["127.0.0.1:7947"]         # members asked first; the others are learned from them
-advertise = "127.0.0.1:8946"       # where the others reach this member, if not at `listen` (a relay between)
-period_ms = 1000                   # the protocol's period
-ack_ms = 400                       # for a direct ack
-lifeguard = true
-watch_ms = 1000                    # each runner is probed so often, by the one member that owns it; 0 for off
+"""The settings of membership: the `[peers]` table of an operator's file in the router's form, checked.
+
+The table, as an operator writes it (`invoke.operator_file` turns it into the router's form):
+
+    [peers]
+    listen = "127.0.0.1:7946"          # UDP, loopback only
+    seeds = ["127.0.0.1:7947"]         # members to join through; the others are learned from them
+    advertise = "127.0.0.1:8946"       # where the others reach this member, if not at `listen`
+    period_ms = 1000                   # the protocol's period
+    ack_ms = 400                       # for a direct ack
+    lifeguard = true
+    watch_ms = 1000                    # each runner is probed so often, by the member that owns it; 0 for off
 """
 
 from dataclasses import dataclass, replace
@@ -16,15 +18,24 @@
 from maplestile.common.address import Address
 from maplestile.membership.tuning import Tuning
 
-SEEDS_MOST = 64
+SEEDS_MAX = 64
+PERIOD_MIN_US = 10_000
+PERIOD_MAX_US = 60_000_000
+ACK_MIN_US = 1_000
+DEFAULT_PERIOD_US = 1_000_000
+DEFAULT_ACK_US = 400_000
+LOOPBACK_HOSTS = ("127.0.0.1", "localhost", "::1")
+PORTS = 1 << 16
 
 
 class MembershipSettingsError(ValueError):
-    """A plan that cannot be used; the text names the field."""
+    """Settings that cannot be used; the text names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipSettings:
+    """One member's settings."""
+
     listen: Address
     seeds: tuple[Address, ...]
     tuning: Tuning
@@ -32,35 +43,48 @@
     watch_us: int = 0  # between the probes of one runner by its owner; 0 for none
 
 
-def plan_from(told: Any) -> MembershipSettings:
-    """From the node's form, `{"listen": "h:p", "seeds": [...], "periodUs", "ackUs", "lifeguard",
-    "watchUs", "advertise"}`."""
-    if not isinstance(told, dict):
+def plan_from(table: Any) -> MembershipSettings:
+    """Return the settings of a table in the router's form. Raises MembershipSettingsError.
+
+    The form is `{"listen": "h:p", "seeds": [...], "periodUs", "ackUs", "lifeguard", "watchUs", "advertise"}`.
+    """
+    if not isinstance(table, dict):
         raise MembershipSettingsError("peers: must be a table")
-    listen = _address(told.get("listen"), "peers.listen")
-    seeds = told.get("seeds", [])
-    if not isinstance(seeds, list) or len(seeds) > SEEDS_MOST:
-        raise MembershipSettingsError(f"peers.seeds: must be a list of at most {SEEDS_MOST} addresses")
-    period_us, ack_us = told.get("periodUs", 1_000_000), told.get("ackUs", 400_000)
-    lifeguard = told.get("lifeguard", True)
-    if not isinstance(period_us, int) or not 10_000 <= period_us <= 60_000_000:
+    listen = _address(table.get("listen"), "peers.listen")
+    seeds = table.get("seeds", [])
+    if not isinstance(seeds, list) or len(seeds) > SEEDS_MAX:
+        raise MembershipSettingsError(f"peers.seeds: must be a list of at most {SEEDS_MAX} addresses")
+    tuning = _tuning(table)
+    advertise = table.get("advertise")
+    if advertise is not None:
+        advertise = _address(advertise, "peers.advertise")
+    watch_us = _watch_us(table)
+    seed_addresses = tuple(_address(seed, f"peers.seeds[{index}]") for index, seed in enumerate(seeds))
+    return MembershipSettings(listen, seed_addresses, tuning, advertise, watch_us)
+
+
+def _tuning(table: dict[str, Any]) -> Tuning:
+    period_us = table.get("periodUs", DEFAULT_PERIOD_US)
+    ack_us = table.get("ackUs", DEFAULT_ACK_US)
+    lifeguard = table.get("lifeguard", True)
+    if not isinstance(period_us, int) or not PERIOD_MIN_US <= period_us <= PERIOD_MAX_US:
         raise MembershipSettingsError("peers.period_ms: must be from 10 to 60000")
-    if not isinstance(ack_us, int) or not 1_000 <= ack_us < period_us:
+    if not isinstance(ack_us, int) or not ACK_MIN_US <= ack_us < period_us:
         raise MembershipSettingsError("peers.ack_ms: must be at least 1 and less than the period")
     if not isinstance(lifeguard, bool):
         raise MembershipSettingsError("peers.lifeguard: must be true or false")
-    places = (_address(seed, f"peers.seeds[{n}]") for n, seed in enumerate(seeds))
-    tuning = replace(Tuning(), period_us=period_us, ack_us=ack_us, lifeguard=lifeguard)
-    advertise = told.get("advertise")
-    shown = None if advertise is None else _address(advertise, "peers.advertise")
-    watch_us = told.get("watchUs", 0)
-    if not isinstance(watch_us, int) or watch_us and not 10_000 <= watch_us <= 60_000_000:
+    return replace(Tuning(), period_us=period_us, ack_us=ack_us, lifeguard=lifeguard)
+
+
+def _watch_us(table: dict[str, Any]) -> int:
+    watch_us = table.get("watchUs", 0)
+    if not isinstance(watch_us, int) or (watch_us and not PERIOD_MIN_US <= watch_us <= PERIOD_MAX_US):
         raise MembershipSettingsError("peers.watch_ms: must be 0, or from 10 to 60000")
-    return MembershipSettings(listen, tuple(places), tuning, shown, watch_us)
+    return watch_us
 
 
-def _address(told: Any, place: str) -> Address:
-    host, _, port = str(told).rpartition(":") if isinstance(told, str) else ("", "", "")
-    if host not in ("127.0.0.1", "localhost", "::1") or not port.isdigit() or not 0 <= int(port) < 65536:
+def _address(value: Any, place: str) -> Address:
+    host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
+    if host not in LOOPBACK_HOSTS or not port.isdigit() or not 0 <= int(port) < PORTS:
         raise MembershipSettingsError(f"{place}: must be a loopback host:port")
     return ("127.0.0.1" if host == "localhost" else host), int(port)
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -1,4 +1,4 @@
-"""The membership protocol on UDP: datagrams in and out of `peers.swim.Swim`, and its timer."""
+"""The membership protocol on UDP: datagrams in and out of `membership.swim.Swim`, and its timer."""
 
 import asyncio
 import logging
@@ -8,164 +8,208 @@
 from typing import Any
 
 from maplestile.common import logs
+from maplestile.common.address import Address
 from maplestile.common.waiting import wait_until_set
 from maplestile.dispatch.api import Result
 from maplestile.membership.health_checks import SharedHealthChecks
+from maplestile.membership.member_list import Member
 from maplestile.membership.messages import DatagramError, decode, encode
 from maplestile.membership.settings import MembershipSettings
 from maplestile.membership.swim import Status, Swim
 
 log = logging.getLogger("maplestile.peers")
 
+MAX_WAIT_S = 1.0  # between two looks at the timers
+
 
 def monotonic_us() -> int:
+    """Return the clock of the protocol, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class GossipDriver(asyncio.DatagramProtocol):
-    """One member on one UDP socket."""
+    """One member on one UDP socket.
+
+    `probe` sends one health check to a runner; the outcome comes back by `probed`.
+    """
 
     def __init__(
         self,
         name: str,
-        plan: MembershipSettings,
+        settings: MembershipSettings,
         seed: int,
         counters: Counter[str],
         probe: Callable[[str], None],
     ) -> None:
+        self.name = name
+        self.settings = settings
+        self.seed = seed
+        self.counters = counters
         self.probe = probe
-        self.watch = SharedHealthChecks(name, plan.watch_us) if plan.watch_us else None
-        self.name, self.plan, self.tuning, self.seed = name, plan, plan.tuning, seed
-        self.swim = Swim(name, plan.listen, plan.tuning, seed, monotonic_us())  # anew once the socket stands
-        self.seeds, self.counters = list(plan.seeds), counters
+        self.health_checks = SharedHealthChecks(name, settings.watch_us) if settings.watch_us else None
+        self.swim = self._new_swim(settings.listen)  # replaced once the socket's address is known
         self.events = logs.events("peers")
         self.transport: asyncio.DatagramTransport | None = None
         self.wake = asyncio.Event()
 
+    # The socket and the timer.
+
     async def run(self) -> None:
-        loop = asyncio.get_running_loop()
-        self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.plan.listen)
+        """Take part in the group until cancelled. Raises OSError where the address cannot be bound."""
+        self.transport = await self._open_socket()
         host, port = self.transport.get_extra_info("sockname")[:2]
-        address = self.plan.advertise or (host, port)  # port 0 in the file: the system's choice is told
-        self.swim = Swim(self.name, address, self.tuning, self.seed, monotonic_us(), self.watch)
-        self.swim.join(self.seeds, monotonic_us())
+        # With port 0 in the settings the system chose one, which the others need to know.
+        self.swim = self._new_swim(self.settings.advertise or (host, port))
+        self.swim.join(self.settings.seeds)
         self._flush()
-        log.info("%s: members meet on UDP %s:%d, seeds %d", self.name, host, port, len(self.seeds))
+        log.info("%s: members meet on UDP %s:%d, seeds %d", self.name, host, port, len(self.settings.seeds))
         try:
             while True:
-                wait_s = max(0.0, (self._due_us() - monotonic_us()) / 1e6)
-                self.wake.clear()
-                await wait_until_set(self.wake, min(wait_s, 1.0))
+                await self._wait_until_due()
                 self.swim.tick(monotonic_us())
                 self._flush()
-                if self.watch is not None:
-                    for runner in self.watch.due(monotonic_us()):
-                        self.counters["peers.watch.probes"] += 1
-                        self.probe(runner)
+                self._send_health_checks()
         finally:
             self.transport.close()
 
-    def _due_us(self) -> int:
-        watched = self.watch.due_us() if self.watch is not None else None
-        due_us = self.swim.due_us()
-        return due_us if watched is None else min(due_us, watched)
-
-    # The runners, as the core and the list tell of them.
-
-    def listed(self, runners: Iterable[str]) -> None:
-        if self.watch is not None:
-            self.watch.listed(runners)
-            self.wake.set()
-
-    def may_probe(self, runner: str) -> bool:
-        return self.watch is None or self.watch.may_probe(runner)
-
-    def probed(self, runner: str, result: Result) -> None:
-        if self.watch is None or result is Result.SUPERSEDED:  # never sent: the runner drains, and may answer
-            return
-        finding = self.watch.ended(runner, result is Result.OK)
-        if finding is not None:
-            self.counters["peers.watch.findings"] += 1
-            self.events.info("finding", runner=runner, answers=finding.answers, version=finding.version)
-
     def leave(self) -> None:
-        """Say that this member goes; the word travels while the process drains, before the socket closes."""
+        """Announce that this member leaves; the gossip spreads while the process drains."""
         if self.transport is None:
             return
-        self.swim.leave(monotonic_us())
+        self.swim.leave()
         self._flush()
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Handle one datagram; one that cannot be decoded is counted and dropped."""
         try:
             message = decode(data)
-        except DatagramError as fault:
+        except DatagramError as error:
             self.counters["peers.bad_datagrams"] += 1
-            log.warning("peers: a bad datagram from %s:%s dropped: %s", addr[0], addr[1], fault)
+            log.warning("peers: a bad datagram from %s:%s dropped: %s", addr[0], addr[1], error)
             return
         self.counters[f"peers.in.{message.kind}"] += 1
         self.swim.receive(message, monotonic_us())
         self._flush()
         self.wake.set()  # what came may have changed what is due
 
-    def error_received(self, exc: Exception) -> None:
-        self.counters["peers.send_errors"] += 1  # a port refused by a member that ended: its probe tells
+    def error_received(self, exc: Exception) -> None:  # noqa: ARG002 - asyncio calls it with this argument
+        """Count a datagram that was refused, as by the host of a member that ended: the probes detect it."""
+        self.counters["peers.send_errors"] += 1
 
-    def _flush(self) -> None:
-        for to, message in self.swim.outbox:
-            if self.transport is not None:
-                self.transport.sendto(encode(message), to)
-                self.counters[f"peers.out.{message.kind}"] += 1
-        self.swim.outbox.clear()
-        for kind, told in self.swim.events:
-            self.counters[f"peers.events.{kind}"] += 1
-            self.events.info(kind, **told)
-        self.swim.events.clear()
-        for kind, count in self.swim.faults.items():
-            self.counters[f"peers.faults.{kind}"] += count
-        self.swim.faults.clear()
+    # The runners: their list, and the health checks of this router.
+
+    def listed(self, runners: Iterable[str]) -> None:
+        """Take a new list of runners."""
+        if self.health_checks is not None:
+            self.health_checks.listed(runners)
+            self.wake.set()
+
+    def may_probe(self, runner: str) -> bool:
+        """Return whether this router probes a runner for itself."""
+        return self.health_checks is None or self.health_checks.may_probe(runner)
+
+    def probed(self, runner: str, result: Result) -> None:
+        """Take the outcome of a health check, whoever had it sent."""
+        # A superseded check was never sent: the runner drains, and may well answer.
+        if self.health_checks is None or result is Result.SUPERSEDED:
+            return
+        finding = self.health_checks.ended(runner, result is Result.OK)
+        if finding is not None:
+            self.counters["peers.watch.findings"] += 1
+            self.events.info("finding", runner=runner, answers=finding.answers, version=finding.version)
+
+    # What operators see.
 
     def members(self) -> dict[str, Any]:
-        """The view, for operators: `{"member", "isolated", "health", "agreed", "members": [...]}`."""
+        """Return the view: `{"member", "isolated", "health", "agreed", "members": [...], ...}`."""
         swim = self.swim
+        checks = self.health_checks
         return {
             "member": swim.name,
             "incarnation": swim.incarnation,
             "isolated": swim.isolated,
             "health": swim.health,
             "agreed": sorted(swim.agreed),
-            "members": [
-                {
-                    "name": m.name,
-                    "address": f"{m.address[0]}:{m.address[1]}",
-                    "status": m.status.value,
-                    "incarnation": m.incarnation,
-                }
-                for m in swim.view()
-            ],
-            "watch": None if self.watch is None else self._watched(self.watch),
-        }
-
-    @staticmethod
-    def _watched(watch: SharedHealthChecks) -> dict[str, Any]:
-        """The runners this member probes for all, those that their owners find silent, and what moved."""
-        silent = sorted(name for name, found in watch.findings.items() if not found.answers)
-        shares = watch.shares
-        return {
-            "mine": sorted(watch.next_us),
-            "silent": silent,
-            "taken_over": shares.taken_over,
-            "given_up": shares.given_up,
-            "overlap": shares.overlap,
-            "left": watch.left,
+            "members": [_member_view(member) for member in swim.view()],
+            "watch": None if checks is None else _health_checks_view(checks),
         }
 
     def figures(self) -> dict[str, int]:
-        """For the operators' figures: members by state, whether this one is cut off, and its duties."""
-        swim, watch = self.swim, self.watch
-        told = {f"members_{status.value}": 0 for status in Status}
-        for member in swim.members.values():
-            told[f"members_{member.status.value}"] += 1
-        told |= {"isolated": int(swim.isolated), "health": swim.health}
-        if watch is not None:
-            told |= {"duties": len(watch.next_us), "duties_overlap": watch.shares.overlap}
-        return told
+        """Return the metrics: members by status, whether this one is isolated, and its health checks."""
+        metrics = {f"members_{status.value}": 0 for status in Status}
+        for member in self.swim.members.values():
+            metrics[f"members_{member.status.value}"] += 1
+        metrics["isolated"] = int(self.swim.isolated)
+        metrics["health"] = self.swim.health
+        if self.health_checks is not None:
+            metrics["duties"] = len(self.health_checks.next_probe_us)
+            metrics["duties_overlap"] = self.health_checks.assignment.overlap
+        return metrics
+
+    # Steps of the loop.
+
+    def _new_swim(self, address: Address) -> Swim:
+        tuning = self.settings.tuning
+        return Swim(self.name, address, tuning, self.seed, monotonic_us(), self.health_checks)
+
+    async def _open_socket(self) -> asyncio.DatagramTransport:
+        loop = asyncio.get_running_loop()
+        transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.settings.listen)
+        return transport
+
+    async def _wait_until_due(self) -> None:
+        wait_s = max(0.0, (self._due_us() - monotonic_us()) / 1e6)
+        self.wake.clear()
+        await wait_until_set(self.wake, min(wait_s, MAX_WAIT_S))
+
+    def _due_us(self) -> int:
+        due_us = self.swim.due_us()
+        check_due_us = self.health_checks.due_us() if self.health_checks is not None else None
+        return due_us if check_due_us is None else min(due_us, check_due_us)
+
+    def _send_health_checks(self) -> None:
+        if self.health_checks is None:
+            return
+        for runner in self.health_checks.due(monotonic_us()):
+            self.counters["peers.watch.probes"] += 1
+            self.probe(runner)
+
+    def _flush(self) -> None:
+        self._send_outbox()
+        for event in self.swim.events:
+            self.counters[f"peers.events.{event.kind}"] += 1
+            self.events.info(event.kind, **event.fields)
+        self.swim.events.clear()
+        for kind, count in self.swim.faults.items():
+            self.counters[f"peers.faults.{kind}"] += count
+        self.swim.faults.clear()
+
+    def _send_outbox(self) -> None:
+        for outgoing in self.swim.outbox:
+            if self.transport is not None:
+                self.transport.sendto(encode(outgoing.message), outgoing.address)
+                self.counters[f"peers.out.{outgoing.message.kind}"] += 1
+        self.swim.outbox.clear()
+
+
+def _member_view(member: Member) -> dict[str, Any]:
+    host, port = member.address
+    return {
+        "name": member.name,
+        "address": f"{host}:{port}",
+        "status": member.status.value,
+        "incarnation": member.incarnation,
+    }
+
+
+def _health_checks_view(checks: SharedHealthChecks) -> dict[str, Any]:
+    """Return the runners that this member probes, those that their owners find silent, and what moved."""
+    silent = sorted(runner for runner, finding in checks.findings.items() if not finding.answers)
+    return {
+        "mine": sorted(checks.next_probe_us),
+        "silent": silent,
+        "taken_over": checks.assignment.taken_over,
+        "given_up": checks.assignment.given_up,
+        "overlap": checks.assignment.overlap,
+        "left": checks.skipped_probes,
+    }
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -3,9 +3,9 @@
 import unittest
 from typing import Any
 
-from maplestile.membership import assignment as duties
+from maplestile.membership import assignment
 from maplestile.membership.health_checks import HealthFinding, SharedHealthChecks
-from maplestile.membership.messages import DatagramError, Entry, Message, decode, encode
+from maplestile.membership.messages import DatagramError, MemberUpdate, Message, decode, encode
 from maplestile.membership.swim import Swim
 from maplestile.membership.tuning import Tuning
 from maplestile.tools.faults.schedule import ScheduleError
@@ -117,7 +117,7 @@
 
 class WireTest(unittest.TestCase):
     def test_a_message_goes_whole_there_and_back(self) -> None:
-        entry = Entry("suspect", "r2", ("127.0.0.1", 7001), 3, "r1")
+        entry = MemberUpdate("suspect", "r2", ("127.0.0.1", 7001), 3, "r1")
         sent = Message("req", 9, "r1", "r2", ("127.0.0.1", 7001), ("127.0.0.1", 7000), [entry])
         self.assertEqual(decode(encode(sent)), sent)
 
@@ -148,7 +148,7 @@
                         "r1",
                         "r2",
                         reply_to=("127.0.0.1", 1),
-                        gossip=[Entry("gone", "r3", ("h", 1), 0, "r1")],
+                        gossip=[MemberUpdate("gone", "r3", ("h", 1), 0, "r1")],
                     )
                 ),
                 r"g\[0\]\[0\]",
@@ -158,35 +158,35 @@
                 decode(datagram)
 
 
-class DutiesTest(unittest.TestCase):
-    def test_a_member_that_ends_moves_only_its_own_duties(self) -> None:
-        tasks = [f"probe-{n}" for n in range(200)]
+class AssignmentTest(unittest.TestCase):
+    def test_a_member_that_ends_moves_only_its_own_checks(self) -> None:
+        names = [f"probe-{n}" for n in range(200)]
         members = [f"r{n}" for n in range(5)]
-        before = {task: duties.owner(task, members) for task in tasks}
-        after = {task: duties.owner(task, members[:2] + members[3:]) for task in tasks}
-        moved = [task for task in tasks if before[task] != after[task]]
-        self.assertEqual(set(moved), {task for task in tasks if before[task] == "r2"})
+        before = {name: assignment.owner(name, members) for name in names}
+        after = {name: assignment.owner(name, members[:2] + members[3:]) for name in names}
+        moved = [name for name in names if before[name] != after[name]]
+        self.assertEqual(set(moved), {name for name in names if before[name] == "r2"})
         self.assertTrue(20 < len(moved) < 60)
 
-    def test_shares_count_what_is_taken_over_and_what_is_done_twice(self) -> None:
-        shares = duties.CheckAssignment("r0")
-        tasks = [f"probe-{n}" for n in range(100)]
+    def test_assignment_counts_what_is_taken_over_and_what_is_done_twice(self) -> None:
+        assigned_checks = assignment.CheckAssignment("r0")
+        names = [f"probe-{n}" for n in range(100)]
         everyone = ["r0", "r1", "r2"]
-        first = shares.judge(tasks, everyone, everyone)
-        alone = shares.judge(tasks, ["r0"], everyone)
-        self.assertEqual(alone, frozenset(tasks))
-        self.assertEqual(shares.taken_over, 100 - len(first))
-        self.assertEqual(shares.overlap, 100 - len(first))
-        self.assertEqual(shares.judge(tasks, everyone, everyone), first)
-        self.assertEqual(shares.given_up, 100 - len(first))
+        first = assigned_checks.assign(names, everyone, everyone)
+        alone = assigned_checks.assign(names, ["r0"], everyone)
+        self.assertEqual(alone, frozenset(names))
+        self.assertEqual(assigned_checks.taken_over, 100 - len(first))
+        self.assertEqual(assigned_checks.overlap, 100 - len(first))
+        self.assertEqual(assigned_checks.assign(names, everyone, everyone), first)
+        self.assertEqual(assigned_checks.given_up, 100 - len(first))
 
 
 class JoinTest(unittest.TestCase):
     def test_a_joiner_is_learned_by_all_also_where_the_seeds_word_of_it_died_out(self) -> None:
         tuning = Tuning(period_us=100_000, ack_us=40_000)
         swims = {n: Swim(f"r{n}", ("h", n), tuning, n, 0) for n in range(3)}
-        swims[1].join([("h", 0)], 0)
-        swims[2].join([("h", 0)], 0)
+        swims[1].join([("h", 0)])
+        swims[2].join([("h", 0)])
         now = 0
         for _ in range(400):  # 40 periods of 100 ms, every datagram delivered at once
             now += 10_000
@@ -194,11 +194,12 @@
                 swim.tick(now)
             while any(swim.outbox for swim in swims.values()):
                 for swim in swims.values():
-                    outbox, swim.outbox = swim.outbox, []
+                    outbox = list(swim.outbox)
+                    swim.outbox.clear()
                     for to, message in outbox:
                         swims[to[1]].receive(message, now)
                     if now == 10_000:
-                        swims[0].rumours.clear()  # the seed's word of the joiners dies out before it spread
+                        swims[0].update_queue.clear()  # the seed's updates about the joiners are dropped
         self.assertEqual([swim.live() for swim in swims.values()], [["r0", "r1", "r2"]] * 3)
 
 
@@ -207,7 +208,7 @@
         tuning = Tuning(period_us=100_000, ack_us=40_000)
         swims = [Swim(f"r{n}", ("h", n), tuning, n, 0) for n in range(3)]
         for swim in swims[1:]:
-            swim.join([("h", 0)], 0)
+            swim.join([("h", 0)])
         now = 0
 
         def go_on(steps: int) -> None:
@@ -218,12 +219,13 @@
                     swim.tick(now)
                 while any(swim.outbox for swim in swims):
                     for swim in swims:
-                        outbox, swim.outbox = swim.outbox, []
+                        outbox = list(swim.outbox)
+                        swim.outbox.clear()
                         for to, message in outbox:
                             swims[to[1]].receive(message, now)
 
         go_on(200)
-        swims[0].leave(now)
+        swims[0].leave()
         go_on(100)
         self.assertEqual(swims[1].live(), ["r1", "r2"])
         swims[0] = Swim("r0", ("h", 0), tuning, 9, now)  # its file names no seed: it was the first
@@ -231,8 +233,8 @@
         self.assertEqual([swim.live() for swim in swims], [["r0", "r1", "r2"]] * 3)
 
 
-class WatchTest(unittest.TestCase):
-    """RunnerPool probed by their owners, on the model and by themselves."""
+class SharedHealthChecksTest(unittest.TestCase):
+    """Runners probed by their owners, on the model and by themselves."""
 
     def test_the_fleet_sends_about_one_probe_a_duty_also_when_an_owner_dies(self) -> None:
         figures = model(members=10, seconds=60, duties=20, kill=[{"at_s": 20, "member": 3}])
@@ -242,40 +244,40 @@
 
     def test_the_later_finding_wins_and_one_miss_is_none(self) -> None:
         one, other = SharedHealthChecks("r0", 1000), SharedHealthChecks("r1", 1000)
-        for watch in (one, other):
-            watch.listed(["w1"])
+        for checks in (one, other):
+            checks.listed(["w1"])
         self.assertIsNone(one.ended("w1", False))  # a single miss
         finding = one.ended("w1", False)
         assert finding is not None
         self.assertEqual((finding.answers, finding.version), (False, 1))
-        self.assertTrue(other.take(finding))
-        self.assertFalse(other.take(finding))
+        self.assertTrue(other.merge(finding))
+        self.assertFalse(other.merge(finding))
         back = other.ended("w1", True)
         assert back is not None
-        self.assertTrue(one.take(back))
-        self.assertFalse(one.take(finding))  # an old one changes nothing
+        self.assertTrue(one.merge(back))
+        self.assertFalse(one.merge(finding))  # an old one changes nothing
         self.assertEqual(one.findings, other.findings)
 
     def test_a_module_leaves_its_probe_to_the_owner_of_a_silent_runner_unless_cut_off(self) -> None:
-        watch = SharedHealthChecks("r0", 1000)
-        watch.listed([f"w{n}" for n in range(20)])
-        watch.seen(["r0", "r1"], ["r0", "r1"], False)
-        others = [f"w{n}" for n in range(20) if f"w{n}" not in watch.next_us]
-        self.assertTrue(watch.may_probe(others[0]))
-        watch.take(HealthFinding(others[0], False, 1, "r1"))
-        self.assertFalse(watch.may_probe(others[0]))
-        self.assertEqual(watch.left, 1)
-        watch.seen(["r0", "r1"], ["r0", "r1"], True)
-        self.assertTrue(watch.may_probe(others[0]))
-        watch.seen(["r0"], ["r0", "r1"], True)  # r1 is dead: all are this member's, and due at once
-        self.assertIn(others[0], watch.due(5))
+        checks = SharedHealthChecks("r0", 1000)
+        checks.listed([f"w{n}" for n in range(20)])
+        checks.seen(["r0", "r1"], ["r0", "r1"], False)
+        others = [f"w{n}" for n in range(20) if f"w{n}" not in checks.next_probe_us]
+        self.assertTrue(checks.may_probe(others[0]))
+        checks.merge(HealthFinding(others[0], False, 1, "r1"))
+        self.assertFalse(checks.may_probe(others[0]))
+        self.assertEqual(checks.skipped_probes, 1)
+        checks.seen(["r0", "r1"], ["r0", "r1"], True)
+        self.assertTrue(checks.may_probe(others[0]))
+        checks.seen(["r0"], ["r0", "r1"], True)  # r1 is dead: all are this member's, and due at once
+        self.assertIn(others[0], checks.due(5))
 
     def test_findings_go_out_so_many_times_and_no_more(self) -> None:
-        watch = SharedHealthChecks("r0", 1000)
-        watch.listed(["w1", "w2"])
+        checks = SharedHealthChecks("r0", 1000)
+        checks.listed(["w1", "w2"])
         for runner in ("w1", "w2"):
-            watch.ended(runner, True)
-        told = [finding.runner for _ in range(9) for finding in watch.tell(1, 3)]
+            checks.ended(runner, True)
+        told = [finding.runner for _ in range(9) for finding in checks.piggyback(1, 3)]
         self.assertEqual(sorted(told), ["w1"] * 3 + ["w2"] * 3)
 
 
