--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -5,45 +5,55 @@
 import sys
 
 from benchmarks.fit import Series
-from benchmarks.hollow import HollowFleet, Use, resident_kb
+from benchmarks.hollow import HollowFleet, MemberUsage, resident_kb
 
 PERIOD_US = 1_000_000  # the shipped one
 SIZES = (10, 20, 40, 80)
-# For the rumours of the joins to be told: some tens of bytes for each member, some times, a dozen a message.
-SETTLE_S, SETTLE_S_A_MEMBER, SECONDS = 4.0, 0.4, 6.0
+SECONDS = 6.0
+SMALL_SIZES = (4, 8, 12)
+SMALL_SECONDS = 2.0
+SMALL_PERIOD_US = 200_000
+# For the joins to be disseminated: some tens of bytes for each member, some times, a dozen a message.
+SETTLE_S = 4.0
+SETTLE_S_PER_MEMBER = 0.4
 
 
-async def measure(members: int, seconds: float = SECONDS, period_us: int = PERIOD_US) -> tuple[Use, float]:
-    """Quiet use, and the resident KB of a member."""
+async def measure(
+    members: int, seconds: float = SECONDS, period_us: int = PERIOD_US
+) -> tuple[MemberUsage, float]:
+    """Return what a member uses when nothing happens, and its resident KB."""
     gc.collect()
     before_kb = resident_kb()
     fleet = HollowFleet(members, period_us)
     try:
         await fleet.start()
-        await asyncio.sleep((SETTLE_S + SETTLE_S_A_MEMBER * members) * period_us / PERIOD_US)
-        use = await fleet.measure(seconds)
-        return use, (resident_kb() - before_kb) / members
+        await asyncio.sleep((SETTLE_S + SETTLE_S_PER_MEMBER * members) * period_us / PERIOD_US)
+        usage = await fleet.measure(seconds)
+        return usage, (resident_kb() - before_kb) / members
     finally:
         await fleet.stop()
 
 
 def run(small: bool = False) -> list[Series]:
-    sizes, seconds, period_us = ((4, 8, 12), 2.0, 200_000) if small else (SIZES, SECONDS, PERIOD_US)
+    """Return the series over the number of members; `small` is for a quick look."""
+    sizes = SMALL_SIZES if small else SIZES
+    seconds = SMALL_SECONDS if small else SECONDS
+    period_us = SMALL_PERIOD_US if small else PERIOD_US
     messages = Series("membership messages", "members", "a member and second")
-    out = Series("membership bytes out", "members", "B a member and second")
-    incoming = Series("membership bytes in", "members", "B a member and second")
-    spent = Series("membership processor time", "members", "ms a member and second")
+    bytes_out = Series("membership bytes out", "members", "B a member and second")
+    bytes_in = Series("membership bytes in", "members", "B a member and second")
+    processor = Series("membership processor time", "members", "ms a member and second")
     memory = Series("membership memory", "members", "KB a member")
     for members in sizes:
         print(f"  {members} members …", file=sys.stderr, flush=True)
         try:
-            use, member_kb = asyncio.run(measure(members, seconds, period_us))
-        except TimeoutError as fault:
-            print(f"membership: left out: {fault}", file=sys.stderr, flush=True)
+            usage, member_kb = asyncio.run(measure(members, seconds, period_us))
+        except TimeoutError as error:
+            print(f"membership: left out: {error}", file=sys.stderr, flush=True)
             continue
-        messages.add(members, use.messages)
-        out.add(members, use.bytes_out)
-        incoming.add(members, use.bytes_in)
-        spent.add(members, use.processor_ms)
+        messages.add(members, usage.messages)
+        bytes_out.add(members, usage.bytes_out)
+        bytes_in.add(members, usage.bytes_in)
+        processor.add(members, usage.processor_ms)
         memory.add(members, member_kb)
-    return [messages, out, incoming, spent, memory]
+    return [messages, bytes_out, bytes_in, processor, memory]
