--- a/maplestile/operation/__init__.py
+++ b/maplestile/operation/__init__.py
@@ -1,1 +1,1 @@
-"""Running a router day by day: the operators' front, figures, suspended runners, replacing the process."""
+"""Operating a router day by day: the operators' front, metrics, cordoned runners, replacing the process."""
--- a/maplestile/operation/client.py
+++ b/maplestile/operation/client.py
@@ -4,46 +4,63 @@
 
 import h11
 
-READ_BYTES, BODY_MOST = 16_384, 1 << 20
+from maplestile.common.address import Address
+
+READ_BYTES = 16_384
+MAX_BODY_BYTES = 1 << 20
 
 
 class CallError(Exception):
-    """The front could not be reached, or gave no whole answer."""
+    """The front could not be reached, or gave no complete answer."""
 
 
 async def call(
-    address: tuple[str, int], method: str, path: str, wait_s: float, content: bytes = b""
+    address: Address, method: str, path: str, wait_s: float, content: bytes = b""
 ) -> tuple[int, str]:
-    """The status and the body."""
+    """Return the status and the body of the answer. Raises CallError."""
     try:
         async with asyncio.timeout(wait_s):
-            return await _call(address, method, path, content)
-    except (OSError, TimeoutError, h11.ProtocolError) as fault:
-        raise CallError(f"no answer at {address[0]}:{address[1]}: {fault or 'too late'}") from None
+            return await _exchange(address, method, path, content)
+    except (OSError, TimeoutError, h11.ProtocolError) as error:
+        raise CallError(f"no answer at {address[0]}:{address[1]}: {error or 'too late'}") from None
 
 
-async def _call(address: tuple[str, int], method: str, path: str, content: bytes) -> tuple[int, str]:
+async def _exchange(address: Address, method: str, path: str, content: bytes) -> tuple[int, str]:
     reader, writer = await asyncio.open_connection(*address)
-    wire = h11.Connection(h11.CLIENT)
+    connection = h11.Connection(h11.CLIENT)
     try:
-        headers = [
-            ("Host", f"{address[0]}:{address[1]}"),
-            ("Connection", "close"),
-            ("Content-Length", str(len(content))),
-        ]
-        request = h11.Request(method=method, target=path, headers=headers)
-        events = (request, *([h11.Data(content)] if content else []), h11.EndOfMessage())
-        writer.write(b"".join(wire.send(event) or b"" for event in events))
-        status, body = 0, bytearray()
-        while not isinstance(event := wire.next_event(), h11.EndOfMessage):
-            if event is h11.NEED_DATA:
-                wire.receive_data(await reader.read(READ_BYTES))
-            elif isinstance(event, h11.Response):
-                status = event.status_code
-            elif isinstance(event, h11.Data):
-                body += event.data
-            if isinstance(event, h11.ConnectionClosed) or len(body) > BODY_MOST:
-                raise CallError("no whole answer")
-        return status, body.decode(errors="replace")
+        writer.write(_request_bytes(connection, address, method, path, content))
+        return await _read_response(connection, reader)
     finally:
         writer.close()
+
+
+def _request_bytes(
+    connection: h11.Connection, address: Address, method: str, path: str, content: bytes
+) -> bytes:
+    headers = [
+        ("Host", f"{address[0]}:{address[1]}"),
+        ("Connection", "close"),
+        ("Content-Length", str(len(content))),
+    ]
+    request = h11.Request(method=method, target=path, headers=headers)
+    events: list[h11.Event] = [request]
+    if content:
+        events.append(h11.Data(content))
+    events.append(h11.EndOfMessage())
+    return b"".join(connection.send(event) or b"" for event in events)
+
+
+async def _read_response(connection: h11.Connection, reader: asyncio.StreamReader) -> tuple[int, str]:
+    status = 0
+    body = bytearray()
+    while not isinstance(event := connection.next_event(), h11.EndOfMessage):
+        if event is h11.NEED_DATA:
+            connection.receive_data(await reader.read(READ_BYTES))
+        elif isinstance(event, h11.Response):
+            status = event.status_code
+        elif isinstance(event, h11.Data):
+            body += event.data
+        if isinstance(event, h11.ConnectionClosed) or len(body) > MAX_BODY_BYTES:
+            raise CallError("no whole answer")
+    return status, body.decode(errors="replace")
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -1,7 +1,8 @@
-"""Runners that operators have taken out, by hand and for as long as they say so.
+"""Cordoned runners: those that operators have taken out of service, for as long as they say so.
 
-A ban is shown to the decisions and to the pool as a drain (`EndpointList.suspended`). Cordons stand on a
-shelf that the process of an upgrade shares with the one before it; either may be called."""
+The decisions and the pool see a cordon as a drain (`EndpointList.suspended`). Cordons are stored where both
+processes of an upgrade see them, so that either may be called.
+"""
 
 import logging
 from collections import Counter
@@ -16,84 +17,111 @@
 class CordonStore(Protocol):
     """Names that outlive the process; each call may raise OSError."""
 
-    def names(self) -> set[str]: ...
-    def put(self, name: str) -> None: ...
-    def remove(self, name: str) -> None: ...
+    def names(self) -> set[str]:
+        """Return the names stored."""
+        ...
+
+    def put(self, name: str) -> None:
+        """Store a name; one that is stored already stays."""
+        ...
+
+    def remove(self, name: str) -> None:
+        """Remove a name, if it is stored."""
+        ...
 
 
 class Cordons:
+    """The cordons in force here; `on_change` is called after each change of `banned`."""
+
     def __init__(
-        self, shelf: CordonStore | None, limits: Limits, counters: Counter[str], changed: Callable[[], None]
+        self,
+        store: CordonStore | None,
+        limits: Limits,
+        counters: Counter[str],
+        on_change: Callable[[], None],
     ) -> None:
-        self.shelf, self.limits, self.counters, self.changed = shelf, limits, counters, changed
         self.banned = frozenset[str]()
-        self.unsaved = set[str]()  # those that the shelf did not take yet
-        self.known: dict[str, None] = {}  # every runner listed so far, the latest last
+        self._store = store
+        self._limits = limits
+        self._counters = counters
+        self._on_change = on_change
+        self._unsaved = set[str]()  # cordons that the store did not take yet
+        self._known: dict[str, None] = {}  # every runner listed so far, the latest last
 
     def listed(self, runners: Iterable[str]) -> None:
+        """Remember the runners listed: only such runners can be cordoned."""
         for runner in runners:
-            self.known.pop(runner, None)
-            self.known[runner] = None
-        while len(self.known) > self.limits.runners_known:  # guards memory: runners come and go for good
-            del self.known[next(iter(self.known))]
+            self._known.pop(runner, None)
+            self._known[runner] = None
+        while len(self._known) > self._limits.runners_known:  # bounds memory: runners come and go for good
+            del self._known[next(iter(self._known))]
 
     def suspend(self, runner: str) -> bool:
-        """False for one that was never listed. What the shelf does not take holds in this process."""
+        """Cordon a runner, and return false for one that was never listed.
+
+        A cordon that cannot be stored holds in this process.
+        """
         if not self._was_listed(runner):
             return False
-        self.counters["operation.suspends"] += 1
+        self._counters["operation.suspends"] += 1
         log.info("runner %s is suspended", runner)
         self._save(runner)
-        self._set(self.banned | {runner})
+        self._replace(self.banned | {runner})
         return True
 
     def resume(self, runner: str) -> bool:
+        """Lift the cordon of a runner, and return false for one that was never listed."""
         if not self._was_listed(runner):
             return False
-        self.counters["operation.resumes"] += 1
+        self._counters["operation.resumes"] += 1
         log.info("runner %s is put back", runner)
-        self.unsaved.discard(runner)
-        if self.shelf is not None:
-            try:
-                self.shelf.remove(runner)
-            except OSError as fault:
-                self._fault(fault)
-        self._set(self.banned - {runner})
+        self._unsaved.discard(runner)
+        self._remove(runner)
+        self._replace(self.banned - {runner})
         return True
 
     def look(self) -> None:
-        """Follow what the other process was told. A shelf that cannot be read lifts no ban."""
-        if self.shelf is None:
+        """Follow the changes of the other process. A store that cannot be read lifts no cordon."""
+        if self._store is None:
             return
         try:
-            found = self.shelf.names()
-        except OSError as fault:
-            self._fault(fault)
-            self.unsaved |= self.banned  # it was lost, or will be there again: then it gets all that holds
-            found = set()
-        for runner in list(self.unsaved):
+            stored = self._store.names()
+        except OSError as error:
+            self._count_fault(error)
+            # The store was lost, or is unavailable for a while: it gets every cordon in force again.
+            self._unsaved |= self.banned
+            stored = set()
+        for runner in list(self._unsaved):
             self._save(runner)
-        self._set(frozenset(found | self.unsaved))
+        self._replace(frozenset(stored | self._unsaved))
 
     def _was_listed(self, runner: str) -> bool:
-        return runner in self.known or runner in self.banned
+        return runner in self._known or runner in self.banned
 
     def _save(self, runner: str) -> None:
-        self.unsaved.add(runner)
-        if self.shelf is None:
+        self._unsaved.add(runner)
+        if self._store is None:
             return
         try:
-            self.shelf.put(runner)
-        except OSError as fault:
-            self._fault(fault)
+            self._store.put(runner)
+        except OSError as error:
+            self._count_fault(error)
         else:
-            self.unsaved.discard(runner)
+            self._unsaved.discard(runner)
+
+    def _remove(self, runner: str) -> None:
+        if self._store is None:
+            return
+        try:
+            self._store.remove(runner)
+        except OSError as error:
+            self._count_fault(error)
 
-    def _set(self, banned: frozenset[str]) -> None:
+    def _replace(self, banned: frozenset[str]) -> None:
         if banned != self.banned:
             self.banned = banned
-            self.changed()
+            self._on_change()
 
-    def _fault(self, fault: OSError) -> None:
-        self.counters["operation.shelf_faults"] += 1
-        log.warning("the folder of suspended runners: %s; bans known here hold", fault)
+    def _count_fault(self, error: OSError) -> None:
+        self._counters["operation.shelf_faults"] += 1
+        log.warning("the folder of suspended runners: %s; bans known here hold", error)
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -1,62 +1,89 @@
-"""Who serves while a process is replaced: a state machine over two locks, fed by a look now and then.
+"""Which process serves while one is replaced: a state machine over two locks, polled at intervals.
 
     WAITING --next is free--> TAKING --serving is free--> ALONE
        |                                                    ^
        +------------------ serving is free -----------------+
 
-One that is ALONE has `serving`; another that holds `next` then is its successor."""
+A process that is ALONE holds `serving`; another that holds `next` then is its successor.
+"""
 
 from enum import Enum
 from typing import Protocol
 
-SERVING, NEXT, READY = "serving", "next", b"ready"
+SERVING = "serving"
+NEXT = "next"
+READY = b"ready"
+NOT_READY = b""
 
 
 class Stage(Enum):
+    """How far a process has got in taking over from its predecessor."""
+
     WAITING = "waiting"  # another process takes over already
     TAKING = "taking over"  # the predecessor lives
     ALONE = "alone"  # no predecessor
 
 
 class Locking(Protocol):
-    """ProcessLocks that end with their process; each call may raise OSError."""
+    """Locks that end with their process; each call may raise OSError."""
+
+    def take(self, name: str) -> bool:
+        """Acquire a lock, and return whether it was free."""
+        ...
+
+    def give(self, name: str) -> None:
+        """Release a lock held by this process."""
+        ...
+
+    def held(self, name: str) -> bool:
+        """Return whether another process holds a lock."""
+        ...
 
-    def take(self, name: str) -> bool: ...
-    def give(self, name: str) -> None: ...
-    def held(self, name: str) -> bool: ...
-    def mark(self, name: str, mark: bytes) -> None: ...
-    def marked(self, name: str, mark: bytes) -> bool: ...
+    def mark(self, name: str, mark: bytes) -> None:
+        """Write something for others to read while this process holds the lock."""
+        ...
+
+    def marked(self, name: str, mark: bytes) -> bool:
+        """Return whether that stands written at the lock."""
+        ...
 
 
 class Handover:
+    """One process's part in a replacement."""
+
     def __init__(self, locks: Locking) -> None:
-        self.locks, self.stage = locks, Stage.WAITING
-        self.successor, self.successor_ready = False, False
+        self.stage = Stage.WAITING
+        self.successor = False
+        self.successor_ready = False
+        self._locks = locks
         self.look()
 
     @property
     def live(self) -> int:
-        """How many processes there are to share what one may have."""
+        """How many processes there are to share descriptors and memory."""
         return 2 if self.successor or self.stage is not Stage.ALONE else 1
 
     def look(self) -> None:
-        locks = self.locks
-        if self.stage is not Stage.ALONE and locks.take(SERVING):
-            if self.stage is Stage.TAKING:
-                locks.give(NEXT)
-            self.stage = Stage.ALONE
-        elif self.stage is Stage.WAITING and locks.take(NEXT):
-            self.stage = Stage.TAKING
+        """Follow what the other processes have acquired, released and marked."""
+        self._advance()
         if self.stage is Stage.ALONE:
-            self.successor = locks.held(NEXT)
-            self.successor_ready = self.successor and locks.marked(NEXT, READY)
+            self.successor = self._locks.held(NEXT)
+            self.successor_ready = self.successor and self._locks.marked(NEXT, READY)
 
     def ready(self) -> None:
-        """This process can serve: its predecessor may go."""
+        """Announce that this process can serve: its predecessor may go."""
         if self.stage is Stage.TAKING:
-            self.locks.mark(NEXT, READY)
+            self._locks.mark(NEXT, READY)
 
     def leaving(self) -> None:
-        """This process was asked to stop: nobody may hand over to it any more."""
+        """Announce that this process was asked to stop: its predecessor must not hand over to it."""
         if self.stage is Stage.TAKING:
-            self.locks.mark(NEXT, b"")
+            self._locks.mark(NEXT, NOT_READY)
+
+    def _advance(self) -> None:
+        if self.stage is not Stage.ALONE and self._locks.take(SERVING):
+            if self.stage is Stage.TAKING:
+                self._locks.give(NEXT)
+            self.stage = Stage.ALONE
+        elif self.stage is Stage.WAITING and self._locks.take(NEXT):
+            self.stage = Stage.TAKING
--- a/maplestile/operation/metrics.py
+++ b/maplestile/operation/metrics.py
@@ -1,13 +1,17 @@
-"""The figures, in the text format of Prometheus (version 0.0.4)."""
+"""The metrics, in the text exposition format of Prometheus (version 0.0.4)."""
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
 from maplestile.wire.messages import Verdict
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "svc_"
-ENDS = (
+COUNTER = "counter"
+GAUGE = "gauge"
+
+# The counters of final answers by class: name, help, and the verdicts counted.
+ANSWERS = (
     ("success_total", "Requests served.", (Verdict.SERVED,)),
     ("busy_total", "Requests refused.", (Verdict.REFUSED,)),
     ("failure_total", "Requests failed, in time or out of it.", (Verdict.FAILED, Verdict.EXPIRED)),
@@ -25,18 +29,20 @@
 }
 
 POLICY = {
-    "epoch": ("gauge", "Epoch of the fleet's policy that new calls are decided under."),
-    "stale": ("gauge", "1 while this router is cut off, and its epoch may not be the last committed one."),
-    "stale_seconds": ("gauge", "For how long; 0 while it is not."),
-    "refused": ("gauge", "1 while this build or file refuses the committed epoch: no new call is taken."),
-    "reloads_refused_total": ("counter", "SIGHUPs whose file told another policy than at the start."),
-    "mixed_calls_total": ("counter", "Attempts decided under another epoch than their call; always 0."),
+    "epoch": (GAUGE, "Epoch of the fleet's policy that new calls are decided under."),
+    "stale": (GAUGE, "1 while this router is cut off, and its epoch may not be the last committed one."),
+    "stale_seconds": (GAUGE, "For how long; 0 while it is not."),
+    "refused": (GAUGE, "1 while this build or file refuses the committed epoch: no new call is taken."),
+    "reloads_refused_total": (COUNTER, "SIGHUPs whose file told another policy than at the start."),
+    "mixed_calls_total": (COUNTER, "Attempts decided under another epoch than their call; always 0."),
 }
 
+EPOCH_COUNTERS = ("calls", "attempts")
+
 
 @dataclass(slots=True, frozen=True)
 class MetricsReport:
-    """What stood at the moment of the call; the counts go from 0 at the start of the process."""
+    """The values at the moment of the call; the counters start at 0 with the process."""
 
     classes: tuple[str, ...]
     answers: Mapping[tuple[str, Verdict], int]
@@ -49,40 +55,78 @@
     epochs: Mapping[int, Mapping[str, int]] = field(default_factory=dict)  # calls and attempts under each
 
 
-def text(figures: MetricsReport) -> str:
-    lines = list[str]()
-    for name, told, verdicts in ENDS:
-        samples = [
-            (f'{{tier="{quoted(tier)}"}}', sum(figures.answers.get((tier, v), 0) for v in verdicts))
-            for tier in figures.classes
-        ]
-        lines += _family(name, "counter", told, samples)
-    for name, kind, told, value in (
-        ("backend_calls_total", "counter", "Attempts written whole to runners.", figures.backend_calls),
-        ("inflight", "gauge", "Requests taken and not ended.", figures.inflight),
-        ("hosts_listed", "gauge", "Runners on the list.", figures.hosts_listed),
-        (
-            "hosts_down",
-            "gauge",
-            "Runners on the list that get no calls now, by hand or by choice.",
-            figures.hosts_down,
-        ),
-    ):
-        lines += _family(name, kind, told, [("", value)])
-    for name, value in figures.membership.items():
-        lines += _family(f"peers_{name}", "gauge", MEMBERSHIP[name], [("", value)])
-    for name, number in figures.policy.items():
-        lines += _family(f"policy_{name}", *POLICY[name], [("", number)])
-    for what in ("calls", "attempts") if figures.epochs else ():
-        samples = [(f'{{epoch="{epoch}"}}', told.get(what, 0)) for epoch, told in figures.epochs.items()]
-        lines += _family(f"policy_{what}_total", "counter", f"Decided under each epoch: {what}.", samples)
-    return "\n".join(lines) + "\n"
-
-
-def _family(name: str, kind: str, told: str, samples: Iterable[tuple[str, float]]) -> list[str]:
-    head = [f"# HELP {PREFIX}{name} {told}", f"# TYPE {PREFIX}{name} {kind}"]
-    return head + [f"{PREFIX}{name}{labels} {value}" for labels, value in samples]
+@dataclass(slots=True, frozen=True)
+class Sample:
+    """One value, with its labels as they are written."""
+
+    value: float
+    labels: str = ""
+
+
+@dataclass(slots=True, frozen=True)
+class MetricFamily:
+    """A metric's name, type, help, and its samples."""
+
+    name: str
+    kind: str
+    help: str
+    samples: tuple[Sample, ...]
+
+    def lines(self) -> Iterator[str]:
+        """Yield the lines of the exposition format."""
+        yield f"# HELP {PREFIX}{self.name} {self.help}"
+        yield f"# TYPE {PREFIX}{self.name} {self.kind}"
+        for sample in self.samples:
+            yield f"{PREFIX}{self.name}{sample.labels} {sample.value}"
+
+
+def text(report: MetricsReport) -> str:
+    """Return the exposition of a report."""
+    return "".join(f"{line}\n" for family in _families(report) for line in family.lines())
 
 
 def quoted(label: str) -> str:
+    """Return a label's value, escaped as the format wants it."""
     return label.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
+
+
+def _families(report: MetricsReport) -> Iterator[MetricFamily]:
+    yield from _answer_families(report)
+    yield _single("backend_calls_total", COUNTER, "Attempts written whole to runners.", report.backend_calls)
+    yield _single("inflight", GAUGE, "Requests taken and not ended.", report.inflight)
+    yield _single("hosts_listed", GAUGE, "Runners on the list.", report.hosts_listed)
+    hosts_down_help = "Runners on the list that get no calls now, by hand or by choice."
+    yield _single("hosts_down", GAUGE, hosts_down_help, report.hosts_down)
+    for name, value in report.membership.items():
+        yield _single(f"peers_{name}", GAUGE, MEMBERSHIP[name], value)
+    for name, number in report.policy.items():
+        kind, help_text = POLICY[name]
+        yield _single(f"policy_{name}", kind, help_text, number)
+    if report.epochs:
+        yield from _epoch_families(report)
+
+
+def _single(name: str, kind: str, help_text: str, value: float) -> MetricFamily:
+    return MetricFamily(name, kind, help_text, (Sample(value),))
+
+
+def _answer_families(report: MetricsReport) -> Iterator[MetricFamily]:
+    for name, help_text, verdicts in ANSWERS:
+        samples = tuple(
+            Sample(
+                sum(report.answers.get((class_name, verdict), 0) for verdict in verdicts),
+                f'{{tier="{quoted(class_name)}"}}',
+            )
+            for class_name in report.classes
+        )
+        yield MetricFamily(name, COUNTER, help_text, samples)
+
+
+def _epoch_families(report: MetricsReport) -> Iterator[MetricFamily]:
+    for counted in EPOCH_COUNTERS:
+        samples = tuple(
+            Sample(counts.get(counted, 0), f'{{epoch="{epoch}"}}') for epoch, counts in report.epochs.items()
+        )
+        yield MetricFamily(
+            f"policy_{counted}_total", COUNTER, f"Decided under each epoch: {counted}.", samples
+        )
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -1,66 +1,77 @@
-"""The router as its operators see it: what its parts know, asked at the moment of the call."""
+"""The router as its operators see it: what its parts know at the moment of the call."""
 
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from maplestile.operation.cordons import Cordons
 from maplestile.operation.metrics import MetricsReport
+from maplestile.operation.policy import PolicyOperations
 from maplestile.requests.core import Core
 from maplestile.requests.endpoint_list import EndpointList
 
-if TYPE_CHECKING:  # a router whose policy is its file's loads nothing of it
-    from maplestile.router.policy_driver import PolicyDriver
-
 
 @dataclass(slots=True, frozen=True)
 class OperatorService:
+    """Implements `operation.api.OperatedRouter` over the parts of a router process."""
+
     core: Core
-    fleet: EndpointList
-    bans: Cordons
-    backend_calls: Callable[[], int]
-    lacking: Callable[[], str]
-    view: Callable[[], dict[str, Any] | None]
-    membership: Callable[[], dict[str, int]]  # empty where membership is off
-    policy: "PolicyDriver | None" = None  # where the fleet decides on it
+    endpoints: EndpointList
+    cordons: Cordons
+    count_backend_calls: Callable[[], int]
+    not_ready_reason: Callable[[], str]  # empty where the router can serve
+    membership_view: Callable[[], dict[str, Any] | None]
+    membership_metrics: Callable[[], dict[str, int]]  # empty where membership is off
+    policy: PolicyOperations | None = None  # where the fleet decides on it
 
     def ready(self) -> str:
-        return self.lacking()
+        """Return why the router cannot serve yet; empty if it can."""
+        return self.not_ready_reason()
 
     def figures(self) -> MetricsReport:
-        listed = self.fleet.entries.keys()
-        served = sorted({name for name, _ in self.core.answers})  # also of classes that a policy took away
+        """Return the metrics at this moment."""
+        listed = self.endpoints.entries.keys()
         return MetricsReport(
-            classes=tuple(dict.fromkeys((*(k.name for k in self.core.settings.classes), *served))),
+            classes=self._class_names(),
             answers=self.core.answers,
-            backend_calls=self.backend_calls(),
+            backend_calls=self.count_backend_calls(),
             inflight=len(self.core.open),
             hosts_listed=len(listed),
-            hosts_down=len(listed & (self.fleet.suspended | self.core.avoided())),
-            membership=self.membership(),
+            hosts_down=len(listed & (self.endpoints.suspended | self.core.avoided())),
+            membership=self.membership_metrics(),
             policy={} if self.policy is None else self.policy.figures(),
             epochs={} if self.policy is None else self.core.epochs,
         )
 
     def members(self) -> dict[str, Any] | None:
-        return self.view()
+        """Return this instance's view of membership; None where membership is off."""
+        return self.membership_view()
 
     def runners(self) -> list[dict[str, Any]]:
-        flights = Counter(flight.worker for flight in self.core.flights.values())
+        """Return the runners listed, sorted by id."""
+        in_flight = Counter(attempt.worker for attempt in self.core.flights.values())
         avoided = self.core.avoided()
         return [
             {
                 "id": runner,
-                "suspended": runner in self.bans.banned,
+                "suspended": runner in self.cordons.banned,
                 "avoided": runner in avoided,
-                "inflight": flights[runner],
+                "inflight": in_flight[runner],
             }
-            for runner in sorted(self.fleet.entries)
+            for runner in sorted(self.endpoints.entries)
         ]
 
     def suspend(self, runner: str) -> bool:
-        return self.bans.suspend(runner)
+        """Cordon a runner; false for one that was never listed."""
+        return self.cordons.suspend(runner)
 
     def resume(self, runner: str) -> bool:
-        return self.bans.resume(runner)
+        """Uncordon a runner; false for one that was never listed."""
+        return self.cordons.resume(runner)
+
+    def _class_names(self) -> tuple[str, ...]:
+        """Return the classes in force, and those answered before that a policy has removed since."""
+        in_force = [service_class.name for service_class in self.core.settings.classes]
+        answered = sorted({name for name, _ in self.core.answers})
+        return tuple(dict.fromkeys((*in_force, *answered)))
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""What stands behind the operators' front, without processes: routes, figures, bans, locks, budgets."""
+"""What is behind the operators' front, without processes: routes, metrics, cordons, locks, budgets."""
 
 import asyncio
 import tempfile
@@ -9,20 +9,20 @@
 
 from maplestile.dispatch import api
 from maplestile.net.http import HttpFront
-from maplestile.operation import metrics as figures
+from maplestile.operation import metrics
 from maplestile.operation.api import OperatorApi
 from maplestile.operation.cordons import Cordons
 from maplestile.operation.handover import Handover, Stage
+from maplestile.operation.policy import PolicyOperations
 from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
 from maplestile.requests.endpoint_list import EndpointList
-from maplestile.router.policy_driver import PolicyDriver
 from maplestile.wire.http import HttpRequest, Response
 from maplestile.wire.limits import ANSWER_BYTES, Limits
 from maplestile.wire.messages import Verdict
 from tests.helpers import Driver, arrival, ended, entry, fleet, sends, settings
 from tests.standins import target
 
-TOLD = figures.MetricsReport(
+REPORT = metrics.MetricsReport(
     ("review", 'a"b'),
     {("review", Verdict.SERVED): 3, ("review", Verdict.EXPIRED): 2, ("review", Verdict.FAILED): 1},
     7,
@@ -36,14 +36,15 @@
     """Knows one runner, `s 1`."""
 
     def __init__(self) -> None:
-        self.lacking, self.calls = "", list[str]()
-        self.policy: PolicyDriver | None = None
+        self.lacking = ""
+        self.calls: list[str] = []
+        self.policy: PolicyOperations | None = None
 
     def ready(self) -> str:
         return self.lacking
 
-    def figures(self) -> figures.MetricsReport:
-        return TOLD
+    def figures(self) -> metrics.MetricsReport:
+        return REPORT
 
     def members(self) -> dict[str, Any] | None:
         return None
@@ -103,7 +104,7 @@
         for path in ("/", "/v1/ready", "/v1/runners//suspend", "/v1/runners/a/b/suspend", "/v1/runners/s"):
             self.assertEqual(self.ask("GET", path).status, 404)
 
-    def test_figures_have_every_class_from_the_start_and_quoted_labels(self) -> None:
+    def test_metrics_have_every_class_from_the_start_and_quoted_labels(self) -> None:
         answer = self.ask("GET", "/v1/metrics")
         self.assertEqual(dict(answer.headers)["Content-Type"].split(";")[0], "text/plain")
         lines = [line for line in answer.body.decode().splitlines() if not line.startswith("#")]
@@ -165,51 +166,51 @@
             writer.close()
 
 
-class BansTest(unittest.TestCase):
+class CordonsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp()) / "deep" / "suspended"
-        self.one, self.other = self.bans(), self.bans()
+        self.one, self.other = self.cordons(), self.cordons()
 
-    def bans(self) -> Cordons:
-        bans = Cordons(FileCordonStore(self.folder), Limits(runners_known=3), Counter(), lambda: None)
-        bans.listed(["a", "../b"])
-        return bans
+    def cordons(self) -> Cordons:
+        cordons = Cordons(FileCordonStore(self.folder), Limits(runners_known=3), Counter(), lambda: None)
+        cordons.listed(["a", "../b"])
+        return cordons
 
-    def test_a_ban_told_to_one_process_holds_at_the_other_and_after_a_start(self) -> None:
+    def test_a_cordon_set_at_one_process_holds_at_the_other_and_after_a_start(self) -> None:
         for _ in range(2):  # calls may repeat
             self.assertTrue(self.one.suspend("../b"))
         self.other.look()
-        late = self.bans()
+        late = self.cordons()
         late.look()
-        self.assertEqual([b.banned for b in (self.one, self.other, late)], 3 * [{"../b"}])
+        self.assertEqual([cordons.banned for cordons in (self.one, self.other, late)], 3 * [{"../b"}])
         self.assertTrue(self.other.resume("../b"))
         self.one.look()
         self.assertEqual((self.one.banned, self.other.banned), (frozenset(), frozenset()))
 
-    def test_a_runner_never_listed_is_owed_a_no_and_one_that_has_gone_is_not(self) -> None:
+    def test_a_runner_never_listed_is_refused_and_one_that_is_no_longer_listed_is_not(self) -> None:
         self.assertFalse(self.one.suspend("c"))
         self.assertFalse(self.one.resume("c"))
         self.one.listed(["c"])
         self.assertTrue(self.one.suspend("a"))
-        self.one.listed(["d", "e", "f", "g"])  # the memory of ids is bounded, that of bans is not
+        self.one.listed(["d", "e", "f", "g"])  # the memory of ids is bounded, that of cordons is not
         self.assertFalse(self.one.suspend("c"))
         self.assertTrue(self.one.resume("a"))
 
-    def test_a_lost_or_foreign_folder_lifts_no_ban_and_stops_no_start(self) -> None:
+    def test_a_lost_or_foreign_folder_lifts_no_cordon_and_stops_no_start(self) -> None:
         self.one.suspend("a")
         (self.folder / "r-a").unlink()
         self.folder.rmdir()
         self.folder.write_bytes(b"\0 damaged")
         self.one.look()
-        self.bans().look()
+        self.cordons().look()
         self.assertEqual(self.one.banned, {"a"})
         self.folder.unlink()
         self.one.look()
-        late = self.bans()
+        late = self.cordons()
         late.look()
         self.assertEqual(late.banned, {"a"})
 
-    def test_what_the_shelf_does_not_take_holds_in_this_process_until_it_does(self) -> None:
+    def test_a_cordon_that_cannot_be_stored_holds_in_this_process_until_it_does(self) -> None:
         self.folder.rmdir()
         self.folder.write_bytes(b"")
         self.assertTrue(self.one.suspend("a"))
@@ -262,8 +263,8 @@
 
     @staticmethod
     def die(locks: ProcessLocks) -> None:
-        """What the kernel does at the end of a process."""
-        for name in list(locks.mine):
+        """Do what the kernel does at the end of a process."""
+        for name in list(locks.descriptors):
             locks.give(name)
 
     def test_two_upgrades_in_a_row(self) -> None:
