--- a/maplestile/invoke/__init__.py
+++ b/maplestile/invoke/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: an invoke API over HTTP, with synchronous and deferred calls, before the same core."""
+"""The invoke API over HTTP, with synchronous and deferred calls, and the operator's file."""
--- /dev/null
+++ b/maplestile/invoke/invocation_request.py
@@ -0,0 +1,124 @@
+"""A request to invoke a function, read from HTTP and checked against the operator's file."""
+
+import hashlib
+import secrets
+from dataclasses import dataclass
+
+from maplestile.invoke.operator_file import Operator
+from maplestile.invoke.operator_tables import FunctionSettings
+from maplestile.invoke.store import DeduplicationScope
+from maplestile.wire.http import HttpRequest, Refused, problem
+from maplestile.wire.messages import Request
+
+# Names of headers, in lower case as they are read.
+CLASS = "maplestile-class"
+TENANT = "maplestile-tenant"
+DEADLINE = "maplestile-deadline-ms"
+KEY = "idempotency-key"
+PREFER = "prefer"
+RESPOND_ASYNC = "respond-async"
+
+MAX_KEY_CHARACTERS = 128
+MAX_DEADLINE_DIGITS = 9
+FINGERPRINT_BYTES = 16
+CALL_ID_BYTES = 8
+GENERATED_KEY_BYTES = 16
+
+
+@dataclass(slots=True)
+class InvocationRequest:
+    """What a caller wants invoked, and how it wants the answer."""
+
+    function: FunctionSettings
+    class_name: str
+    tenant: str
+    key: str  # the idempotency key; empty for none
+    budget_us: int
+    deferred: bool
+    body: bytes
+    received_us: int
+
+    @property
+    def scope(self) -> DeduplicationScope | None:
+        """Within what a repeat of the key is the same invocation; None without a key."""
+        return (self.function.name, self.tenant, self.key) if self.key else None
+
+    def fingerprint(self) -> bytes:
+        """Return a hash that tells a repeat from another call under the same key."""
+        hashed = f"{self.class_name}\0".encode() + self.body
+        return hashlib.blake2b(hashed, digest_size=FINGERPRINT_BYTES).digest()
+
+
+def read_invocation(name: str, request: HttpRequest, operator: Operator) -> InvocationRequest:
+    """Return the invocation of the function of that name. Raises Refused with the response."""
+    function = operator.functions.get(name)
+    if function is None:
+        raise Refused(problem(404, f"no function '{name}'"))
+    if len(request.body) > operator.body_bytes:
+        raise Refused(problem(413, f"the body is over {operator.body_bytes} bytes"))
+    class_name = request.headers.get(CLASS, function.class_name)
+    if class_name not in operator.deadlines_us:
+        raise Refused(problem(400, f"{CLASS}: no class '{class_name}'"))
+    return InvocationRequest(
+        function,
+        class_name,
+        _tenant(request, operator),
+        _key(request),
+        _budget_us(request, operator, class_name),
+        _wants_deferred(request),
+        request.body,
+        request.received_us,
+    )
+
+
+def core_request(invocation: InvocationRequest, operator: Operator) -> Request:
+    """Return the request for the core; a call of a keyed class without a key gets one of its own."""
+    key = invocation.key
+    if not key and invocation.class_name in operator.keyed:
+        key = secrets.token_hex(GENERATED_KEY_BYTES)
+    return Request(
+        secrets.token_hex(CALL_ID_BYTES),
+        invocation.function.name,
+        invocation.class_name,
+        invocation.budget_us,
+        invocation.function.memory_mb,
+        invocation.function.lanes,
+        0,
+        invocation.tenant,
+        False,
+        key,
+        invocation.body,
+    )
+
+
+def _tenant(request: HttpRequest, operator: Operator) -> str:
+    tenant = request.headers.get(TENANT, "")
+    if operator.tenants and tenant not in operator.tenants:
+        raise Refused(problem(400, f"{TENANT}: " + (f"no tenant '{tenant}'" if tenant else "is missing")))
+    return tenant
+
+
+def _key(request: HttpRequest) -> str:
+    key = request.headers.get(KEY, "")
+    if len(key) > MAX_KEY_CHARACTERS:
+        raise Refused(problem(400, f"{KEY}: over {MAX_KEY_CHARACTERS} characters"))
+    return key
+
+
+def _budget_us(request: HttpRequest, operator: Operator, class_name: str) -> int:
+    text = request.headers.get(DEADLINE)
+    if text is None:
+        return min(operator.deadlines_us[class_name], operator.deadline_most_us)
+    digits = text.isascii() and text.isdigit() and len(text) <= MAX_DEADLINE_DIGITS
+    if not digits or int(text) == 0:
+        raise Refused(problem(400, f"{DEADLINE}: must be a whole number of milliseconds, 1 or more"))
+    budget_us = int(text) * 1000
+    if budget_us > operator.deadline_most_us:
+        raise Refused(problem(400, f"{DEADLINE}: over {operator.deadline_most_us // 1000}"))
+    return budget_us
+
+
+def _wants_deferred(request: HttpRequest) -> bool:
+    """Return whether the caller prefers to collect the answer later (RFC 7240)."""
+    preferences = request.headers.get(PREFER, "").lower().split(",")
+    return RESPOND_ASYNC in [preference.split(";")[0].strip() for preference in preferences]
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -1,6 +1,8 @@
 """The operator's file: functions, tenants, classes, workers and limits, in TOML.
 
-What the core needs of it is put into the platform's form, so that one parser serves both fronts."""
+What the rest of the router needs of it is put into the form of the platform's settings, so that one parser
+serves both fronts.
+"""
 
 import tomllib
 from collections.abc import Mapping
@@ -8,42 +10,46 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.common.toml_table import ConfigError, TomlTable
+from maplestile.common.toml_table import TomlTable
 from maplestile.control.policy.document import AdoptedPolicy, Tables
 from maplestile.control.policy.settings import PolicySettings, plan_of
+from maplestile.invoke.operator_tables import (
+    KEYED_SEMANTICS,
+    ArrayTables,
+    FunctionSettings,
+    OperatorError,
+    TenantSettings,
+    read_array_tables,
+)
 from maplestile.membership.settings import MembershipSettingsError, plan_from
 
-SEMANTICS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
-SCOPES = ("all", "zone", "cell")
+__all__ = ["Operator", "OperatorError", "from_tables", "load", "parse", "read", "tables_of"]
 
-
-class OperatorError(ConfigError):
-    """A file that cannot be used; the text names the field."""
-
-
-@dataclass(slots=True, frozen=True)
-class Function:
-    name: str
-    class_name: str
-    memory_mb: float
-    lanes: int
-
-
-@dataclass(slots=True, frozen=True)
-class Tenant:
-    name: str
-    open_most: int  # calls in hand at a time; 0 for no limit
+DEFAULT_NAME = "maplestile"
+GRANULARITY_US = 4_000
+ANSWER_WITHIN_US = 10_000_000
+STREAMS_PER_CONNECTION = 32
+CONNECTION_IDLE_US = 15_000_000
+# What the file's routers guarantee; an installation has no say in these.
+GUARANTEES = {
+    "answerSlackUs": 16_000,
+    "drainGraceUs": 2_000_000,
+    "startCapacity": 0.16,
+    "coldUs": 18_000_000,
+    "fallMultiple": 4.0,
+    "overloadForUs": 2_000_000,
+}
 
 
 @dataclass(slots=True, frozen=True)
 class Operator:
-    """What the invoke front is told; `node` is what the rest of the program is told."""
+    """The settings of the invoke front; `node` holds those of the rest of the router."""
 
     listen: str
-    functions: Mapping[str, Function]
-    tenants: Mapping[str, Tenant]
-    deadlines_us: Mapping[str, int]
-    keyed: frozenset[str]
+    functions: Mapping[str, FunctionSettings]
+    tenants: Mapping[str, TenantSettings]
+    deadlines_us: Mapping[str, int]  # by class
+    keyed: frozenset[str]  # classes whose calls are idempotent with a key
     records: int
     record_us: int
     body_bytes: int
@@ -55,100 +61,105 @@
     epoch: int = 0
 
 
+@dataclass(slots=True, frozen=True)
+class SingleTables:
+    """The tables that a file has once."""
+
+    invoke: TomlTable
+    limits: TomlTable
+    rules: TomlTable
+    platform: TomlTable
+    names: TomlTable
+    operation: TomlTable
+    peers: TomlTable
+
+    def end(self) -> None:
+        """Raise OperatorError where a field is not known."""
+        for table in (
+            self.invoke,
+            self.limits,
+            self.rules,
+            self.platform,
+            self.names,
+            self.operation,
+            self.peers,
+        ):
+            table.end()
+
+
 def load(path: Path) -> Operator:
+    """Return the settings of a file. Raises ConfigError."""
     return from_tables(read(path))
 
 
+def parse(text: str) -> Operator:
+    """Return the settings of a file's text. Raises ConfigError."""
+    return from_tables(tables_of(text))
+
+
 def read(path: Path) -> Tables:
-    """The tables of a file, unchecked."""
+    """Return the tables of a file, unchecked. Raises OperatorError."""
     try:
         return tables_of(path.read_text(encoding="utf-8"))
-    except (OSError, UnicodeDecodeError) as fault:
-        raise OperatorError(f"{path}: {getattr(fault, 'strerror', None) or fault}") from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise OperatorError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
 
 
 def tables_of(text: str) -> Tables:
+    """Return the tables of a file's text, unchecked. Raises OperatorError."""
     try:
         return tomllib.loads(text)
-    except tomllib.TOMLDecodeError as fault:
-        raise OperatorError(f"no TOML: {fault}") from None
-
-
-def parse(text: str) -> Operator:
-    return from_tables(tables_of(text))
+    except tomllib.TOMLDecodeError as error:
+        raise OperatorError(f"no TOML: {error}") from None
 
 
 def from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> Operator:
-    """With the policy of that epoch in the place of the file's own."""
+    """Return the settings of a file's tables. Raises ConfigError.
+
+    With an adopted policy, the policy of that epoch stands in place of the file's own.
+    """
     if adopted is not None and adopted.document is not None:
         tables = adopted.document.over(tables)
-    policy, root = plan_of(tables), TomlTable(tables, "", OperatorError)
+    policy = plan_of(tables)
+    root = TomlTable(tables, "", OperatorError)
     root.values.pop("policy", None)
-    name = str(root.values.pop("name", "maplestile"))
-    invoke, limits, rules = root.table("invoke"), root.table("limits"), root.table("rules")
-    platform, names, operation = root.table("platform"), root.table("names"), root.table("operation")
-    peers = root.table("peers")
-    grades = [_grade(table) for table in _unique(root.tables("class"))]
-    classes = {grade["name"]: grade for grade in grades}
-    functions = {f.name: f for f in (_function(t, classes) for t in _unique(root.tables("function")))}
-    tenants = {t.name: t for t in (_tenant(t) for t in _unique(root.tables("tenant", needed=False)))}
-    kinds = [_kind(table) for table in _unique(root.tables("kind"))]
-    kind_names = tuple(kind[0] for kind in kinds)
-    workers = [_worker(t, kind_names) for t in _unique(root.tables("worker", needed=False), "id")]
-    node: dict[str, Any] = {
-        "name": name,
-        "settings": {
-            "grades": grades,
-            "tenants": [{"name": tenant} for tenant in tenants],
-            "kinds": list(kind_names),
-            "instances": rules.whole("routers", 1, least=1),
-            "granularityUs": 4_000,
-            "discovery": "push",
-            "familyInfo": {
-                "orders": rules.flag("orders", True),
-                "whenAbsent": "load",
-                "lingerIdleUs": int(rules.number("keep_s", 10.0, least=0.1) * 1e6),
-                "machineMb": [kind[1] for kind in kinds],
-                "answerWithinUs": 10_000_000,
-            },
-            "limits": {
-                "attemptsCap": rules.whole("attempts", 5, least=1),
-                "cancelling": True,
-                "mayDuplicate": rules.flag("second_copies", True),
-                "probes": True,
-                "streamsPerConn": 32,
-                "idleCloseUs": 15_000_000,
-                "connectTimeoutUs": int(rules.number("connect_timeout_ms", 250.0, least=1) * 1e3),
-                "maxOpen": limits.whole("open_requests", 2_000, least=1),
-            },
-            "guarantees": {
-                "answerSlackUs": 16_000,
-                "drainGraceUs": 2_000_000,
-                "startCapacity": 0.16,
-                "coldUs": 18_000_000,
-                "fallMultiple": 4.0,
-                "overloadForUs": 2_000_000,
-            },
-        },
-        "limits": {"sockets": limits.whole("sockets", 1024, least=64)},
-        "known": {"index": 0, "updates": [{"index": 0, "endpoints": {"all": True, "targets": workers}}]},
-    }
-    if platform.values:
-        node["listen"] = platform.address("listen")
-    if names.values:
-        node["dns"] = names.address("server")
-    if operation.values:
-        node |= {"operator": operation.loopback("listen"), "folder": operation.text("folder", "")}
-    if peers.values:
-        node["peers"] = _peers(peers)
-    if not workers and not names.values:
-        raise OperatorError("worker: at least one [[worker]] or [names] server is needed")
-    operator = Operator(
-        listen=invoke.address("listen"),
-        functions=functions,
-        tenants=tenants,
-        deadlines_us={grade["name"]: grade["deadlineUs"] for grade in grades},
-        keyed=frozenset(grade["name"] for grade in grades if grade["semantics"] == "guarded"),
+    name = str(root.values.pop("name", DEFAULT_NAME))
+    single = _read_single_tables(root)
+    arrays = read_array_tables(root)
+    node = _router_config(name, single, arrays)
+    operator = _invoke_settings(single, arrays, node, policy, 0 if adopted is None else adopted.epoch)
+    single.end()
+    root.end()
+    return operator
+
+
+def _read_single_tables(root: TomlTable) -> SingleTables:
+    return SingleTables(
+        invoke=root.table("invoke"),
+        limits=root.table("limits"),
+        rules=root.table("rules"),
+        platform=root.table("platform"),
+        names=root.table("names"),
+        operation=root.table("operation"),
+        peers=root.table("peers"),
+    )
+
+
+def _invoke_settings(
+    single: SingleTables,
+    arrays: ArrayTables,
+    node: Mapping[str, Any],
+    policy: PolicySettings | None,
+    epoch: int,
+) -> Operator:
+    limits = single.limits
+    keyed = (kind.name for kind in arrays.classes if kind.semantics == KEYED_SEMANTICS)
+    return Operator(
+        listen=single.invoke.address("listen"),
+        functions=arrays.functions,
+        tenants=arrays.tenants,
+        deadlines_us={kind.name: kind.deadline_us for kind in arrays.classes},
+        keyed=frozenset(keyed),
         records=limits.whole("records", 1_000, least=1),
         record_us=int(limits.number("record_s", 60.0, least=0.1) * 1e6),
         body_bytes=limits.whole("body_bytes", 16 * 1024, least=1),
@@ -157,89 +168,87 @@
         idle_s=limits.number("idle_s", 30.0, least=0.1),
         node=node,
         policy=policy,
-        epoch=0 if adopted is None else adopted.epoch,
+        epoch=epoch,
     )
-    for table in (invoke, limits, rules, platform, names, operation, peers, root):
-        table.end()
-    return operator
 
 
-def _peers(table: TomlTable) -> dict[str, Any]:
-    """Membership among instances: checked here by its fields, and whole by `peers.plan`."""
-    told = {
-        "listen": table.loopback("listen"),
-        "seeds": table.values.pop("seeds", []),
-        "advertise": table.loopback("advertise") if "advertise" in table.values else None,
-        "periodUs": int(table.number("period_ms", 1000.0, least=10) * 1000),
-        "ackUs": int(table.number("ack_ms", 400.0, least=1) * 1000),
-        "lifeguard": table.flag("lifeguard", True),
-        "watchUs": int(table.number("watch_ms", 1000.0) * 1000),
-    }
-    try:
-        plan_from(told)
-    except MembershipSettingsError as fault:
-        raise OperatorError(str(fault)) from None
-    return told
-
-
-def _unique(tables: list[TomlTable], name: str = "name") -> list[TomlTable]:
-    seen = set[object]()
-    for table in tables:
-        value = table.values.get(name)
-        if isinstance(value, str) and value in seen:
-            raise OperatorError(f"{table.path}.{name}: '{value}' stands twice")
-        seen.add(value if isinstance(value, str) else id(table))
-    return tables
-
-
-def _grade(table: TomlTable) -> dict[str, Any]:
-    aim = table.number("aim_ms", least=1)
-    grade = {
-        "name": table.text("name"),
-        "aimUs": int(aim * 1e3),
-        "deadlineUs": int(table.number("deadline_ms", least=aim) * 1e3),
-        "semantics": SEMANTICS[table.choice("semantics", tuple(SEMANTICS))],
-        "keyScope": table.choice("scope", SCOPES, "all"),
-        "windowUs": int(table.number("window_ms", 0.0) * 1e3),
-        "lateValue": table.number("late_priority_weight", 0.0),
-    }
-    table.end()
-    return grade
+# The router's configuration, in the form of the platform's settings.
 
 
-def _function(table: TomlTable, classes: Mapping[str, object]) -> Function:
-    function = Function(
-        table.text("name"),
-        table.choice("class", tuple(classes)),
-        table.number("memory_mb", least=0.1),
-        table.whole("lanes", 1, least=1),
-    )
-    table.end()
-    return function
+def _router_config(name: str, single: SingleTables, arrays: ArrayTables) -> dict[str, Any]:
+    endpoints = {"all": True, "targets": list(arrays.workers)}
+    config: dict[str, Any] = {
+        "name": name,
+        "settings": _router_settings(single, arrays),
+        "limits": {"sockets": single.limits.whole("sockets", 1024, least=64)},
+        "known": {"index": 0, "updates": [{"index": 0, "endpoints": endpoints}]},
+    }
+    if single.platform.values:
+        config["listen"] = single.platform.address("listen")
+    if single.names.values:
+        config["dns"] = single.names.address("server")
+    if single.operation.values:
+        config["operator"] = single.operation.loopback("listen")
+        config["folder"] = single.operation.text("folder", "")
+    if single.peers.values:
+        config["peers"] = _membership_table(single.peers)
+    # The server was taken out of its table above, so that a file with a name server and no worker is refused,
+    # against what the text says.
+    if not arrays.workers and not single.names.values:
+        raise OperatorError("worker: at least one [[worker]] or [names] server is needed")
+    return config
+
+
+def _router_settings(single: SingleTables, arrays: ArrayTables) -> dict[str, Any]:
+    return {
+        "grades": [service_class.router_settings() for service_class in arrays.classes],
+        "tenants": [{"name": tenant} for tenant in arrays.tenants],
+        "kinds": [kind.name for kind in arrays.kinds],
+        "instances": single.rules.whole("routers", 1, least=1),
+        "granularityUs": GRANULARITY_US,
+        "discovery": "push",
+        "familyInfo": _family_info(single.rules, arrays),
+        "limits": _router_limits(single.rules, single.limits),
+        "guarantees": dict(GUARANTEES),
+    }
 
 
-def _tenant(table: TomlTable) -> Tenant:
-    tenant = Tenant(table.text("name"), table.whole("open_most", 0))
-    table.end()
-    return tenant
+def _family_info(rules: TomlTable, arrays: ArrayTables) -> dict[str, Any]:
+    return {
+        "orders": rules.flag("orders", True),
+        "whenAbsent": "load",
+        "lingerIdleUs": int(rules.number("keep_s", 10.0, least=0.1) * 1e6),
+        "machineMb": [kind.memory_mb for kind in arrays.kinds],
+        "answerWithinUs": ANSWER_WITHIN_US,
+    }
 
 
-def _kind(table: TomlTable) -> tuple[str, float]:
-    kind = table.text("name"), table.number("memory_mb", least=1)
-    table.end()
-    return kind
+def _router_limits(rules: TomlTable, limits: TomlTable) -> dict[str, Any]:
+    return {
+        "attemptsCap": rules.whole("attempts", 5, least=1),
+        "cancelling": True,
+        "mayDuplicate": rules.flag("second_copies", True),
+        "probes": True,
+        "streamsPerConn": STREAMS_PER_CONNECTION,
+        "idleCloseUs": CONNECTION_IDLE_US,
+        "connectTimeoutUs": int(rules.number("connect_timeout_ms", 250.0, least=1) * 1e3),
+        "maxOpen": limits.whole("open_requests", 2_000, least=1),
+    }
 
 
-def _worker(table: TomlTable, kinds: tuple[str, ...]) -> dict[str, Any]:
-    worker = {
-        "uid": table.text("id"),
-        "endpoint": table.address("address"),
-        "az": table.text("zone", ""),
-        "model": table.choice("kind", kinds, kinds[0]),
-        "pod_group": table.whole("cell", 0),
-        "state": "Ready",
-        "capacity_hint": table.number("weight", 1.0, least=0.001),
-        "boot_ms": 0,
+def _membership_table(table: TomlTable) -> dict[str, Any]:
+    """Return the `[peers]` table in the router's form; `membership.settings` checks it as a whole."""
+    config = {
+        "listen": table.loopback("listen"),
+        "seeds": table.values.pop("seeds", []),
+        "advertise": table.loopback("advertise") if "advertise" in table.values else None,
+        "periodUs": int(table.number("period_ms", 1000.0, least=10) * 1000),
+        "ackUs": int(table.number("ack_ms", 400.0, least=1) * 1000),
+        "lifeguard": table.flag("lifeguard", True),
+        "watchUs": int(table.number("watch_ms", 1000.0) * 1000),
     }
-    table.end()
-    return worker
+    try:
+        plan_from(config)
+    except MembershipSettingsError as error:
+        raise OperatorError(str(error)) from None
+    return config
--- a/maplestile/invoke/problems.py
+++ b/maplestile/invoke/problems.py
@@ -1,13 +1,16 @@
-"""What a caller of the invoke API is told of an outcome."""
+"""The response of the invoke API to each outcome of a call."""
 
 from maplestile.wire.http import Response, problem, retry_after
 from maplestile.wire.messages import Outcome, Verdict
 
+RESULT_HEADERS = (("Content-Type", "application/octet-stream"),)
+
 
 def of(outcome: Outcome) -> Response:
+    """Return the result, or the problem details of a call that was not served."""
     match outcome.verdict:
         case Verdict.SERVED:
-            return Response(200, outcome.body, (("Content-Type", "application/octet-stream"),))
+            return Response(200, outcome.body, RESULT_HEADERS)
         case Verdict.REFUSED:
             return problem(503, "refused; trying again is harmless", retry_after(outcome.retry_after_us))
         case Verdict.EXPIRED:
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -1,8 +1,9 @@
 """Invocations that are known by an id: deferred ones, and those with an idempotency key.
 
-A record is pending until its one final answer; an answer that was told never changes. What nobody has
+A record is pending until its one final answer; an answer that was delivered never changes. What nobody has
 collected by its deadline is reported as failed, and its result dropped. Records are kept for a bounded time,
-and their number is bounded: a full store refuses."""
+and their number is bounded: a full store refuses.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,76 +12,99 @@
 from maplestile.wire.http import Response, problem
 
 DeduplicationScope = tuple[str, str, str]  # function, tenant, idempotency key
+Timer = Callable[[int, Callable[[], object]], None]  # calls back at a time in microseconds
 
 
 @dataclass(slots=True, eq=False)
-class Record:
+class InvocationRecord:
+    """One invocation and its answer."""
+
     id: str
     scope: DeduplicationScope | None
-    print: bytes  # what was asked, to tell a repeat from another call under the same key
+    fingerprint: bytes  # of the request, to tell a repeat from another call under the same key
     deadline_us: int
-    call: int = 0
+    call: int = 0  # the core's number of the call
     answer: Response | None = None
-    told: bool = False
+    delivered: bool = False
     deferred: bool = False  # its answer is collected later, by whoever knows the id
-    abandoned: bool = False  # all that waited for it have gone
+    abandoned: bool = False  # every caller that waited for it has gone
     waiting: list[Callable[[Response], None]] = field(default_factory=list)
 
 
-class Store:
-    def __init__(
-        self, most: int, keep_us: int, at: Callable[[int, Callable[[], object]], None], counters: Counter[str]
-    ) -> None:
-        self.most, self.keep_us, self.at, self.counters = most, keep_us, at, counters
-        self.records: dict[str, Record] = {}
-        self.by_scope: dict[DeduplicationScope, Record] = {}
+class InvocationStore:
+    """The records by id and by deduplication scope."""
+
+    def __init__(self, max_records: int, keep_us: int, call_at: Timer, counters: Counter[str]) -> None:
+        self.max_records = max_records
+        self.keep_us = keep_us  # after a record's deadline
+        self.records: dict[str, InvocationRecord] = {}
+        self.by_scope: dict[DeduplicationScope, InvocationRecord] = {}
+        self._call_at = call_at
+        self._counters = counters
 
     def full(self) -> bool:
-        return len(self.records) >= self.most
+        """Return whether no further record fits."""
+        return len(self.records) >= self.max_records
 
-    def add(self, record: Record) -> None:
+    def add(self, record: InvocationRecord) -> None:
+        """Keep a record until a while after its deadline."""
         self.records[record.id] = record
         if record.scope is not None:
             self.by_scope[record.scope] = record
-        self.at(record.deadline_us, lambda: self._lapse(record))
+        self._call_at(record.deadline_us, lambda: self._expire(record))
+
+    def drop(self, record: InvocationRecord) -> None:
+        """Forget a record; its idempotency key is free again."""
+        self.records.pop(record.id, None)
+        if record.scope is not None and self.by_scope.get(record.scope) is record:
+            del self.by_scope[record.scope]
 
     def uncollected(self, now_us: int) -> bool:
-        """There is the answer of a deferred invocation that nobody has been told, and that still counts."""
+        """Return whether a deferred invocation has an answer that nobody has collected yet."""
         return any(
-            record.deferred and record.answer is not None and not record.told and now_us < record.deadline_us
+            record.deferred
+            and record.answer is not None
+            and not record.delivered
+            and now_us < record.deadline_us
             for record in self.records.values()
         )
 
-    def finish(self, record: Record, answer: Response) -> None:
-        """The first answer stands; it goes to those who wait for it."""
+    def finish(self, record: InvocationRecord, answer: Response) -> None:
+        """Take the answer of a record and deliver it to those who wait; the first answer is final."""
         if record.answer is not None:
             return
         record.answer = answer
-        waiting, record.waiting = record.waiting, []
-        for tell in waiting:
-            tell(self.tell(record))
+        self._deliver_to_waiting(record)
 
-    def tell(self, record: Record) -> Response:
+    def deliver(self, record: InvocationRecord) -> Response:
+        """Return the answer of a finished record, which does not change from here on."""
         assert record.answer is not None
-        record.told = True
+        record.delivered = True
         return record.answer
 
-    def _lapse(self, record: Record) -> None:
-        """Guards against a result that is silently kept, and against one that changes once told."""
+    def _deliver_to_waiting(self, record: InvocationRecord) -> None:
+        waiting = record.waiting
+        record.waiting = []
+        for respond in waiting:
+            respond(self.deliver(record))
+
+    def _expire(self, record: InvocationRecord) -> None:
+        """Fail a record whose answer was not delivered by its deadline.
+
+        This guards against a result that is kept without notice, and against one that changes once delivered.
+        """
         if record.id not in self.records:
             return  # dropped
-        if not record.told:
-            self.counters["invoke.lapsed"] += 1
-            late = record.answer or problem(504, "the deadline lapsed")
-            if late.status < 400:
-                late = problem(504, "the deadline lapsed before the result was collected")
-            waiting, record.waiting = record.waiting, []
-            record.answer = late
-            for tell in waiting:
-                tell(self.tell(record))
-        self.at(record.deadline_us + self.keep_us, lambda: self.drop(record))
-
-    def drop(self, record: Record) -> None:
-        self.records.pop(record.id, None)
-        if record.scope is not None and self.by_scope.get(record.scope) is record:
-            del self.by_scope[record.scope]
+        if not record.delivered:
+            self._counters["invoke.lapsed"] += 1
+            record.answer = _expired_answer(record)
+            self._deliver_to_waiting(record)
+        self._call_at(record.deadline_us + self.keep_us, lambda: self.drop(record))
+
+
+def _expired_answer(record: InvocationRecord) -> Response:
+    if record.answer is None:
+        return problem(504, "the deadline lapsed")
+    if record.answer.status < 400:
+        return problem(504, "the deadline lapsed before the result was collected")
+    return record.answer
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -19,7 +19,7 @@
 
 from maplestile.agent.supervisor import ask
 from maplestile.invoke.operator_file import OperatorError, parse
-from maplestile.invoke.store import Record, Store
+from maplestile.invoke.store import InvocationRecord, InvocationStore
 from maplestile.router.gc_scheduler import GcScheduler
 from maplestile.tools import traces
 from maplestile.tools.cli import main
@@ -48,12 +48,12 @@
         parse(TEXT.replace(old, new, 1))
 
 
-class CordonStore:
+class StoreOnHandClock:
     """A store with timers that are run by hand."""
 
     def __init__(self) -> None:
         self.timers: list[tuple[int, Callable[[], object]]] = []
-        self.store = Store(2, 50, lambda due, then: self.timers.append((due, then)), Counter())
+        self.store = InvocationStore(2, 50, lambda due, then: self.timers.append((due, then)), Counter())
 
     def pass_to(self, now: int) -> None:
         while due := [timer for timer in self.timers if timer[0] <= now]:
@@ -61,30 +61,34 @@
             due[0][1]()
 
 
-def test_told_answer_never_changes_and_an_uncollected_one_is_failed_and_dropped() -> None:
-    shelf = CordonStore()
-    told, left = Record("a", None, b"", 100), Record("b", ("f", "t", "k"), b"", 100)
-    for record in (told, left):
-        shelf.store.add(record)
-        shelf.store.finish(record, Response(200, b"result"))
-        shelf.store.finish(record, Response(502))
-    assert shelf.store.full()
-    first = shelf.store.tell(told)
-    shelf.pass_to(100)
-    assert shelf.store.tell(told) is first and first.status == 200
-    assert shelf.store.tell(left).status == 504 and shelf.store.tell(left).body != b"result"
-    shelf.pass_to(150)
-    assert not shelf.store.records and not shelf.store.by_scope
-
-
-def test_pending_call_is_told_to_its_waiters_once_at_its_deadline() -> None:
-    shelf, heard = CordonStore(), list[int]()
-    record = Record("a", None, b"", 100)
-    shelf.store.add(record)
-    record.waiting.append(lambda response: heard.append(response.status))
-    shelf.pass_to(100)
-    shelf.store.finish(record, Response(200))
-    assert heard == [504] and shelf.store.tell(record).status == 504
+def test_delivered_answer_never_changes_and_an_uncollected_one_is_failed_and_dropped() -> None:
+    clock = StoreOnHandClock()
+    delivered = InvocationRecord("a", None, b"", 100)
+    uncollected = InvocationRecord("b", ("f", "t", "k"), b"", 100)
+    for record in (delivered, uncollected):
+        clock.store.add(record)
+        clock.store.finish(record, Response(200, b"result"))
+        clock.store.finish(record, Response(502))
+    assert clock.store.full()
+    first = clock.store.deliver(delivered)
+    clock.pass_to(100)
+    assert clock.store.deliver(delivered) is first and first.status == 200
+    assert (
+        clock.store.deliver(uncollected).status == 504 and clock.store.deliver(uncollected).body != b"result"
+    )
+    clock.pass_to(150)
+    assert not clock.store.records and not clock.store.by_scope
+
+
+def test_pending_call_is_answered_to_its_waiters_once_at_its_deadline() -> None:
+    clock = StoreOnHandClock()
+    statuses: list[int] = []
+    record = InvocationRecord("a", None, b"", 100)
+    clock.store.add(record)
+    record.waiting.append(lambda response: statuses.append(response.status))
+    clock.pass_to(100)
+    clock.store.finish(record, Response(200))
+    assert statuses == [504] and clock.store.deliver(record).status == 504
 
 
 STAYS = """import signal, sys
