--- a/maplestile/common/__init__.py
+++ b/maplestile/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every other package uses: logs, addresses, TOML tables, durable files, errors."""
+"""What every other package may use: logs, addresses, TOML tables, durable files, errors, bounded waits."""
--- a/maplestile/common/address.py
+++ b/maplestile/common/address.py
@@ -4,6 +4,6 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address that `host:port` names. Raises ValueError where the port is no number."""
+    """Return the address that `host:port` names. Raises ValueError where the port is not a number."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/maplestile/common/errors.py
+++ b/maplestile/common/errors.py
@@ -1,5 +1,5 @@
-"""How the agreed state turns a command down."""
+"""Errors that more than one package raises or handles."""
 
 
 class CommandRejected(Exception):
-    """A command that does not fit; the text is the reason, for the one that asked."""
+    """A command that the replicated state does not accept; the text is the reason, for its issuer."""
--- a/maplestile/common/logs.py
+++ b/maplestile/common/logs.py
@@ -3,71 +3,60 @@
 import logging
 import sys
 import time
+from dataclasses import dataclass
 from typing import Any
 
 import structlog
 from structlog.typing import EventDict, Processor
 
-WINDOW_S, MOST, KINDS_MOST = 10.0, 5, 256
+WINDOW_S = 10.0
+MAX_PER_WINDOW = 5
+MAX_KINDS = 256
+EVENT_LOGGERS = "maplestile.events"  # the loggers of structured events, whose lines are JSON alone
+
+
+@dataclass(slots=True)
+class Window:
+    """When a window began, and how many warnings of a kind came in it."""
+
+    start_s: float
+    count: int = 0
 
 
 class RateLimit(logging.Filter):
-    """Lets so many warnings of one kind through in a window; the first of the next tells of the rest."""
+    """Passes a bounded number of warnings of one kind in a window.
+
+    The first of the next window says how many were suppressed.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.kinds: dict[tuple[str, str], list[float]] = {}  # when the window began, and how many came in it
+        self._windows: dict[tuple[str, str], Window] = {}  # by the logger's name and the warning's text
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether a record is to be written."""
         if record.levelno != logging.WARNING:
             return True
-        if len(self.kinds) >= KINDS_MOST:  # guards memory against kinds that are all different
-            self.kinds.clear()
+        if len(self._windows) >= MAX_KINDS:  # bounds memory against kinds that are all different
+            self._windows.clear()
         now = time.monotonic()
-        told: Any = record.msg  # a text, or the fields of a structured event
-        event = told.get("event", "") if isinstance(told, dict) else told
-        kind = self.kinds.setdefault((record.name, event), [now, 0])
-        if now - kind[0] >= WINDOW_S:
-            kept_back = int(kind[1]) - MOST
-            if kept_back > 0 and isinstance(told, dict):
-                told["not_shown"] = kept_back
-            elif kept_back > 0:
-                record.msg = f"{told} (and {kept_back} more like it, not shown)"
-            kind[:] = [now, 0]
-        kind[1] += 1
-        return kind[1] <= MOST
-
-
-EVENTS = "maplestile.events"  # the loggers of structured events, whose lines are JSON alone
-
-
-def _monotonic(_: Any, __: str, told: EventDict) -> EventDict:
-    told["t_us"] = time.monotonic_ns() // 1000  # one clock for all processes of a machine, for the checkers
-    return told
-
-
-def _plain(_: Any, __: str, told: EventDict) -> str:
-    """`LEVEL text`, and below it the traceback of what failed, if any."""
-    line = f"{str(told['level']).upper()} {told['event']}"
-    return f"{line}\n{told['exception']}" if "exception" in told else line
-
-
-_json = structlog.processors.JSONRenderer(sort_keys=True)
-
-
-def _render(logger: Any, name: str, told: EventDict) -> str:
-    """The one end of all lines: events as JSON, the rest as plain text."""
-    event = told.pop("_record").name.startswith(EVENTS)
-    told.pop("_from_structlog", None)
-    return str((_json if event else _plain)(logger, name, told))
+        window = self._windows.setdefault((record.name, _kind(record)), Window(now))
+        if now - window.start_s >= WINDOW_S:
+            _note_suppressed(record, window.count - MAX_PER_WINDOW)
+            window.start_s = now
+            window.count = 0
+        window.count += 1
+        return window.count <= MAX_PER_WINDOW
 
 
 def start() -> None:
-    """Everything, of this program and of its libraries, goes this one way: the rate limit, then structlog's
-    processors, then standard error."""
+    """Configure the log of this program and of its libraries, for the rest of the process.
+
+    Every line goes through the rate limit, then structlog's processors, and then to standard error.
+    """
     shared: list[Processor] = [structlog.stdlib.add_log_level]
     structlog.configure(
-        processors=[*shared, _monotonic, structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
+        processors=[*shared, _add_time, structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
         logger_factory=structlog.stdlib.LoggerFactory(),
         wrapper_class=structlog.stdlib.BoundLogger,
         cache_logger_on_first_use=True,
@@ -83,6 +72,45 @@
 
 
 def events(part: str) -> Any:
-    """A structlog logger whose events are JSON lines, rate limit and all:
-    `events("peers").info("suspect", member="r2")` writes `{"event": "suspect", "member": "r2", ...}`."""
-    return structlog.get_logger(f"{EVENTS}.{part}")
+    """Return a structlog logger whose events are JSON lines, with the rate limit of all others.
+
+    `events("peers").info("suspect", member="r2")` writes `{"event": "suspect", "member": "r2", ...}`.
+    """
+    return structlog.get_logger(f"{EVENT_LOGGERS}.{part}")
+
+
+def _kind(record: logging.LogRecord) -> str:
+    message: Any = record.msg  # a text, or the fields of a structured event
+    return str(message.get("event", "")) if isinstance(message, dict) else message
+
+
+def _note_suppressed(record: logging.LogRecord, suppressed: int) -> None:
+    if suppressed <= 0:
+        return
+    message: Any = record.msg
+    if isinstance(message, dict):
+        message["not_shown"] = suppressed
+    else:
+        record.msg = f"{message} (and {suppressed} more like it, not shown)"
+
+
+def _add_time(_logger: Any, _method: str, event: EventDict) -> EventDict:
+    """Add the monotonic clock, one for all processes of a machine, by which checkers order events."""
+    event["t_us"] = time.monotonic_ns() // 1000
+    return event
+
+
+_render_json = structlog.processors.JSONRenderer(sort_keys=True)
+
+
+def _render_plain(_logger: Any, _method: str, event: EventDict) -> str:
+    """Return `LEVEL text`, and below it the traceback of what failed, if any."""
+    line = f"{str(event['level']).upper()} {event['event']}"
+    return f"{line}\n{event['exception']}" if "exception" in event else line
+
+
+def _render(logger: Any, method: str, event: EventDict) -> str:
+    """Return the line of a record: structured events as JSON, the rest as plain text."""
+    is_event = event.pop("_record").name.startswith(EVENT_LOGGERS)
+    event.pop("_from_structlog", None)
+    return str((_render_json if is_event else _render_plain)(logger, method, event))
