--- a/maplestile/membership/state_exchange.py
+++ b/maplestile/membership/state_exchange.py
@@ -33,7 +33,7 @@
         self.next_reconnect_us = now_us + self._reconnect_us
 
     def join(self, seeds: Iterable[Address]) -> None:
-        """Request the seeds' state; they are asked again until one answers."""
+        """Request the seeds' state; repeated until one answers."""
         self._seeds = [seed for seed in seeds if seed != self._members.own.address]
         self._sender.update_queue.add(self._members.own_update())  # also for members that the seeds miss
         self._request_of_seeds()
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -131,7 +131,7 @@
     # What the driver calls.
 
     def join(self, seeds: Iterable[Address]) -> None:
-        """Request the state of the seeds; they are asked again until one answers."""
+        """Request the state of the seeds; repeated until one answers."""
         self._exchange.join(seeds)
 
     def know(self, members: list[tuple[str, Address]]) -> None:
@@ -192,9 +192,9 @@
             self._merger.merge(self._weakened(update) if may_be_old else update, now_us)
 
     def _is_known(self, update: MemberUpdate, may_be_old: bool) -> bool:
-        """Return whether an update is no news: the common case in a full state.
+        """Return whether an update adds nothing: the common case in a full state.
 
-        An old suspicion of a known incarnation is none either: this member's own probes know more.
+        Nor does an old suspicion of a known incarnation: this member's own probes know more.
         """
         known = self.member_list.get(update.name)
         if known is None or known.incarnation != update.incarnation:
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -41,7 +41,7 @@
         self.refuted_update_heard = False  # whether an update that this member refuted before came again
 
     def merge(self, update: MemberUpdate, now_us: int) -> None:
-        """Take one update; one that is not news changes nothing."""
+        """Take one update; one that the table supersedes changes nothing."""
         if update.name == self._members.own_name:
             self._merge_own(update)
             return
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -7,11 +7,11 @@
 class PolicyOperations(Protocol):
     """The router's policy driver as the operators' front sees it."""
 
-    def check(self, told: object) -> dict[str, Any]:
+    def check(self, proposal: object, /) -> dict[str, Any]:
         """Return whether a proposed policy would fit this router. Raises ConfigError or ValueError."""
         ...
 
-    def hear(self, told: object, reply: Callable[[dict[str, Any]], None]) -> None:
+    def hear(self, announcement: object, reply: Callable[[dict[str, Any]], None], /) -> None:
         """Take the agent's announcement of the committed epoch, and reply once, now or later.
 
         Raises ConfigError or ValueError.
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -79,7 +79,7 @@
         self.assertEqual((answer.status, b"no runner is listed" in answer.body), (503, True))
 
     def test_runners_are_named_percent_decoded_and_unknown_ones_get_a_no(self) -> None:
-        told = [
+        statuses = [
             self.ask("PUT", f"/v1/runners/{name}/{do}").status
             for name, do in (
                 ("s%201", "suspend"),
@@ -89,7 +89,7 @@
                 ("%ff", "suspend"),
             )
         ]
-        self.assertEqual(told, [204, 204, 404, 404, 400])
+        self.assertEqual(statuses, [204, 204, 404, 404, 400])
         self.assertEqual(self.router.calls, ["out s 1", "back s 1", "out s-2", "back s-2"])
 
     def test_wrong_methods_and_paths(self) -> None:
@@ -169,7 +169,8 @@
 class CordonsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp()) / "deep" / "suspended"
-        self.one, self.other = self.cordons(), self.cordons()
+        self.one = self.cordons()
+        self.other = self.cordons()
 
     def cordons(self) -> Cordons:
         cordons = Cordons(FileCordonStore(self.folder), Limits(runners_known=3), Counter(), lambda: None)
@@ -224,13 +225,13 @@
 
 class ListTest(unittest.TestCase):
     def test_a_suspended_runner_is_shown_as_draining_whatever_the_list_says(self) -> None:
-        told = EndpointList()
+        endpoints = EndpointList()
         target_of = [target("a", 1), target("b", 2)]
-        told.apply_known({"updates": [{"index": 1, "endpoints": {"all": True, "targets": target_of}}]})
-        told.suspended = frozenset({"a", "gone"})
-        states = {e.worker: e.state for e in told.event().entries}
+        endpoints.apply_known({"updates": [{"index": 1, "endpoints": {"all": True, "targets": target_of}}]})
+        endpoints.suspended = frozenset({"a", "gone"})
+        states = {e.worker: e.state for e in endpoints.event().entries}
         self.assertEqual(states, {"a": api.WorkerState.DRAINING, "b": api.WorkerState.RUNNING})
-        self.assertEqual(told.entries["a"].state, api.WorkerState.RUNNING)
+        self.assertEqual(endpoints.entries["a"].state, api.WorkerState.RUNNING)
 
     def test_with_every_runner_out_calls_are_refused_at_once(self) -> None:
         driver = Driver(settings(), [entry("a", api.WorkerState.DRAINING)])
@@ -307,9 +308,9 @@
         self.assertEqual((first.successor, first.successor_ready), (True, False))
 
     def test_budgets_are_divided_while_two_live(self) -> None:
-        told = settings()
+        chosen = settings()
         for descriptors in (256, 384, 1024):
-            alone = Limits.of(told, descriptors, 80)
+            alone = Limits.of(chosen, descriptors, 80)
             both = alone.shared(2)
             held = 2 * (both.client_connections + both.runner_connections + both.operator_connections)
             self.assertLess(held, descriptors - 40)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -58,15 +58,15 @@
         sides = [list(range(40))]
         figures = model(members=100, seconds=70, split=[{"at_s": 5, "until_s": 45, "sides": sides}])
         self.assertEqual(figures["ever_isolated"], 40)
-        # With another's word of a death believed at once this was 1243, and 18 s.
+        # With another member's report of a death believed at once this was 1243, and 18 s.
         self.assertEqual(figures["false_positives"], 0)
         self.assertLess(figures["converged_after_heal_s"] or 99, 10)
 
 
 class ModelTest(unittest.TestCase):
     def test_the_same_file_and_seed_give_the_same_figures(self) -> None:
-        told: dict[str, Any] = {"net": {"loss": 0.05}, "kill": [{"at_s": 5, "member": 1}]}
-        self.assertEqual(as_json(model(seconds=20, **told)), as_json(model(seconds=20, **told)))
+        faults: dict[str, Any] = {"net": {"loss": 0.05}, "kill": [{"at_s": 5, "member": 1}]}
+        self.assertEqual(as_json(model(seconds=20, **faults)), as_json(model(seconds=20, **faults)))
         self.assertIn("detection_median_periods,", as_csv(model(seconds=5)))
 
     def test_runs_of_many_seeds_tell_their_spread(self) -> None:
@@ -74,13 +74,13 @@
         runs = [figures(one) for one in with_seeds(chosen, 3)]
         spread = report.over(figures, with_seeds(chosen, 3))
         detection = spread["detection_median_periods"] or {}
-        values = sorted(told["detection_median_periods"] or 0 for told in runs)
+        values = sorted(one["detection_median_periods"] or 0 for one in runs)
         self.assertEqual([detection["min"], detection["median"], detection["max"]], values)
         self.assertIsNone(spread["converged_after_heal_s"])
         self.assertIn("converged_after_heal_s,,,,0", report.spread_csv(spread))
 
     def test_a_bad_file_names_the_field(self) -> None:
-        for told, place in (
+        for experiment, place in (
             ({"members": 5, "duration_s": 1}, "seed"),
             ({"seed": 1, "members": 1, "duration_s": 1}, "members"),
             (
@@ -112,7 +112,7 @@
             ),
         ):
             with self.assertRaisesRegex(ScheduleError, f"^{place.replace('[', '.').replace(']', '.')}"):
-                parse(told)
+                parse(experiment)
 
 
 class WireTest(unittest.TestCase):
@@ -238,12 +238,13 @@
 
     def test_the_fleet_sends_about_one_probe_a_duty_also_when_an_owner_dies(self) -> None:
         figures = model(members=10, seconds=60, duties=20, kill=[{"at_s": 20, "member": 3}])
-        # One in a period and duty; every member for itself would make it ten.
+        # One in a period and check; every member for itself would make it ten.
         self.assertAlmostEqual(figures["probes_per_duty_per_period"] or 0, 1.0, delta=0.1)
         self.assertLess(figures["longest_gap_of_a_duty_periods"] or 99, 12)  # detected, then taken over
 
     def test_the_later_finding_wins_and_one_miss_is_none(self) -> None:
-        one, other = SharedHealthChecks("r0", 1000), SharedHealthChecks("r1", 1000)
+        one = SharedHealthChecks("r0", 1000)
+        other = SharedHealthChecks("r1", 1000)
         for checks in (one, other):
             checks.listed(["w1"])
         self.assertIsNone(one.ended("w1", False))  # a single miss
@@ -277,8 +278,8 @@
         checks.listed(["w1", "w2"])
         for runner in ("w1", "w2"):
             checks.ended(runner, True)
-        told = [finding.runner for _ in range(9) for finding in checks.piggyback(1, 3)]
-        self.assertEqual(sorted(told), ["w1"] * 3 + ["w2"] * 3)
+        sent = [finding.runner for _ in range(9) for finding in checks.piggyback(1, 3)]
+        self.assertEqual(sorted(sent), ["w1"] * 3 + ["w2"] * 3)
 
 
 if __name__ == "__main__":
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -129,8 +129,9 @@
         address = ("127.0.0.1", int(self.agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")))
         self.agent.find(r"\[stays\] (up)")
         self.agent.find(r"falls: (ended with 3; starts again in 0\.10 s)")  # doubled
-        told = await ask(address, "status", [])
-        stays, falls = told["instances"]["stays"], told["instances"]["falls"]
+        status = await ask(address, "status", [])
+        stays = status["instances"]["stays"]
+        falls = status["instances"]["falls"]
         self.assertEqual((stays["state"], stays["starts"]), ("running", 1))
         self.assertGreaterEqual(falls["starts"], 2)
         self.assertEqual(await ask(address, "counters", ["stays"]), {"counters": {"stays": {"n": 3}}})
