--- a/maplestile/dispatch/ranking.py
+++ b/maplestile/dispatch/ranking.py
@@ -1,11 +1,16 @@
 """Weighted rendezvous rankings of workers, kept as short prefixes and brought up to date by what changed.
 
-Each function ranks all workers by a hash of its own name and theirs (Thaler and Ravishankar, 1998), divided
-by the worker's weight, the least first. Only the head of a ranking is ever looked at, so a `Ranking` holds
-that alone, with a bound under which it is complete. A change of the list costs each ranking a look at the
-workers that changed, at its next use; it is made anew, by one pass over all workers, where too many have
-changed or too many of its own have left. It tells what sorting all workers would: `tests/test_ranking.py`
-compares the two."""
+Rendezvous hashing, or Highest Random Weight (D. G. Thaler and C. V. Ravishankar, "Using name-based mappings
+to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998): each function ranks all workers by a
+hash of its own name and theirs. Here the least hash is the first, and the hash is divided by the worker's
+weight. With `-log(1 - hash)` in place of the hash, the first ranks would go to the workers in exact
+proportion to their weights; near 0, where the first ranks of a large fleet lie, the two are the same.
+
+Only the first workers of a ranking are ever used, so a `Ranking` holds these alone, with a bound under which
+it is complete. A change of the worker list costs each ranking a look at the workers that changed, at its next
+use. A ranking is rebuilt, by one pass over all workers, where too many workers have changed or too many of
+its own have left. The result is the same as from sorting all workers.
+"""
 
 import heapq
 import math
@@ -14,158 +19,200 @@
 from dataclasses import dataclass, field
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-from maplestile.dispatch.hashing import BITS, mixed
-from maplestile.dispatch.packed import Lanes
+from maplestile.dispatch.hashing import HASH_BITS, mixed
+from maplestile.dispatch.packed import PackedHashes
 
-SPARE = 8  # workers held past twice as many as are asked for: so many may leave before a new pass
-GUESS = 3.0  # how many times as many as are wanted a pass looks for: too few cost a second pass
-WEIGHTS_MOST = 16  # distinct weights up to which a pass goes by lanes
+SPARE_WORKERS = 8  # held past twice as many as are wanted: so many may leave before a new pass
+GUESS_FACTOR = 3.0  # how many times as many as are wanted a pass aims at: too few cost a second pass
+GUESS_GROWTH = 4  # of the bound, for each further pass
+MAX_WEIGHT_GROUPS = 16  # distinct weights up to which a pass uses the packed hashes
 CHANGE_COST = 4  # a change costs about as much as a pass's look at so many workers; more are not kept
-LEAST_WEIGHT = 1e-6
-UNIT = 1 << BITS
-ROUNDING = 1 - 1e-9  # a bound that came of a product of floats is lowered by this
+MIN_WEIGHT = 1e-6
+REMOVED_WEIGHT = 0.0  # stands for a worker that may no longer be ranked
+HASH_RANGE = 1 << HASH_BITS
+ROUNDING = 1 - 1e-9  # lowers a bound that is a product of floats, so that it is never too high
 
 
 class Entry(Protocol):
+    """The entry of a worker in the worker list."""
+
     @property
-    def weight(self) -> float: ...
+    def weight(self) -> float:
+        """Its capacity relative to the other workers."""
+        ...
 
 
 class Rankable(Protocol):
-    """A worker: its hash, and its weight by the list."""
+    """A worker that can be ranked."""
 
     @property
-    def salt(self) -> int: ...
+    def salt(self) -> int:
+        """The hash of its name."""
+        ...
+
     @property
-    def entry(self) -> Entry: ...
+    def entry(self) -> Entry:
+        """Its present entry in the worker list."""
+        ...
 
 
 W = TypeVar("W", bound=Rankable)
 
 
 class Change(NamedTuple, Generic[W]):
+    """A worker that may be ranked from now on, or no longer."""
+
     worker: W
-    weight: float  # of one that came; 0 for one that left
+    weight: float  # `REMOVED_WEIGHT` if it may no longer be ranked
 
 
 @dataclass(slots=True, eq=False)
 class Ranking(Generic[W]):
-    """The head of one function's ranking: every worker whose key is under `bound`, in order."""
+    """The first workers of one function's ranking: all those whose key is under `bound`, in order."""
 
-    salt: int
+    salt: int  # the hash of the function's name
     workers: list[W] = field(default_factory=list)
-    keys: list[float] = field(default_factory=list)
+    keys: list[float] = field(default_factory=list)  # of the workers, in the same order
     bound: float = 0.0
-    seen: int = 0  # changes that it has taken in
+    seen: int = 0  # the version of the index that it is up to date with
 
     def remove(self, worker: W) -> None:
+        """Take out a worker, if it is among those held."""
         if worker in self.workers:
-            at = self.workers.index(worker)
-            del self.workers[at], self.keys[at]
+            position = self.workers.index(worker)
+            del self.workers[position]
+            del self.keys[position]
 
     def insert(self, worker: W, weight: float) -> None:
+        """Take in a worker, if its key is under the bound."""
         key = mixed(self.salt, worker.salt) / weight
         if key < self.bound:
-            at = bisect_left(self.keys, key)
-            self.workers.insert(at, worker)
-            self.keys.insert(at, key)
+            position = bisect_left(self.keys, key)
+            self.workers.insert(position, worker)
+            self.keys.insert(position, key)
 
-    def cut(self, most: int) -> None:
-        if len(self.workers) > most:
-            self.bound = self.keys[most]
-            del self.workers[most:], self.keys[most:]
+    def cut(self, size: int) -> None:
+        """Drop all but the first `size` workers, and lower the bound to match."""
+        if len(self.workers) > size:
+            self.bound = self.keys[size]
+            del self.workers[size:]
+            del self.keys[size:]
 
 
 class RankingIndex(Generic[W]):
-    """The workers that may be ranked, and what has changed among them."""
+    """The workers that may be ranked, and the latest changes among them."""
 
     def __init__(self) -> None:
-        self.weights: dict[W, float] = {}
-        self.changes: list[Change[W]] = []
-        self.dropped = 0  # changes that are no longer held
-        self.groups: dict[float, Lanes[W]] = {}  # by weight
-        self.passes = 0  # over all workers, as a figure
+        self.changes: list[Change[W]] = []  # the latest ones, by which rankings are brought up to date
+        self.passes = 0  # over all workers, counted for tests and benchmarks
+        self._weights: dict[W, float] = {}
+        self._groups: dict[float, PackedHashes[W]] = {}  # the workers by weight
+        self._dropped_changes = 0  # how many are no longer held
 
     def __len__(self) -> int:
-        return len(self.weights)
+        return len(self._weights)
 
     @property
     def version(self) -> int:
-        """How many changes there have been."""
-        return self.dropped + len(self.changes)
+        """The number of changes since the start."""
+        return self._dropped_changes + len(self.changes)
 
     def update(self, workers: Iterable[W]) -> None:
-        """Those that may be ranked from now on, in place of those before."""
-        now = {worker: max(worker.entry.weight, LEAST_WEIGHT) for worker in workers}
-        left = [worker for worker, weight in self.weights.items() if now.get(worker) != weight]
-        came = [worker for worker, weight in now.items() if self.weights.get(worker) != weight]
-        self.changes += [Change(worker, 0.0) for worker in left]
-        self.changes += [Change(worker, now[worker]) for worker in came]
-        for worker in left:
-            self._leave(worker)
-        for worker in came:
-            self.groups.setdefault(now[worker], Lanes()).add(worker, worker.salt)
-        self.weights = now
-        # Also guards memory: the log holds workers that are no more.
-        if (surplus := len(self.changes) - len(self.weights) // CHANGE_COST) > 0:
-            del self.changes[:surplus]
-            self.dropped += surplus
+        """Set the workers that may be ranked from now on, by their present entries."""
+        weights = {worker: max(worker.entry.weight, MIN_WEIGHT) for worker in workers}
+        removed = [worker for worker, weight in self._weights.items() if weights.get(worker) != weight]
+        added = [worker for worker, weight in weights.items() if self._weights.get(worker) != weight]
+        self.changes += [Change(worker, REMOVED_WEIGHT) for worker in removed]
+        self.changes += [Change(worker, weights[worker]) for worker in added]
+        for worker in removed:
+            self._remove_from_group(worker)
+        for worker in added:
+            self._groups.setdefault(weights[worker], PackedHashes()).add(worker, worker.salt)
+        self._weights = weights
+        self._drop_old_changes()
 
     def refresh(self, ranking: Ranking[W], count: int) -> None:
-        """Bring a ranking up to date, with `count` workers or, where there are fewer, all."""
-        wanted = min(count, len(self.weights))
+        """Bring a ranking up to date, with `count` workers or, where there are fewer, with all."""
+        wanted = min(count, len(self._weights))
         missed = self.version - ranking.seen
-        if ranking.seen < self.dropped or missed * CHANGE_COST > len(self.weights):
-            self._make(ranking, wanted)
+        if ranking.seen < self._dropped_changes or missed * CHANGE_COST > len(self._weights):
+            self._rebuild(ranking, wanted)
             return
-        for change in self.changes[len(self.changes) - missed :] if missed else ():
-            if change.weight:
-                ranking.insert(change.worker, change.weight)
-            else:
-                ranking.remove(change.worker)
-        ranking.seen = self.version
+        if missed:
+            self._apply_changes(ranking, missed)
         if len(ranking.workers) < wanted:
-            self._make(ranking, wanted)
+            self._rebuild(ranking, wanted)
         else:
-            ranking.cut(2 * (2 * wanted + SPARE))
+            ranking.cut(2 * (2 * wanted + SPARE_WORKERS))
 
-    def _make(self, ranking: Ranking[W], wanted: int) -> None:
+    def _apply_changes(self, ranking: Ranking[W], missed: int) -> None:
+        """Apply the last `missed` changes."""
+        for change in self.changes[-missed:]:
+            if change.weight == REMOVED_WEIGHT:
+                ranking.remove(change.worker)
+            else:
+                ranking.insert(change.worker, change.weight)
+        ranking.seen = self.version
+
+    def _rebuild(self, ranking: Ranking[W], wanted: int) -> None:
+        """Rank anew, by a pass over all workers."""
         self.passes += 1
-        ranking.seen, most = self.version, 2 * wanted + SPARE
-        if most >= len(self.weights) or len(self.groups) > WEIGHTS_MOST:
-            found = self._least(ranking.salt, most)
-            bound = math.inf
+        size = 2 * wanted + SPARE_WORKERS
+        if size >= len(self._weights) or len(self._groups) > MAX_WEIGHT_GROUPS:
+            keyed, bound = self._smallest(ranking.salt, size)
         else:
-            found, bound = self._under_guess(ranking.salt, most)
-        ranking.keys, ranking.workers = [key for key, _ in found], [worker for _, worker in found]
-        ranking.bound = bound
-        if len(found) >= len(self.weights):
-            ranking.bound = math.inf
-        elif math.isinf(bound):
-            ranking.bound = ranking.keys[-1]
-            ranking.remove(ranking.workers[-1])
-        ranking.cut(most)
-
-    def _least(self, salt: int, most: int) -> list[tuple[float, W]]:
-        """Of all, one more than `most`, by their keys."""
-        keyed = ((mixed(salt, worker.salt) / weight, worker) for worker, weight in self.weights.items())
-        return heapq.nsmallest(most + 1, keyed, key=lambda pair: pair[0])
-
-    def _under_guess(self, salt: int, most: int) -> tuple[list[tuple[float, W]], float]:
-        """All under a bound that about `GUESS` times as many as wanted are under, or a greater one."""
-        bound = GUESS * most / sum(weight * len(group) for weight, group in self.groups.items())
-        while True:
-            found = list[tuple[float, W]]()
-            for weight, group in self.groups.items():
-                under = group.under(salt, min(UNIT, int(bound * weight * UNIT)))
-                keyed = ((mixed(salt, worker.salt) / weight, worker) for worker in under)
-                found += [pair for pair in keyed if pair[0] < bound]
-            if len(found) >= most:
-                return sorted(found, key=lambda pair: pair[0]), bound * ROUNDING
-            bound *= 4
-
-    def _leave(self, worker: W) -> None:
-        weight = self.weights[worker]
-        self.groups[weight].remove(worker)
-        if not self.groups[weight]:
-            del self.groups[weight]
+            keyed, bound = self._under_guessed_bound(ranking.salt, size)
+        ranking.keys = [key for key, _ in keyed]
+        ranking.workers = [worker for _, worker in keyed]
+        ranking.bound = math.inf if len(keyed) == len(self._weights) else bound
+        ranking.seen = self.version
+        ranking.cut(size)
+
+    def _smallest(self, salt: int, size: int) -> tuple[list[tuple[float, W]], float]:
+        """Return the `size` workers of the smallest keys with these, in order, and the next key."""
+        all_keyed = ((mixed(salt, worker.salt) / weight, worker) for worker, weight in self._weights.items())
+        keyed = heapq.nsmallest(size + 1, all_keyed, key=_key)
+        if len(keyed) == len(self._weights):
+            return keyed, math.inf
+        next_key, _ = keyed.pop()
+        return keyed, next_key
+
+    def _under_guessed_bound(self, salt: int, size: int) -> tuple[list[tuple[float, W]], float]:
+        """Return all workers whose key is under a bound with their keys, in order, and the bound.
+
+        The bound is a guess that about `GUESS_FACTOR` times `size` keys are under; it grows until at least
+        `size` are.
+        """
+        total_weight = sum(weight * len(group) for weight, group in self._groups.items())
+        bound = GUESS_FACTOR * size / total_weight
+        keyed = self._under_bound(salt, bound)
+        while len(keyed) < size:
+            bound *= GUESS_GROWTH
+            keyed = self._under_bound(salt, bound)
+        return sorted(keyed, key=_key), bound * ROUNDING
+
+    def _under_bound(self, salt: int, bound: float) -> list[tuple[float, W]]:
+        """Return all workers whose key is under the bound with their keys, in any order."""
+        found = list[tuple[float, W]]()
+        for weight, group in self._groups.items():
+            candidates = group.candidates(salt, min(HASH_RANGE, int(bound * weight * HASH_RANGE)))
+            keyed = ((mixed(salt, worker.salt) / weight, worker) for worker in candidates)
+            found += [pair for pair in keyed if pair[0] < bound]
+        return found
+
+    def _remove_from_group(self, worker: W) -> None:
+        weight = self._weights[worker]
+        self._groups[weight].remove(worker)
+        if not self._groups[weight]:
+            del self._groups[weight]
+
+    def _drop_old_changes(self) -> None:
+        """Drop changes that cost more than a pass, which also frees the workers that have left."""
+        surplus = len(self.changes) - len(self._weights) // CHANGE_COST
+        if surplus > 0:
+            del self.changes[:surplus]
+            self._dropped_changes += surplus
+
+
+def _key(keyed: tuple[float, Rankable]) -> float:
+    return keyed[0]
--- a/maplestile/dispatch/recency.py
+++ b/maplestile/dispatch/recency.py
@@ -1,55 +1,67 @@
-"""Which row of a list was called least often of late, without a look at each of them.
+"""The entry of a list with the greatest age, without a scan of the list.
 
-The rows' ages move only when they are called or settle in a list, so a heap with stale entries left in it
-(lazy deletion) tells the greatest: an entry counts as long as its row stands there and has the age that it
-was entered with. Rows of one age go by when they settled, the first first, as in a scan of the list."""
+The age of an entry changes only when its function is called or when it is inserted into a list. So a heap
+from which stale elements are removed late (lazy deletion) gives the greatest: an element counts as long as
+its entry is in this list and has the age that it was pushed with. Entries of equal age go by the order of
+their insertion, the first one first, as in a scan of the list.
+"""
 
 import heapq
 from itertools import count
 from typing import Generic, Protocol, TypeVar
 
-STALE_MOST = 4  # entries for each row before the heap is made anew
-LEAST = 64
+STALE_FACTOR = 4  # the heap is rebuilt past so many elements for each entry
+MIN_REBUILD_SIZE = 64
 
 
-class Aging(Protocol):
-    place: int
-    settled: int
+class AgedEntry(Protocol):
+    """An entry that can stand in one list at a time."""
 
-    def aged(self) -> int: ...
+    place: int  # the number of its list
+    settled: int  # the number of its last insertion into a list
 
+    def aged(self) -> int:
+        """Return its age, in any unit."""
+        ...
 
-R = TypeVar("R", bound=Aging)
 
+E = TypeVar("E", bound=AgedEntry)
 
-class OldestFirst(Generic[R]):
-    """The rows of one list by age, the greatest first."""
+
+class OldestFirst(Generic[E]):
+    """The entries of one list by age, the greatest first."""
 
     def __init__(self, place: int) -> None:
-        self.place = place
-        self.most = LEAST  # entries before those that stand no more are dropped
-        self.heap: list[tuple[int, int, int, R]] = []
-        self.numbers = count()
-
-    def settle(self, row: R) -> None:
-        """It has come to the list, or to its end."""
-        row.settled = next(self.numbers)
-        self.called(row)
-
-    def called(self, row: R) -> None:
-        """Its age has changed where it stands."""
-        heapq.heappush(self.heap, (-row.aged(), row.settled, next(self.numbers), row))
-        if len(self.heap) > self.most:  # guards memory: nobody may ask for the first for a long time
-            self.heap = [entry for entry in self.heap if self._stands(entry)]
-            heapq.heapify(self.heap)
-            self.most = STALE_MOST * len(self.heap) + LEAST
-
-    def first(self) -> R | None:
-        """The greatest of the list's rows."""
-        while self.heap and not self._stands(self.heap[0]):
+        self.place = place  # the number of the list
+        # The age (negative, so that the greatest comes first), the number of the insertion, the number of the
+        # element, and the entry.
+        self.heap: list[tuple[int, int, int, E]] = []
+        self._rebuild_size = MIN_REBUILD_SIZE
+        self._numbers = count()
+
+    def settle(self, entry: E) -> None:
+        """Take in an entry that was inserted into the list, or moved to its end."""
+        entry.settled = next(self._numbers)
+        self.called(entry)
+
+    def called(self, entry: E) -> None:
+        """Take in the changed age of an entry of the list."""
+        heapq.heappush(self.heap, (-entry.aged(), entry.settled, next(self._numbers), entry))
+        if len(self.heap) > self._rebuild_size:
+            self._rebuild()
+
+    def first(self) -> E | None:
+        """Return the entry of the greatest age, or None if the list is empty."""
+        while self.heap and not self._is_current(self.heap[0]):
             heapq.heappop(self.heap)
         return self.heap[0][3] if self.heap else None
 
-    def _stands(self, entry: tuple[int, int, int, R]) -> bool:
-        age, settled, _, row = entry
-        return row.place == self.place and row.settled == settled and row.aged() == -age
+    def _rebuild(self) -> None:
+        """Remove all stale elements, which bounds the memory where nobody asks for the first for long."""
+        self.heap = [element for element in self.heap if self._is_current(element)]
+        heapq.heapify(self.heap)
+        self._rebuild_size = STALE_FACTOR * len(self.heap) + MIN_REBUILD_SIZE
+
+    def _is_current(self, element: tuple[int, int, int, E]) -> bool:
+        negative_age, settled, _, entry = element
+        return entry.place == self.place and entry.settled == settled and entry.aged() == -negative_age
--- a/maplestile/dispatch/worker_list.py
+++ b/maplestile/dispatch/worker_list.py
@@ -1,8 +1,8 @@
-"""A list of workers, or its changes, taken over into the records kept of them."""
+"""A received worker list, or its changes, applied to the records that are kept of the workers."""
 
 from collections.abc import Mapping
 
-from maplestile.dispatch.api import ListKind, WorkerListReceived, WorkerState
+from maplestile.dispatch.api import ListKind, WorkerEntry, WorkerListReceived, WorkerState
 from maplestile.dispatch.hashing import digest
 from maplestile.dispatch.state import Window, Worker
 
@@ -10,19 +10,32 @@
 def relisted(
     workers: Mapping[str, Worker], event: WorkerListReceived, overload_window_us: int
 ) -> tuple[dict[str, Worker], list[Worker]]:
-    """The workers after a list or its changes, and those that have come up; the others keep their records."""
-    kept, started = dict(workers), list[Worker]()
-    if event.kind is not ListKind.DELTA:
-        named = {entry.worker for entry in event.entries}
-        kept = {name: worker for name, worker in workers.items() if name in named}
+    """Return the workers after a list or its changes, by name, and those of them that have started.
+
+    The others keep their records. New records sum up what is sent over the last `overload_window_us`.
+    """
+    updated = _still_listed(workers, event)
+    started = list[Worker]()
     for entry in event.entries:
-        known = kept.pop(entry.worker, None)
+        worker = updated.pop(entry.worker, None)
         if entry.state is WorkerState.GONE:
             continue
-        # A restarted worker is a new record: it is empty, and its old symptoms say nothing of it.
-        if known is None or entry.started_us > known.entry.started_us:
-            known = Worker(entry, Window(overload_window_us), digest(entry.worker))
-            started.append(known)
-        known.entry = entry
-        kept[entry.worker] = known
-    return kept, started
+        if worker is None or _has_restarted(worker, entry):
+            worker = Worker(entry, Window(overload_window_us), digest(entry.worker))
+            started.append(worker)
+        worker.entry = entry
+        updated[entry.worker] = worker
+    return updated, started
+
+
+def _still_listed(workers: Mapping[str, Worker], event: WorkerListReceived) -> dict[str, Worker]:
+    """Return the workers without those that a whole list no longer names."""
+    if event.kind is ListKind.DELTA:
+        return dict(workers)
+    listed = {entry.worker for entry in event.entries}
+    return {name: worker for name, worker in workers.items() if name in listed}
+
+
+def _has_restarted(worker: Worker, entry: WorkerEntry) -> bool:
+    """Whether this is a new process: it holds no copies, and the old one's symptoms say nothing of it."""
+    return entry.started_us > worker.entry.started_us
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""Rankings kept up to date against rankings made by sorting all workers."""
+"""Rankings and age order that are kept up to date, against those made by sorting or scanning all."""
 
 import math
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from maplestile.dispatch.hashing import digest, mixed
-from maplestile.dispatch.ranking import LEAST_WEIGHT, WEIGHTS_MOST, Ranking, RankingIndex
+from maplestile.dispatch.ranking import MAX_WEIGHT_GROUPS, MIN_WEIGHT, Ranking, RankingIndex
 from maplestile.dispatch.recency import OldestFirst
 
 
@@ -28,7 +28,7 @@
 
 def sorted_names(salt: int, workers: list[Worker], count: int) -> list[str]:
     def key(worker: Worker) -> float:
-        return mixed(salt, worker.salt) / max(worker.entry.weight, LEAST_WEIGHT)
+        return mixed(salt, worker.salt) / max(worker.entry.weight, MIN_WEIGHT)
 
     return [worker.name for worker in sorted(workers, key=key)[:count]]
 
@@ -64,7 +64,7 @@
 
 
 @given(STEPS, st.booleans())
-def test_a_ranking_is_what_sorting_tells_whatever_changes_led_there(
+def test_a_ranking_is_the_one_from_sorting_whatever_changes_led_there(
     steps: list[tuple[str, int, float, str, int]], looks_rarely: bool
 ) -> None:
     index, workers = RankingIndex[Worker](), dict[str, Worker]()
@@ -76,8 +76,8 @@
             continue
         ranking = rankings[function]
         index.refresh(ranking, count)
-        told = sorted_names(ranking.salt, list(workers.values()), count)
-        assert names(ranking, count) == told
+        expected = sorted_names(ranking.salt, list(workers.values()), count)
+        assert names(ranking, count) == expected
         assert len(index) == len(workers)
 
 
@@ -127,7 +127,7 @@
 
 
 def test_many_weights_are_ranked_by_their_keys_alone() -> None:
-    workers = fleet(500, WEIGHTS_MOST + 5)
+    workers = fleet(500, MAX_WEIGHT_GROUPS + 5)
     index, ranking = RankingIndex[Worker](), Ranking[Worker](digest("f"))
     index.update(workers.values())
     index.refresh(ranking, 5)
