--- a/maplestile/wire/dns.py
+++ b/maplestile/wire/dns.py
@@ -6,12 +6,32 @@
 
 from maplestile.dispatch.api import WorkerEntry, WorkerState
 
-A, SOA, TXT, SRV, IN = 1, 6, 16, 33, 1
-RESPONSE, TRUNCATED, RCODE = 0x8000, 0x0200, 0x000F
-HEAD = struct.Struct("!6H")
-FIXED = struct.Struct("!HHIH")
-POINTER, LABEL_MOST, NAME_MOST = 0xC0, 63, 255
+# Types of records, and the class of all of them.
+A = 1
+SOA = 6
+TXT = 16
+SRV = 33
+IN = 1
+
+# Of the flags in a header.
+RESPONSE = 0x8000
+TRUNCATED = 0x0200
+RECURSION_DESIRED = 0x0100
+RCODE = 0x000F
+
+HEADER = struct.Struct("!6H")  # identifier, flags, and the counts of the four sections
+QUESTION = struct.Struct("!HH")  # type and class, behind the name
+RECORD = struct.Struct("!HHIH")  # type, class, time to live and size of the data, behind the name
+SERVICE = struct.Struct("!3H")  # priority, weight and port, before the target's name
+
+POINTER = 0xC0  # both of the top bits of a length byte: a compression pointer
+POINTER_OFFSET = 0x3FFF
+MAX_LABEL_BYTES = 63
+MAX_NAME_BYTES = 255
+IPV4_BYTES = 4
+
 WEIGHT_UNIT = 10  # the name server gives ten times the weight
+US_PER_MS = 1000
 
 
 class DnsError(Exception):
@@ -19,33 +39,39 @@
 
 
 class Truncated(DnsError):
-    """A reply that says it is not whole."""
+    """A reply that was truncated by the server."""
 
 
 @dataclass(slots=True)
 class Host:
-    address: str = ""
-    texts: dict[str, str] = field(default_factory=dict)
+    """What a reply gives of one host."""
+
+    address: str = ""  # IPv4, from an A record
+    texts: dict[str, str] = field(default_factory=dict)  # from TXT records of the form `name=value`
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    name: str
+    """One SRV record."""
+
+    name: str  # of the host
     port: int
-    priority: int
-    weight: int
+    priority: int  # over 0 for a worker that drains
+    weight: int  # in `WEIGHT_UNIT`
 
 
 @dataclass(slots=True)
 class Reply:
+    """A decoded reply."""
+
     id: int
-    question: tuple[str, int] | None = None  # the name, in small letters, and the kind that it answers
-    serial: int | None = None
+    question: tuple[str, int] | None = None  # the name, in lower case, and the type that it answers
+    serial: int | None = None  # of the zone, from an SOA record
     targets: list[Target] = field(default_factory=list)
-    hosts: dict[str, Host] = field(default_factory=dict)
+    hosts: dict[str, Host] = field(default_factory=dict)  # by name, in lower case
 
     def lacking(self, targets: Iterable[Target]) -> Iterator[tuple[str, int]]:
-        """What must be asked for by itself, since this reply did not hold it."""
+        """Yield the names and types that must be queried for the targets, since this reply lacks them."""
         for target in targets:
             host = self.hosts.get(target.name.lower(), Host())
             if not host.address:
@@ -54,91 +80,148 @@
                 yield target.name, TXT
 
 
+@dataclass(slots=True)
+class _Record:
+    """A resource record, with its data in the message from `start` to `end`."""
+
+    name: str
+    kind: int
+    start: int
+    end: int
+
+
 def query(id_: int, name: str, kind: int) -> bytes:
-    labels = b"".join(bytes([len(part)]) + part.encode() for part in name.strip(".").split("."))
-    return HEAD.pack(id_, 0x0100, 1, 0, 0, 0) + labels + b"\0" + struct.pack("!HH", kind, IN)
+    """Encode a query for the records of one type under a name."""
+    labels = b"".join(bytes([len(label)]) + label.encode() for label in name.strip(".").split("."))
+    return HEADER.pack(id_, RECURSION_DESIRED, 1, 0, 0, 0) + labels + b"\0" + QUESTION.pack(kind, IN)
 
 
 def parse(data: bytes) -> Reply:
+    """Decode a reply; raises `DnsError`, and `Truncated` where the server has cut it."""
     try:
         return _parse(data)
-    except (struct.error, IndexError, UnicodeDecodeError) as fault:
-        raise DnsError(f"not whole: {fault}") from None
+    except (struct.error, IndexError, UnicodeDecodeError) as error:
+        raise DnsError(f"not whole: {error}") from None
+
+
+def entry(reply: Reply, target: Target) -> tuple[WorkerEntry, tuple[str, int]]:
+    """Return one worker of a whole list, and its address and port.
+
+    Raises `DnsError` if the reply does not hold the address of its host, or has a text that is no number
+    where one should be.
+    """
+    host = reply.hosts.get(target.name.lower())
+    labels = target.name.split(".")
+    if host is None or not host.address or len(labels) < 2:
+        raise DnsError(f"no address for {target.name}")
+    try:
+        cell = int(host.texts.get("cell", 0))
+        started_ms = int(host.texts.get("started", 0))
+    except ValueError:
+        raise DnsError(f"an odd text for {target.name}") from None
+    worker = WorkerEntry(
+        worker=labels[0],
+        zone=labels[1],
+        kind=host.texts.get("kind", ""),
+        cell=cell,
+        state=WorkerState.DRAINING if target.priority else WorkerState.RUNNING,
+        weight=target.weight / WEIGHT_UNIT,
+        started_us=started_ms * US_PER_MS,
+    )
+    return worker, (host.address, target.port)
 
 
 def _parse(data: bytes) -> Reply:
-    id_, flags, questions, answers, authority, additional = HEAD.unpack_from(data)
+    id_, flags, questions, answers, authority, additional = HEADER.unpack_from(data)
+    _check_flags(flags)
+    reply = Reply(id_)
+    position = HEADER.size
+    for _ in range(questions):
+        name, position = _name(data, position)
+        kind = struct.unpack_from("!H", data, position)[0]
+        reply.question = (name.lower(), kind)
+        position += QUESTION.size
+    for _ in range(answers + authority + additional):
+        record = _record(data, position)
+        _add_record(reply, data, record)
+        position = record.end
+    return reply
+
+
+def _check_flags(flags: int) -> None:
     if not flags & RESPONSE:
         raise DnsError("no reply")
     if flags & TRUNCATED:
         raise Truncated("truncated")
     if flags & RCODE:
         raise DnsError(f"error code {flags & RCODE}")
-    at = HEAD.size
-    reply = Reply(id_)
-    for _ in range(questions):
-        name, at = _name(data, at)
-        reply.question = name.lower(), struct.unpack_from("!H", data, at)[0]
-        at += 4
-    for _ in range(answers + authority + additional):
-        name, at = _name(data, at)
-        kind, _, _, size = FIXED.unpack_from(data, at)
-        at += FIXED.size
-        if at + size > len(data):
-            raise DnsError("a record past the end")
-        _record(reply, data, name, kind, at, size)
-        at += size
-    return reply
 
 
-def _record(reply: Reply, data: bytes, name: str, kind: int, at: int, size: int) -> None:
-    if kind == SRV and (reply.question is None or name.lower() == reply.question[0]):
-        priority, weight, port = struct.unpack_from("!3H", data, at)
-        reply.targets.append(Target(_name(data, at + 6)[0], port, priority, weight))
-    elif kind == A and size == 4:
-        reply.hosts.setdefault(name.lower(), Host()).address = ".".join(map(str, data[at : at + 4]))
-    elif kind == TXT:
-        host, end = reply.hosts.setdefault(name.lower(), Host()), at + size
-        while at < end:
-            text = data[at + 1 : min(end, at + 1 + data[at])].decode()
-            key, _, value = text.partition("=")
-            host.texts[key] = value
-            at += 1 + data[at]
-    elif kind == SOA:
-        after = _name(data, _name(data, at)[1])[1]
-        reply.serial = struct.unpack_from("!I", data, after)[0]
-
-
-def _name(data: bytes, at: int) -> tuple[str, int]:
-    """The name at a place, and the place after it."""
+def _record(data: bytes, position: int) -> _Record:
+    """Decode the head of the record at a position."""
+    name, position = _name(data, position)
+    kind, _, _, size = RECORD.unpack_from(data, position)
+    start = position + RECORD.size
+    if start + size > len(data):
+        raise DnsError("a record past the end")
+    return _Record(name, kind, start, start + size)
+
+
+def _add_record(reply: Reply, data: bytes, record: _Record) -> None:
+    """Add what a record holds to the reply; records of other types are skipped."""
+    name = record.name.lower()
+    if record.kind == SRV and (reply.question is None or name == reply.question[0]):
+        reply.targets.append(_target(data, record.start))
+    elif record.kind == A and record.end - record.start == IPV4_BYTES:
+        address = data[record.start : record.end]
+        reply.hosts.setdefault(name, Host()).address = ".".join(map(str, address))
+    elif record.kind == TXT:
+        _add_texts(reply.hosts.setdefault(name, Host()), data, record)
+    elif record.kind == SOA:
+        reply.serial = _serial(data, record.start)
+
+
+def _target(data: bytes, start: int) -> Target:
+    priority, weight, port = SERVICE.unpack_from(data, start)
+    name, _ = _name(data, start + SERVICE.size)
+    return Target(name, port, priority, weight)
+
+
+def _add_texts(host: Host, data: bytes, record: _Record) -> None:
+    """Add the character strings of a TXT record: each has a length byte before it."""
+    position = record.start
+    while position < record.end:
+        next_position = position + 1 + data[position]
+        text = data[position + 1 : min(record.end, next_position)].decode()
+        key, _, value = text.partition("=")
+        host.texts[key] = value
+        position = next_position
+
+
+def _serial(data: bytes, start: int) -> int:
+    """Decode the serial of an SOA record, behind the names of the primary server and the mailbox."""
+    _, position = _name(data, start)
+    _, position = _name(data, position)
+    serial: int = struct.unpack_from("!I", data, position)[0]
+    return serial
+
+
+def _name(data: bytes, position: int) -> tuple[str, int]:
+    """Decode the name at a position; return it with the position behind it."""
     labels: list[str] = []
-    after, length = 0, 0
-    while (size := data[at]) != 0:
+    name_bytes = 0
+    end = 0  # of the name where it stands, set at the first pointer
+    while (size := data[position]) != 0:
         if size & POINTER == POINTER:
-            target = struct.unpack_from("!H", data, at)[0] & 0x3FFF
-            after = after or at + 2
-            if target >= at:  # pointers only lead back: a loop would never end
+            target = struct.unpack_from("!H", data, position)[0] & POINTER_OFFSET
+            end = end or position + 2
+            if target >= position:  # pointers only lead back: a loop would never end
                 raise DnsError("a pointer that leads ahead")
-            at = target
+            position = target
             continue
-        if size > LABEL_MOST or (length := length + size + 1) > NAME_MOST:
+        name_bytes += size + 1
+        if size > MAX_LABEL_BYTES or name_bytes > MAX_NAME_BYTES:
             raise DnsError("a name too long")
-        labels.append(data[at + 1 : at + 1 + size].decode())
-        at += 1 + size
-    return ".".join(labels), after or at + 1
-
-
-def entry(reply: Reply, target: Target) -> tuple[WorkerEntry, tuple[str, int]]:
-    """One worker of a whole list, and its address."""
-    host = reply.hosts.get(target.name.lower())
-    labels = target.name.split(".")
-    if host is None or not host.address or len(labels) < 2:
-        raise DnsError(f"no address for {target.name}")
-    try:
-        cell, started = int(host.texts.get("cell", 0)), int(host.texts.get("started", 0))
-    except ValueError:
-        raise DnsError(f"an odd text for {target.name}") from None
-    state = WorkerState.DRAINING if target.priority else WorkerState.RUNNING
-    kind, weight = host.texts.get("kind", ""), target.weight / WEIGHT_UNIT
-    told = WorkerEntry(labels[0], labels[1], kind, cell, state, weight, started * 1000)
-    return told, (host.address, target.port)
+        labels.append(data[position + 1 : position + 1 + size].decode())
+        position += 1 + size
+    return ".".join(labels), end or position + 1
--- a/maplestile/wire/http.py
+++ b/maplestile/wire/http.py
@@ -7,19 +7,26 @@
 from typing import Protocol
 
 Headers = tuple[tuple[str, str], ...]
+"""Header fields, as names and values."""
+
+US_PER_S = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
+    """A whole HTTP request."""
+
     method: str
     path: str
     headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
-    received_us: int = 0
+    received_us: int = 0  # when its last bytes were received
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
+    """An HTTP response."""
+
     status: int
     body: bytes = b""
     headers: Headers = ()
@@ -27,24 +34,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """What a front lets its callers have."""
+    """The limits of a front's connections."""
 
     connections: int
     idle_s: float  # silence before the first byte of a request
     request_us: int  # for a whole request from its first bytes
     body_bytes: int
-    linger_us: int  # to read away what follows a refusal
-    accept_burst: int
-    one_call: bool = False  # a connection, and then it is closed
+    linger_us: int  # to read and drop what follows a rejection
+    accept_burst: int  # connections accepted at once
+    one_call: bool = False  # a connection is closed after its first request
 
 
 class Application(Protocol):
-    """What a front answers by; it knows no socket."""
+    """What answers the requests of a front, without I/O."""
 
     bounds: Bounds  # read at each use: a reload may change them
 
     def handle(self, request: HttpRequest, respond: Callable[[Response], None]) -> Callable[[], None]:
-        """Answer through `respond`, once; what is returned is called if the caller leaves first."""
+        """Answer through `respond`, once; the returned function is called if the caller leaves first."""
         ...
 
 
@@ -57,20 +64,28 @@
 
 
 def nothing() -> None:
-    """What there is to call off where the answer has been given already."""
+    """Do nothing: what `Application.handle` returns where the answer has been given already."""
 
 
 def allow(request: HttpRequest, *methods: str) -> None:
+    """Raise `Refused` unless the request has one of the methods."""
     if request.method not in methods:
         raise Refused(problem(405, "no such method here", (("Allow", ", ".join(methods)),)))
 
 
 def problem(status: int, detail: str, headers: Headers = ()) -> Response:
-    told = {"type": "about:blank", "title": HTTPStatus(status).phrase, "status": status, "detail": detail}
-    return Response(
-        status, json.dumps(told).encode(), (("Content-Type", "application/problem+json"), *headers)
-    )
+    """Return an error as problem details."""
+    details = {
+        "type": "about:blank",
+        "title": HTTPStatus(status).phrase,
+        "status": status,
+        "detail": detail,
+    }
+    content_type = ("Content-Type", "application/problem+json")
+    return Response(status, json.dumps(details).encode(), (content_type, *headers))
 
 
 def retry_after(wait_us: int) -> Headers:
-    return (("Retry-After", str(max(1, -(-wait_us // 1_000_000)))),)
+    """Return a `Retry-After` header of whole seconds, rounded up, at least 1."""
+    seconds = -(-wait_us // US_PER_S)
+    return (("Retry-After", str(max(1, seconds))),)
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -1,117 +1,129 @@
-"""Every size, count and time that the program keeps to: one type, filled at start and handed down."""
+"""The sizes, counts and times that a router keeps to: one type, filled at its start and passed down."""
 
 from dataclasses import dataclass, replace
 
 from maplestile.dispatch.api import Settings
 
+KB = 1024
+MB = 1 << 20
 IDLE_MARGIN = 0.8  # of the runner's idle time: the router closes first, so that no send meets a close
-RESERVE = 32  # descriptors for listeners, log, name server, interpreter, and a burst of accepts
-BURSTS = 32  # accepted and not counted yet, or turned away and not closed yet: two bursts
-BASE_MB = 20  # what the program takes before it has served anything
-KB, MB = 1024, 1 << 20
+RESERVED_DESCRIPTORS = 32  # for listeners, log, name server, interpreter, and a burst of accepts
+BURST_DESCRIPTORS = 32  # accepted and not counted yet, or rejected and not closed yet: two bursts
+BASE_MEMORY_MB = 20  # what the program takes before it has served anything
+MIN_SPARE_MEMORY_MB = 8  # for requests and unread answers, however little memory is left
 ANSWER_BYTES = 230_000  # the longest body that a runner answers with
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    # Clients.
+    """The limits of one router.
+
+    The end of a name gives the unit: `_us` are whole microseconds, `_bytes` bytes, `_mb` megabytes; all
+    others are counts.
+    """
+
+    # Client connections.
     client_connections: int = 512
-    client_streams: int = 32
-    # For a whole message, from the connect or from its first byte: half of what a client waits for a word.
+    client_streams: int = 32  # open requests of one connection
+    # For a whole message, from the connect or from its first byte: half of what a client waits for an answer.
     client_message_us: int = 1_500_000
-    client_grace_us: int = 200_000  # for a new connection to ask before it may have to make room
-    client_silent_us: int = 1_000_000  # and before it goes ahead of those that asked, whose request is over
-    client_unfinished_us: int = 750_000  # for the rest of a message, before it may have to make room
-    client_surplus: int = 16  # connections over the cap, whose first request is refused
-    client_faults: int = 64  # messages that cannot be used, on one connection: its client will not learn
+    client_grace_us: int = (
+        200_000  # for a new connection to send a request before it may be closed for others
+    )
+    client_silent_us: int = 1_000_000  # and before it is closed ahead of those whose requests are answered
+    client_unfinished_us: int = 750_000  # for the rest of a message, before it may be closed for others
+    client_surplus: int = 16  # connections over the cap, whose first request is rejected
+    client_faults: int = 64  # invalid messages of one connection, after which it is closed
     client_turn: int = 16  # messages of one connection before the others have their turn: 2 to 3 ms
     # Unread answers of one client: 4 s of one that reads 1 MB a second, about as long as it waits for any.
-    client_write_bytes: int = 4 << 20
-    all_write_bytes: int = 16 << 20  # and of all clients together
-    client_last_us: int = 4_000_000  # for a client that closed, or was closed on, to read its last answers
-    client_unread_us: int = 1_000_000  # of these, before it may have to make room: a reader is done by then
-    client_linger_us: int = 100_000  # to read away what comes behind a message that cannot be followed
-    accept_burst: int = 16  # connections accepted in one go; each takes a descriptor before it is looked at
-    accept_queue: int = 1024  # connections that wait in the system to be accepted
+    client_write_bytes: int = 4 * MB
+    all_write_bytes: int = 16 * MB  # unread answers of all clients together
+    client_last_us: int = 4_000_000  # for a client to read its last answers when its connection is closing
+    client_unread_us: int = (
+        1_000_000  # of these, before it may be closed for others: a reader is done by then
+    )
+    client_linger_us: int = 100_000  # to read and drop what follows a message after which framing is lost
+    accept_burst: int = 16  # connections accepted at once; each takes a descriptor before it is looked at
+    accept_queue: int = 1024  # the listener's backlog
+    # Open requests.
     open_requests: int = 20_000
-    open_bytes: int = 64 << 20  # of open requests: bodies, the copies of them on their way, and records
-    lag_most_us: int = 60_000
-    wait_most_us: int = 600_000_000  # a client's own limit beyond this is a mistake
+    open_bytes: int = 64 * MB  # of open requests: bodies, the copies of them on their way, and records
+    lag_most_us: int = 60_000  # from the arrival of a request to its handling; rejected beyond that
+    wait_most_us: int = 600_000_000  # the longest time that a client may give a request
     body_bytes: int = 16 * KB
     head_bytes: int = 1 * KB
     message_bytes: int = 32 * KB
-    # The invoke front: for a whole request from its first bytes, and to read away what follows a refusal.
-    http_request_us: int = 10_000_000
-    http_linger_us: int = 1_000_000
+    # The invoke front.
+    http_request_us: int = 10_000_000  # for a whole request from its first bytes
+    http_linger_us: int = 1_000_000  # to read and drop what follows a rejection
     # The operators' front: a caller waits 1 s, some finish no call for 4 s. Its connections are taken out of
     # the clients' part, which holds a half where clients may hold a third.
     operator_connections: int = 16
     operator_request_us: int = 2_000_000
-    operator_body_bytes: int = 1 * KB  # nothing there has a body of use
-    operator_policy_bytes: int = 18 * KB  # but a policy, where the fleet decides on it
+    operator_body_bytes: int = 1 * KB  # of any request but a policy: none of them needs a body
+    operator_policy_bytes: int = 18 * KB  # of a policy, where the fleet agrees on one
     operator_linger_us: int = 200_000
-    runners_known: int = 20_000  # ids once listed that are remembered: 2 MB at the most
-    # Runners.
+    runners_known: int = 20_000  # identities once listed that are remembered: 2 MB at the most
+    # Runner connections.
     runner_connections: int = 480
-    runner_streams: int = 32
-    runner_queue: int = 4096
-    # The least that the learned rest of a connection falls to (a handshake for each pause in the traffic),
-    # and the time without a break after which it doubles.
+    runner_streams: int = 32  # open requests of one connection
+    runner_queue: int = 4096  # messages that wait on one connection
+    # The least that the learned idle timeout of a connection falls to (a handshake for each pause in the
+    # traffic), and the time without a break after which it doubles.
     runner_rest_least_us: int = 50_000
     runner_rest_us: int = 5_000_000
     runner_line_bytes: int = 4 * ANSWER_BYTES // 3 + 4 * KB  # the longest answer in base64, and its head
-    # Between two pieces of one answer: a tenth of the shortest aims, and far over a pause on the way.
+    # Between two pieces of one answer: a tenth of the shortest latency objectives, and far over a pause of
+    # the network.
     runner_line_us: int = 250_000
-    # Without a sign for so long, while a request was given up there, a connection may lead nowhere.
+    # A connection without an answer for so long, while a request on it was given up, may be dead.
     runner_silent_us: int = 500_000
     # For a runner's connection to take the rest of a line: the deadline in it may be so old, and no more.
     runner_stall_us: int = 100_000
     connect_timeout_us: int = 250_000
     runner_idle_us: int = 12_000_000
-    load_timeout_us: int = 10_000_000
-    probe_timeout_us: int = 250_000
-    # The name server: polled well inside the 1.5 s after which a change counts as told.
+    load_timeout_us: int = 10_000_000  # for the answer to a load request
+    probe_timeout_us: int = 250_000  # for the answer to a health check
+    # The name server, polled well inside the 1.5 s after which a change counts as notified.
     names_poll_us: int = 250_000
     names_timeout_us: int = 150_000
     names_read_bytes: int = 16 * KB  # a reply holds 8,000 at the most
-    # To find the hosts that a list has no room for: the list tells drains, which bind 2 s later.
+    # To find the hosts that a list has no room for: the list notifies drains, which bind 2 s later.
     names_complete_us: int = 600_000
     # Lists that were overtaken come late by some seconds, as from a server behind the others. One that has
     # numbered its lists anew stays behind, in reply after reply.
     names_restart_us: int = 12_000_000
     names_restart_replies: int = 20
-    # A new process is to say yes within 6 s of its start, of which the start itself takes one or two.
+    # A new process is to be ready within 6 s of its start, of which the start itself takes one or two.
     names_wait_us: int = 3_500_000
-    # What the other process of an upgrade was told or has done: a small part of the grace of 2 s.
+    # Handover of a process to its successor.
+    # Between looks at what the other process wrote: a small part of the drain grace of 2 s.
     folder_look_us: int = 100_000
-    # A process that hands over: the quiet after which it ends a connection, until when it looks for such a
-    # quiet, how long before SIGKILL it is to be gone, the least time that a request it still takes needs, and
-    # how long it reads what crossed the end of a connection.
-    handover_quiet_us: int = 20_000
-    handover_choosy_us: int = 1_000_000
-    handover_spare_us: int = 250_000
-    handover_least_us: int = 250_000
-    handover_linger_us: int = 100_000
-    # The end: connections still come for 0.4 s after SIGTERM, requests on open ones for 0.2 s more.
+    handover_quiet_us: int = 20_000  # the quiet after which a connection is closed
+    handover_choosy_us: int = 1_000_000  # how long such a quiet is waited for
+    handover_spare_us: int = 250_000  # how long before SIGKILL the process ends
+    handover_least_us: int = 250_000  # the least time that a request needs to be accepted still
+    handover_linger_us: int = 100_000  # how long what crossed the close of a connection is read
+    # Shutdown: connections still come for 0.4 s after SIGTERM, requests on open ones for 0.2 s more.
     drain_least_us: int = 900_000
-    # And then for a moment in which nothing is owed: where clients never stop, nothing more is taken later.
+    # And then for a moment without open requests: where clients never stop, nothing more is accepted later.
     drain_patience_us: int = 1_000_000
-    # For the callers of deferred calls to come for results: they are told to ask again after 1 s.
-    collect_us: int = 2_500_000
-    # One read of a socket. A stream holds up to twice as much, so that a client has under 50 KB read ahead.
+    collect_us: int = 2_500_000  # for callers to poll for deferred results: they are to retry after 1 s
+    # Socket reads: a stream holds up to twice as much, so that a client has under 50 KB read ahead.
     runner_read_bytes: int = 32 * KB
     client_read_bytes: int = 16 * KB
     max_retry_after_us: int = 1_000_000
 
-    # SIGKILL comes so long after SIGTERM and the longest deadline, which is taken as 3 s where it is longer.
+    # SIGKILL comes so long after SIGTERM and the longest deadline, of which no more than this is waited.
     kill_spare_us: int = 700_000
     kill_deadline_us: int = 3_000_000
-    # What was told, from which the budgets are cut.
+    # The process's limits, from which the budgets are cut.
     descriptors: int = 1024
     memory_mb: float = 192
 
     @classmethod
     def of(cls, settings: Settings, descriptors: int = 1024, memory_mb: float = 192) -> "Limits":
+        """Return the limits under the notified settings, for a router that is alone in its process limits."""
         default = cls()
         return cls(
             open_requests=settings.max_open or default.open_requests,
@@ -124,19 +136,24 @@
         ).shared(1)
 
     def kill_after_us(self, longest_us: int) -> int:
+        """Return the time from SIGTERM to SIGKILL, if the longest deadline of a class is `longest_us`."""
         return min(longest_us, self.kill_deadline_us) + self.kill_spare_us
 
     def shared(self, live: int) -> "Limits":
-        """The budgets of one of so many processes that live side by side."""
-        default, descriptors = type(self)(), self.descriptors // live
+        """Return the limits of one of `live` processes that share descriptors and memory."""
+        default = type(self)()
+        descriptors = self.descriptors // live
         # Runners are few, with a handful of connections each; clients hold a third, and come and go.
-        runners = max(1, descriptors // 2 - RESERVE - BURSTS)
-        spare = int(max(8, self.memory_mb / live - BASE_MB)) << 20
+        runners = max(1, descriptors // 2 - RESERVED_DESCRIPTORS - BURST_DESCRIPTORS)
+        clients = descriptors - runners - RESERVED_DESCRIPTORS - BURST_DESCRIPTORS - self.operator_connections
+        spare_mb = int(max(MIN_SPARE_MEMORY_MB, self.memory_mb / live - BASE_MEMORY_MB))
+        spare_bytes = spare_mb * MB
+        unread_bytes = min(default.all_write_bytes, spare_bytes // 8)
         return replace(
             self,
-            client_connections=max(1, descriptors - runners - RESERVE - BURSTS - self.operator_connections),
+            client_connections=max(1, clients),
             runner_connections=runners,
-            open_bytes=min(default.open_bytes, spare // 3),
-            all_write_bytes=(unread := min(default.all_write_bytes, spare // 8)),
-            client_write_bytes=min(default.client_write_bytes, max(MB, unread // 2)),
+            open_bytes=min(default.open_bytes, spare_bytes // 3),
+            all_write_bytes=unread_bytes,
+            client_write_bytes=min(default.client_write_bytes, max(MB, unread_bytes // 2)),
         )
--- a/maplestile/wire/settings.py
+++ b/maplestile/wire/settings.py
@@ -1,68 +1,77 @@
-"""Reads the told settings, decoded from JSON, into `Settings`; the adapter and the program share it."""
+"""Parses the notified settings, decoded from JSON, for the simulator adapter and the router alike."""
 
 from collections.abc import Mapping
 from typing import Any
 
 from maplestile.dispatch import api
 
-EFFECTS = {
+IDEMPOTENCY_BY_SEMANTICS = {
     "free": api.Idempotency.IDEMPOTENT,
     "guarded": api.Idempotency.WITH_KEY,
     "single_shot": api.Idempotency.NOT_IDEMPOTENT,
 }
+DEFAULT_STREAMS_PER_CONNECTION = 32
 
 
 class SettingsError(Exception):
     """Settings that cannot be used; the text names the field."""
 
 
-def settings_from(told: Mapping[str, Any]) -> api.Settings:
+def settings_from(payload: Mapping[str, Any]) -> api.Settings:
+    """Return the settings that a decoded JSON object holds; raises `SettingsError`."""
     try:
-        limits, rules, fam = told["limits"], told["guarantees"], told.get("familyInfo", {})
-        return api.Settings(
-            classes=tuple(_class_from(grade) for grade in told["grades"]),
-            router_count=told["instances"],
-            zone=told.get("zone", ""),
-            tick_us=told["granularityUs"],
-            must_poll_list=told.get("discovery") == "ask",
-            may_request_loads=fam.get("orders", False),
-            loads_on_miss=fam.get("whenAbsent", "load") == "load",
-            keep_alive_us=fam.get("lingerIdleUs", 0),
-            kind_memory_mb=tuple(zip(told.get("kinds", []), fam.get("machineMb", []), strict=False)),
-            load_timeout_us=fam.get("answerWithinUs", 0),
-            load_request_window_us=fam.get("loadsWithinUs", 0),
-            load_requests_free=fam.get("loadFree", 0),
-            load_requests_per_call=fam.get("loadShare", 0),
-            max_attempts=limits["attemptsCap"],
-            may_cancel=limits["cancelling"],
-            may_hedge=limits["mayDuplicate"],
-            may_probe=limits["probes"],
-            answer_slack_us=rules["answerSlackUs"],
-            drain_grace_us=rules["drainGraceUs"],
-            slow_start_share=rules["startCapacity"],
-            slow_start_us=rules["coldUs"],
-            overload_multiple=rules["fallMultiple"],
-            overload_window_us=rules["overloadForUs"],
-            streams_per_connection=limits.get("streamsPerConn", 32),
-            idle_close_us=limits.get("idleCloseUs", 0),
-            connect_timeout_us=limits.get("connectTimeoutUs", 0),
-            max_open=limits.get("maxOpen", 0),
-            tenants=tuple(tenant["name"] for tenant in told.get("tenants", [])),
-        )
+        return _settings_from(payload)
     except KeyError as missing:
         raise SettingsError(f"lacks {missing}") from None
-    except (TypeError, AttributeError, ValueError) as fault:
-        raise SettingsError(f"is not as told: {fault}") from None
+    except (TypeError, AttributeError, ValueError) as error:
+        raise SettingsError(f"is not as told: {error}") from None
+
+
+def _settings_from(payload: Mapping[str, Any]) -> api.Settings:
+    limits = payload["limits"]
+    guarantees = payload["guarantees"]
+    family = payload.get("familyInfo", {})
+    return api.Settings(
+        classes=tuple(_class_from(grade) for grade in payload["grades"]),
+        router_count=payload["instances"],
+        zone=payload.get("zone", ""),
+        tick_us=payload["granularityUs"],
+        must_poll_list=payload.get("discovery") == "ask",
+        may_request_loads=family.get("orders", False),
+        loads_on_miss=family.get("whenAbsent", "load") == "load",
+        keep_alive_us=family.get("lingerIdleUs", 0),
+        kind_memory_mb=tuple(zip(payload.get("kinds", []), family.get("machineMb", []), strict=False)),
+        load_timeout_us=family.get("answerWithinUs", 0),
+        load_request_window_us=family.get("loadsWithinUs", 0),
+        load_requests_free=family.get("loadFree", 0),
+        load_requests_per_call=family.get("loadShare", 0),
+        max_attempts=limits["attemptsCap"],
+        may_cancel=limits["cancelling"],
+        may_hedge=limits["mayDuplicate"],
+        may_probe=limits["probes"],
+        answer_slack_us=guarantees["answerSlackUs"],
+        drain_grace_us=guarantees["drainGraceUs"],
+        slow_start_share=guarantees["startCapacity"],
+        slow_start_us=guarantees["coldUs"],
+        overload_multiple=guarantees["fallMultiple"],
+        overload_window_us=guarantees["overloadForUs"],
+        streams_per_connection=limits.get("streamsPerConn", DEFAULT_STREAMS_PER_CONNECTION),
+        idle_close_us=limits.get("idleCloseUs", 0),
+        connect_timeout_us=limits.get("connectTimeoutUs", 0),
+        max_open=limits.get("maxOpen", 0),
+        tenants=tuple(tenant["name"] for tenant in payload.get("tenants", [])),
+    )
 
 
 def _class_from(grade: Mapping[str, Any]) -> api.CallClass:
-    if grade["semantics"] not in EFFECTS:
-        raise SettingsError(f"has the unknown semantics '{grade['semantics']}'")
+    semantics = grade["semantics"]
+    if semantics not in IDEMPOTENCY_BY_SEMANTICS:
+        raise SettingsError(f"has the unknown semantics '{semantics}'")
     return api.CallClass(
         name=grade["name"],
         latency_objective_us=grade["aimUs"],
         deadline_us=grade["deadlineUs"],
-        idempotency=EFFECTS[grade["semantics"]],
+        idempotency=IDEMPOTENCY_BY_SEMANTICS[semantics],
         deduplication_scope=api.DeduplicationScope(grade.get("keyScope", "all")),
         deduplication_window_us=grade.get("windowUs", 0),
         late_priority_weight=grade.get("lateValue", 0.0),
