--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0 behind `Content-Length` heads: framing, and the platform's requests and answers."""
+"""JSON-RPC 2.0 behind `Content-Length` headers: framing, and the platform's requests and answers."""
 
 import binascii
 import json
@@ -13,10 +13,23 @@
 from maplestile.wire.messages import Outcome, Request, Verdict
 
 HEAD_END = b"\r\n\r\n"
-PARSE_ERROR, INVALID_REQUEST, UNKNOWN_METHOD, INVALID_PARAMS = -32700, -32600, -32601, -32602
-REFUSED, FAILED, EXPIRED = -32050, -32051, -32052
-TEXT_MOST, FIGURE_MOST = 256, 1e9
-TXN, NAME = re.compile("[0-9a-fA-F]{16}"), re.compile("[0-9A-Za-z._-]{1,64}")
+
+# Error codes of JSON-RPC, and the platform's own.
+PARSE_ERROR = -32700
+INVALID_REQUEST = -32600
+UNKNOWN_METHOD = -32601
+INVALID_PARAMS = -32602
+REFUSED = -32050
+FAILED = -32051
+EXPIRED = -32052
+
+MAX_TEXT_LENGTH = 256
+MAX_LENGTH_DIGITS = 9  # of a `Content-Length`
+MAX_NUMBER = 1e9
+CACHED_EXTRAS = 1024
+US_PER_MS = 1000
+TXN_PATTERN = re.compile("[0-9a-fA-F]{16}")
+NAME_PATTERN = re.compile("[0-9A-Za-z._-]{1,64}")
 
 
 class FramingError(Exception):
@@ -24,65 +37,79 @@
 
 
 class RpcError(Exception):
-    """One message that gets an error answer; the connection goes on."""
+    """A message that gets an error answer; the connection goes on."""
 
     def __init__(self, code: int, text: str, id_: object = None) -> None:
         super().__init__(text)
-        self.code, self.id = code, id_
+        self.code = code
+        self.id = id_  # of the message; None if it has no usable one
 
 
 @dataclass(slots=True, frozen=True)
 class Known:
-    """What a request may name."""
+    """The names that a request may use."""
 
-    classes: Mapping[str, bool]  # and whether its requests carry an idempotency key
-    tenants: frozenset[str]
+    classes: Mapping[str, bool]  # and whether their requests carry an idempotency key
+    tenants: frozenset[str]  # empty if tenants are not checked
 
     @classmethod
     def of(cls, settings: Settings) -> "Known":
-        classes = {kind.name: kind.idempotency is Idempotency.WITH_KEY for kind in settings.classes}
+        """Return the names of the notified settings."""
+        classes = {
+            call_class.name: call_class.idempotency is Idempotency.WITH_KEY for call_class in settings.classes
+        }
         return cls(classes, frozenset(settings.tenants))
 
 
 @dataclass(slots=True)
 class Call:
+    """A request to call a function."""
+
     id: int
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class Interrupt:
+    """A client's cancellation of an earlier call, by the identifier of its message or by its transaction."""
+
     id: int | None
     txn: str | None
 
 
 @dataclass(slots=True, frozen=True)
 class Check:
+    """A client's health check of the router."""
+
     id: int
 
 
 class Framer:
-    """Cuts a byte stream into messages: slices of what was fed, good till the next feed."""
+    """Cuts a byte stream into messages: slices of what was fed, valid until the next feed."""
 
     def __init__(self, limits: Limits) -> None:
-        self.limits, self.rest = limits, b""
+        self.limits = limits
+        self.rest = b""  # the beginning of a message whose end has not come
 
     def feed(self, data: bytes) -> Iterator[memoryview]:
+        """Yield the messages that are complete now; raises `FramingError`."""
         buffer = self.rest + data if self.rest else data
-        view, at = memoryview(buffer), 0
+        view = memoryview(buffer)
+        start = 0
         self.rest = b""
-        while (end := buffer.find(HEAD_END, at, at + self.limits.head_bytes)) >= 0:
-            body = end + len(HEAD_END)
-            size = self._size(buffer[at:end])
+        while (head_end := buffer.find(HEAD_END, start, start + self.limits.head_bytes)) >= 0:
+            body = head_end + len(HEAD_END)
+            size = self._size(buffer[start:head_end])
             if body + size > len(buffer):
                 break
             yield view[body : body + size]
-            at = body + size
-        if end < 0 and len(buffer) - at >= self.limits.head_bytes:
+            start = body + size
+        if head_end < 0 and len(buffer) - start >= self.limits.head_bytes:
             raise FramingError("a head without an end")
-        self.rest = bytes(view[at:])  # outlives the buffer
+        self.rest = bytes(view[start:])  # outlives the buffer
 
     def _size(self, head: bytes) -> int:
+        """Return the size of the body that a head announces."""
         sizes = []
         for line in head.split(b"\r\n"):
             name, colon, value = line.partition(b":")
@@ -91,37 +118,35 @@
             if name.strip().lower() == b"content-length":
                 sizes.append(value.strip())
         # Digits alone: int() would take signs, underscores and spaces, and a peer might read them otherwise.
-        if len(sizes) != 1 or not sizes[0].isdigit() or len(sizes[0]) > 9:
+        if len(sizes) != 1 or not sizes[0].isdigit() or len(sizes[0]) > MAX_LENGTH_DIGITS:
             raise FramingError("no single Content-Length")
-        if (size := int(sizes[0])) > self.limits.message_bytes:
+        size = int(sizes[0])
+        if size > self.limits.message_bytes:
             raise FramingError(f"a message of {size} bytes")
         return size
 
 
 def frame(message: dict[str, Any]) -> bytes:
+    """Encode a message with its header."""
     return _framed(json.dumps(message, separators=(",", ":")).encode())
 
 
-def _framed(body: bytes) -> bytes:
-    return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
-
-
 def parse(view: memoryview, limits: Limits, known: Known) -> Call | Interrupt | Check:
+    """Decode one message; raises `RpcError` with the code and identifier of the error answer."""
     try:
         message = json.loads(str(view, "utf-8"))
     except (ValueError, RecursionError):  # deep nesting must not end the program
         raise RpcError(PARSE_ERROR, "no JSON") from None
     if not isinstance(message, dict):  # a batch, too
         raise RpcError(INVALID_REQUEST, "no request object")
-    id_, method, params = message.get("id"), message.get("method"), message.get("params", {})
+    id_ = message.get("id")
+    method = message.get("method")
+    params = message.get("params", {})
     number = id_ if isinstance(id_, int) and not isinstance(id_, bool) else None
     if not isinstance(method, str) or not isinstance(params, dict):
         raise RpcError(INVALID_REQUEST, "no method or no params object", number)
     if method == "interrupt":
-        target, txn = params.get("id"), params.get("txn")
-        if not isinstance(target, int) and txn is None:
-            target = number
-        return Interrupt(target if isinstance(target, int) else None, txn if isinstance(txn, str) else None)
+        return _interrupt(params, number)
     if number is None:
         raise RpcError(INVALID_REQUEST, "field 'id' is no number")
     if method == "check":
@@ -130,13 +155,56 @@
         raise RpcError(UNKNOWN_METHOD, "unknown class", number)
     try:
         return Call(number, _request(method, params, limits, known))
-    except (ValueError, OverflowError) as fault:
-        raise RpcError(INVALID_PARAMS, str(fault), number) from None
+    except (ValueError, OverflowError) as error:
+        raise RpcError(INVALID_PARAMS, str(error), number) from None
+
+
+def answer(id_: int, outcome: Outcome) -> bytes:
+    """Encode the final answer to a call."""
+    if outcome.verdict is Verdict.SERVED:
+        blob = binascii.b2a_base64(outcome.body, newline=False)
+        # Formatted by hand, since nearly every answer passes here.
+        return _framed(b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"%b"}}' % (id_, blob))
+    if outcome.verdict is Verdict.REFUSED:
+        later_ms = max(1, outcome.retry_after_us // US_PER_MS)
+        return error(id_, REFUSED, "refused", {"later": later_ms})
+    if outcome.verdict is Verdict.EXPIRED:
+        return error(id_, EXPIRED, "out of time")
+    return error(id_, FAILED, "failed")
+
+
+def error(id_: object, code: int, text: str, data: dict[str, Any] | None = None) -> bytes:
+    """Encode an error answer."""
+    details: dict[str, Any] = {"code": code, "message": text}
+    if data:
+        details["data"] = data
+    return frame({"jsonrpc": "2.0", "id": id_, "error": details})
+
+
+def result(id_: int, value: dict[str, Any]) -> bytes:
+    """Encode an answer that is no error."""
+    return frame({"jsonrpc": "2.0", "id": id_, "result": value})
+
+
+def _framed(body: bytes) -> bytes:
+    return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+
+
+def _interrupt(params: dict[str, Any], number: int | None) -> Interrupt:
+    target = params.get("id")
+    txn = params.get("txn")
+    if not isinstance(target, int) and txn is None:
+        target = number
+    return Interrupt(
+        id=target if isinstance(target, int) else None,
+        txn=txn if isinstance(txn, str) else None,
+    )
 
 
 def _request(class_name: str, params: dict[str, Any], limits: Limits, known: Known) -> Request:
-    extras = _figures(_text(params, "info", ""))
-    limit_us = int(_figure(params, "limit") * 1000)
+    """Return the request of a call; raises `ValueError` with the name of the first wrong field."""
+    extras = _extras(_text(params, "info", ""))
+    limit_us = int(_number(params, "limit") * US_PER_MS)
     if not 0 < limit_us <= limits.wait_most_us:
         raise ValueError("field 'limit' is out of range")
     tenant = _text(params, "team", "")
@@ -144,62 +212,62 @@
         raise ValueError("field 'team' names no tenant")
     key = params.get("unique", "")
     if known.classes[class_name] or key:
-        key = _name(params, "unique", NAME)
-    return Request(
-        _name(params, "txn", TXN),
-        _name(params, "item", NAME),
-        class_name,
-        limit_us,
-        extras.get("memory_mb", 0.0),
-        max(1, int(extras.get("lanes", 1.0))),
-        int(_figure(params, "cpu", 0.0) * 1000),
-        tenant,
-        params.get("second") in (1, "1", True),
-        key,
-        _body(params.get("blob", ""), limits),
-    )
-
-
-@lru_cache(1024)
-def _figures(text: str) -> dict[str, float]:
-    """The further figures; few functions make most calls, so few texts come again and again."""
-    figures = {}
+        key = _name(params, "unique", NAME_PATTERN)
+    tag = _name(params, "txn", TXN_PATTERN)
+    function = _name(params, "item", NAME_PATTERN)
+    memory_mb = extras.get("memory_mb", 0.0)
+    lanes = max(1, int(extras.get("lanes", 1.0)))
+    cost_us = int(_number(params, "cpu", 0.0) * US_PER_MS)
+    repeat = params.get("second") in (1, "1", True)
+    body = _body(params.get("blob", ""), limits)
+    # By position: keywords would add a tenth to the time of decoding a request.
+    return Request(tag, function, class_name, limit_us, memory_mb, lanes, cost_us, tenant, repeat, key, body)
+
+
+@lru_cache(CACHED_EXTRAS)
+def _extras(text: str) -> dict[str, float]:
+    """Parse the further numbers, of the form `name:value;name:value`; parts of another form are skipped.
+
+    Few functions make most calls, so that few texts come again and again.
+    """
+    extras = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
         try:
-            figures[name] = _in_range(name, float(value))
+            extras[name] = _in_range(name, float(value))
         except ValueError:
-            continue  # a further figure of another form is none of ours
-    return figures
+            continue
+    return extras
 
 
 def _text(params: dict[str, Any], name: str, default: str | None = None) -> str:
     value = params.get(name, default)
-    if not isinstance(value, str) or len(value) > TEXT_MOST:
+    if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
         raise ValueError(f"field '{name}' is no short string")
     return value
 
 
-def _name(params: dict[str, Any], name: str, form: re.Pattern[str]) -> str:
-    """Names go on to runners: one that a runner cannot read would cost all that is open there."""
+def _name(params: dict[str, Any], name: str, pattern: re.Pattern[str]) -> str:
+    """Return a name of a strict form: one that a runner cannot read would cost all that is open there."""
     value = params.get(name)
-    if not isinstance(value, str) or not form.fullmatch(value):
+    if not isinstance(value, str) or not pattern.fullmatch(value):
         raise ValueError(f"field '{name}' is no name of its form")
     return value
 
 
-def _figure(params: dict[str, Any], name: str, default: float | None = None) -> float:
-    value = params.get(name, default)
+def _number(params: dict[str, Any], name: str, default: float | None = None) -> float:
+    value: Any = params.get(name, default)
     try:
-        return _in_range(name, float(value))  # type: ignore[arg-type]
+        return _in_range(name, float(value))
     except TypeError:
         raise ValueError(f"field '{name}' is no number") from None
 
 
-def _in_range(name: str, figure: float) -> float:
-    if not 0 <= figure < FIGURE_MOST:  # no sign, no NaN, no infinity: they would poison the timers
+def _in_range(name: str, number: float) -> float:
+    """Return a number without a sign, no NaN and no infinity: they would poison the timers."""
+    if not 0 <= number < MAX_NUMBER:
         raise ValueError(f"field '{name}' is out of range")
-    return figure
+    return number
 
 
 def _body(blob: Any, limits: Limits) -> bytes:
@@ -210,24 +278,3 @@
     if len(body) > limits.body_bytes:
         raise ValueError("field 'blob' is too long")
     return body
-
-
-def answer(id_: int, outcome: Outcome) -> bytes:
-    if outcome.verdict is Verdict.SERVED:
-        blob = binascii.b2a_base64(outcome.body, newline=False)
-        # By hand: the hot path's answer.
-        return _framed(b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"%b"}}' % (id_, blob))
-    if outcome.verdict is Verdict.REFUSED:
-        later = max(1, outcome.retry_after_us // 1000)
-        return error(id_, REFUSED, "refused", {"later": later})
-    code, text = (EXPIRED, "out of time") if outcome.verdict is Verdict.EXPIRED else (FAILED, "failed")
-    return error(id_, code, text)
-
-
-def error(id_: object, code: int, text: str, data: dict[str, Any] | None = None) -> bytes:
-    told = {"code": code, "message": text} | ({"data": data} if data else {})
-    return frame({"jsonrpc": "2.0", "id": id_, "error": told})
-
-
-def result(id_: int, value: dict[str, Any]) -> bytes:
-    return frame({"jsonrpc": "2.0", "id": id_, "result": value})
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -20,7 +20,7 @@
 
 
 def message(method: str = "review", **params: object) -> bytes:
-    told = {
+    all_params = {
         "txn": TXN,
         "limit": 900,
         "item": ITEM,
@@ -28,7 +28,7 @@
         "team": "acme",
         "info": "memory_mb:512;lanes:2;odd:x",
     }
-    return json.dumps({"jsonrpc": "2.0", "id": 7, "method": method, "params": told | params}).encode()
+    return json.dumps({"jsonrpc": "2.0", "id": 7, "method": method, "params": all_params | params}).encode()
 
 
 def framed(body: bytes) -> bytes:
@@ -100,11 +100,11 @@
     assert fault.value.code == code
 
 
-def test_refusal_always_says_when_to_come_back() -> None:
-    for told_us, later in ((0, 1), (250_000, 250)):
-        data = jsonrpc.answer(7, Outcome(Verdict.REFUSED, retry_after_us=told_us))
+def test_rejection_always_says_when_to_retry() -> None:
+    for retry_after_us, later_ms in ((0, 1), (250_000, 250)):
+        data = jsonrpc.answer(7, Outcome(Verdict.REFUSED, retry_after_us=retry_after_us))
         error = json.loads(data.partition(b"\r\n\r\n")[2])["error"]
-        assert (error["code"], error["data"]) == (-32050, {"later": later})
+        assert (error["code"], error["data"]) == (-32050, {"later": later_ms})
     for verdict in (Verdict.FAILED, Verdict.EXPIRED):
         data = jsonrpc.answer(7, Outcome(verdict))
         assert json.loads(data.partition(b"\r\n\r\n")[2])["error"]["code"] != -32050
@@ -151,9 +151,9 @@
             dns.parse(data)
 
 
-def test_fleet_takes_changes_in_order_and_no_old_list_brings_back_the_dead() -> None:
-    fleet = EndpointList()
-    fleet.apply_known(
+def test_endpoint_list_applies_changes_in_order_and_no_old_list_brings_back_a_removed_worker() -> None:
+    endpoints = EndpointList()
+    endpoints.apply_known(
         {
             "index": 3,
             "updates": [
@@ -162,14 +162,14 @@
             ],
         }
     )
-    assert list(fleet.entries) == ["b"] and fleet.version == 3
-    assert not fleet.apply_whole(3, []) and fleet.entries
+    assert list(endpoints.entries) == ["b"] and endpoints.version == 3
+    assert not endpoints.apply_whole(3, []) and endpoints.entries
     found = dns.parse(reply())
-    assert fleet.apply_whole(4, [dns.entry(found, target) for target in found.targets])
-    assert list(fleet.entries) == ["s-1"]
+    assert endpoints.apply_whole(4, [dns.entry(found, target) for target in found.targets])
+    assert list(endpoints.entries) == ["s-1"]
     with pytest.raises(EndpointListError):
         odd = {"targets": [target("x", 1, "Odd")]}
-        fleet.apply_known({"updates": [{"index": 5, "endpoints": odd}]})
+        endpoints.apply_known({"updates": [{"index": 5, "endpoints": odd}]})
 
 
 def test_warnings_of_one_kind_are_bounded_and_others_pass(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -187,9 +187,9 @@
     assert passed(logging.WARNING, "odd") == "odd"
 
 
-def test_weight_that_no_draw_can_use_is_a_very_small_one() -> None:
+def test_unusable_weight_is_replaced_by_a_very_small_one() -> None:
     for weight in (0.0, -1.0, float("nan"), float("inf")):
-        fleet = EndpointList()
+        endpoints = EndpointList()
         entry = api.WorkerEntry("s-1", "east", "std", 0, api.WorkerState.RUNNING, weight, 0)
-        assert fleet.apply_whole(1, [(entry, ("127.0.0.1", 9))])
-        assert 0 < fleet.entries["s-1"].weight < 1
+        assert endpoints.apply_whole(1, [(entry, ("127.0.0.1", 9))])
+        assert 0 < endpoints.entries["s-1"].weight < 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,9 +1,9 @@
-"""Wire text to interface types and back."""
+"""The lines of the simulator, as events and actions."""
 
 import pytest
 
 from maplestile.dispatch import api
-from maplestile.wire import simulator_adapter as link
+from maplestile.wire import simulator_codec as codec
 
 W = "10.0.0.1:80"
 EVENTS: list[tuple[str, api.Event]] = [
@@ -59,24 +59,24 @@
 
 @pytest.mark.parametrize(("line", "event"), EVENTS)
 def test_event_is_read(line: str, event: api.Event) -> None:
-    assert link.event_from(link.Fields(line)) == event
+    assert codec.event_from(codec.LineFields(line)) == event
 
 
 @pytest.mark.parametrize(("action", "line"), ACTIONS)
 def test_action_is_written(action: api.Action, line: str) -> None:
-    assert link.action_line("d/1", action) == line
+    assert codec.action_line("d/1", action) == line
 
 
 def test_list_entry_is_read_with_and_without_its_start() -> None:
     line = f"M runner={W} dc=z model=k bay=3 availability=Stopping heft=1.5"
     draining = api.WorkerState.DRAINING
-    assert link.entry_from(line) == api.WorkerEntry(W, "z", "k", 3, draining, 1.5, 0)
-    assert link.entry_from(line + " cameUpUs=8").started_us == 8
+    assert codec.entry_from(line) == api.WorkerEntry(W, "z", "k", 3, draining, 1.5, 0)
+    assert codec.entry_from(line + " cameUpUs=8").started_us == 8
 
 
 def test_unknown_message_is_skipped_and_unknown_value_is_named() -> None:
-    assert link.event_from(link.Fields("NEWS who=d/1 what=1")) is None
-    with pytest.raises(link.WireError, match="'how' has the unknown value 'odd'"):
-        link.event_from(link.Fields(f"SETTLED who=d/1 req=9 attempt=0 runner={W} how=odd"))
-    with pytest.raises(link.WireError, match="'params' lacks 'limits'"):
-        link.settings_from('{"instances": 1}')
+    assert codec.event_from(codec.LineFields("NEWS who=d/1 what=1")) is None
+    with pytest.raises(codec.WireError, match="'how' has the unknown value 'odd'"):
+        codec.event_from(codec.LineFields(f"SETTLED who=d/1 req=9 attempt=0 runner={W} how=odd"))
+    with pytest.raises(codec.WireError, match="'params' lacks 'limits'"):
+        codec.settings_from('{"instances": 1}')
