--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -152,7 +152,7 @@
 
 
 @dataclass(eq=False)
-class Row:
+class ListEntry:
     name: int
     place: int = 0
     settled: int = 0
@@ -162,41 +162,44 @@
         return self.age
 
 
-ROW_STEPS = st.tuples(st.sampled_from(["settle", "call", "leave"]), st.integers(0, 8), st.integers(0, 3))
+ENTRY_STEPS = st.tuples(st.sampled_from(["settle", "call", "leave"]), st.integers(0, 8), st.integers(0, 3))
 
 
-@given(st.lists(ROW_STEPS))
-def test_the_oldest_row_is_the_one_that_a_scan_finds(steps: list[tuple[str, int, int]]) -> None:
-    index, there, rows = OldestFirst[Row](2), dict[int, Row](), [Row(number) for number in range(9)]
+@given(st.lists(ENTRY_STEPS))
+def test_the_oldest_entry_is_the_one_that_a_scan_finds(steps: list[tuple[str, int, int]]) -> None:
+    index = OldestFirst[ListEntry](2)
+    listed: dict[int, ListEntry] = {}
+    entries = [ListEntry(number) for number in range(9)]
     for step, number, age in steps * 8:
-        row = rows[number]
-        row.age = age if step != "leave" else row.age
+        entry = entries[number]
+        entry.age = age if step != "leave" else entry.age
         if step == "settle":
-            there.pop(number, None)
-            there[number], row.place = row, 2
-            index.settle(row)
-        elif step == "call" and number in there:
-            index.called(row)
-        elif step == "leave" and number in there:
-            del there[number]
-            row.place = 1
-        elif number in there:
-            index.called(row)
-        assert index.first() is max(there.values(), key=Row.aged, default=None)
-
-
-def test_rows_that_are_called_and_never_asked_for_take_no_more_memory() -> None:
-    """Each call of a row left an entry for good: 20 MB in 45 minutes."""
-    index, rows = OldestFirst[Row](2), [Row(number, place=2) for number in range(10)]
+            listed.pop(number, None)
+            listed[number] = entry
+            entry.place = 2
+            index.settle(entry)
+        elif step == "call" and number in listed:
+            index.called(entry)
+        elif step == "leave" and number in listed:
+            del listed[number]
+            entry.place = 1
+        elif number in listed:
+            index.called(entry)
+        assert index.first() is max(listed.values(), key=ListEntry.aged, default=None)
+
+
+def test_entries_that_are_called_and_never_looked_up_take_no_more_memory() -> None:
+    """Each call of an entry left an element for good: 20 MB in 45 minutes."""
+    index, entries = OldestFirst[ListEntry](2), [ListEntry(number, place=2) for number in range(10)]
     for number in range(5_000):
-        row = rows[number % 10]
-        row.age = number
+        entry = entries[number % 10]
+        entry.age = number
         if number % 3:
-            index.called(row)
+            index.called(entry)
         else:
-            index.settle(row)
+            index.settle(entry)
     assert len(index.heap) <= 200
-    assert index.first() is max(rows, key=Row.aged)
+    assert index.first() is max(entries, key=ListEntry.aged)
 
 
 def test_workers_that_have_left_are_not_kept_by_the_log_of_changes() -> None:
