--- a/maplestile/__main__.py
+++ b/maplestile/__main__.py
@@ -1,16 +1,18 @@
-"""Without arguments a node of the platform; else the command line."""
+"""Entry point of `python -m maplestile`: without arguments a node of the platform, else the command line."""
 
 import sys
 
 
 def main() -> int:
+    """Run the program, and return its exit code."""
+    # Imported here: the platform's nodes don't load the command line (start time and memory).
     if sys.argv[1:]:
         from maplestile.tools import cli
 
         return cli.main()
-    from maplestile.router import process as node
+    from maplestile.router import process
 
-    return node.platform()
+    return process.platform()
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/maplestile/router/components.py
@@ -0,0 +1,131 @@
+"""The components of one router process, built from its configuration.
+
+The other modules of this package work on them: readiness, fronts, reload, handover and drain.
+"""
+
+import asyncio
+from collections import Counter
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
+
+from maplestile.dispatch.api import ListKind
+from maplestile.net.listen import Listener
+from maplestile.net.platform import PlatformFront
+from maplestile.net.receive_timestamps import TimestampingSelector
+from maplestile.net.runners import RunnerPool
+from maplestile.requests.core import Core
+from maplestile.router.clock import clock
+from maplestile.router.config import Config
+
+if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
+    from maplestile.invoke.api import Api
+    from maplestile.net.gossip import GossipDriver
+    from maplestile.net.http import HttpFront
+    from maplestile.operation.cordons import Cordons
+    from maplestile.operation.handover import Handover
+    from maplestile.router.policy_driver import PolicyDriver
+
+
+@dataclass(slots=True)
+class InvokeFront:
+    """The HTTP front for callers: its API, the driver of its connections, and its listening socket."""
+
+    api: "Api"
+    http: "HttpFront"
+    listener: Listener
+
+
+class Components:
+    """What one router process consists of; optional components are None until they are started."""
+
+    def __init__(self, config: Config, selector: TimestampingSelector) -> None:
+        self.config = config
+        self.name = config.name
+        self.limits = config.limits  # the share of this process among those that serve side by side
+        self.endpoints = config.fleet
+        self.selector = selector
+        self.counters: Counter[str] = Counter()
+        self.runners = RunnerPool(self.limits, clock, self.counters)
+        self.core = Core(
+            config.settings,
+            self.limits,
+            config.seed,
+            self.runners,
+            clock,
+            self._schedule_tick,
+            self.counters,
+        )
+        self.runners.core = self.core
+        self.runners.starved = self.descriptors_exhausted
+        self.runners.input_is_old = selector.input_is_old
+        self.started_us = clock()
+        self.stopping = asyncio.Event()  # the process was asked to stop
+        self.listening = False
+        self.process_count = 1  # processes that share the budgets
+        self.platform: PlatformFront | None = None
+        self.platform_listener: Listener | None = None
+        self.invoke: InvokeFront | None = None
+        self.cordons: Cordons | None = None
+        self.handover: Handover | None = None
+        self.peers: GossipDriver | None = None
+        self.policy: PolicyDriver | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
+
+    @property
+    def handing_over(self) -> bool:
+        """Whether another process is ready to replace this one."""
+        return self.handover is not None and self.handover.successor_ready
+
+    def received_us(self) -> int:
+        """Return when bytes can have come that a stream hands on one loop turn after they were read."""
+        return self.selector.read_us
+
+    def endpoints_changed(self, kind: ListKind = ListKind.FULL) -> None:
+        """Pass the endpoint list on to each component that depends on it."""
+        if self.cordons is not None:
+            self.cordons.listed(self.endpoints.entries)
+            self.endpoints.suspended = self.cordons.banned
+        # The pool first: a decision on the new list must find its addresses and drains.
+        self.runners.update(self.endpoints)
+        if self.peers is not None:
+            self.peers.listed(self.endpoints.entries)
+        self.core.list_changed(self.endpoints.event(kind))
+
+    def descriptors_exhausted(self) -> None:
+        """Close an idle client connection: the router itself found no file descriptor left."""
+        self.counters["descriptors.none_left"] += 1
+        if self.platform is not None:
+            self.platform.make_room()
+
+    def share_budgets(self, process_count: int) -> None:
+        """Divide the budgets of the configuration among so many processes."""
+        self.process_count = process_count
+        self._apply_limits()
+
+    def adopt_policy(self, config: Config) -> None:
+        """Apply the policy of a new epoch to the calls that come from now on."""
+        self.config = replace(
+            self.config,
+            settings=config.settings,
+            limits=config.limits,
+            operator=config.operator,
+        )
+        self._apply_limits()
+        self.core.adopt(config.settings, self.limits)
+        if self.platform is not None:
+            self.platform.adopt(config.settings)
+        if self.invoke is not None and config.operator is not None:
+            self.invoke.api.adopt(config.operator)
+
+    def _apply_limits(self) -> None:
+        self.limits = self.config.limits.shared(self.process_count)
+        self.core.limits = self.limits
+        self.runners.limits = self.limits
+        if self.platform is not None:
+            self.platform.limits = self.limits
+
+    def _schedule_tick(self, due_us: int) -> None:
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        delay_s = max(0.0, (due_us - clock()) / 1e6)
+        self._tick_timer = asyncio.get_running_loop().call_later(delay_s, self.core.tick)
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -1,5 +1,7 @@
 """The whole configuration of one function router: read and checked before anything of it is used."""
 
+import json
+import os
 from collections.abc import Mapping
 from dataclasses import dataclass, fields, replace
 from pathlib import Path
@@ -13,60 +15,52 @@
 from maplestile.wire.limits import Limits
 from maplestile.wire.settings import SettingsError, settings_from
 
-if TYPE_CHECKING:  # the platform's nodes do not load the second front
+if TYPE_CHECKING:  # the platform's nodes do not load the second front: start time and memory
     from maplestile.invoke.operator_file import Operator
 
-TOLD_BY_OPERATOR = ("tenants",)  # of the settings: the invoke front alone reads them
+# Settings that only the invoke front reads, so that its own reload takes them.
+INVOKE_SETTINGS = ("tenants",)
+# Fields of Config that components are built on, or a listener is bound to.
+RESTART_FIELDS = ("name", "listen", "operation", "folder", "limits", "peers")
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+SEED_MASK = (1 << 63) - 1
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """What one router process is to do."""
+
     name: str
     settings: Settings
     limits: Limits
-    listen: Address | None
-    dns: Address | None
-    fleet: EndpointList
+    listen: Address | None  # the platform's front
+    dns: Address | None  # the name server
+    fleet: EndpointList  # the endpoints known before the name server answers
     seed: int
-    operator: "Operator | None" = None
-    operation: Address | None = None  # where operators call; what follows is of no use without it
+    operator: "Operator | None" = None  # the operator's file, with the invoke front
+    operation: Address | None = None  # where operators call; `folder` is of no use without it
     folder: Path | None = None  # that outlives this process, and is shared with the one that replaces it
-    peers: MembershipSettings | None = (
-        None  # membership among instances; never on the platform, where routers cannot talk
-    )
+    # Membership among instances; never on the platform, where routers cannot reach each other.
+    peers: MembershipSettings | None = None
 
     def restarts(self, new: "Config") -> list[str]:
-        """What the new one tells otherwise and only a restart can take: the module and the budgets are
-        built on it, or a listener stands there."""
-        names = [f.name for f in fields(Settings) if f.name not in TOLD_BY_OPERATOR]
+        """Return the names of what differs in the new configuration and only a restart can change."""
+        names = [f.name for f in fields(Settings) if f.name not in INVOKE_SETTINGS]
         changed = [f"settings.{n}" for n in names if getattr(self.settings, n) != getattr(new.settings, n)]
-        told = "name", "listen", "operation", "folder", "limits", "peers"
-        changed += [n for n in told if getattr(self, n) != getattr(new, n)]
+        changed += [n for n in RESTART_FIELDS if getattr(self, n) != getattr(new, n)]
         if self.operator is not None and new.operator is not None:
-            changed += ["invoke.listen"] * (self.operator.listen != new.operator.listen)
-            changed += ["policy"] * (self.operator.policy != new.operator.policy)
+            if self.operator.listen != new.operator.listen:
+                changed.append("invoke.listen")
+            if self.operator.policy != new.operator.policy:
+                changed.append("policy")
         return changed
 
 
-def config_from(told: Mapping[str, Any], operator: "Operator | None" = None) -> Config:
+def config_from(payload: Mapping[str, Any], operator: "Operator | None" = None) -> Config:
+    """Check a decoded configuration. Raises ConfigError with the first fault."""
     try:
-        settings, limits, fleet = settings_from(told["settings"]), told.get("limits", {}), EndpointList()
-        if operator is not None:
-            settings = replace(settings, epoch=operator.epoch)
-        fleet.apply_known(told.get("known", {"updates": []}))
-        return Config(
-            name=str(told.get("name", "")),
-            settings=settings,
-            limits=Limits.of(settings, int(limits.get("sockets", 1024)), float(limits.get("memory_mb", 192))),
-            listen=parse_address(told["listen"]) if "listen" in told else None,
-            dns=parse_address(told["dns"]) if "dns" in told else None,
-            fleet=fleet,
-            seed=int(str(told.get("seed", "0")), 16) & (1 << 63) - 1,
-            operator=operator,
-            operation=parse_address(told["operator"]) if told.get("operator") else None,
-            folder=Path(told["folder"]) if told.get("folder") else None,
-            peers=plan_from(told["peers"]) if told.get("peers") else None,
-        )
+        return _config_from(payload, operator)
     except KeyError as missing:
         raise ConfigError(f"lacks {missing}") from None
     except MembershipSettingsError as fault:
@@ -75,3 +69,47 @@
         raise ConfigError(f"settings or known: {fault}") from None
     except (ValueError, TypeError, AttributeError) as fault:
         raise ConfigError(f"is not as told: {fault}") from None
+
+
+def config_from_environment() -> Config:
+    """Read the configuration of a node of the platform: the JSON file that `NODE_CONFIG` names.
+
+    Raises ConfigError, or OSError where the file cannot be read.
+    """
+    file = os.environ.get("NODE_CONFIG")
+    if file is None:
+        raise ConfigError("NODE_CONFIG is not set")
+    try:
+        payload = json.loads(Path(file).read_bytes())
+    except (ValueError, RecursionError) as fault:  # deep nesting must not end the program
+        raise ConfigError(f"no JSON: {fault}") from None
+    if not isinstance(payload, dict):
+        raise ConfigError("no JSON object")
+    # The process that replaces another gets the same file, and another address for operators.
+    payload["operator"] = os.environ.get("NODE_OPERATOR") or payload.get("operator")
+    payload["folder"] = os.environ.get("TMPDIR")
+    return config_from(payload)
+
+
+def _config_from(payload: Mapping[str, Any], operator: "Operator | None") -> Config:
+    settings = settings_from(payload["settings"])
+    budgets = payload.get("limits", {})
+    endpoints = EndpointList()
+    if operator is not None:
+        settings = replace(settings, epoch=operator.epoch)
+    endpoints.apply_known(payload.get("known", {"updates": []}))
+    sockets = int(budgets.get("sockets", DEFAULT_SOCKETS))
+    memory_mb = float(budgets.get("memory_mb", DEFAULT_MEMORY_MB))
+    return Config(
+        name=str(payload.get("name", "")),
+        settings=settings,
+        limits=Limits.of(settings, sockets, memory_mb),
+        listen=parse_address(payload["listen"]) if "listen" in payload else None,
+        dns=parse_address(payload["dns"]) if "dns" in payload else None,
+        fleet=endpoints,
+        seed=int(str(payload.get("seed", "0")), 16) & SEED_MASK,
+        operator=operator,
+        operation=parse_address(payload["operator"]) if payload.get("operator") else None,
+        folder=Path(payload["folder"]) if payload.get("folder") else None,
+        peers=plan_from(payload["peers"]) if payload.get("peers") else None,
+    )
--- /dev/null
+++ b/maplestile/router/drain.py
@@ -0,0 +1,139 @@
+"""Graceful shutdown of a router process: serve what comes, then close or hand over each connection."""
+
+import asyncio
+import logging
+
+from maplestile.net.listen import Listener
+from maplestile.net.platform import PlatformFront
+from maplestile.router.clock import POLL_S, clock, poll_until
+from maplestile.router.components import Components
+from maplestile.router.takeover import HandoverMonitor
+
+log = logging.getLogger("maplestile")
+
+
+class Drain:
+    """The drain of one process; made when the process was asked to stop."""
+
+    def __init__(
+        self, components: Components, listeners: list[Listener], handover: HandoverMonitor | None
+    ) -> None:
+        self.components = components
+        self.listeners = listeners
+        self.handover = handover
+        limits = components.limits
+        started_us = clock()
+        longest_deadline_us = max(kind.deadline_us for kind in components.core.settings.classes)
+        spare_us = limits.handover_spare_us
+        self.end_us = started_us + limits.kill_after_us(longest_deadline_us) - spare_us  # of the process
+        # Clients hear of the end late, so they go on calling here until then.
+        self.serve_until_us = min(started_us + limits.drain_least_us, self.end_us)
+        self.last_pending_us = started_us  # when a call was last open
+
+    async def run(self) -> None:
+        """Go on serving what comes; return when nothing is pending, or the process has to end."""
+        components = self.components
+        log.info("%s was asked to stop; %d requests open", components.name, len(components.core.open))
+        self._announce()
+        if await self._serve_until_done():
+            assert components.platform is not None
+            choosy_until_us = clock() + components.limits.handover_choosy_us
+            await self._close_platform(components.platform, choosy_until_us)
+        else:
+            await asyncio.sleep(POLL_S)  # the invoke front has yet to write the last answers
+            if components.invoke is not None:
+                await components.invoke.http.end(components.invoke.listener)
+            if components.platform is not None:
+                await self._close_platform(components.platform, clock())
+        pending = len(components.core.open)
+        rest = f"an answer to {pending} requests" if pending else "nothing"
+        log.info("%s stops; %s is owed", components.name, rest)
+
+    def _announce(self) -> None:
+        """Tell each component that the process drains."""
+        components = self.components
+        if components.platform is not None:
+            components.core.leave(self.end_us)  # what is pending then would never be answered
+        if components.peers is not None:  # the others learn of the leave, and suspect nobody
+            components.peers.leave()
+        if components.invoke is not None:
+            components.invoke.http.leaving = True
+        if self.handover is not None:
+            self.handover.handover.leaving()
+
+    async def _serve_until_done(self) -> bool:
+        """Serve until nothing is pending or time is up; return whether a successor took over before that."""
+        components = self.components
+        while self._has_to_serve():
+            if components.core.open:
+                self.last_pending_us = clock()
+            if self.handover is not None:
+                self.handover.observe()
+                if components.handing_over and components.platform is not None:
+                    count = len(components.platform.clients)
+                    log.info("%s hands over; %d connections stand", components.name, count)
+                    return True
+            if clock() >= self.serve_until_us + components.limits.drain_patience_us:
+                await self._reject_new_requests()
+            await asyncio.sleep(POLL_S)
+        return False
+
+    def _has_to_serve(self) -> bool:
+        if clock() < self.serve_until_us:
+            return True
+        if not (self._has_unanswered() or self._has_uncollected_results()):
+            return False
+        # Only the platform kills a process at a given time; others may take as long as their calls.
+        return self.components.platform is None or clock() < self.end_us
+
+    async def _reject_new_requests(self) -> None:
+        """Take nothing more, and close each connection with its last answer.
+
+        Without this, clients that never stop would keep a request pending at any time, and all of their
+        connections would be cut at the end.
+        """
+        components = self.components
+        components.core.close()
+        if components.platform is not None and components.platform_listener is not None:
+            patience_s = components.limits.drain_patience_us / 1e6
+            await components.platform_listener.finish(patience_s, components.descriptors_exhausted)
+            components.platform.part(0)
+
+    def _has_unanswered(self) -> bool:
+        """Return whether requests are open, or answers not with the system yet."""
+        components = self.components
+        if components.core.open:
+            return True
+        return components.platform is not None and components.platform.owes()
+
+    def _has_uncollected_results(self) -> bool:
+        """Return whether callers of deferred calls may still come for their results.
+
+        No other process has them; callers come when `Retry-After` tells them to, so they are awaited for a
+        limited time after the last open call.
+        """
+        components = self.components
+        if components.invoke is None:
+            return False
+        if clock() >= self.last_pending_us + components.limits.collect_us:
+            return False
+        return components.invoke.api.store.uncollected(clock())
+
+    async def _close_platform(self, platform: PlatformFront, choosy_until_us: int) -> None:
+        """Stop accepting, and close each connection once it is quiet.
+
+        From `choosy_until_us` on, a moment without a pending request is enough. What comes just before the
+        exit is waited for: read by a process that ends at once, it would never be answered.
+        """
+        components = self.components
+        limits = components.limits
+        for listener in self.listeners:
+            patience_s = max(0.0, (self.end_us - clock()) / 1e6)
+            await listener.finish(patience_s, components.descriptors_exhausted)
+        while (self._has_unanswered() or platform.stand()) and clock() < self.end_us:
+            await asyncio.sleep(POLL_S)
+            platform.part(limits.handover_quiet_us if clock() < choosy_until_us else 0)
+        platform.end()
+        linger_until_us = clock() + limits.handover_linger_us
+        # What crossed the close is read and dropped.
+        await poll_until(lambda: not platform.clients or clock() >= linger_until_us)
--- /dev/null
+++ b/maplestile/router/fronts.py
@@ -0,0 +1,112 @@
+"""The fronts of a router process: the platform's, the invoke front, and the operators'.
+
+The invoke and operators' fronts are imported where they are opened: the platform's nodes don't use them, and
+would start later and take more memory with them.
+"""
+
+import logging
+
+from maplestile.common.address import parse_address
+from maplestile.net.listen import Listener
+from maplestile.net.platform import PlatformFront
+from maplestile.operation.handover import Handover
+from maplestile.router.components import Components, InvokeFront
+from maplestile.router.readiness import Readiness
+
+log = logging.getLogger("maplestile")
+
+
+async def open_client_fronts(components: Components, readiness: Readiness) -> list[Listener]:
+    """Accept clients on each front of the configuration. Raises OSError where an address is not free."""
+    listeners = list[Listener]()
+    if components.config.listen is not None:
+        listeners.append(await _open_platform_front(components, readiness))
+    if components.config.operator is not None:
+        listeners.append(await _open_invoke_front(components))
+    return listeners
+
+
+async def open_operator_front(components: Components, readiness: Readiness) -> Listener | None:
+    """Answer operators, and load what is shared with the process before this one.
+
+    Without an operators' address in the configuration there is neither. Raises OSError where the address is
+    not free.
+    """
+    config = components.config
+    if config.operation is None:
+        return None
+    from maplestile.net.http import HttpFront
+    from maplestile.operation.api import OperatorApi
+    from maplestile.operation.service import OperatorService
+
+    _load_shared_state(components)
+    cordons = components.cordons
+    assert cordons is not None
+    service = OperatorService(
+        components.core,
+        components.endpoints,
+        cordons,
+        lambda: components.runners.calls_written,
+        readiness.missing,
+        lambda: None if components.peers is None else components.peers.members(),
+        lambda: {} if components.peers is None else components.peers.figures(),
+        components.policy,
+    )
+    api = OperatorApi(service, components.limits)
+    http = HttpFront("operator", api, components.counters, components.received_us)
+    listener = await http.start(*config.operation)
+    _log_listener(components, "operator", listener)
+    return listener
+
+
+def _load_shared_state(components: Components) -> None:
+    """Load the cordons from the folder of the configuration, and take part in its handover."""
+    from maplestile.operation.cordons import Cordons
+    from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
+
+    config = components.config
+    store = FileCordonStore(config.folder / "suspended") if config.folder is not None else None
+    components.cordons = Cordons(store, components.limits, components.counters, components.endpoints_changed)
+    components.cordons.look()
+    # A router with an invoke front has records of calls that another process would not know.
+    if config.folder is None or config.operator is not None:
+        return
+    try:
+        components.handover = Handover(ProcessLocks(config.folder))
+    except OSError as fault:
+        log.warning("%s cannot be replaced while it serves: %s", components.name, fault)
+
+
+async def _open_platform_front(components: Components, readiness: Readiness) -> Listener:
+    config = components.config
+    assert config.listen is not None
+    front = PlatformFront(
+        components.core, components.limits, components.counters, components.selector, readiness.is_ready
+    )
+    components.platform = front
+    # Also where the folder is of no use: two processes that cannot hand over may still serve in turn.
+    shared = config.operation is not None and config.operator is None
+    listener = await front.start(*config.listen, shared)
+    components.platform_listener = listener
+    _log_listener(components, "platform", listener)
+    return listener
+
+
+async def _open_invoke_front(components: Components) -> Listener:
+    from maplestile.invoke.api import Api
+    from maplestile.net.http import HttpFront
+
+    operator = components.config.operator
+    assert operator is not None
+    api = Api(components.core, operator, components.counters)
+    http = HttpFront("invoke", api, components.counters, components.received_us)
+    listener = await http.start(*parse_address(operator.listen))
+    components.invoke = InvokeFront(api, http, listener)
+    _log_listener(components, "invoke", listener)
+    return listener
+
+
+def _log_listener(components: Components, front: str, listener: Listener) -> None:
+    host, port = listener.address
+    known = len(components.endpoints.entries)
+    log.info("%s: %s front listens on %s:%d, %d runners known", components.name, front, host, port, known)
--- a/maplestile/router/gc_scheduler.py
+++ b/maplestile/router/gc_scheduler.py
@@ -1,47 +1,63 @@
-"""The garbage collector, kept off the hot path and yet in use: each of its passes stops the loop.
+"""Schedules the garbage collector off the hot path: each of its passes stops the event loop.
 
-Closed connections are cycles (asyncio's streams, transports and tasks point at each other). Those that have
-stood for a while are in the oldest generation, which the collector by itself would hardly ever look at."""
+Closed connections are cycles (asyncio's streams, transports and tasks refer to each other). Those that stayed
+open for a while are in the oldest generation, which the collector by itself would hardly ever look at.
+"""
 
 import gc
 import time
 from collections import Counter
 
-YOUNGEST = 20_000  # allocations between looks of the youngest generation
-OLDEST = (20, 50)  # looks of a younger generation to each of the next; so full passes are the program's own
-FULL_S = 15.0  # the least time between full passes: one takes 100 ms in a process at its full load
-# What full passes are for, so none comes before: until it does, so many lie about, with some KB each.
-CLOSED = 100
-CONNECTIONS = ("clients.connections", "runners.connections", "invoke.connections", "operator.connections")
+YOUNG_ALLOCATIONS = 20_000  # allocations between two passes of the youngest generation
+# Passes of a generation to each of the next one: so high that full passes are the program's own.
+OLDER_THRESHOLDS = (20, 50)
+FULL_PASS_INTERVAL_S = 15.0  # at least: one takes 100 ms in a process at its full load
+# A full pass comes only after so many connections, which keep some KB each until then.
+CONNECTIONS_PER_FULL_PASS = 100
+CONNECTION_COUNTERS = (
+    "clients.connections",
+    "runners.connections",
+    "invoke.connections",
+    "operator.connections",
+)
 
 
 class GcScheduler:
+    """Runs full passes when they are worth their pause, and counts the longest in `gc.longest_us`."""
+
     def __init__(self, counters: Counter[str]) -> None:
-        self.counters, self.began_s, self.full_s, self.opened = counters, 0.0, 0.0, 0
+        self.counters = counters
+        self._pass_started_s = 0.0
+        self._last_full_s = 0.0
+        self._opened_at_last_full = 0
 
     def start(self) -> None:
-        """What stands now stands for good, and is not looked at again."""
+        """Set the thresholds, and exempt all objects that exist now: they stay for good."""
         gc.collect()
         gc.freeze()
-        gc.set_threshold(YOUNGEST, *OLDEST)
-        gc.callbacks.append(self._passed)
+        gc.set_threshold(YOUNG_ALLOCATIONS, *OLDER_THRESHOLDS)
+        gc.callbacks.append(self._on_pass)
 
     def stop(self) -> None:
-        gc.callbacks.remove(self._passed)
+        """Stop measuring passes; the thresholds stay."""
+        gc.callbacks.remove(self._on_pass)
 
     def look(self, now_s: float) -> None:
-        """Called now and then; makes a full pass when one is due.
-
-        Guards the answers' deadlines: with nothing to be found, passes by the clock alone made calls late."""
-        opened = sum(self.counters[name] for name in CONNECTIONS)  # about as many have been closed
-        if now_s - self.full_s >= FULL_S and opened - self.opened >= CLOSED:
-            self.full_s, self.opened = now_s, opened
+        """Run a full pass if one is due; to be called about once a second.
+
+        With nothing to be found, passes by the clock alone made answers miss their deadlines.
+        """
+        opened = sum(self.counters[name] for name in CONNECTION_COUNTERS)  # about as many have been closed
+        enough_time = now_s - self._last_full_s >= FULL_PASS_INTERVAL_S
+        if enough_time and opened - self._opened_at_last_full >= CONNECTIONS_PER_FULL_PASS:
+            self._last_full_s = now_s
+            self._opened_at_last_full = opened
             gc.collect()
 
-    def _passed(self, phase: str, info: dict[str, int]) -> None:
-        """Keeps the longest pause."""
+    def _on_pass(self, phase: str, _info: dict[str, int]) -> None:
+        """Keep the longest pause; a callback of the collector's."""
         now_s = time.perf_counter()
         if phase == "stop":
-            pause_us = int((now_s - self.began_s) * 1e6)
+            pause_us = int((now_s - self._pass_started_s) * 1e6)
             self.counters["gc.longest_us"] = max(self.counters["gc.longest_us"], pause_us)
-        self.began_s = now_s
+        self._pass_started_s = now_s
--- /dev/null
+++ b/maplestile/router/readiness.py
@@ -0,0 +1,45 @@
+"""Whether a router process can serve, as clients and as operators see it."""
+
+from maplestile.router.clock import clock
+from maplestile.router.components import Components
+from maplestile.router.discovery import Discovery
+
+
+class Readiness:
+    """The readiness of one router process."""
+
+    def __init__(self, components: Components, discovery: Discovery) -> None:
+        self.components = components
+        self.discovery = discovery
+        self._list_was_current = False
+
+    def is_ready(self) -> bool:
+        """Return whether the router serves clients, if only through the process that takes over."""
+        components = self.components
+        leaving = components.stopping.is_set() and not components.handing_over
+        return components.listening and bool(components.endpoints.entries) and not leaving
+
+    def missing(self) -> str:
+        """Return why this process cannot serve, in words for operators; empty if it can."""
+        components = self.components
+        if components.stopping.is_set():
+            return "it was asked to stop"
+        if not self.list_is_current():
+            return "the name server has not answered yet"
+        if components.policy is not None and (reason := components.policy.lacking()):
+            return reason
+        if not components.listening:
+            return "it does not listen yet"
+        return "" if components.endpoints.entries else "no runner is listed"
+
+    def list_is_current(self) -> bool:
+        """Return whether the name server has answered, or has had its time to.
+
+        The runners of the configuration may be out of date, so the name server's answer is awaited; one that
+        never answers must not keep the process from serving for good.
+        """
+        if not self._list_was_current:
+            waited_us = clock() - self.components.started_us
+            waited_enough = waited_us >= self.components.limits.names_wait_us
+            self._list_was_current = self.discovery.has_answered or waited_enough
+        return self._list_was_current
--- /dev/null
+++ b/maplestile/router/reload.py
@@ -0,0 +1,107 @@
+"""Reload of the configuration at SIGHUP: all that differs is taken, or nothing."""
+
+import asyncio
+import json
+import logging
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass, field, replace
+
+from maplestile.common.toml_table import ConfigError
+from maplestile.net import reads
+from maplestile.router.components import Components
+from maplestile.router.config import Config
+from maplestile.router.discovery import Discovery
+
+log = logging.getLogger("maplestile")
+MAX_READS = 10  # tries to read a configuration while there is no file descriptor for it
+RETRY_DELAY_S = 0.02
+
+
+@dataclass(slots=True)
+class ReloadResult:
+    """How a reload ended, as it is printed."""
+
+    fault: str = ""  # empty if the configuration was taken
+    taken: list[str] = field(default_factory=list)  # the names of what has changed
+    restarts: list[str] = field(default_factory=list)  # the names of what only a restart can change
+
+    def print(self) -> None:
+        """Print one JSON line on standard error, for the agent."""
+        output = {
+            "ok": not self.fault,
+            "fault": self.fault,
+            "taken": self.taken,
+            "restart": self.restarts,
+        }
+        print(json.dumps({"reload": output}), file=sys.stderr, flush=True)
+
+
+class Reloader:
+    """Replaces the configuration of a running process."""
+
+    def __init__(self, components: Components, discovery: Discovery, configure: Callable[[], Config]) -> None:
+        self.components = components
+        self.discovery = discovery
+        self.configure = configure
+
+    def reload(self, reads_left: int = MAX_READS) -> None:
+        """Read the configuration again, whole, before anything of it is applied; print the result."""
+        result = ReloadResult()
+        config: Config | None = None
+        try:
+            config = self._read(result)
+        except (ConfigError, OSError) as fault:
+            if reads_left > 1 and isinstance(fault, OSError) and fault.errno in reads.NO_DESCRIPTOR:
+                self.components.descriptors_exhausted()
+                asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload, reads_left - 1)
+                return
+            result.fault = f"{type(fault).__name__}: {fault}"
+        components = self.components
+        if config is None:
+            components.counters["reloads.failed"] += 1
+            log.error("%s cannot reload; the old configuration stays: %s", components.name, result.fault)
+        else:
+            components.counters["reloads.taken"] += 1
+            result.taken = self._apply(config)
+            log.info("%s reloaded; taken: %s", components.name, ", ".join(result.taken) or "nothing")
+        result.print()
+
+    def _read(self, result: ReloadResult) -> Config:
+        """Return the new configuration. Raises ConfigError or OSError where it cannot be applied."""
+        config = self.configure()
+        result.restarts = self.components.config.restarts(config)
+        # A part of it would make a mixture of two configurations, perhaps of two customers.
+        if result.restarts:
+            raise ConfigError(f"only a restart takes {', '.join(result.restarts)}")
+        return config
+
+    def _apply(self, config: Config) -> list[str]:
+        """Apply what differs, which can all change live, and return the names of it."""
+        components = self.components
+        taken = list[str]()
+        old = components.config
+        components.config = replace(old, dns=config.dns)
+        if config.dns != old.dns:
+            taken.append("dns")
+            self.discovery.poll(config.dns)
+        if self._has_newer_endpoints(config):
+            components.endpoints.replace(config.fleet)
+            components.endpoints_changed()
+            taken.append("known")
+        invoke = components.invoke
+        if invoke is not None and config.operator is not None and invoke.api.reload(config.operator):
+            taken.append("invoke")
+        return taken
+
+    def _has_newer_endpoints(self, config: Config) -> bool:
+        """Return whether the file's endpoint list replaces the current one.
+
+        Serials go on over a reload: a file older than the name server's last list must not bring back a dead
+        worker. Where no name server is polled, the file is the only source.
+        """
+        endpoints = self.components.endpoints
+        version = config.fleet.version
+        if version != endpoints.version and not endpoints.behind(version):
+            return True
+        return config.dns is None and config.fleet.entries != endpoints.entries
--- /dev/null
+++ b/maplestile/router/takeover.py
@@ -0,0 +1,61 @@
+"""Handover between the two processes of an upgrade, as one of them observes it."""
+
+import asyncio
+import logging
+
+from maplestile.operation.handover import Handover, Stage
+from maplestile.router.clock import poll_until
+from maplestile.router.components import Components
+from maplestile.router.readiness import Readiness
+
+log = logging.getLogger("maplestile")
+
+
+class HandoverMonitor:
+    """Follows the other process of an upgrade, and tells it when this one can serve."""
+
+    def __init__(self, components: Components, readiness: Readiness, handover: Handover) -> None:
+        self.components = components
+        self.readiness = readiness
+        self.handover = handover
+
+    async def wait_for_turn(self) -> None:
+        """Return once this process may take clients, or was asked to stop.
+
+        Where another process serves, clients are taken only when this one has a current endpoint list.
+        """
+        handover = self.handover
+        if handover.stage is Stage.ALONE:
+            return
+        log.info("%s: another process serves; it is %s", self.components.name, handover.stage.value)
+        await poll_until(self._may_take_clients)
+
+    async def run(self) -> None:
+        """Observe the other process again and again, until cancelled."""
+        while True:
+            self.observe()
+            await asyncio.sleep(self.components.limits.folder_look_us / 1e6)
+
+    def observe(self) -> None:
+        """Look once at the other process and at the cordons that it stored."""
+        components = self.components
+        handover = self.handover
+        assert components.cordons is not None
+        components.cordons.look()
+        stage_before = handover.stage
+        try:
+            if not self.readiness.missing():
+                handover.ready()
+            handover.look()
+        except OSError as fault:
+            log.warning("%s: the locks: %s", components.name, fault)
+        if handover.stage is not stage_before:
+            log.info("%s: %s", components.name, handover.stage.value)
+        if handover.live != components.process_count:
+            log.info("%s: budgets for %d processes side by side", components.name, handover.live)
+            components.share_budgets(handover.live)
+
+    def _may_take_clients(self) -> bool:
+        if self.readiness.list_is_current() and self.handover.stage is not Stage.WAITING:
+            return True
+        return self.components.stopping.is_set()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,23 +1,23 @@
-"""The parts of one router, as its node keeps them."""
+"""The background tasks of a router process."""
 
 import asyncio
 from collections import Counter
 
-from maplestile.router.process import RouterProcess
+from maplestile.router.supervisor import TaskSupervisor
 
 
-def test_part_that_fails_begins_anew_and_is_counted() -> None:
-    node, begun = RouterProcess.__new__(RouterProcess), list[int]()
-    node.counters = Counter()
+def test_task_that_fails_is_restarted_and_counted() -> None:
+    counters = Counter[str]()
+    starts = list[int]()
 
-    async def part() -> None:
-        begun.append(1)
-        if len(begun) < 3:
+    async def fail_twice() -> None:
+        starts.append(1)
+        if len(starts) < 3:
             raise RuntimeError("a bad moment")
 
     async def play() -> None:
         async with asyncio.timeout(30):
-            await node._start(part)
+            await TaskSupervisor(counters).start(fail_twice)
 
     asyncio.run(play())
-    assert (len(begun), node.counters["parts.failed"]) == (3, 2)
+    assert (len(starts), counters["parts.failed"]) == (3, 2)
