--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -10,13 +10,13 @@
 from maplestile.common.address import Address, parse_address
 from maplestile.common.toml_table import ConfigError
 from maplestile.dispatch.api import Settings
-from maplestile.membership.settings import MembershipSettings, MembershipSettingsError, plan_from
 from maplestile.requests.endpoint_list import EndpointList, EndpointListError
 from maplestile.wire.limits import Limits
 from maplestile.wire.settings import SettingsError, settings_from
 
-if TYPE_CHECKING:  # the platform's nodes do not load the second front: start time and memory
+if TYPE_CHECKING:  # the platform's nodes load neither the second front nor peers: start time and memory
     from maplestile.invoke.operator_file import Operator
+    from maplestile.membership.settings import MembershipSettings
 
 # Settings that only the invoke front reads, so that its own reload takes them.
 INVOKE_SETTINGS = ("tenants",)
@@ -42,7 +42,7 @@
     operation: Address | None = None  # where operators call; `folder` is of no use without it
     folder: Path | None = None  # that outlives this process, and is shared with the one that replaces it
     # Membership among instances; never on the platform, where routers cannot reach each other.
-    peers: MembershipSettings | None = None
+    peers: "MembershipSettings | None" = None
 
     def restarts(self, new: "Config") -> list[str]:
         """Return the names of what differs in the new configuration and only a restart can change."""
@@ -63,8 +63,6 @@
         return _config_from(payload, operator)
     except KeyError as missing:
         raise ConfigError(f"lacks {missing}") from None
-    except MembershipSettingsError as fault:
-        raise ConfigError(str(fault)) from None
     except (SettingsError, EndpointListError) as fault:
         raise ConfigError(f"settings or known: {fault}") from None
     except (ValueError, TypeError, AttributeError) as fault:
@@ -111,5 +109,14 @@
         operator=operator,
         operation=parse_address(payload["operator"]) if payload.get("operator") else None,
         folder=Path(payload["folder"]) if payload.get("folder") else None,
-        peers=plan_from(payload["peers"]) if payload.get("peers") else None,
+        peers=_peers_from(payload["peers"]) if payload.get("peers") else None,
     )
+
+
+def _peers_from(payload: Any) -> "MembershipSettings":
+    from maplestile.membership.settings import MembershipSettingsError, plan_from
+
+    try:
+        return plan_from(payload)
+    except MembershipSettingsError as fault:
+        raise ConfigError(str(fault)) from None
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -2,12 +2,15 @@
 
 import asyncio
 import logging
+from typing import TYPE_CHECKING
 
 from maplestile.net.listen import Listener
 from maplestile.net.platform import PlatformFront
 from maplestile.router.clock import POLL_S, clock, poll_until
 from maplestile.router.components import Components
-from maplestile.router.takeover import HandoverMonitor
+
+if TYPE_CHECKING:  # loaded only where processes hand over: start time and memory
+    from maplestile.router.takeover import HandoverMonitor
 
 log = logging.getLogger("maplestile")
 
@@ -16,7 +19,7 @@
     """The drain of one process; made when the process was asked to stop."""
 
     def __init__(
-        self, components: Components, listeners: list[Listener], handover: HandoverMonitor | None
+        self, components: Components, listeners: list[Listener], handover: "HandoverMonitor | None"
     ) -> None:
         self.components = components
         self.listeners = listeners
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -1,7 +1,7 @@
 """The fronts of a router process: the platform's, the invoke front, and the operators'.
 
-The invoke and operators' fronts are imported where they are opened: the platform's nodes don't use them, and
-would start later and take more memory with them.
+The invoke and operators' fronts, and what processes share, are imported where they are used: a platform's
+node without them would start later and take more memory.
 """
 
 import logging
@@ -9,7 +9,6 @@
 from maplestile.common.address import parse_address
 from maplestile.net.listen import Listener
 from maplestile.net.platform import PlatformFront
-from maplestile.operation.handover import Handover
 from maplestile.router.components import Components, InvokeFront
 from maplestile.router.readiness import Readiness
 
@@ -62,6 +61,7 @@
 def _load_shared_state(components: Components) -> None:
     """Load the cordons from the folder of the configuration, and take part in its handover."""
     from maplestile.operation.cordons import Cordons
+    from maplestile.operation.handover import Handover
     from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
 
     config = components.config
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -28,11 +28,11 @@
 from maplestile.router.readiness import Readiness
 from maplestile.router.reload import Reloader
 from maplestile.router.supervisor import TaskSupervisor
-from maplestile.router.takeover import HandoverMonitor
 
 if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
     from maplestile.control.policy.document import AdoptedPolicy
     from maplestile.router.policy_driver import PolicyDriver
+    from maplestile.router.takeover import HandoverMonitor
 
 log = logging.getLogger("maplestile")
 SWEEP_S = 1.0
@@ -97,6 +97,8 @@
         self._start_peers()
         self.discovery.poll(components.config.dns)
         if components.handover is not None:
+            from maplestile.router.takeover import HandoverMonitor  # only where processes hand over
+
             self.handover = HandoverMonitor(components, self.readiness, components.handover)
             self.supervisor.start(self.handover.run)
             await self.handover.wait_for_turn()
