--- /dev/null
+++ b/maplestile/net/answer_writer.py
@@ -0,0 +1,43 @@
+"""Writes answers to clients, within limits on what they leave unread."""
+
+import logging
+
+from maplestile.net.client import Client
+from maplestile.net.client_table import ClientTable
+
+log = logging.getLogger("maplestile.net.platform")
+
+
+class AnswerWriter:
+    """Bounds the memory of unread answers, for each client and for all of them together."""
+
+    def __init__(self, table: ClientTable) -> None:
+        self.table = table
+
+    def write(self, client: Client, data: bytes) -> None:
+        """Write an answer; a client over a limit is disconnected."""
+        transport = client.writer.transport
+        if transport.is_closing() or client.write_closed:  # nobody is left to be answered
+            client.all_answered.set()
+            return
+        table = self.table
+        now_us = table.clock()
+        client.unsent_bytes(now_us)
+        client.writer.write(data)
+        client.written_bytes += len(data)
+        unsent = client.unsent_bytes(now_us)
+        if unsent > table.limits.client_write_bytes:
+            self._disconnect(client)
+        elif unsent and table.unsent_bytes() > table.limits.all_write_bytes:
+            self._disconnect(self._longest_unread(now_us))
+
+    def _longest_unread(self, now_us: int) -> Client:
+        """Return the client that has read nothing for the longest time, however much others leave unread."""
+        blocked = (client for client in self.table.clients if client.unsent_bytes(now_us))
+        return min(blocked, key=lambda client: client.unread_since_us)
+
+    def _disconnect(self, client: Client) -> None:
+        self.table.counters["clients.too_slow"] += 1
+        log.warning("client: reads too slowly; connection closed")
+        client.writer.transport.abort()
+        client.all_answered.set()
--- /dev/null
+++ b/maplestile/net/client_table.py
@@ -0,0 +1,110 @@
+"""The connections of the platform's front, and which of them is evicted for a newcomer at the cap."""
+
+from collections import Counter
+from collections.abc import Callable
+from enum import IntEnum
+
+from maplestile.net.client import Client
+from maplestile.wire.limits import Limits
+
+
+class EvictionRank(IntEnum):
+    """In which order connections without an open request are evicted."""
+
+    WRITE_CLOSED = 0  # this side has ended it
+    SILENT = 1  # it never sent a request, for long
+    ONE_REQUEST = 2
+    WAITING = 3  # it never sent a request, and had a short time to
+    RETURNING = 4  # it sent requests more than once
+    NEW = 5
+
+
+class ClientTable:
+    """All connections at the cap, with the limits and counters that apply to them."""
+
+    def __init__(self, limits: Limits, counters: Counter[str], clock: Callable[[], int]) -> None:
+        self.limits = limits
+        self.counters = counters
+        self.clock = clock
+        self.clients: dict[Client, None] = {}  # the least recently active first
+        # Closed connections whose last answers are still to be read; the first to close first.
+        self.flushing: dict[Client, None] = {}
+
+    def is_full(self) -> bool:
+        """Return whether the cap of connections is reached."""
+        return len(self.clients) + len(self.flushing) >= self.limits.client_connections
+
+    def mark_active(self, client: Client) -> None:
+        """Make the client the most recently active one."""
+        client.last_active_us = self.clock()
+        if client in self.clients:
+            del self.clients[client]
+            self.clients[client] = None
+
+    def unsent_bytes(self) -> int:
+        """Return how many bytes of answers the system has not taken yet, of all clients."""
+        now_us = self.clock()
+        return sum(client.unsent_bytes(now_us) for client in self.clients)
+
+    def evict_idle(self) -> bool:
+        """Close one connection without a pending request or unread input; return whether there was one.
+
+        A request that was read, or is on its way in pieces, must not be dropped for a newcomer's.
+        """
+        candidates = self._eviction_candidates()
+        idle = next((client for client in candidates if not client.has_unhandled_input()), None)
+        if idle is None:
+            return self._abort_unread() or self._evict_unfinished(candidates)
+        self.counters["clients.made_room"] += 1
+        self.clients.pop(idle, None)
+        idle.writer.close()
+        return True
+
+    def _eviction_candidates(self) -> list[Client]:
+        """Return the connections without an open request, the first to be evicted first.
+
+        The order is that of a segmented LRU, so that a crowd of clients that come once does not evict those
+        in use: by rank, and within one rank by the last activity.
+        """
+        now_us = self.clock()
+
+        def rank(client: Client) -> EvictionRank:
+            return self._eviction_rank(client, now_us)
+
+        return sorted((client for client in self.clients if not client.calls), key=rank)
+
+    def _eviction_rank(self, client: Client, now_us: int) -> EvictionRank:
+        if client.write_closed:
+            return EvictionRank.WRITE_CLOSED
+        if client.message_reads:
+            return EvictionRank.ONE_REQUEST if client.message_reads == 1 else EvictionRank.RETURNING
+        silent_us = now_us - client.message_since_us
+        if silent_us > self.limits.client_silent_us:
+            return EvictionRank.SILENT
+        return EvictionRank.WAITING if silent_us > self.limits.client_grace_us else EvictionRank.NEW
+
+    def _abort_unread(self) -> bool:
+        """Abort a closed connection whose client has not read its last answers for long."""
+        now_us = self.clock()
+        for client in self.flushing:
+            unread_us = now_us - client.unread_since_us if client.unsent_bytes(now_us) else 0
+            if unread_us > self.limits.client_unread_us:
+                self.counters["clients.made_room"] += 1
+                del self.flushing[client]
+                client.writer.transport.abort()
+                return True
+        return False
+
+    def _evict_unfinished(self, candidates: list[Client]) -> bool:
+        """Close a connection with a part of a request, of which the rest has not come for long."""
+        since_us = self.clock() - self.limits.client_unfinished_us
+        for client in candidates:
+            if not client.framer.rest or client.message_since_us >= since_us:
+                continue
+            if client.handling or client.unread_input_bytes():
+                continue
+            self.counters["clients.made_room_unfinished"] += 1
+            self.clients.pop(client, None)
+            client.writer.close()
+            return True
+        return False
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -95,7 +95,7 @@
         """Close an idle client connection: the router itself found no file descriptor left."""
         self.counters["descriptors.none_left"] += 1
         if self.platform is not None:
-            self.platform.make_room()
+            self.platform.evict_idle()
 
     def share_budgets(self, process_count: int) -> None:
         """Divide the budgets of the configuration among so many processes."""
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -100,14 +100,14 @@
         if components.platform is not None and components.platform_listener is not None:
             patience_s = components.limits.drain_patience_us / 1e6
             await components.platform_listener.finish(patience_s, components.descriptors_exhausted)
-            components.platform.part(0)
+            components.platform.close_gracefully(0)
 
     def _has_unanswered(self) -> bool:
         """Return whether requests are open, or answers not with the system yet."""
         components = self.components
         if components.core.open:
             return True
-        return components.platform is not None and components.platform.owes()
+        return components.platform is not None and components.platform.has_unread_answers()
 
     def _has_uncollected_results(self) -> bool:
         """Return whether callers of deferred calls may still come for their results.
@@ -133,10 +133,10 @@
         for listener in self.listeners:
             patience_s = max(0.0, (self.end_us - clock()) / 1e6)
             await listener.finish(patience_s, components.descriptors_exhausted)
-        while (self._has_unanswered() or platform.stand()) and clock() < self.end_us:
+        while (self._has_unanswered() or platform.has_open_connections()) and clock() < self.end_us:
             await asyncio.sleep(POLL_S)
-            platform.part(limits.handover_quiet_us if clock() < choosy_until_us else 0)
-        platform.end()
+            platform.close_gracefully(limits.handover_quiet_us if clock() < choosy_until_us else 0)
+        platform.close_all()
         linger_until_us = clock() + limits.handover_linger_us
         # What crossed the close is read and dropped.
         await poll_until(lambda: not platform.clients or clock() >= linger_until_us)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from maplestile.dispatch.api import Result
+from maplestile.net.client_reader import ClientReader
 from maplestile.net.platform import PlatformFront
-from maplestile.net.reads import Inbox
 from maplestile.wire.jsonrpc import REFUSED
 from maplestile.wire.limits import Limits
 from tests.test_core import Rig
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Stamps:
+class Timestamps:
     since_us: int = 0
     rested_us: int = 0
 
@@ -39,8 +39,8 @@
 class FrontTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.rig, self.counters, self.ready = Rig(), Counter[str](), False
-        self.stamps = Stamps(self.rig.now)
-        self.front = PlatformFront(self.rig.core, LIMITS, self.counters, self.stamps, lambda: self.ready)
+        self.timestamps = Timestamps(self.rig.now)
+        self.front = PlatformFront(self.rig.core, LIMITS, self.counters, self.timestamps, lambda: self.ready)
         self.server = await self.front.start("127.0.0.1", 0, False)
         self.addCleanup(self.server.close)
 
@@ -129,7 +129,7 @@
             await self.answer(reader)
         held = next(iter(self.front.clients))
         held.reader.feed_data(framed(message(limit=9_000)))
-        self.assertTrue(self.front.make_room())
+        self.assertTrue(self.front.evict_idle())
         self.assertIn(held, self.front.clients)
         async with asyncio.timeout(20):
             while not self.rig.core.open:
@@ -145,7 +145,7 @@
             while len(self.front.clients) < 2:
                 await asyncio.sleep(0.005)
         self.rig.now += LIMITS.client_grace_us + 1
-        self.assertTrue(self.front.make_room())
+        self.assertTrue(self.front.evict_idle())
         self.assertTrue(await self.closed(reader))
         late_writer.write(framed(b'{"id":2,"method":"check"}'))
         self.assertEqual((await self.answer(late))["id"], 2)
@@ -154,7 +154,7 @@
             while len(self.front.clients) < 2:
                 await asyncio.sleep(0.005)
         self.rig.now += LIMITS.client_silent_us + 1
-        self.assertTrue(self.front.make_room())  # the one that never asked, and has had its time
+        self.assertTrue(self.front.evict_idle())  # the one that never asked, and has had its time
         late_writer.write(framed(b'{"id":3,"method":"check"}'))
         self.assertEqual((await self.answer(late))["id"], 3)
 
@@ -183,14 +183,14 @@
             while sum(bool(client.framer.rest) for client in self.front.clients) < 2:
                 await asyncio.sleep(0.005)
         self.rig.now += limits.client_grace_us + 1
-        self.assertFalse(self.front.make_room())
-        self.stamps.since_us = self.rig.now
+        self.assertFalse(self.front.evict_idle())
+        self.timestamps.since_us = self.rig.now
         pairs[0][1].write(whole[50:])
         async with asyncio.timeout(20):
             while not self.rig.core.open:
                 await asyncio.sleep(0.005)
         self.rig.now += limits.client_unfinished_us
-        self.assertTrue(self.front.make_room())  # the one whose rest never came
+        self.assertTrue(self.front.evict_idle())  # the one whose rest never came
         self.assertEqual((self.counters["clients.made_room_unfinished"], len(self.rig.core.open)), (1, 1))
 
     async def test_client_that_reads_keeps_its_answers_whatever_others_leave_unread(self) -> None:
@@ -201,12 +201,12 @@
             while len(self.front.clients) < 2:
                 await asyncio.sleep(0.005)
             hog, reader = self.front.clients
-            self.front._write(hog, bytes(13_000_000))
-            self.front._write(reader, bytes(14_000_000))
+            self.front.answers.write(hog, bytes(13_000_000))
+            self.front.answers.write(reader, bytes(14_000_000))
             self.rig.now += 1_000_000
             while reader.writer.transport.get_write_buffer_size():
                 await reading[0].read(1 << 20)
-            self.front._write(reader, bytes(25_000_000))  # the most that is unread
+            self.front.answers.write(reader, bytes(25_000_000))  # the most that is unread
             while hog in self.front.clients:
                 await asyncio.sleep(0.005)
         self.assertIn(reader, self.front.clients)
@@ -251,10 +251,11 @@
             with self.assertRaises((asyncio.IncompleteReadError, ConnectionError)):
                 await third.readexactly(1)
             pairs[0][1].transport.abort()
-            self.front._write(next(iter(self.front.clients)), b"")
+            self.front.answers.write(next(iter(self.front.clients)), b"")
             while len(self.rig.core.open) > 1 and not self.rig.core.counters["requests.withdrawn"]:
                 for client in list(self.front.clients):
-                    self.front._write(client, framed(b"{}"))  # a dead peer shows at a write at the latest
+                    # A dead peer shows at a write at the latest.
+                    self.front.answers.write(client, framed(b"{}"))
                 await asyncio.sleep(0.005)
         self.assertEqual(self.counters["clients.turned_away"], 1)
 
@@ -295,8 +296,8 @@
             while not self.front.clients:
                 await asyncio.sleep(0.005)
         client = next(iter(self.front.clients))
-        self.assertTrue(self.front.make_room())
-        client.reader = Inbox(1 << 16, Stamps())
+        self.assertTrue(self.front.evict_idle())
+        client.reader = ClientReader(1 << 16, Timestamps())
         client.reader.feed_data(framed(message(limit=9_000)))  # read before the close, handled after it
         await self.front._read_all(client)
         self.assertEqual(self.rig.core.counters["requests.taken"], 0)
@@ -321,7 +322,7 @@
         async with asyncio.timeout(20):
             while not self.rig.core.open:
                 await asyncio.sleep(0.005)
-            self.front._write(next(iter(self.front.clients)), b"x" * 50_000_000)
+            self.front.answers.write(next(iter(self.front.clients)), b"x" * 50_000_000)
             while self.front.clients:
                 await asyncio.sleep(0.005)
         self.assertEqual((self.counters["clients.too_slow"], self.rig.core.open), (1, {}))
@@ -387,10 +388,10 @@
         """The process begins to part between two messages of one read, and a call stands behind them."""
 
         def ready() -> bool:
-            self.front.part(0)
+            self.front.close_gracefully(0)
             return True
 
-        self.front.ready = ready
+        self.front.requests.ready = ready
         reader, writer = await self.connect()
         call = json.loads(message(limit=9_000))
         checks = [framed(b'{"id":%d,"method":"check"}' % id_) for id_ in range(10, 50)]
@@ -411,11 +412,11 @@
         async with asyncio.timeout(20):
             while not self.rig.core.open:
                 await asyncio.sleep(0.005)
-            self.front.part(0)
+            self.front.close_gracefully(0)
             self.rig.core.attempt_ended(self.rig.sent[0], Result.OK, b"abc")
             self.assertEqual((await self.answer(reader))["id"], 1)
-            self.assertTrue(self.front.stand())  # a message has begun
-            self.front.end()
+            self.assertTrue(self.front.has_open_connections())  # a message has begun
+            self.front.close_all()
         self.assertTrue(await self.closed(reader))
         writer.write(b"9\r\n\r\n")  # crosses the end, and is read away
         async with asyncio.timeout(20):
@@ -430,24 +431,24 @@
                 one = socket.create_connection(self.server.address)
                 deaf.append(one)
                 self.addCleanup(one.close)
-                while not (fresh := [c for c in self.front.clients if not c.parted]):
+                while not (fresh := [c for c in self.front.clients if not c.write_closed]):
                     await asyncio.sleep(0.005)
-                self.front._write(fresh[-1], bytes(16 << 20))
+                self.front.answers.write(fresh[-1], bytes(16 << 20))
                 one.shutdown(socket.SHUT_WR)
                 while self.front.clients:
                     await asyncio.sleep(0.005)
-            self.assertEqual(len(self.front.closing), 2)
+            self.assertEqual(len(self.front.table.flushing), 2)
             early, early_writer = await self.connect()  # they may read yet, so a newcomer is refused
             early_writer.write(framed(message(limit=9_000)))
             self.assertEqual(wire_code(await self.answer(early)), REFUSED)
             self.assertTrue(await self.closed(early))
-            self.assertEqual((len(self.front.closing), self.counters["clients.made_room"]), (2, 0))
+            self.assertEqual((len(self.front.table.flushing), self.counters["clients.made_room"]), (2, 0))
             self.rig.now += LIMITS.client_unread_us + 1
             reader, writer = await self.connect()  # at the cap: the first of them makes room
             writer.write(framed(b'{"id":1,"method":"check"}'))
             await self.answer(reader)
-            self.assertEqual((len(self.front.closing), self.counters["clients.made_room"]), (1, 1))
-            while self.front.owes():
+            self.assertEqual((len(self.front.table.flushing), self.counters["clients.made_room"]), (1, 1))
+            while self.front.has_unread_answers():
                 await asyncio.sleep(0.01)
 
     async def test_request_that_came_in_time_to_a_busy_loop_is_not_lost_to_the_end_of_that_time(self) -> None:
@@ -487,15 +488,15 @@
         self.assertEqual({(await self.answer(reader))["id"] for _ in range(2)}, {1, 2})
 
     async def test_bytes_behind_a_flood_are_as_old_as_it_until_the_loop_has_rested(self) -> None:
-        stamps = Stamps(100, 7)
-        inbox = Inbox(4, stamps)
-        for since_us, rested_us, data, came_us in (
+        timestamps = Timestamps(100, 7)
+        reader = ClientReader(4, timestamps)
+        for since_us, rested_us, data, received_us in (
             (100, 7, b"xxxx", 100),
             (200, 7, b"xxxx", 100),
             (300, 8, b"xxxx", 300),
             (400, 8, b"x", 300),
             (500, 8, b"x", 500),
         ):
-            stamps.since_us, stamps.rested_us = since_us, rested_us
-            inbox.feed_data(data)
-            self.assertEqual(inbox.came_us, came_us)
+            timestamps.since_us, timestamps.rested_us = since_us, rested_us
+            reader.feed_data(data)
+            self.assertEqual(reader.received_us, received_us)
