--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -45,7 +45,7 @@
         else:
             await asyncio.sleep(POLL_S)  # the invoke front has yet to write the last answers
             if components.invoke is not None:
-                await components.invoke.http.end(components.invoke.listener)
+                await components.invoke.http.close_gracefully(components.invoke.listener)
             if components.platform is not None:
                 await self._close_platform(components.platform, clock())
         pending = len(components.core.open)
@@ -60,7 +60,7 @@
         if components.peers is not None:  # the others learn of the leave, and suspect nobody
             components.peers.leave()
         if components.invoke is not None:
-            components.invoke.http.leaving = True
+            components.invoke.http.start_leaving()
         if self.handover is not None:
             self.handover.handover.leaving()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -37,9 +37,9 @@
         async with asyncio.timeout(20):
             links = [await asyncio.open_connection(*server.address) for _ in range(2)]
             links[1][1].write(b"GET / HTTP/1.1\r\n")
-            while len(http.idle) + 2 * len(http.begun) < 3:
+            while len(http.state.idle) + 2 * len(http.state.receiving) < 3:
                 await asyncio.sleep(0.005)
-            ending = asyncio.get_running_loop().create_task(http.end(server))
+            ending = asyncio.get_running_loop().create_task(http.close_gracefully(server))
             for (reader, writer), rest in zip(links, (b"GET / HTTP/1.1\r\n", b""), strict=True):
                 self.assertEqual(await reader.read(), b"")
                 writer.write(rest + b"Host: x\r\n\r\n")
