--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -9,7 +9,8 @@
 from typing import cast
 
 from maplestile.dispatch.api import WorkerState
-from maplestile.net.dns_discovery import HOST_TRIES, DnsDiscovery
+from maplestile.net.dns_client import HOST_TRIES
+from maplestile.net.dns_discovery import DnsDiscovery
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire import dns
 from maplestile.wire.limits import Limits
@@ -204,9 +205,9 @@
     async def test_socket_that_is_lost_is_opened_again(self) -> None:
         _, fleet, counters = await self.start(1, 10_000)
         async with asyncio.timeout(30):
-            while not fleet.entries or self.names.transport is None:
+            while not fleet.entries or self.names.client.transport is None:
                 await asyncio.sleep(0.005)
-            self.names.transport.abort()
+            self.names.client.transport.abort()
             asked = counters["names.queries"]
             self.names.heard = False
             while not self.names.heard:
