--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -204,7 +204,7 @@
             return
         await self._write(response, True)
         linger_s = self.front.bounds.linger_us / 1e6
-        await reads.away(self.writer, lambda: self.reader.read(READ_BYTES), linger_s)
+        await reads.end_and_discard(self.writer, lambda: self.reader.read(READ_BYTES), linger_s)
 
     async def _write(self, response: Response, close: bool) -> None:
         """Write an answer. Raises TimeoutError where the client does not read it."""
--- a/maplestile/net/listen.py
+++ b/maplestile/net/listen.py
@@ -1,4 +1,4 @@
-"""Listening sockets: one way for every front."""
+"""Listening sockets of the fronts, which lose nobody as they close."""
 
 import asyncio
 import socket
@@ -7,29 +7,39 @@
 
 Reader = Callable[[], asyncio.StreamReader]
 Serve = Callable[[Any, asyncio.StreamWriter], Awaitable[None]]  # handed what `Reader` made
-FULL_S = 0.01  # until a connection is accepted for which there was no descriptor
+RETRY_S = 0.01  # until a connection is accepted for which there was no file descriptor
 
 
 class Listener:
+    """One listening socket, and what serves the connections that it accepts."""
+
     def __init__(self, listener: socket.socket, serve: Serve, reader: Reader) -> None:
-        self.socket, self.serve, self.reader = listener, serve, reader
+        self.socket = listener
+        self.serve = serve
+        self.reader = reader
         self.server: asyncio.Server | None = None
 
     def protocol(self) -> asyncio.StreamReaderProtocol:
+        """Return a new protocol, for one connection."""
         return asyncio.StreamReaderProtocol(self.reader(), self.serve)
 
     @property
     def address(self) -> tuple[str, int]:
+        """The address at which it listens, with the port that the system chose for 0."""
         host, port = self.socket.getsockname()[:2]
         return host, port
 
     def close(self) -> None:
+        """Stop accepting; connections that wait in the queue are reset."""
         if self.server is not None:
             self.server.close()
 
     async def finish(self, patience_s: float, starved: Callable[[], object] = lambda: None) -> None:
-        """Accept all that waits, and close with the queue empty: what a closed queue holds is reset. Where
-        there is no descriptor, `starved` makes one; guards the end of the process, which waited for ever."""
+        """Accept all that waits, and close with the queue empty: what a closed queue holds is reset.
+
+        Where there is no file descriptor, `starved` is to free one; after `patience_s` the socket is closed
+        anyway, so that the process can end.
+        """
         if self.socket.fileno() < 0:
             return
         loop = asyncio.get_running_loop()
@@ -39,17 +49,17 @@
             try:
                 peer, _ = self.socket.accept()
             except BlockingIOError:
-                break  # and nothing is awaited between this and the close
+                break  # nothing is awaited between this and the close
             except OSError:
                 if loop.time() >= until_s:
                     break
                 starved()
-                await asyncio.sleep(FULL_S)
+                await asyncio.sleep(RETRY_S)
             else:
-                await self._adopt(peer)
+                await self._serve_accepted(peer)
         self.close()
 
-    async def _adopt(self, peer: socket.socket) -> None:
+    async def _serve_accepted(self, peer: socket.socket) -> None:
         peer.setblocking(False)
         await asyncio.get_running_loop().connect_accepted_socket(self.protocol, peer)
 
@@ -57,8 +67,10 @@
 async def listen(
     host: str, port: int, serve: Serve, reader: Reader, burst: int, queue: int, shared: bool = False
 ) -> Listener:
-    """Accept at most `burst` connections in one go, while `queue` may wait; a `shared` address may be
-    listened to by another process, too."""
+    """Accept at most `burst` connections in one go, while `queue` may wait.
+
+    Another process may listen to a `shared` address, too. Raises OSError where the address is not free.
+    """
     found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
     family, kind, protocol, _, local = found[0]
     # The protocol is named: without it asyncio leaves Nagle's algorithm on, and answers wait for 40 ms.
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -159,7 +159,7 @@
         client.write_closed = True
         max_bytes = self.limits.client_read_bytes
         linger_s = self.limits.client_linger_us / 1e6
-        await reads.away(client.writer, lambda: client.reader.take(max_bytes), linger_s)
+        await reads.end_and_discard(client.writer, lambda: client.reader.take(max_bytes), linger_s)
 
     async def _read_all(self, client: Client) -> None:
         """Handle messages until the client ends its side, or the connection is closed here."""
--- a/maplestile/net/reads.py
+++ b/maplestile/net/reads.py
@@ -33,7 +33,9 @@
             return await read()
 
 
-async def away(writer: asyncio.StreamWriter, read: Callable[[], Awaitable[bytes]], seconds: float) -> None:
+async def end_and_discard(
+    writer: asyncio.StreamWriter, read: Callable[[], Awaitable[bytes]], seconds: float
+) -> None:
     """End this side of a connection, and drop for so long what still comes.
 
     The system answers bytes that nobody reads with a reset, which would drop the last answers.
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/rejection.py
@@ -58,7 +58,7 @@
             for view in framer.feed(data):
                 refused += 1
                 writer.write(self._refusal(view))
-        await reads.away(writer, lambda: reader.take(max_bytes), limits.client_linger_us / 1e6)
+        await reads.end_and_discard(writer, lambda: reader.take(max_bytes), limits.client_linger_us / 1e6)
 
     def _refusal(self, view: memoryview) -> bytes:
         """Return the answer to one message."""
