--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -53,7 +53,7 @@
         return self.context.random.random() < probability
 
     def may_refuse(self, call: Call) -> bool:
-        """Rule 2: the client may be asked to try again only where that is harmless."""
+        """Whether the client may be invited to retry: only where a repeat is harmless."""
         if call.kind.idempotency is Idempotency.IDEMPOTENT:
             return True
         if all(attempt.result in NEVER_RAN for attempt in call.attempts):
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -87,7 +87,7 @@
     # Sending.
 
     def send(self, call: Call, worker: Worker) -> None:
-        """Begin an attempt; `Placement` has asked the send gate."""
+        """Begin an attempt that the send gate has admitted."""
         context = self.context
         now_us = context.now_us
         entry = call.entry
@@ -154,7 +154,7 @@
     # The end of a call.
 
     def abandon(self, call: Call) -> None:
-        """Its client has gone: nothing more begins for it; what is in flight may end, and is its answer."""
+        """Its client has disconnected: nothing more begins; what is in flight may end, and is its answer."""
         call.client_gone = True
         if not call.outstanding():
             self.finish(call)
@@ -172,9 +172,9 @@
             self.context.actions.append(api.FailCall(call.id))
         self.close(call)
 
-    def close(self, call: Call | None) -> None:
+    def close(self, call: Call) -> None:
         """The call has its answer: forget it, and cancel what is in flight for it."""
-        if call is None or self.table.calls.pop(call.id, None) is None:
+        if self.table.calls.pop(call.id, None) is None:
             return
         call.open = False
         call.entry.waiting.pop(call.id, None)
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -4,7 +4,6 @@
 an equal seed give equal actions.
 """
 
-from collections.abc import Callable
 from random import Random
 
 from maplestile.dispatch import api
@@ -32,7 +31,7 @@
 from maplestile.dispatch.warm_copies import WarmCopies
 from maplestile.dispatch.zone_failure import ZoneFailureDetector
 
-SWEEPS_PER_KEEP_ALIVE = 20  # looks at what time alone has changed, and polls of the list
+SWEEPS_PER_KEEP_ALIVE = 20  # periodic work, and polls of the endpoint list
 
 
 class Dispatcher:
@@ -119,20 +118,16 @@
                 self.outcomes.on_attempt_ended(event)
             case api.LoadRequestEnded():
                 self.outcomes.on_load_request_ended(event)
-            case api.HealthCheckEnded() if event.result is Result.OK and event.worker in self.workers:
-                self.zones.record_answer(self.workers[event.worker].entry.zone)
             case api.TimerFired():
                 context.fire_timer(event.token)
             case api.WorkerListReceived():
                 self._on_list(event)
             case api.PolicyChanged(settings):
                 self.adopt(settings)
-            case api.CallExpired():
-                self.router.close(self.calls.get(event.call))
-            case api.ClientDisconnected() if event.call in self.calls:
-                self.router.abandon(self.calls[event.call])
-            case api.StreamStarted() if event.call in self.calls:
-                self.calls[event.call].streaming = True
+            case api.HealthCheckEnded():
+                self._on_health_check_ended(event)
+            case api.CallExpired() | api.ClientDisconnected() | api.StreamStarted():
+                self._on_call_event(event)
         return actions
 
     def adopt(self, settings: api.Settings) -> None:
@@ -157,15 +152,32 @@
         self.loads.forget_gone_workers(self.fleet.workers)
         self.fleet.update_ranking()
 
+    def _on_health_check_ended(self, event: api.HealthCheckEnded) -> None:
+        worker = self.workers.get(event.worker)
+        if event.result is Result.OK and worker is not None:
+            self.zones.record_answer(worker.entry.zone)
+
+    def _on_call_event(self, event: api.CallExpired | api.ClientDisconnected | api.StreamStarted) -> None:
+        call = self.calls.get(event.call)
+        if call is None:
+            return  # it has its answer already
+        match event:
+            case api.CallExpired():
+                self.router.close(call)
+            case api.ClientDisconnected():
+                self.router.abandon(call)
+            case api.StreamStarted():
+                call.streaming = True
+
     def _sweep(self) -> None:
-        """Do what the passing of time alone asks for, and again after a part of the keep-alive."""
+        """Do the periodic work, and set the timer of the next time."""
         self.context.set_timer(self.context.keep_alive_us / SWEEPS_PER_KEEP_ALIVE, self._sweep)
         self.outliers.update_fleet_latency(self.fleet.workers.values())
         self.zones.probe_lost_zones()
         self.keep_warm.move_homes_off_draining()
         self.keep_warm.renew_idle_copies()
 
-    # What tools and tests look at.
+    # Views of the parts' state, for tools and tests.
 
     @property
     def workers(self) -> dict[str, Worker]:
@@ -187,11 +199,6 @@
         """The functions known by name."""
         return self.tiers.functions
 
-    @property
-    def timers(self) -> dict[int, Callable[[], object]]:
-        """What each timer that has not fired was set for."""
-        return self.context.timers
-
     @property
     def arrivals(self) -> Window:
         """The calls that the ration of load requests counts."""
@@ -209,7 +216,7 @@
 
     @property
     def keep_alive_us(self) -> int:
-        """How long an idle copy stands, by the settings."""
+        """How long an idle copy stays loaded, by the settings."""
         return self.context.keep_alive_us
 
     @property
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -61,5 +61,5 @@
         return entry.ranking
 
     def is_running(self, worker: Worker) -> bool:
-        """Rule 3, kept without using the grace: nothing new to a worker once its drain is notified."""
+        """The worker may get new work: nothing begins there once its drain is notified, even in its grace."""
         return worker.entry.state is WorkerState.RUNNING and self.workers.get(worker.entry.worker) is worker
--- a/maplestile/dispatch/keep_warm.py
+++ b/maplestile/dispatch/keep_warm.py
@@ -11,7 +11,7 @@
 
 
 class KeepWarm:
-    """What is asked of workers at intervals, without a call."""
+    """The load requests that are made at intervals, without a call."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -16,7 +16,7 @@
 
 
 class LoadRequests:
-    """Asks workers for loads, as far as rules 3 to 5 let it."""
+    """Requests loads of workers that run, within their slow start and the ration."""
 
     def __init__(
         self,
@@ -48,23 +48,23 @@
         return len(self.loads) < max(LOADS_LEAST, loads // max(1, self.context.settings.router_count))
 
     def request_load(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """Ask the worker to load a copy, if that may be asked."""
-        if not self._may_request(entry, worker):
+        """Request a load of one copy, if the gate admits it; returns whether it did."""
+        if not self._may_request_load(entry, worker):
             return False
         self.loads.begin(entry, worker, requested=True)
         self._request(entry, worker)
         return True
 
     def request_keep_warm(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """Ask the worker to keep its idle copy, if that may be asked."""
-        if not self._may_request(entry, worker):
+        """Request that the worker keep its idle copy, if the gate admits it; returns whether it did."""
+        if not self._may_request_load(entry, worker):
             return False
         entry.copy(worker).last_used_us = self.context.now_us
         self._request(entry, worker)
         return True
 
-    def _may_request(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """The one gate of every such request: rules 3 to 5.
+    def _may_request_load(self, entry: FunctionEntry, worker: Worker) -> bool:
+        """The one gate of every such request: drains, slow start and the ration.
 
         All windows are brought up to date whatever the answer, so that their sums do not depend on it.
         """
--- a/maplestile/dispatch/loads.py
+++ b/maplestile/dispatch/loads.py
@@ -25,7 +25,7 @@
         entry.load_started_us = self.context.now_us
 
     def end(self, entry: FunctionEntry, worker: Worker, lost: bool = False) -> None:
-        """A load, if any, has ended at the worker; `lost` where no copy stands there now."""
+        """A load, if any, has ended at the worker; `lost` where no copy is loaded there now."""
         copy = entry.copy(worker)
         self.loads.pop(copy, None)
         copy.load_started_us = 0
--- a/maplestile/dispatch/outcomes.py
+++ b/maplestile/dispatch/outcomes.py
@@ -80,7 +80,7 @@
         self.router.wake(entry)
 
     def on_load_request_ended(self, event: api.LoadRequestEnded) -> None:
-        """A load request has ended; the copies that stand now are known, and waiting calls are tried."""
+        """A load request has ended: take in how many copies are loaded now, and try waiting calls."""
         entry = self.tiers.functions.get(event.function)
         worker = self.fleet.workers.get(event.worker)
         if entry is None or worker is None:
--- a/maplestile/dispatch/outliers.py
+++ b/maplestile/dispatch/outliers.py
@@ -35,7 +35,7 @@
         entry = call.entry
         result = event.result
         if result is Result.FULL and attempt.needs_load:
-            # No room for one more load there: that bars loads, and no call of a copy that stands.
+            # No memory for one more load there: that bars loads, and no call of a loaded copy.
             pause_us = int(MEMORY_EXHAUSTED_LOAD_TIMES * entry.load_us)
             worker.memory_exhausted_until_us = self.context.now_us + pause_us
             entry.home = ""
@@ -99,7 +99,7 @@
     def _record_reset(self, call: Call, worker: Worker) -> None:
         coalescing_us = RESET_COALESCING_TICKS * self.context.settings.tick_us
         if self.context.now_us >= worker.last_reset_us + coalescing_us:
-            # One symptom, whatever the connection carried; the worker's copies stand.
+            # One symptom, whatever the connection carried; the worker's copies stay loaded.
             worker.last_reset_us = self.context.now_us
             self.record_failure(call, worker, RESET_STEP)
 
--- a/maplestile/dispatch/placement.py
+++ b/maplestile/dispatch/placement.py
@@ -1,7 +1,7 @@
 """Placement: at which worker a call's next attempt runs, or where a copy is loaded for it.
 
 A function's workers are ranked by weighted rendezvous hashing, alike at all dispatchers. The first of them
-are its replicas, as many as its share of the own calls asks for; calls overflow to a few more workers.
+are its replicas, as many as its share of the own calls needs; calls overflow to a few more workers.
 """
 
 from maplestile.dispatch.context import Context
@@ -13,7 +13,7 @@
 from maplestile.dispatch.state import Call, CallTable, FunctionEntry, Worker
 from maplestile.dispatch.warm_copies import WarmCopies
 
-PRIOR_CALLS = 15.0  # other calls assumed when a function's share of the work is told
+PRIOR_CALLS = 15.0  # own calls of other functions assumed besides, when its share of the work is estimated
 REPLICA_WORK_SHARE = 0.33  # of a mean worker's work: a function's most at one replica
 REPLICA_UTILIZATION = 0.5  # of a replica's lanes that the fleet's calls of the function may fill
 CANDIDATES_MOST = 8  # workers looked at, when none of the drawn replicas can take the call
@@ -24,7 +24,7 @@
 
 
 class Placement:
-    """Chooses workers for calls; the send gate has the last word on each."""
+    """Chooses workers for calls, among those that the send gate admits."""
 
     def __init__(
         self,
@@ -133,14 +133,14 @@
                 return loadable
             any(
                 self.load_requests.request_load(entry, worker) for worker in fitting
-            )  # until one may be asked
+            )  # until one is requested
         if queues:
             return queues[0]
         # Where all near are unhealthy the fault is elsewhere, and their scores must not strand the call.
         return usable[0] if usable and not self.outliers.is_healthy(call, usable[0]) else None
 
     def _queues(self, entry: FunctionEntry, usable: list[Worker]) -> list[Worker]:
-        """Where the call can wait for a copy: one that stands or loads, without too many calls before it."""
+        """Where the call can wait for a copy: loaded or loading, without too many calls in front."""
         queues = [
             worker
             for worker in usable
--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -15,7 +15,7 @@
 
 
 class SendGate:
-    """Rules 1 to 4 for one call and one worker."""
+    """Whether one call may go to one worker."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
             return False
         entry = call.entry
         backoffs = worker.backoff_until_us
-        # The order of these looks stands: looking for a copy makes a record of it.
+        # Evaluated only so far as needed: reading a copy's record creates it.
         has_memory = (
             now_us >= worker.memory_exhausted_until_us
             or self.warm_copies.is_warm(entry, worker)
--- a/maplestile/dispatch/slow_start.py
+++ b/maplestile/dispatch/slow_start.py
@@ -11,7 +11,7 @@
 
 
 class SlowStart:
-    """Rule 4, kept by each dispatcher for its part."""
+    """The budget of a cold worker, kept by each dispatcher for its part."""
 
     def __init__(self, context: Context, fleet: Fleet, load_rate: LoadRate) -> None:
         self.context = context
@@ -23,7 +23,7 @@
 
         Each dispatcher sends a part of its usual calls there, or of `least` calls, rounded by a draw of its
         own for each window: the sum over any number of dispatchers is the sum of the parts. Loads have no
-        least; they ask until they may. Endless work stands for a retry, which may never go there.
+        least; they are requested until they may go. Infinite work stands for a retry, which never goes there.
         """
         context = self.context
         warming_us = max(0, context.now_us - worker.entry.started_us)
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -8,7 +8,7 @@
 from maplestile.dispatch.ranking import Ranking
 
 # The tier of a function, in the order of promotion.
-NOWHERE = -1
+UNLISTED = -1
 SINGLE = 0
 MULTIPLE = 1
 CACHING = 2
@@ -45,16 +45,16 @@
     busy: int = 0  # own calls in flight
     last_used_us: int = 0
     load_started_us: int = 0  # 0 where no load is under way
-    load_requested: bool = False  # that load was asked for by a request, and no call makes it
+    load_requested: bool = False  # that load was requested, and not brought about by a call
     missing_since_us: int = 0  # when the worker last answered that it has none; 0 since it had one
     replica_since_us: int = 0  # since when it is one of the replicas, if a change of the list made it one
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One process of a worker; symptoms are kept by group of calls, since a fault may hit one group alone.
+    """One process of a worker; symptoms are recorded by group of calls: a fault may hit one alone.
 
-    The group "" stands for all calls.
+    The group "" is that of all calls.
     """
 
     entry: WorkerEntry
@@ -101,7 +101,7 @@
     salt: int
     service_us: float  # mean service time
     load_us: float  # mean time to load a copy
-    place: int = NOWHERE  # the tier
+    place: int = UNLISTED  # its tier
     home: str = ""  # the worker that served it last, and gets its next call if it can
     gap_us: int = 0  # between its last two calls
     last_call_us: int = 0
@@ -117,7 +117,7 @@
     errors_before_success: int = 0
     waiting: dict[int, "Call"] = field(default_factory=dict)
     preferred: Ranking[Worker] = field(init=False)
-    workers_with_copies: list[Worker] = field(default_factory=list)  # also those that have gone
+    workers_with_copies: list[Worker] = field(default_factory=list)  # also workers that are no longer listed
 
     def __post_init__(self) -> None:
         self.preferred = Ranking(self.salt)
@@ -144,8 +144,8 @@
         return dropped
 
     def listed(self) -> bool:
-        """It stands in one of the tiers."""
-        return self.place != NOWHERE
+        """It is in one of the tiers."""
+        return self.place != UNLISTED
 
     def aged(self) -> int:
         """Its gap as the tiers compare it, up to what is the same for all functions.
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -76,7 +76,7 @@
                 self.evict(oldest)
 
     def evict(self, entry: FunctionEntry) -> None:
-        """Forget all that is kept by its name: functions come and go for as long as the process lives."""
+        """Drop all records of the function: names come and go for as long as the process runs."""
         del self.functions[entry.function]
         del self.tiers[entry.place][entry.function]
         self.loads.forget(entry.drop_copies())
--- a/maplestile/dispatch/warm_copies.py
+++ b/maplestile/dispatch/warm_copies.py
@@ -1,4 +1,4 @@
-"""Where a warm copy of a function stands: by own knowledge, or inferred from others' traffic."""
+"""Which workers have a warm copy of a function: known, or inferred from other dispatchers' traffic."""
 
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
@@ -18,14 +18,14 @@
         self.load_rate = load_rate
 
     def is_warm(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """A copy is known to stand there: in use, or used within the keep-alive."""
+        """A copy is known to be loaded there: in use, or used within the keep-alive."""
         copy = entry.copy(worker)
         return copy.count > 0 and (
             copy.busy > 0 or self.context.now_us < copy.last_used_us + self.context.keep_alive_us
         )
 
     def is_inferred_warm(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """A copy is known to stand there, or the other dispatchers' calls must have made one."""
+        """A copy is known to be loaded there, or the other dispatchers' calls must have loaded one."""
         if self.is_warm(entry, worker):
             return True
         now_us = self.context.now_us
@@ -34,7 +34,7 @@
         if copy.missing_since_us and now_us < copy.missing_since_us + keep_alive_us:
             return False
         # A dispatcher that has just started knows of no copy, and must not hold calls until it has loaded
-        # what stands already.
+        # what is loaded already.
         just_started = now_us < self.load_rate.first_call_us + keep_alive_us and not entry.home
         if just_started and worker is self.fleet.ranked(entry)[0] and not copy.load_started_us:
             return True
--- a/maplestile/dispatch/zone_failure.py
+++ b/maplestile/dispatch/zone_failure.py
@@ -1,4 +1,4 @@
-"""Zone failure: several silent workers of a zone that nobody answers from stand for the whole zone."""
+"""Zone failure: a zone with several silent workers and no answer since is taken to be lost as a whole."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.context import Context
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -2,7 +2,8 @@
 
 Times are told from now, names of calls by the order in which they came, workers by their rank for the
 function that all calls are of (so that two that are alike but for their names are one), timers by what they
-would do. Left out is what no decision reads: counters, tokens, and timers that would do nothing."""
+would do. Left out is what no decision reads: counters, tokens, and timers that would do nothing.
+"""
 
 import hashlib
 from collections.abc import Callable, Iterable
@@ -59,6 +60,8 @@
 
 
 class Reader:
+    """Reads the state of one world into tuples and lists that do not depend on names and absolute times."""
+
     def __init__(self, world: World) -> None:
         self.world, self.now = world, world.now
         function = world.core.dispatcher.tiers.functions.get("f")
@@ -69,6 +72,7 @@
         self.links = {id(link.connection): f"link {link.number}" for link in world.links}
 
     def digest(self) -> bytes:
+        """The digest of the whole state."""
         world = self.world
         told = (
             self.fields(world.core, Core),
@@ -151,6 +155,7 @@
         return self.of(value)
 
     def fields(self, value: Any, kind: type) -> list[Any]:
+        """The attributes of a record by name, without those skipped for its type."""
         names = [f.name for f in fields(value)] if is_dataclass(value) else sorted(vars(value))
         skipped = SKIP.get(kind, set())
         return [(name, self.of(getattr(value, name))) for name in names if name not in skipped]
@@ -160,12 +165,14 @@
         return [(name, self.fields(part, type(part))) for name, part in sorted(vars(dispatcher).items())]
 
     def link(self, link: Link) -> Any:
+        """One connection to a worker: what is in flight on it, and the state of both ends."""
         connection = link.connection
         state = [(name, self.of(value)) for name, value in self.parts(connection)]
         lines = [(line.told["kind"], line.told["call"], line.answers) for line in link.lines]
         return link.number, self.of(link.worker), link.part, link.held, lines, state
 
     def parts(self, connection: Connection) -> list[tuple[str, Any]]:
+        """The router's end of a connection."""
         told = [f.name for f in fields(connection) if f.name not in ("runner", "socket", "partial", "queue")]
         parts = [(name, getattr(connection, name)) for name in told]
         queue = [self.inside(message) for message in connection.queue]
@@ -175,6 +182,7 @@
     # Timers.
 
     def timers(self) -> list[Any]:
+        """The timers that would do something, with their due times."""
         core, found = self.world.core, []
         for tick, actions in core.timers.items():
             due = self.of(tick * core.settings.tick_us)
@@ -210,4 +218,5 @@
 
 
 def digest(world: World) -> bytes:
+    """The digest of a world's state."""
     return Reader(world).digest()
