--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -480,7 +480,7 @@
     d = Driver(settings(), WORKERS)
     served(d, 1, "f")
     d.dispatcher.admission.late_ratio = 0.3
-    d.dispatcher.random.random = lambda: 1.0  # type: ignore[method-assign]
+    d.dispatcher.context.random.random = lambda: 1.0  # type: ignore[method-assign]
     begun = d.now
     assert sends(d.give(arrival(2, "f"))) and sends(d.give(arrival(3, "g", "unsafe")))
     d.run(1_000 * MS)
