--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -33,6 +33,7 @@
     explore.add_argument("--sockets", action="store_true", help="with --replay: at the real program")
     explore.add_argument("--list", action="store_true", help="the cases and the properties")
     explore.add_argument("--json", action="store_true")
+    explore.set_defaults(run=run)
 
 
 def run(asked: argparse.Namespace) -> int:
--- /dev/null
+++ b/maplestile/tools/faults/command.py
@@ -0,0 +1,56 @@
+"""`maplestile relay`: play a schedule of faults on the traffic between processes.
+
+Exits with 2 for a schedule that cannot be used, with the field named, and with 1 where it cannot listen.
+"""
+
+import argparse
+import asyncio
+import sys
+from pathlib import Path
+from typing import Any
+
+from maplestile.common.address import parse_address
+from maplestile.common.toml_table import TomlTable
+from maplestile.tools.faults.schedule import Schedule, ScheduleError, schedule_from
+
+# Fields of a schedule's file that only the model reads; the two share their files.
+MODEL_FIELDS = ("duration_s", "lifeguard", "period_ms", "duties")
+
+
+def add(commands: Any) -> None:
+    """Add the command to argparse's sub-parsers."""
+    command = commands.add_parser("relay", help="play a schedule of faults between processes")
+    command.add_argument("file", type=Path)
+    command.add_argument("--control", default="127.0.0.1:0", metavar="HOST:PORT", help="where it is steered")
+    command.set_defaults(run=run)
+
+
+def run(arguments: argparse.Namespace) -> int:
+    """Serve the relay until the process is interrupted."""
+    # Imported here, so that other commands start without it.
+    from maplestile.tools.faults import relay
+
+    try:
+        schedule = _read_schedule(arguments.file)
+    except ScheduleError as error:
+        print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
+        return 2
+    try:
+        asyncio.run(relay.serve(schedule, parse_address(arguments.control)))
+    except OSError as error:
+        print(f"maplestile: the relay cannot listen: {error}", file=sys.stderr)
+        return 1
+    except KeyboardInterrupt:
+        pass
+    return 0
+
+
+def _read_schedule(file: Path) -> Schedule:
+    from maplestile.tools.model import experiment
+
+    table = TomlTable(experiment.read(file), "", ScheduleError)
+    schedule = schedule_from(table)
+    for field in MODEL_FIELDS:
+        table.values.pop(field, None)
+    table.end()
+    return schedule
--- /dev/null
+++ b/maplestile/tools/instance_commands.py
@@ -0,0 +1,151 @@
+"""The commands that an agent carries out on its instances, and how their answers are printed.
+
+They exit with 0 where all the instances did what was requested, with 1 otherwise.
+"""
+
+import argparse
+import json
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from maplestile.agent import supervisor
+from maplestile.tools.agent_client import AgentReply, add_agent_options, request_agent
+
+COMMANDS = (
+    ("status", "how the instances stand"),
+    ("stop", "stop the named instances, or all of them and the agent"),
+    ("restart", "restart the named instances, or all of them"),
+    ("reload", "have the named instances, or all of them, read their files again"),
+    ("counters", "the counters of the named instances, or of all"),
+    ("ready", "whether the named instances, or all of them, can serve"),
+    ("figures", "the figures of the named instances, or of all"),
+    ("suspend", "take a runner out at the named instances, or at all"),
+    ("resume", "put a runner back at the named instances, or at all"),
+    ("members", "the views of membership of the named instances, or of all, side by side"),
+)
+RUNNER_COMMANDS = frozenset(("suspend", "resume"))
+JSON_COMMANDS = frozenset(("counters", "reload"))  # printed as JSON with and without --json
+
+
+@dataclass(slots=True, frozen=True)
+class InstanceAnswer:
+    """What the operators' front of one instance answered, by way of the agent."""
+
+    instance: str
+    ok: bool
+    text: str
+
+
+def add(commands: Any) -> None:
+    """Add the commands to argparse's sub-parsers."""
+    for name, text in COMMANDS:
+        command = commands.add_parser(name, help=text)
+        if name in RUNNER_COMMANDS:
+            command.add_argument("runner")
+        command.add_argument("instance", nargs="*")
+        add_agent_options(command)
+        command.set_defaults(run=run)
+
+
+def run(arguments: argparse.Namespace) -> int:
+    """Send the command to the agent and print its reply."""
+    name: str = arguments.command
+    more = {"runner": arguments.runner} if name in RUNNER_COMMANDS else {}
+    reply = request_agent(arguments.agent, name, arguments.instance, **more)
+    if reply is None:
+        return 1
+    if arguments.json or name in JSON_COMMANDS:
+        return _print_json(reply)
+    if name in supervisor.OPERATE:
+        return PRINTERS.get(name, _print_answers)(_answers_of(reply[name]))
+    _print_instances(reply["instances"])
+    return 0
+
+
+def _answers_of(reply: dict[str, Any]) -> list[InstanceAnswer]:
+    return [InstanceAnswer(instance, answer["ok"], answer["told"]) for instance, answer in reply.items()]
+
+
+def _print_json(reply: AgentReply) -> int:
+    print(json.dumps(reply, indent=2))
+    reloads = reply.get("reload", {}).values()
+    return int(any(reload is not None and not reload["ok"] for reload in reloads))
+
+
+def _print_instances(instances: dict[str, Any]) -> None:
+    for name, instance in instances.items():
+        pid = f"pid {instance['pid']}" if instance["pid"] else "no process"
+        starts = f"{instance['starts']} starts"
+        age = f"{instance['for_s']} s"
+        print(name, instance["state"], pid, starts, age, instance["last_exit"], sep="\t")
+
+
+def _print_answers(answers: list[InstanceAnswer]) -> int:
+    for answer in answers:
+        _print_answer(answer)
+    return _exit_code(answers)
+
+
+def _print_answer(answer: InstanceAnswer) -> None:
+    print(answer.instance, "yes" if answer.ok else "no", answer.text, sep="\t")
+
+
+def _print_metrics(answers: list[InstanceAnswer]) -> int:
+    for answer in answers:
+        if answer.ok:
+            print(f"# {answer.instance}", answer.text, sep="\n")
+        else:
+            _print_answer(answer)
+    return _exit_code(answers)
+
+
+def _exit_code(answers: list[InstanceAnswer]) -> int:
+    return int(not all(answer.ok for answer in answers))
+
+
+def _print_members(answers: list[InstanceAnswer]) -> int:
+    """Print the membership views side by side, and whether they agree.
+
+    There is a row for each member and a column for each instance, with `status/incarnation` in the cells.
+    Returns 1 where two views differ in a status; instances without a view are named on standard error.
+    """
+    views: dict[str, dict[str, str]] = {}
+    for answer in answers:
+        view = _view_of(answer)
+        if view is None:
+            print(f"maplestile: {answer.instance}: no view: {answer.text.strip()}", file=sys.stderr)
+        else:
+            views[answer.instance] = view
+    print("member", *views, "agree", sep="\t")
+    all_agree = True
+    for member in sorted({member for view in views.values() for member in view}):
+        cells = [view.get(member, "-") for view in views.values()]
+        statuses = {cell.partition("/")[0] for cell in cells}
+        agree = len(statuses) <= 1
+        all_agree = all_agree and agree
+        print(member, *cells, "yes" if agree else "NO", sep="\t")
+    return int(not all_agree)
+
+
+def _view_of(answer: InstanceAnswer) -> dict[str, str] | None:
+    """Decode a view of the membership as `status/incarnation` by member; None where there is none."""
+    if not answer.ok:
+        return None
+    try:
+        message = json.loads(answer.text)
+    except ValueError:
+        return None
+    if message is None:
+        return None
+    view = {member["name"]: f"{member['status']}/{member['incarnation']}" for member in message["members"]}
+    view["(isolated)"] = "yes" if message["isolated"] else "no"
+    return view
+
+
+# The commands whose answers are printed in a form of their own.
+PRINTERS: dict[str, Callable[[list[InstanceAnswer]], int]] = {
+    "figures": _print_metrics,
+    "members": _print_members,
+}
--- /dev/null
+++ b/maplestile/tools/load/command.py
@@ -0,0 +1,136 @@
+"""`maplestile load`: call invoke fronts at a rate or as a trace tells, and print the result as JSON.
+
+Exits with 0 whatever became of the calls, and with 2 for arguments that cannot be used.
+"""
+
+import argparse
+import asyncio
+import json
+import sys
+from collections.abc import Iterable, Sequence
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from maplestile.common.address import Address, parse_address
+from maplestile.common.toml_table import ConfigError, TomlTable
+from maplestile.tools.traces_command import read_traces
+
+if TYPE_CHECKING:
+    from maplestile.tools.load.arrivals import Arrival
+
+# The modules of the load tool are imported by the functions that need them: h11 and the histogram's library
+# would delay the start of every other command.
+
+
+class ArgumentsError(ConfigError):
+    """Arguments of the command that cannot be used."""
+
+
+def add(commands: Any) -> None:
+    """Add the command to argparse's sub-parsers."""
+    command = commands.add_parser("load", help="call invoke fronts, at a rate or as a trace tells")
+    command.add_argument("target", nargs="+", metavar="HOST:PORT", help="invoke fronts, called in turn")
+    _add_arrival_options(command)
+    _add_request_options(command)
+    command.add_argument("--seed", type=int, default=1)
+    command.add_argument("--plot", type=Path, metavar="PNG")
+    command.set_defaults(run=run)
+
+
+def _add_arrival_options(command: argparse.ArgumentParser) -> None:
+    add = command.add_argument
+    add("--function", action="append", default=[], metavar="NAME[=WEIGHT]", help="what to call")
+    add("--rate", type=float, default=0.0, help="calls a second, Poisson")
+    add("--trace", type=Path, action="append", default=[], help="a trace in CSV to replay")
+    add("--speed", type=float, default=1.0, help="replay so many times as fast")
+    add("--seconds", type=float, default=10.0, help="no call is made later (default 10)")
+    add("--count", type=int, default=100_000, help="no more calls than this")
+    add("--open", type=int, default=1000, help="no more calls in hand than this")
+
+
+def _add_request_options(command: argparse.ArgumentParser) -> None:
+    add = command.add_argument
+    add("--wait-s", type=float, default=30.0, help="for an answer; then the call is lost")
+    add("--tenant", default="")
+    add("--class", dest="class_name", default="")
+    add("--deadline-ms", type=int, default=0)
+    add("--body-bytes", type=int, default=64)
+    add("--keys", action="store_true", help="an Idempotency-Key with each call")
+
+
+def run(arguments: argparse.Namespace) -> int:
+    """Make the calls, print the result, and draw the plot if there is to be one."""
+    from maplestile.tools.load import arrivals, client, report
+
+    try:
+        targets = _parse_targets(arguments.target)
+        weights = _parse_weights(arguments.function)
+        _check_numbers(arguments)
+    except ArgumentsError as error:
+        print(f"maplestile: load: {error}", file=sys.stderr)
+        return 2
+    planned = arrivals.bounded(_arrivals(arguments, weights), arguments.seconds, arguments.count)
+    request = client.Ask(
+        b"x" * arguments.body_bytes,
+        arguments.tenant,
+        arguments.class_name,
+        arguments.deadline_ms,
+        arguments.keys,
+    )
+    load = client.Load(targets, request, arguments.wait_s)
+    result = asyncio.run(load.run(planned, arguments.open))
+    print(json.dumps(report.told(result), indent=2))
+    if arguments.plot is not None:
+        report.plot(result, f"{result.ends.total()} calls to {len(targets)} instances", arguments.plot)
+    return 0
+
+
+def _parse_targets(texts: Sequence[str]) -> list[Address]:
+    if not all(_is_loopback(text) for text in texts):
+        raise ArgumentsError("targets must be loopback addresses, HOST:PORT")
+    return [parse_address(text) for text in texts]
+
+
+def _is_loopback(text: str) -> bool:
+    try:
+        TomlTable({"target": text}, "", ArgumentsError).loopback("target")
+    except ArgumentsError:
+        return False
+    return True
+
+
+def _parse_weights(texts: Sequence[str]) -> dict[str, float]:
+    """The weights of the functions by name; of several texts that are wrong the last is reported."""
+    weights: dict[str, float] = {}
+    wrong = None
+    for text in texts:
+        name, _, weight = text.partition("=")
+        try:
+            weights[name] = float(weight or 1)
+        except ValueError:
+            wrong = text
+    if wrong is not None:
+        raise ArgumentsError(f"--function {wrong}: the weight is no number")
+    return weights
+
+
+def _check_numbers(arguments: argparse.Namespace) -> None:
+    if bool(arguments.rate) == bool(arguments.trace):
+        raise ArgumentsError("either --rate or --trace")
+    if arguments.rate and not arguments.function:
+        raise ArgumentsError("--rate needs a --function")
+    positive = (arguments.speed, arguments.seconds, arguments.count, arguments.open, arguments.wait_s)
+    if min(positive) <= 0 or arguments.rate < 0:
+        raise ArgumentsError("--rate, --speed, --seconds, --count, --open and --wait-s must be over 0")
+
+
+def _arrivals(arguments: argparse.Namespace, weights: dict[str, float]) -> "Iterable[Arrival]":
+    """Plan the calls, by a Poisson process or by the files of a trace. Raises `TraceError`."""
+    from maplestile.tools.load import arrivals
+
+    if arguments.rate:
+        return list(arrivals.poisson(weights, arguments.rate, arguments.seconds, arguments.seed))
+    recorder = arrivals.Recorder(arguments.seed, arguments.count)
+    trace = read_traces(arguments.trace, recorder.keep)
+    only_function = next(iter(weights), "")
+    return arrivals.replay(recorder, arrivals.names_of(trace, only_function), arguments.speed)
--- /dev/null
+++ b/maplestile/tools/model/command.py
@@ -0,0 +1,74 @@
+"""`maplestile model`: run an experiment on the model and print its metrics.
+
+Exits with 0, or with 2 for a file that cannot be used, with the field named.
+"""
+
+import argparse
+import json
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from maplestile.tools.faults.schedule import ScheduleError
+
+if TYPE_CHECKING:
+    from maplestile.tools.model.experiment import Experiment
+    from maplestile.tools.model.report import Spread
+
+# The modules of the model are imported by the functions that need them: simpy and the agent's controllers
+# would delay the start of every other command.
+
+
+def add(commands: Any) -> None:
+    """Add the command to argparse's sub-parsers."""
+    command = commands.add_parser("model", help="run an experiment of the membership protocol on the model")
+    command.add_argument("file", type=Path)
+    command.add_argument("--format", choices=("json", "csv"), default="json")
+    command.add_argument("--seeds", type=int, default=1, metavar="N", help="run so many; tell the spread")
+    command.add_argument("--plot", type=Path, metavar="PNG", help="draw the course of the run there")
+    command.set_defaults(run=run)
+
+
+def run(arguments: argparse.Namespace) -> int:
+    """Run the experiment of the file, once or with several seeds."""
+    from maplestile.tools.model import experiment
+
+    try:
+        tables = experiment.read(arguments.file)
+        chosen = None if tables.get("kind") in ("rollout", "policy") else experiment.parse(tables)
+        if chosen is None or arguments.seeds > 1:
+            _print_spread(_spread(tables, chosen, arguments.seeds), arguments.format)
+            return 0
+    except ScheduleError as error:
+        print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
+        return 2
+    _run_once(chosen, arguments)
+    return 0
+
+
+def _spread(tables: dict[str, Any], membership: "Experiment | None", seed_count: int) -> "Spread":
+    """Run the experiment with so many seeds. Raises `ScheduleError`."""
+    from maplestile.tools.model import policy, report, rollout, run
+
+    if membership is not None:
+        return report.over(run.figures, run.with_seeds(membership, seed_count))
+    if tables["kind"] == "rollout":
+        return report.over(rollout.figures, rollout.with_seeds(rollout.parse(tables), seed_count))
+    return report.over(policy.figures, policy.with_seeds(policy.parse(tables), seed_count))
+
+
+def _print_spread(spread: "Spread", output_format: str) -> None:
+    from maplestile.tools.model import report
+
+    print(json.dumps(spread, indent=2) if output_format == "json" else report.spread_csv(spread))
+
+
+def _run_once(experiment: "Experiment", arguments: argparse.Namespace) -> None:
+    from maplestile.tools.model import report, run
+
+    metrics, time_series = run.run(experiment)
+    print(report.as_json(metrics) if arguments.format == "json" else report.as_csv(metrics))
+    if arguments.plot is not None:
+        schedule = experiment.schedule
+        title = f"{arguments.file.name}: {schedule.members} members, seed {schedule.seed}"
+        report.plot(time_series, title, arguments.plot)
--- /dev/null
+++ b/maplestile/tools/traces_command.py
@@ -0,0 +1,59 @@
+"""`maplestile traces`: summarise public cluster traces, or make a function table from them."""
+
+import argparse
+import json
+import sys
+from collections.abc import Iterator, Sequence
+from pathlib import Path
+from typing import Any
+
+from maplestile.tools import traces
+
+DEFAULT_MEMORY_MB = 256.0
+
+
+def add(commands: Any) -> None:
+    """Add the command to argparse's sub-parsers."""
+    command = commands.add_parser("traces", help="summarise public cluster traces in CSV")
+    command.add_argument("file", type=Path, nargs="+")
+    command.add_argument("--format", choices=("table", "json", "functions"), default="table")
+    command.add_argument("--top", type=int, default=0, help="only so many functions, the busiest first")
+    command.add_argument("--class", dest="class_name", default="default", help="class in the function table")
+    command.add_argument(
+        "--memory-mb", type=float, default=DEFAULT_MEMORY_MB, help="memory where the trace tells none"
+    )
+    command.set_defaults(run=run)
+
+
+def run(arguments: argparse.Namespace) -> int:
+    """Read the files and print the chosen form of their summary."""
+    trace = read_traces(arguments.file)
+    for line in _lines(trace, arguments):
+        print(line)
+    return 0
+
+
+def _lines(trace: traces.Trace, arguments: argparse.Namespace) -> Iterator[str]:
+    if arguments.format == "functions":
+        return traces.functions(trace, arguments.class_name, arguments.memory_mb, arguments.top)
+    rows = traces.summary(trace, arguments.top)
+    if arguments.format == "table":
+        return traces.table(rows)
+    return (json.dumps(row) for row in rows)
+
+
+def read_traces(paths: Sequence[Path], keep: traces.Keep | None = None) -> traces.Trace:
+    """Read the files of one trace; rows that cannot be used are named on standard error.
+
+    Raises `TraceError` for a file that cannot be read or is of no known form.
+    """
+    trace = traces.Trace(keep=keep)
+    for path in paths:
+        try:
+            with path.open(newline="", encoding="utf-8", errors="replace") as file:
+                trace.read(file, str(path))
+        except OSError as error:
+            raise traces.TraceError(f"{path}: {error.strerror}") from None
+    for problem in trace.bad:
+        print(f"maplestile: {problem}", file=sys.stderr)
+    return trace
