--- a/maplestile/tools/load/client.py
+++ b/maplestile/tools/load/client.py
@@ -1,31 +1,39 @@
-"""The driver of the load tool: HTTP/1.1 by h11 to invoke fronts, connections kept and used again.
+"""The load generator: makes each call when it is due, and counts what became of it.
 
 A call whose connection is refused, or ends before anything of the call was sent, goes to the next target: no
-router has it. One that was sent and got no whole answer is lost: nobody can tell whether it ran."""
+router has received it. One that was sent and got no complete answer is lost: nobody can tell whether it ran.
+"""
 
 import asyncio
 import itertools
 import time
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import StrEnum
 
-import h11
-from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.common.address import Address
 from maplestile.tools.load.arrivals import Arrival
+from maplestile.tools.load.connection import CallLost, Headers, NotSent, Target
 
-READ_BYTES, IDLE_MOST = 65_536, 64
-SERVED, REFUSED, FAILED, LOST, NOWHERE = "served", "refused", "failed", "lost", "nowhere"
+OK_STATUS = 200
+REJECTED_STATUSES = frozenset((429, 503))
+US_PER_S = 1e6
+MAX_LATENCY_US = 3_600_000_000
+LATENCY_DIGITS = 3  # significant digits of the histogram
 
 
-class Gone(Exception):
-    """The connection could not be had, or was over before the call was sent."""
+class CallEnd(StrEnum):
+    """What became of a call; the values stand in the JSON result."""
 
-
-class Lost(Exception):
-    """The call was sent, and no whole answer came."""
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    LOST = "lost"
+    NO_TARGET = "nowhere"
+    NOT_MADE = "not made"
 
 
 @dataclass(slots=True)
@@ -36,7 +44,20 @@
     tenant: str = ""
     class_name: str = ""
     deadline_ms: int = 0
-    keys: bool = False
+    keys: bool = False  # an Idempotency-Key of its own with each call
+
+    def headers(self, key: str) -> Headers:
+        """The headers of one call."""
+        headers: Headers = []
+        if self.tenant:
+            headers.append(("Maplestile-Tenant", self.tenant))
+        if self.class_name:
+            headers.append(("Maplestile-Class", self.class_name))
+        if self.deadline_ms:
+            headers.append(("Maplestile-Deadline-Ms", str(self.deadline_ms)))
+        if self.keys:
+            headers.append(("Idempotency-Key", key))
+        return headers
 
 
 @dataclass
@@ -46,164 +67,103 @@
     ends: Counter[str] = field(default_factory=Counter)
     statuses: Counter[int] = field(default_factory=Counter)
     targets: Counter[str] = field(default_factory=Counter)  # served, by target
-    moved: int = 0  # tries at a target that took no connection
+    moved: int = 0  # attempts at a target that took no connection
     late_us: int = 0  # the most that a call was made after it was due: this tool's own lag
     seconds: float = 0.0
-    course: dict[int, Counter[str]] = field(default_factory=dict)  # ends by the second of the call's arrival
+    ends_by_second: dict[int, Counter[str]] = field(default_factory=dict)  # of the call's arrival
 
     def __post_init__(self) -> None:
-        self.latency = HdrHistogram(1, 3_600_000_000, 3)
-
-    def end(self, what: str, arrival: Arrival) -> None:
-        self.ends[what] += 1
-        self.course.setdefault(int(arrival.at_s), Counter())[what] += 1
-
-
-class Target:
-    """One instance's invoke front, with the connections that rest."""
-
-    def __init__(self, address: Address) -> None:
-        self.address, self.name = address, f"{address[0]}:{address[1]}"
-        self.idle: deque[Link] = deque()
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
 
-    async def link(self) -> "Link":
-        while self.idle:
-            link = self.idle.pop()
-            if not link.reader.at_eof() and not link.writer.is_closing():
-                return link
-            link.close()
-        try:
-            reader, writer = await asyncio.open_connection(*self.address)
-        except OSError as fault:
-            raise Gone(str(fault)) from None
-        return Link(reader, writer)
-
-    def rest(self, link: "Link") -> None:
-        if link.over() or len(self.idle) >= IDLE_MOST:
-            link.close()
-        else:
-            self.idle.append(link)
-
-    def close(self) -> None:
-        while self.idle:
-            self.idle.pop().close()
-
-
-class Link:
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.wire = reader, writer, h11.Connection(h11.CLIENT)
-
-    def over(self) -> bool:
-        if self.wire.our_state is h11.DONE and self.wire.their_state is h11.DONE:
-            self.wire.start_next_cycle()
-        return self.wire.our_state is not h11.IDLE
-
-    def close(self) -> None:
-        self.writer.close()
-
-    async def call(self, host: str, path: str, headers: list[tuple[str, str]], body: bytes) -> int:
-        """The status of the answer. Raises Gone before the call is out, Lost after it."""
-        told = [("Host", host), ("Content-Length", str(len(body))), *headers]
-        data = self.wire.send(h11.Request(method="POST", target=path, headers=told)) or b""
-        data += (self.wire.send(h11.Data(data=body)) or b"") + (self.wire.send(h11.EndOfMessage()) or b"")
-        if self.reader.at_eof() or self.writer.is_closing():
-            raise Gone("it ended while it rested")
-        self.writer.write(data)
-        status = 0
-        try:
-            while not isinstance(event := self.wire.next_event(), h11.EndOfMessage):
-                if event is h11.NEED_DATA:
-                    self.wire.receive_data(await self.reader.read(READ_BYTES))
-                elif isinstance(event, h11.Response):
-                    status = event.status_code
-                elif isinstance(event, h11.ConnectionClosed):
-                    raise Lost("the connection ended")
-        except (OSError, h11.ProtocolError) as fault:
-            raise Lost(str(fault)) from None
-        return status
+    def record_end(self, end: CallEnd, arrival: Arrival) -> None:
+        """Count what became of a call."""
+        self.ends[end] += 1
+        self.ends_by_second.setdefault(int(arrival.at_s), Counter())[end] += 1
 
 
 class Load:
-    def __init__(self, targets: list[Address], ask: Ask, wait_s: float) -> None:
-        self.targets = [Target(address) for address in targets]
-        self.ask, self.wait_s = ask, wait_s
-        self.turn = itertools.cycle(range(len(targets)))
-        self.result = Result()
-        self.open: set[asyncio.Task[None]] = set()
-
-    async def run(self, arrivals: Iterable[Arrival], open_most: int) -> Result:
-        began = time.monotonic()
+    """One run against some targets, which are called in turn."""
+
+    def __init__(self, targets: list[Address], request: Ask, wait_s: float) -> None:
+        self._targets = [Target(address) for address in targets]
+        self._request = request
+        self._wait_s = wait_s
+        self._turns = itertools.cycle(range(len(targets)))
+        self._result = Result()
+        self._calls: set[asyncio.Task[None]] = set()
+
+    async def run(self, arrivals: Iterable[Arrival], max_in_flight: int) -> Result:
+        """Make all calls, and wait until each has ended."""
+        started_s = time.monotonic()
         for number, arrival in enumerate(arrivals):
-            if (wait_s := began + arrival.at_s - time.monotonic()) > 0:
+            due_s = started_s + arrival.at_s
+            wait_s = due_s - time.monotonic()
+            if wait_s > 0:
                 await asyncio.sleep(wait_s)
-            due = began + arrival.at_s
-            self.result.late_us = max(self.result.late_us, int((time.monotonic() - due) * 1e6))
-            if len(self.open) >= open_most:  # guards this process: a fleet that answers nothing
-                self.result.end("not made", arrival)
-                continue
-            task = asyncio.get_running_loop().create_task(self._call(number, arrival, due))
-            self.open.add(task)
-            task.add_done_callback(self.open.discard)
-        if self.open:
-            await asyncio.wait(self.open)
-        self.result.seconds = time.monotonic() - began
-        for target in self.targets:
+            lag_us = int((time.monotonic() - due_s) * US_PER_S)
+            self._result.late_us = max(self._result.late_us, lag_us)
+            if len(self._calls) >= max_in_flight:  # guards this process: a fleet that answers nothing
+                self._result.record_end(CallEnd.NOT_MADE, arrival)
+            else:
+                self._start(number, arrival, due_s)
+        if self._calls:
+            await asyncio.wait(self._calls)
+        self._result.seconds = time.monotonic() - started_s
+        for target in self._targets:
             target.close()
-        return self.result
+        return self._result
 
-    async def _call(self, number: int, arrival: Arrival, due: float) -> None:
+    def _start(self, number: int, arrival: Arrival, due_s: float) -> None:
+        task = asyncio.get_running_loop().create_task(self._call(number, arrival, due_s))
+        self._calls.add(task)
+        task.add_done_callback(self._calls.discard)
+
+    async def _call(self, number: int, arrival: Arrival, due_s: float) -> None:
         try:
-            async with asyncio.timeout(self.wait_s):
-                end = await self._tried(number, arrival)
-        except (TimeoutError, Lost):
-            end = LOST
-        if end == SERVED:
-            self.result.latency.record_value(max(1, int((time.monotonic() - due) * 1e6)))
-        self.result.end(end, arrival)
-
-    async def _tried(self, number: int, arrival: Arrival) -> str:
-        first = next(self.turn)
-        headers = self._headers(number)
-        for n in range(len(self.targets)):
-            target = self.targets[(first + n) % len(self.targets)]
+            async with asyncio.timeout(self._wait_s):
+                end = await self._call_targets(number, arrival)
+        except (TimeoutError, CallLost):
+            end = CallEnd.LOST
+        if end is CallEnd.SERVED:
+            latency_us = int((time.monotonic() - due_s) * US_PER_S)
+            self._result.latency.record_value(max(1, latency_us))
+        self._result.record_end(end, arrival)
+
+    async def _call_targets(self, number: int, arrival: Arrival) -> CallEnd:
+        """Call the targets, from the one whose turn it is, until one takes the call."""
+        first = next(self._turns)
+        headers = self._request.headers(f"load-{id(self):x}-{number}")
+        for target in (*self._targets[first:], *self._targets[:first]):
             try:
-                status = await self._once(target, arrival, headers)
-            except Gone:
-                self.result.moved += 1
+                status = await self._call_target(target, arrival, headers)
+            except NotSent:
+                self._result.moved += 1
                 continue
-            self.result.statuses[status] += 1
-            if status == 200:
-                self.result.targets[target.name] += 1
-                return SERVED
-            return REFUSED if status in (429, 503) else FAILED
-        return NOWHERE
-
-    async def _once(self, target: Target, arrival: Arrival, headers: list[tuple[str, str]]) -> int:
-        """A connection that rested may be over before the call is out; then a new one is tried."""
+            self._result.statuses[status] += 1
+            if status == OK_STATUS:
+                self._result.targets[target.name] += 1
+                return CallEnd.SERVED
+            return CallEnd.REJECTED if status in REJECTED_STATUSES else CallEnd.FAILED
+        return CallEnd.NO_TARGET
+
+    async def _call_target(self, target: Target, arrival: Arrival, headers: Headers) -> int:
+        """Make the call at one target and return the status. Raises `NotSent` or `CallLost`.
+
+        A connection that was idle may have ended before the call is sent; then another one is used.
+        """
         path = f"/v1/functions/{arrival.function}/invocations"
         while True:
-            rested = bool(target.idle)
-            link = await target.link()
+            may_be_stale = target.has_idle()
+            connection = await target.connect()
             try:
-                status = await link.call(target.name, path, headers, self.ask.body)
-            except Gone:
-                link.close()
-                if not rested:
+                status = await connection.call(target.name, path, headers, self._request.body)
+            except NotSent:
+                connection.close()
+                if not may_be_stale:
                     raise
                 continue
             except BaseException:
-                link.close()
+                connection.close()
                 raise
-            target.rest(link)
+            target.release(connection)
             return status
-
-    def _headers(self, number: int) -> list[tuple[str, str]]:
-        ask = self.ask
-        headers = [("Maplestile-Tenant", ask.tenant)] if ask.tenant else []
-        if ask.class_name:
-            headers.append(("Maplestile-Class", ask.class_name))
-        if ask.deadline_ms:
-            headers.append(("Maplestile-Deadline-Ms", str(ask.deadline_ms)))
-        if ask.keys:
-            headers.append(("Idempotency-Key", f"load-{id(self):x}-{number}"))
-        return headers
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from maplestile.tools.load.arrivals import Arrival
 
-# The modules of the load tool are imported by the functions that need them: h11 and the histogram's library
+# The modules of the load tool are imported by the functions that need them: the library of the histogram
 # would delay the start of every other command.
 
 
--- a/maplestile/tools/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -1,56 +1,74 @@
-"""What a load came to, as JSON, and its course as a plot."""
+"""The result of a load as JSON, and as a plot over time."""
 
 from collections import Counter
 from pathlib import Path
 from typing import Any
 
-from maplestile.tools.load.client import FAILED, LOST, NOWHERE, REFUSED, SERVED, Result
+from maplestile.tools.load.client import CallEnd, Result
 
-SHARES = (50.0, 90.0, 99.0, 99.9)
-COLOURS = {SERVED: "tab:green", REFUSED: "tab:orange", FAILED: "tab:red", LOST: "black", NOWHERE: "grey"}
+US_PER_MS = 1000
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
+PLOTTED_PERCENTILES = (0.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 100.0)
+COLOURS = {
+    CallEnd.SERVED: "tab:green",
+    CallEnd.REJECTED: "tab:orange",
+    CallEnd.FAILED: "tab:red",
+    CallEnd.LOST: "black",
+    CallEnd.NO_TARGET: "grey",
+}
+
+
+def _latency_ms(result: Result, percentile: float) -> float:
+    return float(result.latency.get_value_at_percentile(percentile)) / US_PER_MS
 
 
 def told(result: Result) -> dict[str, Any]:
-    """Counts of calls by their end, the share served, and latencies in milliseconds of the served ones."""
-    calls, served = sum(result.ends.values()), result.ends[SERVED]
-    latency = {f"p{share:g}": result.latency.get_value_at_percentile(share) / 1000 for share in SHARES}
+    """The result as a JSON object: calls by their end, and latencies of the served ones."""
+    calls = result.ends.total()
+    served = result.ends[CallEnd.SERVED]
+    latency_ms = {f"p{percentile:g}": _latency_ms(result, percentile) for percentile in PERCENTILES}
+    latency_ms["max"] = result.latency.get_max_value() / US_PER_MS
     return {
         "calls": calls,
         "ends": dict(sorted(result.ends.items())),
         "seconds": round(result.seconds, 3),
         "served_share": round(served / calls, 6) if calls else None,
-        "latency_ms": latency | {"max": result.latency.get_max_value() / 1000} if served else None,
+        "latency_ms": latency_ms if served else None,
         "statuses": {str(status): count for status, count in sorted(result.statuses.items())},
         "served_by_target": dict(sorted(result.targets.items())),
         "moved": result.moved,
-        "own_lag_ms": round(result.late_us / 1000, 3),
+        "own_lag_ms": round(result.late_us / US_PER_MS, 3),
     }
 
 
 def plot(result: Result, title: str, path: Path) -> None:
-    """Ends of calls by the second in which they were due, and the latencies of the served ones."""
-    import matplotlib
+    """Draw the ends of calls by the second in which they were due, and the latencies of the served ones."""
+    import matplotlib  # here, since it takes long to import and most runs draw nothing
 
     matplotlib.use("Agg")  # no screen: the figure goes to a file
     from matplotlib import pyplot
 
     figure, (top, bottom) = pyplot.subplots(2, 1, figsize=(8, 6))
-    seconds = range(max(result.course, default=0) + 1)
-    below = [0] * len(seconds)
-    for end, colour in COLOURS.items():
-        counts = [result.course.get(second, Counter())[end] for second in seconds]
-        if any(counts):
-            top.bar(seconds, counts, bottom=below, label=end, color=colour, width=1.0)
-            below = [one + other for one, other in zip(below, counts, strict=True)]
-    top.set_xlabel("seconds")
-    top.set_ylabel("calls")
-    top.legend(loc="best")
-    shares = [0.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 100.0]
-    values = [result.latency.get_value_at_percentile(share) / 1000 for share in shares]
-    bottom.plot([str(share) for share in shares], values, marker="o")
+    _plot_ends(top, result)
+    latencies_ms = [_latency_ms(result, percentile) for percentile in PLOTTED_PERCENTILES]
+    bottom.plot([str(percentile) for percentile in PLOTTED_PERCENTILES], latencies_ms, marker="o")
     bottom.set_xlabel("percentile of served calls")
     bottom.set_ylabel("milliseconds")
     figure.suptitle(title)
     figure.tight_layout()
     figure.savefig(path, dpi=100, metadata={"Software": None})
     pyplot.close(figure)
+
+
+def _plot_ends(axes: Any, result: Result) -> None:
+    """Draw a stacked bar for each second."""
+    seconds = range(max(result.ends_by_second, default=0) + 1)
+    below = [0] * len(seconds)
+    for end, colour in COLOURS.items():
+        counts = [result.ends_by_second.get(second, Counter())[end] for second in seconds]
+        if any(counts):
+            axes.bar(seconds, counts, bottom=below, label=end.value, color=colour, width=1.0)
+            below = [lower + count for lower, count in zip(below, counts, strict=True)]
+    axes.set_xlabel("seconds")
+    axes.set_ylabel("calls")
+    axes.legend(loc="best")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: when calls are made, and what is told of each by a front that behaves as told."""
+"""The load tool: when calls are made, and what is counted of each at a scripted front."""
 
 import asyncio
 import contextlib
@@ -47,18 +47,18 @@
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.asked: list[bytes] = []
+        self.requests: list[bytes] = []
 
     async def front(self, *answers: bytes) -> tuple[str, int]:
         """A front that gives these answers in turn, the last for good; an empty one ends the connection."""
-        left = list(answers)
+        remaining = list(answers)
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while head := await reader.readuntil(b"\r\n\r\n"):
                     length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
-                    self.asked.append(head + await reader.readexactly(length))
-                    answer = left.pop(0) if len(left) > 1 else left[0]
+                    self.requests.append(head + await reader.readexactly(length))
+                    answer = remaining.pop(0) if len(remaining) > 1 else remaining[0]
                     if not answer:
                         break
                     writer.write(b"HTTP/1.1 " + answer + b"\r\nContent-Length: 2\r\n\r\nok")
@@ -73,26 +73,26 @@
         load = client.Load(targets, client.Ask(b"body", "t", keys=more.get("keys", False)), wait_s=5.0)
         return await load.run([Arrival(n * 0.005, "f") for n in range(count)], 100)
 
-    async def test_each_call_is_told_by_its_end(self) -> None:
+    async def test_each_call_is_counted_by_its_end(self) -> None:
         front = await self.front(b"200 OK", b"503 Busy", b"429 Many", b"502 Bad", b"504 Late", b"200 OK")
         result = await self.load([front], 6, keys=True)
         self.assertEqual(dict(result.ends), {"served": 2, "refused": 2, "failed": 2})
-        told = report.told(result)
-        self.assertEqual((told["calls"], told["served_share"]), (6, round(2 / 6, 6)))
-        keys = {head.partition(b"Idempotency-Key: ")[2].split(b"\r\n")[0] for head in self.asked}
+        summary = report.told(result)
+        self.assertEqual((summary["calls"], summary["served_share"]), (6, round(2 / 6, 6)))
+        keys = {head.partition(b"Idempotency-Key: ")[2].split(b"\r\n")[0] for head in self.requests}
         self.assertEqual(len(keys), 6)
 
     async def test_a_call_that_was_sent_and_not_answered_is_lost_and_not_made_again(self) -> None:
         front = await self.front(b"", b"200 OK")
         result = await self.load([front], 3)
         self.assertEqual(dict(result.ends), {"lost": 1, "served": 2})
-        self.assertEqual(len(self.asked), 3)
+        self.assertEqual(len(self.requests), 3)
 
-    async def test_a_front_that_takes_no_connection_is_passed_by(self) -> None:
-        gone = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        dead = gone.sockets[0].getsockname()[:2]
-        gone.close()
-        await gone.wait_closed()
+    async def test_a_front_that_accepts_no_connection_is_skipped(self) -> None:
+        closed = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        dead = closed.sockets[0].getsockname()[:2]
+        closed.close()
+        await closed.wait_closed()
         result = await self.load([dead, await self.front(b"200 OK")], 4)
         self.assertEqual((result.ends["served"], result.moved), (4, 2))
         result = await self.load([dead], 2)
@@ -100,7 +100,7 @@
 
 
 class CommandTest(unittest.TestCase):
-    def test_arguments_of_no_use_are_named(self) -> None:
+    def test_unusable_arguments_are_named(self) -> None:
         for words, reason in (
             (["127.0.0.1:1"], "either --rate or --trace"),
             (["127.0.0.1:1", "--rate", "5"], "--rate needs a --function"),
@@ -108,16 +108,16 @@
             (["127.0.0.1:1", "--rate", "5", "--function", "f=x"], "the weight is no number"),
             (["127.0.0.1:1", "--rate", "5", "--function", "f", "--seconds", "0"], "must be over 0"),
         ):
-            with contextlib.redirect_stderr(io.StringIO()) as told:
+            with contextlib.redirect_stderr(io.StringIO()) as errors:
                 self.assertEqual(main(["load", *words]), 2)
-            self.assertIn(reason, told.getvalue())
+            self.assertIn(reason, errors.getvalue())
 
     def test_a_plot_and_the_answer_as_json(self) -> None:
         file = Path(tempfile.mkdtemp()) / "load.png"
-        with contextlib.redirect_stdout(io.StringIO()) as told:
+        with contextlib.redirect_stdout(io.StringIO()) as output:
             words = ["127.0.0.1:9", "--rate", "50", "--function", "f", "--seconds", "0.2"]
             self.assertEqual(main(["load", *words, "--plot", str(file)]), 0)
-        self.assertIn("nowhere", json.loads(told.getvalue())["ends"])
+        self.assertIn("nowhere", json.loads(output.getvalue())["ends"])
         self.assertEqual(file.read_bytes()[:4], b"\x89PNG")
 
 
