--- a/maplestile/tools/explore/cases.py
+++ b/maplestile/tools/explore/cases.py
@@ -2,7 +2,8 @@
 
     {"version": 1, "case": "unsafe", "property": "unsafe-once", "events": [["submit"], ["up", 0], ...]}
 
-An event is a word and its numbers; `world.py` says what each does."""
+An event is a name and its numbers; `simulation.py` says what each does.
+"""
 
 import json
 from collections.abc import Mapping
@@ -12,12 +13,16 @@
 
 from maplestile.common.toml_table import ConfigError
 
-VERSION, EVENTS_MOST = 1, 200
+VERSION = 1
+MAX_EVENTS = 200
+MAX_NUMBER = 999  # in an event
 Event = tuple[str | int, ...]
 
-# What the world may do beside answering well, by their words.
-ANSWERS, LINKS, LISTS = ("error", "full", "miss"), ("refuse", "reset"), ("drain", "gone", "return")
-WORDS: Mapping[str, int] = {  # and how many numbers follow each
+# Events beside successful answers, by what they concern.
+ANSWERS = ("error", "full", "miss")
+LINKS = ("refuse", "reset")
+LISTS = ("drain", "gone", "return")
+EVENTS: Mapping[str, int] = {  # how many numbers follow each event's name
     "submit": 0,
     "leave": 1,
     "away": 1,
@@ -47,10 +52,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Case:
+    """A bounded set of runs: the calls, the workers, and what may happen to them."""
+
     name: str
     about: str
-    classes: tuple[str, ...]  # of the calls, in the order in which they come: `world.CLASSES`
-    may: tuple[str, ...]  # words of events beside submit, up, ok, time and drained
+    classes: tuple[str, ...]  # of the calls, in the order in which they come: `scenario.CLASSES`
+    may: tuple[str, ...]  # events beside submit, up, ok, time and drained
     faults: int  # of `may`, at the most
     workers: int = 2
     zones: tuple[str, ...] = ("a", "a")
@@ -184,43 +191,52 @@
     case: str
     property: str
     events: tuple[Event, ...]
-    told: str = ""
+    detail: str = ""  # how it does; `told` in the file
 
     def text(self) -> str:
-        head = {"version": VERSION, "case": self.case, "property": self.property, "told": self.told}
+        """The example in the form of its file."""
+        head = {"version": VERSION, "case": self.case, "property": self.property, "told": self.detail}
         lines = ",\n  ".join(json.dumps(event) for event in self.events)
         return json.dumps(head, indent=1)[:-2] + f',\n "events": [\n  {lines}\n ]\n}}\n'
 
 
 def read(path: Path) -> Example:
-    """Raises CaseError naming the place of what is wrong."""
+    """Read a file; raises `CaseError` naming the place of what is wrong."""
     try:
-        told = json.loads(path.read_text(encoding="utf-8"))
-    except OSError as fault:
-        raise CaseError(f"{path}: {fault.strerror}") from None
-    except ValueError as fault:
-        raise CaseError(f"{path}: no JSON: {fault}") from None
-    if not isinstance(told, dict):
+        document = json.loads(path.read_text(encoding="utf-8"))
+    except OSError as error:
+        raise CaseError(f"{path}: {error.strerror}") from None
+    except ValueError as error:
+        raise CaseError(f"{path}: no JSON: {error}") from None
+    if not isinstance(document, dict):
         raise CaseError(f"{path}: must be an object")
-    if told.get("version") != VERSION:
+    return _example(path, document)
+
+
+def _example(path: Path, document: dict[str, Any]) -> Example:
+    if document.get("version") != VERSION:
         raise CaseError(f"{path}: version: must be {VERSION}")
-    if told.get("case") not in CASES:
+    if document.get("case") not in CASES:
         raise CaseError(f"{path}: case: must be one of {', '.join(CASES)}")
-    events = told.get("events")
-    if not isinstance(events, list) or not 0 < len(events) <= EVENTS_MOST:
-        raise CaseError(f"{path}: events: must be a list of 1 to {EVENTS_MOST}")
+    events = document.get("events")
+    if not isinstance(events, list) or not 0 < len(events) <= MAX_EVENTS:
+        raise CaseError(f"{path}: events: must be a list of 1 to {MAX_EVENTS}")
     return Example(
-        told["case"],
-        str(told.get("property", "")),
-        tuple(_event(path, n, event) for n, event in enumerate(events)),
-        str(told.get("told", "")),
+        document["case"],
+        str(document.get("property", "")),
+        tuple(_event(f"{path}: events[{index}]", event) for index, event in enumerate(events)),
+        str(document.get("told", "")),
     )
 
 
-def _event(path: Path, number: int, told: Any) -> Event:
-    place = f"{path}: events[{number}]"
-    if not isinstance(told, list) or not told or told[0] not in WORDS:
-        raise CaseError(f"{place}: must begin with one of {', '.join(WORDS)}")
-    if len(told) != 1 + WORDS[told[0]] or not all(type(n) is int and 0 <= n < 1000 for n in told[1:]):
-        raise CaseError(f"{place}: '{told[0]}' takes {WORDS[told[0]]} numbers")
-    return tuple(told)
+def _event(place: str, value: Any) -> Event:
+    if not isinstance(value, list) or not value or value[0] not in EVENTS:
+        raise CaseError(f"{place}: must begin with one of {', '.join(EVENTS)}")
+    name, *numbers = value
+    if len(numbers) != EVENTS[name] or not all(map(_is_number, numbers)):
+        raise CaseError(f"{place}: '{name}' takes {EVENTS[name]} numbers")
+    return tuple(value)
+
+
+def _is_number(value: object) -> bool:
+    return type(value) is int and 0 <= value <= MAX_NUMBER
--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -1,25 +1,29 @@
-"""`maplestile explore`: play cases through, or replay a counterexample, here or on sockets.
+"""`maplestile explore`: play every order of events of small cases, or replay a counterexample.
 
-Exit 0 where all held, 1 with a counterexample, 2 for bad usage or a bad file, with its place."""
+Exits with 0 where all properties held, with 1 and a counterexample otherwise, and with 2 for bad usage or a
+file that cannot be used, with its place.
+"""
 
 import argparse
 import json
 import os
 import resource
 import sys
+from collections.abc import Sequence
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 from typing import Any
 
 from maplestile.tools.explore import properties
-from maplestile.tools.explore.cases import CASES, SMALL, CaseError, read
+from maplestile.tools.explore.cases import CASES, SMALL, CaseError, Example, read
 from maplestile.tools.explore.search import Report, explore, play
 
-MOST_DEPTH, DEPTH = 30, 8
+MAX_DEPTH = 30
+DEFAULT_DEPTH = 8
 
 
 def add(commands: Any) -> None:
-    """The sub-command, to argparse."""
+    """Add the command to argparse's sub-parsers."""
     explore = commands.add_parser("explore", help="play every order of events of small cases")
     explore.add_argument("--case", action="append", default=[], metavar="NAME", help="default: small ones")
     explore.add_argument("--all", action="store_true", help="every case")
@@ -36,74 +40,114 @@
     explore.set_defaults(run=run)
 
 
-def run(asked: argparse.Namespace) -> int:
-    if asked.list:
-        for case in CASES.values():
-            print("case", case.name, case.about, sep="\t")
-        for name, about in properties.NAMES.items():
-            print("property", name, about, sep="\t")
+def run(arguments: argparse.Namespace) -> int:
+    """Explore the chosen cases, or list them, or replay an example."""
+    if arguments.list:
+        _print_list()
         return 0
     try:
-        if asked.replay is not None:
-            return _replay(asked)
-        names = list(CASES) if asked.all else asked.case or list(SMALL)
-        for name in names:
-            if name not in CASES:
-                raise CaseError(f"--case {name}: must be one of {', '.join(CASES)}")
-        if not 0 <= asked.depth <= MOST_DEPTH or asked.states < 0 or asked.seconds < 0:
-            raise CaseError(f"--depth must be from 1 to {MOST_DEPTH}, --states and --seconds over 0")
-    except CaseError as fault:
-        print(f"maplestile: explore: {fault}", file=sys.stderr)
+        if arguments.replay is not None:
+            return _replay(arguments)
+        names = _case_names(arguments)
+        _check_bounds(arguments)
+    except CaseError as error:
+        print(f"maplestile: explore: {error}", file=sys.stderr)
         return 2
-    bounded = asked.depth or asked.states or asked.seconds
-    with ProcessPoolExecutor(min(len(names), os.cpu_count() or 1)) as pool:
-        depths = {name: asked.depth if bounded else SMALL.get(name, DEPTH) for name in names}
-        runs = [pool.submit(explored, n, depth, asked.states, asked.seconds) for n, depth in depths.items()]
-        reports = [one.result() for one in runs]
-    if asked.json:
-        print(json.dumps([report.told() | {"peak_mb": peak} for report, peak in reports], indent=2))
+    reports = _explore_all(names, arguments)
+    if arguments.json:
+        print(json.dumps([report.told() | {"peak_mb": peak_mb} for report, peak_mb in reports], indent=2))
     else:
-        print("case", "states", "played", "depth", "seconds", "peak", "", sep="\t")
-        for report, peak in reports:
-            _print(report, peak)
-    for report, _ in reports:
-        if report.example is not None and asked.save is not None:
-            asked.save.mkdir(parents=True, exist_ok=True)
-            file = asked.save / f"{report.case}-{report.example.property}.json"
-            file.write_text(report.example.text())
-            print(f"maplestile: explore: written to {file}", file=sys.stderr)
+        _print_reports(reports)
+    if arguments.save is not None:
+        _save_examples(reports, arguments.save)
     return int(any(report.example is not None for report, _ in reports))
 
 
+def _print_list() -> None:
+    for case in CASES.values():
+        print("case", case.name, case.about, sep="\t")
+    for name, about in properties.NAMES.items():
+        print("property", name, about, sep="\t")
+
+
+def _case_names(arguments: argparse.Namespace) -> list[str]:
+    names = list(CASES) if arguments.all else arguments.case or list(SMALL)
+    for name in names:
+        if name not in CASES:
+            raise CaseError(f"--case {name}: must be one of {', '.join(CASES)}")
+    return names
+
+
+def _check_bounds(arguments: argparse.Namespace) -> None:
+    if not 0 <= arguments.depth <= MAX_DEPTH or arguments.states < 0 or arguments.seconds < 0:
+        raise CaseError(f"--depth must be from 1 to {MAX_DEPTH}, --states and --seconds over 0")
+
+
+def _explore_all(names: Sequence[str], arguments: argparse.Namespace) -> list[tuple[Report, float]]:
+    """Explore the cases in processes of their own; with each report its process's peak memory in MB."""
+    is_bounded = arguments.depth or arguments.states or arguments.seconds
+    depths = {name: arguments.depth if is_bounded else SMALL.get(name, DEFAULT_DEPTH) for name in names}
+    with ProcessPoolExecutor(min(len(names), os.cpu_count() or 1)) as pool:
+        runs = [
+            pool.submit(explored, name, depth, arguments.states, arguments.seconds)
+            for name, depth in depths.items()
+        ]
+        return [run.result() for run in runs]
+
+
 def explored(name: str, depth: int, states: int, seconds: float) -> tuple[Report, float]:
-    """The report, and the most memory that this process has had, in MB."""
+    """Explore one case; the report, and the most memory that this process has had, in MB."""
     report = explore(CASES[name], depth, states, seconds)
     return report, round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1)
 
 
-def _print(report: Report, peak: float) -> None:
-    whole = "held, to the end" if report.complete else f"held; INCOMPLETE, cut off at {report.depth} events"
-    told = whole if report.example is None else f"BROKEN: {report.example.property}"
-    spent = f"{report.seconds:.1f}", f"{peak:.0f} MB"
-    print(report.case, report.visited, report.played, report.depth, *spent, told, sep="\t")
+def _print_reports(reports: Sequence[tuple[Report, float]]) -> None:
+    print("case", "states", "played", "depth", "seconds", "peak", "", sep="\t")
+    for report, peak_mb in reports:
+        counts = (report.visited, report.played, report.depth)
+        print(report.case, *counts, f"{report.seconds:.1f}", f"{peak_mb:.0f} MB", _verdict(report), sep="\t")
+        if report.example is not None:
+            events = (f"  {' '.join(map(str, event))}" for event in report.example.events)
+            print(report.example.detail, *events, sep="\n")
+
+
+def _verdict(report: Report) -> str:
     if report.example is not None:
-        print(report.example.told, *(f"  {' '.join(map(str, e))}" for e in report.example.events), sep="\n")
+        return f"BROKEN: {report.example.property}"
+    if report.complete:
+        return "held, to the end"
+    return f"held; INCOMPLETE, cut off at {report.depth} events"
 
 
-def _replay(asked: argparse.Namespace) -> int:
-    example = read(asked.replay)
-    if asked.sockets:
-        from maplestile.tools.explore import sockets
+def _save_examples(reports: Sequence[tuple[Report, float]], folder: Path) -> None:
+    for report, _ in reports:
+        if report.example is None:
+            continue
+        folder.mkdir(parents=True, exist_ok=True)
+        file = folder / f"{report.case}-{report.example.property}.json"
+        file.write_text(report.example.text())
+        print(f"maplestile: explore: written to {file}", file=sys.stderr)
 
-        seen = sockets.replay(example)
-        print(json.dumps(seen, indent=2))
-        return int(bool(seen["broken"]))
+
+def _replay(arguments: argparse.Namespace) -> int:
+    example = read(arguments.replay)
+    if arguments.sockets:
+        return _replay_on_sockets(example)
     problems = play(CASES[example.case], example.events).problems
-    if asked.json:
-        print(json.dumps({"case": example.case, "broken": [list(one) for one in problems]}))
+    if arguments.json:
+        print(json.dumps({"case": example.case, "broken": [list(problem) for problem in problems]}))
     else:
-        for name, told in problems:
-            print("BROKEN", name, told, sep="\t")
+        for problem in problems:
+            print("BROKEN", problem.property, problem.detail, sep="\t")
         if not problems:
             print(f"{example.case}: held; it broke {example.property or 'a property'} when it was written")
     return int(bool(problems))
+
+
+def _replay_on_sockets(example: Example) -> int:
+    # Imported here, so that other commands start without it.
+    from maplestile.tools.explore import sockets
+
+    result = sockets.replay(example)
+    print(json.dumps(result, indent=2))
+    return int(bool(result["broken"]))
--- /dev/null
+++ b/maplestile/tools/explore/connections.py
@@ -0,0 +1,90 @@
+"""The simulated connections: the shipped pool, with sockets that the explorer moves instead of the system."""
+
+import json
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from maplestile.requests.pool import Connection, Pool
+from maplestile.wire.limits import Limits
+
+if TYPE_CHECKING:
+    from maplestile.tools.explore.simulation import Simulation
+
+
+@dataclass(slots=True, eq=False)
+class Line:
+    """A line that a worker has received complete."""
+
+    told: dict[str, Any]
+    link: "Link"
+    at_us: int
+    answers: int = 0
+    never_ran: bool = False  # the router has received the proof
+
+    @property
+    def kind(self) -> str:
+        """The kind of the message: CALL, LOAD, STATS, ..."""
+        return str(self.told["kind"])
+
+    @property
+    def call(self) -> str:
+        """The call's name on the wire."""
+        return str(self.told["call"])
+
+    def may_run(self) -> bool:
+        """Whether the worker may have run a call for this line."""
+        return self.kind == "CALL" and not self.never_ran
+
+
+class Link:
+    """One connection to a worker; to the pool it is the connection's socket."""
+
+    def __init__(self, world: "Simulation", number: int, connection: Connection) -> None:
+        self.world = world
+        self.number = number
+        self.connection = connection
+        self.worker = connection.runner.uid
+        self.lines: list[Line] = []
+        self.part = False  # of the next line only a part is accepted at once
+        self.held = b""  # a line whose rest has not been accepted yet
+        self.open = True
+
+    def write(self, line: bytes) -> bool:
+        """Accept a line; False where only a part of it has been accepted."""
+        self.world.on_write_started(self, json.loads(line))
+        if self.part:
+            self.part = False
+            self.held = line
+            return False
+        self.deliver(line)
+        return True
+
+    def deliver(self, data: bytes) -> None:
+        """Have the worker receive a complete line."""
+        line = Line(json.loads(data), self, self.world.now)
+        self.lines.append(line)
+        self.world.on_line_received(line)
+
+    def holds(self) -> bool:
+        """Whether a part of a line has not been accepted yet."""
+        return bool(self.held)
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        self.open = False
+
+
+class SimulatedPool(Pool):
+    """The shipped pool of connections, which dials simulated ones."""
+
+    def __init__(self, world: "Simulation", limits: Limits) -> None:
+        super().__init__(limits, lambda: world.now, world.counters)
+        self.world = world
+
+    def dial(self, connection: Connection) -> None:
+        """Begin to open a connection; an event `up` or `refuse` decides on it."""
+        self.world.links.append(Link(self.world, len(self.world.links), connection))
+
+    def hang_up(self, connection: Connection) -> None:
+        """Close a connection."""
+        self.world.link_of(connection).open = False
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -1,10 +1,11 @@
-"""What has to hold, each written once, by its name. They are judged by what the world knows to be true."""
+"""The invariants, each checked in one place under its name, by what the simulation knows to be true."""
 
 from typing import Any
 
-from maplestile.dispatch import api
-from maplestile.tools.explore import world as worlds
-from maplestile.tools.explore.world import Client, Line, Link, World
+from maplestile.dispatch.api import DeduplicationScope, Idempotency
+from maplestile.tools.explore import scenario
+from maplestile.tools.explore.connections import Line, Link
+from maplestile.tools.explore.simulation import Client, Simulation
 from maplestile.wire.messages import Outcome, Verdict
 
 NAMES = {
@@ -23,113 +24,155 @@
     "no-forbidden-move": "no transition that is not in the tables of states.py",
     "no-crash": "nothing raises",
 }
+NEW_WORK = ("CALL", "LOAD", "STATS", "UNLOAD")  # messages that start something at a worker
 
 
-def on_answer(world: World, client: Client, outcome: Outcome) -> None:
+def on_answer(world: Simulation, client: Client, outcome: Outcome) -> None:
+    """Check a final answer, which the client's outcomes include already."""
+    name = client.class_name
     if len(client.outcomes) > 1:
-        world.broken("one-answer", f"{client.class_name}: {len(client.outcomes)} answers")
+        world.violate("one-answer", f"{name}: {len(client.outcomes)} answers")
     if client.left:
-        world.broken("one-answer", f"{client.class_name}: an answer after its client left")
+        world.violate("one-answer", f"{name}: an answer after its client left")
     tick_us = world.core.settings.tick_us
     if world.stopped and world.now > world.core.leave_us + tick_us:
-        world.broken("drain-ends", f"{client.class_name}: owed past the end")
+        world.violate("drain-ends", f"{name}: owed past the end")
     if world.now > client.due_us + tick_us:
-        late_ms = (world.now - client.due_us) / worlds.MS
-        world.broken("answer-by-deadline", f"{client.class_name}: {late_ms:g} ms late")
-    kind = worlds.CLASSES[client.class_name]
-    lines = [line for line in world.arrivals if world.client_of(line.told["call"]) is client]
-    ran = any(line.may_run() for line in lines)
-    harmless = kind.idempotency is api.Idempotency.IDEMPOTENT or not ran
-    harmless = (
-        harmless
-        or kind.idempotency is api.Idempotency.WITH_KEY
-        and kind.deduplication_scope is api.DeduplicationScope.ALL
-    )
-    if outcome.verdict is Verdict.REFUSED and not harmless:
-        world.broken("harmless-refusal", f"{client.class_name}: refused, and it may have run")
-
-
-def on_write(world: World, link: Link, told: dict[str, Any]) -> None:
-    """A line begins to go out."""
-    fresh = told["kind"] in ("CALL", "LOAD", "STATS", "UNLOAD")
-    if fresh and link.worker in world.told_us:
-        world.broken("nothing-after-drain", f"{told['kind']} to {link.worker}")
-    if told["kind"] == "CALL" and world.client_of(told["call"]).away:
-        world.broken("nothing-for-the-gone", f"an attempt at {link.worker}")
-
-
-def on_arrival(world: World, line: Line) -> None:
-    """A worker has the line of a call whole, and may run it from now on; `arrivals` are those before."""
-    client = world.client_of(line.told["call"])
-    kind = worlds.CLASSES[client.class_name]
-    before = [one for one in world.arrivals if world.client_of(one.told["call"]) is client]
-    if len(before) >= worlds.attempts_of(client.epoch):
-        world.broken("attempt-limit", f"{client.class_name}: attempt {len(before) + 1}")
-    ran = [one for one in before if one.may_run()]
-    if not ran or kind.idempotency is api.Idempotency.IDEMPOTENT:
-        return
-    if kind.idempotency is api.Idempotency.NOT_IDEMPOTENT:
-        world.broken("unsafe-once", f"at {ran[0].link.worker}, then at {line.link.worker}")
+        late_ms = (world.now - client.due_us) / scenario.MS
+        world.violate("answer-by-deadline", f"{name}: {late_ms:g} ms late")
+    if outcome.verdict is Verdict.REFUSED and not _is_retry_harmless(world, client):
+        world.violate("harmless-refusal", f"{name}: refused, and it may have run")
+
+
+def _is_retry_harmless(world: Simulation, client: Client) -> bool:
+    """Whether the client of a rejected call may submit it again without running it twice."""
+    call_class = scenario.CLASSES[client.class_name]
+    if call_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    everywhere = call_class.deduplication_scope is DeduplicationScope.ALL
+    if call_class.idempotency is Idempotency.WITH_KEY and everywhere:
+        return True
+    return not any(line.may_run() for line in _arrivals_of(world, client))
+
+
+def _arrivals_of(world: Simulation, client: Client) -> list[Line]:
+    return [line for line in world.arrivals if world.client_of(line.call) is client]
+
+
+def on_write(world: Simulation, link: Link, message: dict[str, Any]) -> None:
+    """Check a message that starts to be written."""
+    if message["kind"] in NEW_WORK and link.worker in world.told_us:
+        world.violate("nothing-after-drain", f"{message['kind']} to {link.worker}")
+    if message["kind"] == "CALL" and world.client_of(message["call"]).away:
+        world.violate("nothing-for-the-gone", f"an attempt at {link.worker}")
+
+
+def on_arrival(world: Simulation, line: Line) -> None:
+    """Check a call that a worker has received complete, and may run from now on.
+
+    `world.arrivals` has those before it.
+    """
+    client = world.client_of(line.call)
+    earlier = _arrivals_of(world, client)
+    if len(earlier) >= scenario.attempts_of(client.epoch):
+        world.violate("attempt-limit", f"{client.class_name}: attempt {len(earlier) + 1}")
+    may_have_run = next((one for one in earlier if one.may_run()), None)
+    if may_have_run is None:
         return
-    first, case = ran[0].link, world.case
-    one, other = int(first.worker[1:]), int(line.link.worker[1:])
-    same = {
-        api.DeduplicationScope.ALL: True,
-        api.DeduplicationScope.ZONE: case.zones[one] == case.zones[other],
-        api.DeduplicationScope.CELL: case.cells[one] == case.cells[other],
-    }
-    if not same[kind.deduplication_scope]:
-        world.broken("keyed-in-scope", f"{client.class_name}: at {first.worker}, then at {line.link.worker}")
-    elif world.now >= ran[0].at_us + kind.deduplication_window_us:
-        age_ms = (world.now - ran[0].at_us) / worlds.MS
-        world.broken("keyed-in-scope", f"{client.class_name}: again after {age_ms:g} ms")
+    match scenario.CLASSES[client.class_name].idempotency:
+        case Idempotency.NOT_IDEMPOTENT:
+            workers = f"at {may_have_run.link.worker}, then at {line.link.worker}"
+            world.violate("unsafe-once", workers)
+        case Idempotency.WITH_KEY:
+            _check_repeat(world, client.class_name, may_have_run, line)
 
 
-def at_each(world: World) -> None:
-    """After every event."""
+def _check_repeat(world: Simulation, class_name: str, first: Line, again: Line) -> None:
+    """Check that the worker of a repeated call with a key drops the repeat."""
+    call_class = scenario.CLASSES[class_name]
+    age_us = world.now - first.at_us
+    if not _in_scope(world, call_class.deduplication_scope, first.link.worker, again.link.worker):
+        workers = f"at {first.link.worker}, then at {again.link.worker}"
+        world.violate("keyed-in-scope", f"{class_name}: {workers}")
+    elif age_us >= call_class.deduplication_window_us:
+        world.violate("keyed-in-scope", f"{class_name}: again after {age_us / scenario.MS:g} ms")
+
+
+def _in_scope(world: Simulation, scope: DeduplicationScope, first: str, second: str) -> bool:
+    """Whether two workers drop each other's repeats."""
+    one, other = int(first[1:]), int(second[1:])
+    match scope:
+        case DeduplicationScope.ZONE:
+            return world.case.zones[one] == world.case.zones[other]
+        case DeduplicationScope.CELL:
+            return world.case.cells[one] == world.case.cells[other]
+    return True
+
+
+def at_each(world: Simulation) -> None:
+    """Check what has to hold after every event."""
     if world.counters["policy.mixed_calls"]:
-        world.broken("one-policy", f"{world.counters['policy.mixed_calls']} attempts under another")
+        world.violate("one-policy", f"{world.counters['policy.mixed_calls']} attempts under another")
     for client in world.clients:
-        owed = world.core.open.get(client.number)
-        out = any(call == client.number for call, _ in world.core.flights)
-        if client.away and owed is not None and not out:
-            world.broken("nothing-for-the-gone", f"{client.class_name}: waits on")
-        if owed is not None and owed.attempts > worlds.attempts_of(client.epoch):
-            world.broken("attempt-limit", f"{client.class_name}: {owed.attempts} attempts")
+        _check_request(world, client)
     if world.counters["states.forbidden"]:
-        world.broken("no-forbidden-move", f"{world.counters['states.forbidden']} of them")
+        world.violate("no-forbidden-move", f"{world.counters['states.forbidden']} of them")
+
 
+def _check_request(world: Simulation, client: Client) -> None:
+    pending = world.core.open.get(client.number)
+    if pending is None:
+        return
+    in_flight = any(call == client.number for call, _ in world.core.flights)
+    if client.away and not in_flight:
+        world.violate("nothing-for-the-gone", f"{client.class_name}: waits on")
+    if pending.attempts > scenario.attempts_of(client.epoch):
+        world.violate("attempt-limit", f"{client.class_name}: {pending.attempts} attempts")
 
-def at_rest(world: World) -> None:
-    """Nothing happens any more, and time passes until nothing can be left."""
-    for _ in range(worlds.REST_STEPS):
+
+def at_rest(world: Simulation) -> None:
+    """Let time pass without events until nothing can be left, and check that nothing is."""
+    for _ in range(scenario.REST_STEPS):
         world.pass_time()
         at_each(world)
     if world.stopped and world.core.open:
-        world.broken("drain-ends", f"{len(world.core.open)} calls owed for good")
-    core, module, pool = world.core, world.core.dispatcher, world.pool
+        world.violate("drain-ends", f"{len(world.core.open)} calls owed for good")
     for client in world.clients:
-        if client.owed():
-            world.broken("answer-by-deadline", f"{client.class_name}: no answer")
-    kept = {
+        if client.is_waiting():
+            world.violate("answer-by-deadline", f"{client.class_name}: no answer")
+    for name, kept in _kept(world).items():
+        if kept:
+            world.violate("nothing-kept", f"{name}: {kept}")
+    if wrong := {name: count for name, count in _busy_counts(world).items() if count}:
+        world.violate("counts-return", str(wrong))
+
+
+def _kept(world: Simulation) -> dict[str, object]:
+    """What the components hold of calls, attempts, load requests and connections."""
+    core, pool = world.core, world.pool
+    dispatcher = core.dispatcher
+    # The dispatcher requests loads by itself, also now; only overdue ones must have been forgotten.
+    overdue_us = world.now - 2 * scenario.ORDER_US
+    return {
         "open": core.open,
         "flights": core.flights,
         "bytes": core.open_bytes,
-        # The module orders copies by itself, also now; what it has to forget is what is overdue.
-        "errands": [one for one in core.errands.values() if world.now > one.sent_us + 2 * worlds.ORDER_US],
-        "calls": module.calls,
-        "attempts": module.attempts,
+        "errands": [request for request in core.errands.values() if request.sent_us < overdue_us],
+        "calls": dispatcher.calls,
+        "attempts": dispatcher.attempts,
         "where": pool.where,
-        "waiting": [row.function for row in module.rows.values() if row.waiting],
-        "links": [c.open for r in pool.runners.values() for c in r.connections if c.open],
+        "waiting": [entry.function for entry in dispatcher.rows.values() if entry.waiting],
+        "links": [one.open for runner in pool.runners.values() for one in runner.connections if one.open],
     }
-    for name, what in kept.items():
-        if what:
-            world.broken("nothing-kept", f"{name}: {what}")
-    counts = {f"row {row.function}": row.busy for row in module.rows.values()}
-    for worker in module.workers.values():
-        counts[f"worker {worker.entry.worker}"] = worker.busy
+
+
+def _busy_counts(world: Simulation) -> dict[str, int]:
+    """The dispatcher's counts of calls in flight."""
+    dispatcher = world.core.dispatcher
+    counts = {f"row {entry.function}": entry.busy for entry in dispatcher.rows.values()}
+    for worker in dispatcher.workers.values():
+        name = worker.entry.worker
+        counts[f"worker {name}"] = worker.busy
         for function, copy in worker.copies.items():
-            counts[f"copy of {function} at {worker.entry.worker}"] = copy.busy
-    if wrong := {name: count for name, count in counts.items() if count}:
-        world.broken("counts-return", str(wrong))
+            counts[f"copy of {function} at {name}"] = copy.busy
+    return counts
--- /dev/null
+++ b/maplestile/tools/explore/router_process.py
@@ -0,0 +1,145 @@
+"""The router of a replay on sockets: its file, and its process, `maplestile serve`."""
+
+import asyncio
+import os
+import signal
+import sys
+from asyncio.subprocess import DEVNULL, PIPE, Process
+from collections.abc import Collection, Iterable
+from pathlib import Path
+
+from maplestile.common.address import Address, parse_address
+from maplestile.operation.client import CallError, call
+from maplestile.tools.explore import scenario
+from maplestile.tools.explore.cases import Case, CaseError
+from maplestile.tools.explore.scripted_workers import ScriptedWorker
+
+TIMEOUT_S = 10.0  # of the start, of the end, and of a request of an operator
+MS = float(scenario.MS)
+FRONTS = ("operator", "invoke")
+FILE_HEAD = f"""[invoke]
+listen = "127.0.0.1:0"
+[operation]
+listen = "127.0.0.1:0"
+[rules]
+attempts = {scenario.MAX_ATTEMPTS}
+keep_s = 10
+"""
+FUNCTION_TABLE = """[[function]]
+name = "f"
+class = "{}"
+memory_mb = 100
+lanes = 1
+[[kind]]
+name = "k"
+memory_mb = 4000
+"""
+
+
+def _class_table(name: str) -> str:
+    call_class = scenario.CLASSES[name]
+    lines = [
+        "[[class]]",
+        f'name = "{name}"',
+        f"aim_ms = {call_class.latency_objective_us / MS}",
+        f"deadline_ms = {call_class.deadline_us / MS}",
+    ]
+    if name in ("safe", "unsafe"):
+        lines.append(f'semantics = "{name}"')
+    else:
+        lines.append('semantics = "keyed"')
+        lines.append(f'scope = "{call_class.deduplication_scope.value}"')
+        lines.append(f"window_ms = {call_class.deduplication_window_us / MS}")
+    return "\n".join(lines) + "\n"
+
+
+def _worker_table(case: Case, worker: ScriptedWorker) -> str:
+    number = int(worker.name[1:])
+    lines = (
+        "[[worker]]",
+        f'id = "{worker.name}"',
+        f'address = "127.0.0.1:{worker.port}"',
+        'kind = "k"',
+        f'zone = "{case.zones[number]}"',
+        f"cell = {case.cells[number]}",
+    )
+    return "\n".join(lines) + "\n"
+
+
+class RouterUnderTest:
+    """The router's process. `root` is the folder that has the program's package."""
+
+    def __init__(self, case: Case, folder: Path, root: Path) -> None:
+        self.case = case
+        self.root = root
+        self.file = folder / "router.toml"
+        self.process: Process | None = None
+        self.reader: asyncio.Task[None] | None = None
+        self.fronts: dict[str, Address] = {}
+
+    def write_file(self, workers: Iterable[ScriptedWorker], gone: Collection[str]) -> None:
+        """Write the operator's file, with those workers that are not gone."""
+        classes = [_class_table(name) for name in dict.fromkeys(self.case.classes)]
+        listed = [_worker_table(self.case, worker) for worker in workers if worker.name not in gone]
+        function = FUNCTION_TABLE.format(self.case.classes[0])
+        self.file.write_text("".join((FILE_HEAD, *classes, function, *listed)))
+
+    async def start(self) -> None:
+        """Start the process and wait until both of its fronts listen."""
+        command = (sys.executable, "-m", "maplestile", "serve", str(self.file))
+        # The package of that folder, from wherever this is called, and whatever else is installed.
+        environment = {**os.environ, "PYTHONPATH": str(self.root), "PYTHONSAFEPATH": "1"}
+        self.process = await asyncio.create_subprocess_exec(
+            *command, stdin=DEVNULL, stderr=PIPE, env=environment
+        )
+        stderr = self.process.stderr
+        if stderr is None:
+            raise CaseError("the program has no standard error")
+        async with asyncio.timeout(TIMEOUT_S):
+            while len(self.fronts) < len(FRONTS):
+                line = await stderr.readline()
+                if not line:
+                    raise CaseError("the program ended at its start")
+                self._note_front(line.decode())
+        self.reader = asyncio.get_running_loop().create_task(_discard(stderr))
+
+    def _note_front(self, line: str) -> None:
+        for front in FRONTS:
+            _, listens, rest = line.partition(f"{front} front listens on ")
+            if listens:
+                self.fronts[front] = parse_address(rest.split(",")[0].strip())
+
+    def reload(self) -> None:
+        """Have the process read its file again."""
+        if self.process is not None:
+            os.kill(self.process.pid, signal.SIGHUP)
+
+    async def request(self, method: str, path: str) -> None:
+        """Send a request to the operators' front. Raises `CaseError`."""
+        try:
+            await call(self.fronts["operator"], method, path, TIMEOUT_S)
+        except CallError as error:
+            raise CaseError(f"the operators' front: {error}") from None
+
+    def exit_code(self) -> int | None:
+        """The exit code of the process; None while it runs."""
+        return None if self.process is None else self.process.returncode
+
+    async def stop(self) -> None:
+        """End the process, with force where it does not end in time."""
+        process = self.process
+        if process is not None and process.returncode is None:
+            process.send_signal(signal.SIGTERM)
+            try:
+                async with asyncio.timeout(TIMEOUT_S):
+                    await process.wait()
+            except TimeoutError:
+                process.kill()
+                await process.wait()
+        if self.reader is not None:
+            self.reader.cancel()
+
+
+async def _discard(stream: asyncio.StreamReader) -> None:
+    while await stream.readline():
+        pass
--- /dev/null
+++ b/maplestile/tools/explore/scenario.py
@@ -0,0 +1,101 @@
+"""What all cases of the explorer have in common: settings, classes of calls, times, and kinds of answers."""
+
+import random
+from typing import Any
+
+from maplestile.dispatch import api
+from maplestile.dispatch.api import NEVER_RAN, DeduplicationScope, Idempotency
+from maplestile.wire import runner as wire
+from maplestile.wire.limits import Limits
+
+START = 1_000_000_000_000  # the simulated clock's first moment, in microseconds
+MS = 1000  # microseconds
+STEP_US = 100 * MS  # how far one event `time` moves the clock
+DEADLINE_US = 400 * MS  # of every call
+LEAVE_US = 300 * MS  # a process ends before the deadlines of the calls that it has in flight
+ORDER_US = 300 * MS  # the timeout of a load request
+WINDOW_US = 250 * MS  # for which a worker drops repeats of an idempotency key
+OBJECTIVE_US = 200 * MS  # the latency objective of every class
+RUNNER_SILENT_US = 150 * MS
+REST_STEPS = 12  # of silence after which nothing may be left: longer than any call, load or health check
+MAX_ATTEMPTS = 2  # of epoch 0, and of every second one after it
+SEED = 7
+
+
+def _call_class(
+    name: str, idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL
+) -> api.CallClass:
+    window_us = WINDOW_US if idempotency is Idempotency.WITH_KEY else 0
+    return api.CallClass(name, OBJECTIVE_US, DEADLINE_US, idempotency, scope, window_us)
+
+
+CLASSES = {
+    call_class.name: call_class
+    for call_class in (
+        _call_class("safe", Idempotency.IDEMPOTENT),
+        _call_class("unsafe", Idempotency.NOT_IDEMPOTENT),
+        *(_call_class(f"keyed-{scope.value}", Idempotency.WITH_KEY, scope) for scope in DeduplicationScope),
+    )
+}
+KINDS = {"ok": "200", "error": "500", "full": "503", "miss": "404"}  # of answers on the wire, by event
+NEVER = [kind for kind, result in wire.RESULTS.items() if result in NEVER_RAN]  # proof that a call never ran
+
+
+def attempts_of(epoch: int) -> int:
+    """The attempts that a call may have under a policy epoch."""
+    return MAX_ATTEMPTS - epoch % 2
+
+
+def settings(epoch: int = 0) -> api.Settings:
+    """The dispatcher's settings under a policy epoch."""
+    return api.Settings(
+        classes=tuple(CLASSES.values()),
+        router_count=1,
+        zone="a",
+        tick_us=4 * MS,
+        must_poll_list=False,
+        may_request_loads=True,
+        loads_on_miss=True,
+        keep_alive_us=10_000 * MS,
+        kind_memory_mb=(("k", 4000.0),),
+        load_timeout_us=ORDER_US,
+        load_request_window_us=0,
+        load_requests_free=0,
+        load_requests_per_call=0,
+        max_attempts=attempts_of(epoch),
+        epoch=epoch,
+        may_cancel=True,
+        may_hedge=True,
+        may_probe=True,
+        answer_slack_us=16 * MS,
+        drain_grace_us=2_000 * MS,
+        slow_start_share=0.16,
+        slow_start_us=18_000 * MS,
+        overload_multiple=4.0,
+        overload_window_us=2_000 * MS,
+    )
+
+
+def limits() -> Limits:
+    """The limits of the data path."""
+    return Limits(load_timeout_us=ORDER_US, runner_silent_us=RUNNER_SILENT_US, runner_streams=2)
+
+
+class DeterministicRandom(random.Random):
+    """A source without chance: every choice is the first, and every share one half."""
+
+    def random(self) -> float:
+        """Return one half."""
+        return 0.5
+
+    def choices(self, population: Any, *_: Any, k: int = 1, **__: Any) -> list[Any]:
+        """Return the first of the population, `k` times."""
+        return [population[0]] * k
+
+    def choice(self, seq: Any) -> Any:
+        """Return the first."""
+        return seq[0]
+
+    def sample(self, population: Any, k: int, **_: Any) -> list[Any]:
+        """Return the first `k`."""
+        return list(population)[:k]
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -1,7 +1,8 @@
-"""The search: breadth first, each state reached anew by its events, so that what is found first is shortest.
+"""The search for violations: breadth first, so that what is found first is shortest.
 
-A state counts as seen by its fingerprint. From each new state time is let pass in silence, too, and what has
-to hold at rest is judged there."""
+Each state is reached anew by its events, and counts as seen by its fingerprint. From each new state time is
+also let pass without events, to check what has to hold once everything has ended.
+"""
 
 import time
 from collections import deque
@@ -11,13 +12,15 @@
 
 from maplestile.tools.explore import fingerprint, properties
 from maplestile.tools.explore.cases import Case, Event, Example
-from maplestile.tools.explore.world import SHIPPED, Parts, World
+from maplestile.tools.explore.simulation import SHIPPED, Components, Simulation, Violation
 
 
 @dataclass(slots=True)
 class Report:
+    """What the exploration of a case came to."""
+
     case: str
-    visited: int = 0  # states that are told apart
+    visited: int = 0  # distinct states
     played: int = 0  # runs of an event, with what led to it
     depth: int = 0  # the longest list of events
     bound: int = 0  # no longer one was tried; 0 for none
@@ -26,82 +29,118 @@
     example: Example | None = None
 
     def told(self) -> dict[str, Any]:
-        told = {name: getattr(self, name) for name in self.__slots__ if name != "example"}
-        example = self.example
-        found: dict[str, Any] | None = None
-        if example is not None:
-            events = [list(event) for event in example.events]
-            found = {"property": example.property, "told": example.told, "events": events}
-        return told | {"seconds": round(self.seconds, 2), "held": example is None, "counterexample": found}
+        """The report as a JSON object."""
+        values = {name: getattr(self, name) for name in self.__slots__ if name != "example"}
+        values["seconds"] = round(self.seconds, 2)
+        values["held"] = self.example is None
+        values["counterexample"] = None if self.example is None else _example_json(self.example)
+        return values
+
+
+def _example_json(example: Example) -> dict[str, Any]:
+    events = [list(event) for event in example.events]
+    return {"property": example.property, "told": example.detail, "events": events}
 
 
 @dataclass(slots=True)
-class Outcome:
-    problems: list[tuple[str, str]]
-    digest: bytes = b""
-    enabled: list[Event] = field(default_factory=list)
+class PlayResult:
+    """What came of a list of events."""
+
+    problems: list[Violation]
+    digest: bytes = b""  # of the state that they lead to
+    enabled: list[Event] = field(default_factory=list)  # there
 
 
-def play(case: Case, events: Sequence[Event], parts: Parts = SHIPPED, rest: bool = True) -> Outcome:
-    """The events from the start; what is broken, then or once nothing more happens."""
-    world = World(case, properties, parts)
+def play(
+    case: Case, events: Sequence[Event], parts: Components = SHIPPED, until_idle: bool = True
+) -> PlayResult:
+    """Play the events from the start, then (with `until_idle`) let time pass until nothing more happens."""
+    simulation = Simulation(case, properties, parts)
     try:
         for event in events:
-            world.play(event)
-            properties.at_each(world)
-            if world.problems:
-                return Outcome(world.problems)
-        found = Outcome(world.problems, fingerprint.digest(world), world.enabled())
-        if rest:
-            properties.at_rest(world)
-    except Exception as fault:  # whatever it is: the program must not raise
-        world.broken("no-crash", f"{type(fault).__name__}: {fault}")
-        return Outcome(world.problems)
-    return found
+            simulation.play(event)
+            properties.at_each(simulation)
+            if simulation.problems:
+                return PlayResult(simulation.problems)
+        result = PlayResult(simulation.problems, fingerprint.digest(simulation), simulation.enabled())
+        if until_idle:
+            properties.at_rest(simulation)
+    except Exception as error:  # of any type: the components must not raise
+        simulation.violate("no-crash", f"{type(error).__name__}: {error}")
+        return PlayResult(simulation.problems)
+    return result
+
+
+class _Search:
+    """The state of one search."""
+
+    def __init__(self, case: Case, parts: Components, report: Report) -> None:
+        self.case = case
+        self.parts = parts
+        self.report = report
+        self.seen: set[bytes] = set()
+        self.frontier: deque[tuple[tuple[Event, ...], list[Event]]] = deque()
+
+    def visit(self, events: tuple[Event, ...]) -> None:
+        """Play a list of events; a new state is put into the frontier, a violation into the report."""
+        result = play(self.case, events, self.parts)
+        if result.problems:
+            self.report.example = shrunk(self.case, events, result.problems[0], self.parts)
+        elif result.digest not in self.seen:
+            self.seen.add(result.digest)
+            self.report.depth = max(self.report.depth, len(events))
+            self.frontier.append((events, result.enabled))
+
+    def expand(self, events: tuple[Event, ...], enabled: Sequence[Event]) -> None:
+        """Visit what follows a state, up to the first violation."""
+        for event in enabled:
+            self.visit((*events, event))
+            self.report.played += 1
+            if self.report.example is not None:
+                return
 
 
 def explore(
-    case: Case, depth: int = 0, states: int = 0, seconds: float = 0.0, parts: Parts = SHIPPED
+    case: Case, depth: int = 0, states: int = 0, seconds: float = 0.0, parts: Components = SHIPPED
 ) -> Report:
-    """Until nothing new is found, a property is broken, or a bound is met (0 for none)."""
-    began, report = time.monotonic(), Report(case.name, bound=depth)
-    first = play(case, (), parts)
-    seen, report.visited = {first.digest}, 1
-    frontier: deque[tuple[tuple[Event, ...], list[Event]]] = deque([((), first.enabled)])
-    if first.problems:
-        report.example = shrunk(case, (), first.problems[0], parts)
-    while frontier and report.example is None:
-        prefix, enabled = frontier.popleft()
-        late = seconds and time.monotonic() - began > seconds
-        if depth and len(prefix) >= depth or states and report.visited >= states or late:
+    """Search until nothing new is found, a property is violated, or a bound is met (0 for none)."""
+    started_s = time.monotonic()
+    report = Report(case.name, bound=depth)
+    search = _Search(case, parts, report)
+    search.visit(())
+    while search.frontier and report.example is None:
+        events, enabled = search.frontier.popleft()
+        too_deep = depth > 0 and len(events) >= depth
+        too_many = states > 0 and len(search.seen) >= states
+        too_late = seconds > 0 and time.monotonic() - started_s > seconds
+        if too_deep or too_many or too_late:
             report.complete = report.complete and not enabled
-            continue
-        for event in enabled:
-            events = (*prefix, event)
-            found = play(case, events, parts)
-            report.played += 1
-            if found.problems:
-                report.example = shrunk(case, events, found.problems[0], parts)
-                break
-            if found.digest not in seen:
-                seen.add(found.digest)
-                report.visited += 1
-                report.depth = max(report.depth, len(events))
-                frontier.append((events, found.enabled))
-    report.seconds = time.monotonic() - began
+        else:
+            search.expand(events, enabled)
+    report.visited = max(1, len(search.seen))
+    report.seconds = time.monotonic() - started_s
     return report
 
 
-def shrunk(case: Case, events: Sequence[Event], problem: tuple[str, str], parts: Parts = SHIPPED) -> Example:
-    """Without every event that the breaking of the same property does not need."""
-    kept, name = list(events), problem[0]
-    again = True
-    while again:
-        again = False
-        for at in range(len(kept) - 1, -1, -1):
-            fewer = kept[:at] + kept[at + 1 :]
-            broken = play(case, fewer, parts).problems
-            if any(one == name for one, _ in broken):
-                kept, again = fewer, True
-    told = next((what for one, what in play(case, kept, parts).problems if one == name), problem[1])
-    return Example(case.name, name, tuple(kept), told)
+def shrunk(
+    case: Case, events: Sequence[Event], problem: tuple[str, str], parts: Components = SHIPPED
+) -> Example:
+    """The example without every event that the violation of the same property does not need."""
+    name, detail = problem
+    kept = list(events)
+    has_shrunk = True
+    while has_shrunk:
+        has_shrunk = False
+        for index in range(len(kept) - 1, -1, -1):
+            fewer = kept[:index] + kept[index + 1 :]
+            if _violates(case, fewer, name, parts) is not None:
+                kept = fewer
+                has_shrunk = True
+    found = _violates(case, kept, name, parts)
+    return Example(case.name, name, tuple(kept), detail if found is None else found)
+
+
+def _violates(case: Case, events: Sequence[Event], name: str, parts: Components) -> str | None:
+    """How the events violate the property of this name; None where they do not."""
+    problems = play(case, events, parts).problems
+    return next((problem.detail for problem in problems if problem.property == name), None)
--- /dev/null
+++ b/maplestile/tools/explore/simulation.py
@@ -0,0 +1,300 @@
+"""One run of a case: the shipped core, dispatcher and pool in a simulated environment.
+
+The events, each with the numbers that it takes:
+
+    submit          the next call of the case comes
+    leave CALL      its client waits no longer
+    away CALL       its client has closed its side: nothing may start, what is in flight may be answered
+    up LINK         a connection that was dialled is up; `refuse LINK`: it is refused
+    ok LINK LINE    the worker answers that line of the connection well; `error`, `full`, `miss` likewise
+    again LINK LINE the worker answers a line a second time; `stray LINK`: it answers an unknown call
+    reset LINK      the connection breaks
+    part LINK       of the next line the system accepts a part; `drained LINK`: it accepts the rest
+    drain WORKER    the endpoint list says that it drains; `gone`; `return`: a new process at its address
+    stop            SIGTERM, while another process serves
+    policy          the next epoch of the fleet's policy, by which calls have one attempt, then two again
+    time            a step of time passes, with all that is due in it
+
+The simulation knows which worker has received a line complete, and so may have run it, whatever the router
+has received.
+"""
+
+import json
+from collections import Counter
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple, Protocol
+
+from maplestile.dispatch import api
+from maplestile.dispatch.api import Result, WorkerState
+from maplestile.dispatch.dispatcher import Dispatcher
+from maplestile.requests.core import Core
+from maplestile.requests.endpoint_list import EndpointList
+from maplestile.requests.pool import Connection
+from maplestile.tools.explore import scenario
+from maplestile.tools.explore.cases import Case, Event
+from maplestile.tools.explore.connections import Line, Link, SimulatedPool
+from maplestile.tools.explore.enabled_events import enabled_events
+from maplestile.wire import runner as wire
+from maplestile.wire.messages import Outcome, Request
+
+LINK_EVENTS = ("up", "refuse", "reset", "part", "drained", "stray", "again", *scenario.KINDS)
+WORKER_STATES = {
+    "drain": WorkerState.DRAINING,
+    "gone": WorkerState.GONE,
+    "return": WorkerState.RUNNING,
+}
+FIRST_PORT = 9000
+WARM_AGE_US = 20_000 * scenario.MS  # how long workers have run at the start: past their slow start
+
+
+class Violation(NamedTuple):
+    """A property that does not hold, and how it was violated."""
+
+    property: str
+    detail: str
+
+
+@dataclass(slots=True)
+class Client:
+    """A call as its client knows it."""
+
+    number: int  # of the core
+    class_name: str
+    due_us: int
+    epoch: int  # of the policy that it came under
+    outcomes: list[tuple[int, Outcome]] = field(default_factory=list)  # when, and which
+    left: bool = False
+    away: bool = False
+
+    def is_waiting(self) -> bool:
+        """Whether an answer is still due to the client."""
+        return not self.left and not self.outcomes
+
+
+@dataclass(slots=True, frozen=True)
+class Components:
+    """What is explored: the shipped components, or ones with a deliberate fault that must be found."""
+
+    core: type[Core] = Core
+    module: type[Dispatcher] = Dispatcher
+    pool: type[SimulatedPool] = SimulatedPool
+
+
+SHIPPED = Components()
+
+
+class InvariantChecker(Protocol):
+    """What checks a simulation while it runs; the module `properties` is one."""
+
+    def on_answer(self, world: "Simulation", client: Client, outcome: Outcome) -> None:
+        """Check a final answer."""
+
+    def on_write(self, world: "Simulation", link: Link, message: dict[str, Any]) -> None:
+        """Check a line that starts to be written."""
+
+    def on_arrival(self, world: "Simulation", line: Line) -> None:
+        """Check a call that a worker has received complete."""
+
+
+class Simulation:
+    """The components under test, their environment, and what has happened so far."""
+
+    def __init__(self, case: Case, checker: InvariantChecker, components: Components = SHIPPED) -> None:
+        self.case = case
+        self.checker = checker
+        self.now = scenario.START
+        self.counters: Counter[str] = Counter()
+        self.problems: list[Violation] = []
+        self.links: list[Link] = []
+        self.clients: list[Client] = []
+        self.arrivals: list[Line] = []  # calls that a worker has received complete, in order
+        self.told_us: dict[str, int] = {}  # of a worker that drains or has gone: since when
+        self.faults = 0
+        self.steps = 0
+        self.epoch = 0
+        self.process = {f"w{number}": 0 for number in range(case.workers)}  # incarnations by worker
+        self.state = dict.fromkeys(self.process, WorkerState.RUNNING)
+        self.stopped = False
+        self.fleet = EndpointList()
+        self._connect(components)
+        self._publish_list()
+
+    def _connect(self, components: Components) -> None:
+        """Create the components under test and connect them with each other."""
+        settings = scenario.settings()
+        limits = scenario.limits()
+        self.pool = components.pool(self, limits)
+        self.core = components.core(
+            settings, limits, scenario.SEED, self.pool, lambda: self.now, self._alarm, self.counters
+        )
+        self.core.dispatcher = components.module(scenario.settings(), scenario.SEED)
+        self.core.dispatcher.random = scenario.DeterministicRandom()
+        self.pool.core = self.core
+
+    def _alarm(self, due_us: int) -> None:
+        """Ignore the time of the core's next timer: `pass_time` looks at all of them."""
+
+    def link_of(self, connection: Connection) -> Link:
+        """The simulated socket of a connection of the pool."""
+        return next(link for link in self.links if link.connection is connection)
+
+    def client_of(self, call: str) -> Client:
+        """The client of a call by its name on the wire."""
+        return self.clients[int(call[1:])]
+
+    def enabled(self) -> list[Event]:
+        """The events that may happen next."""
+        return enabled_events(self)
+
+    def violate(self, name: str, detail: str) -> None:
+        """Record that the property of this name does not hold."""
+        self.problems.append(Violation(name, detail))
+
+    # Events.
+
+    def play(self, event: Event) -> None:
+        """Have an event happen; one that cannot happen now is ignored. Raises what the components raise."""
+        if event not in self.enabled():
+            return
+        name = str(event[0])
+        numbers = [int(number) for number in event[1:]]
+        self.faults += name in self.case.may
+        if name in LINK_EVENTS:
+            self._play_at_link(name, self.links[numbers[0]], *numbers[1:])
+        elif name in WORKER_STATES:
+            self._change_worker(f"w{numbers[0]}", name)
+        elif numbers:
+            self._play_at_client(name, self.clients[numbers[0]])
+        else:
+            self._play_at_router(name)
+
+    def _play_at_client(self, name: str, client: Client) -> None:
+        match name:
+            case "leave":
+                client.left = True
+                self.core.withdraw(client.number)
+            case "away":
+                client.away = True
+                self.core.client_gone(client.number)
+
+    def _play_at_router(self, name: str) -> None:
+        match name:
+            case "submit":
+                self._submit()
+            case "stop":
+                self.stopped = True
+                self.core.leave(self.now + scenario.LEAVE_US)
+            case "policy":
+                self.epoch += 1
+                self.core.adopt(scenario.settings(self.epoch), self.core.limits)
+            case "time":
+                self.steps += 1
+                self.pass_time()
+
+    def _play_at_link(self, name: str, link: Link, number: int = 0) -> None:
+        match name:
+            case "up":
+                self.pool.up(link.connection, link)
+            case "refuse":
+                self.pool.close(link.connection, Result.CONNECT_FAILED)
+            case "reset":
+                self.pool.close(link.connection, Result.RESET)
+            case "part":
+                link.part = True
+            case "drained":
+                line, link.held = link.held, b""
+                link.deliver(line)
+                self.pool.drained(link.connection)
+            case "stray":
+                self._send_answer(link, "nobody", scenario.KINDS["ok"])
+            case "again":
+                link.lines[number].answers += 1
+                self._send_answer(link, link.lines[number].call, scenario.KINDS["ok"])
+            case _:
+                self._answer(link.lines[number], scenario.KINDS[name])
+
+    def _submit(self) -> None:
+        number = len(self.clients)
+        class_name = self.case.classes[number]
+        due_us = self.now + scenario.DEADLINE_US
+        if self.stopped:
+            due_us = min(due_us, self.core.leave_us)
+        client = Client(self.core.number + 1, class_name, due_us, self.epoch)
+        self.clients.append(client)
+        request = Request(f"c{number}", "f", class_name, scenario.DEADLINE_US, 100.0, 1, key=f"k{number}")
+        self.core.submit(request, self.now, lambda outcome: self._on_answer(client, outcome))
+
+    def _answer(self, line: Line, kind: str) -> None:
+        line.answers += 1
+        line.never_ran = line.never_ran or kind in scenario.NEVER
+        self._send_answer(line.link, line.call, kind)
+
+    def _send_answer(self, link: Link, call: str, kind: str) -> None:
+        head = {"units": "1"} if call.startswith("load") else {}
+        text = json.dumps({"kind": kind, "call": call, "head": head}).encode()
+        self.pool.heard(link.connection)
+        self.pool.answered(link.connection, wire.parse(memoryview(text)))
+        self.core.catch_up()
+        self.pool.settled(link.connection)
+
+    def _change_worker(self, worker: str, name: str) -> None:
+        self.state[worker] = WORKER_STATES[name]
+        if name == "return":
+            self.process[worker] += 1
+            self.told_us.pop(worker, None)
+        else:
+            self.told_us.setdefault(worker, self.now)
+        self._publish_list()
+
+    def _publish_list(self) -> None:
+        """Give the router the endpoint list as it stands."""
+        listed = [
+            (self._entry(number, worker), ("127.0.0.1", FIRST_PORT + number))
+            for number, worker in enumerate(self.process)
+            if self.state[worker] is not WorkerState.GONE
+        ]
+        self.fleet.apply_whole(self.fleet.version + 1, listed)
+        self.pool.update(self.fleet)
+        self.core.list_changed(self.fleet.event())
+
+    def _entry(self, number: int, worker: str) -> api.WorkerEntry:
+        # The first process of a worker is past its slow start; a new one is not.
+        started_us = self.now - 1 if self.process[worker] else scenario.START - WARM_AGE_US
+        zone = self.case.zones[number]
+        cell = self.case.cells[number]
+        return api.WorkerEntry(worker, zone, "k", cell, self.state[worker], 1.0, started_us)
+
+    def pass_time(self) -> None:
+        """Let one step of time pass, with every timer that is due in it."""
+        end_us = self.now + scenario.STEP_US
+        tick_us = self.core.settings.tick_us
+        while self.core.ticks and self.core.ticks[0] * tick_us <= end_us:
+            self.now = max(self.now, self.core.ticks[0] * tick_us)
+            self.core.tick()
+        self.now = end_us
+        self._time_out_connects()
+        self.pool.sweep()
+
+    def _time_out_connects(self) -> None:
+        """Close the connections that have not come up in time, as the socket driver does."""
+        for link in list(self.links):
+            is_opening = link.open and link.connection.socket is None
+            age_us = self.now - link.connection.opened_us
+            if is_opening and age_us >= self.pool.limits.connect_timeout_us:
+                self.pool.close(link.connection, Result.CONNECT_FAILED)
+
+    # What the components do.
+
+    def _on_answer(self, client: Client, outcome: Outcome) -> None:
+        client.outcomes.append((self.now, outcome))
+        self.checker.on_answer(self, client, outcome)
+
+    def on_write_started(self, link: Link, message: dict[str, Any]) -> None:
+        """Check a message whose first byte goes out now."""
+        self.checker.on_write(self, link, message)
+
+    def on_line_received(self, line: Line) -> None:
+        """Check and keep a line that a worker has received complete."""
+        if line.kind == "CALL":
+            self.checker.on_arrival(self, line)
+            self.arrivals.append(line)
--- /dev/null
+++ b/maplestile/tools/explore/socket_checks.py
@@ -0,0 +1,75 @@
+"""The invariants of `properties.py`, checked by what workers and clients have seen on sockets."""
+
+from collections.abc import Collection, Iterator, Mapping
+from dataclasses import dataclass, field
+
+from maplestile.tools.explore import scenario
+from maplestile.tools.explore.cases import Case
+from maplestile.tools.explore.scripted_workers import ReceivedCall
+from maplestile.tools.explore.simulation import Violation
+
+US_PER_S = 1e6
+REFUSED_STATUS = 503
+
+
+@dataclass(slots=True)
+class Clients:
+    """What the clients of a replay have seen, by the numbers of their calls."""
+
+    statuses: dict[int, list[int]] = field(default_factory=dict)
+    late: set[int] = field(default_factory=set)  # answered after the deadline
+    left: set[int] = field(default_factory=set)  # which wait no longer
+
+
+def violations(
+    case: Case, clients: Clients, calls: Collection[ReceivedCall], draining_since_s: Mapping[str, float]
+) -> Iterator[Violation]:
+    """All violations, those of each call first."""
+    for number, statuses in clients.statuses.items():
+        name = case.classes[number]
+        received = [call for call in calls if call.call == f"c{number}"]
+        yield from _answer_violations(number, name, clients)
+        yield from _attempt_violations(case, name, statuses, received)
+    grace_s = scenario.settings().drain_grace_us / US_PER_S
+    for call in calls:
+        since_s = draining_since_s.get(call.worker)
+        if since_s is not None and call.at_s > since_s + grace_s:
+            yield Violation("nothing-after-drain", f"{call.call} at {call.worker}")
+
+
+def _answer_violations(number: int, name: str, clients: Clients) -> Iterator[Violation]:
+    statuses = clients.statuses[number]
+    if len(statuses) > 1:
+        yield Violation("one-answer", f"{name}: {len(statuses)} answers")
+    if number not in clients.left and (not statuses or number in clients.late):
+        yield Violation("answer-by-deadline", f"{name}: {statuses or 'no answer'}")
+
+
+def _attempt_violations(
+    case: Case, name: str, statuses: Collection[int], received: Collection[ReceivedCall]
+) -> Iterator[Violation]:
+    ran = [call for call in received if not call.never_ran]
+    if name == "unsafe" and len(ran) > 1:
+        yield Violation("unsafe-once", f"at {', '.join(call.worker for call in ran)}")
+    if len(received) > scenario.MAX_ATTEMPTS:
+        yield Violation("attempt-limit", f"{name}: {len(received)} attempts")
+    if REFUSED_STATUS in statuses and ran and name not in ("safe", "keyed-all"):
+        yield Violation("harmless-refusal", f"{name}: refused, and it may have run")
+    if name.startswith("keyed") and ran:
+        yield from _repeat_violations(case, name, ran)
+
+
+def _repeat_violations(case: Case, name: str, ran: list[ReceivedCall]) -> Iterator[Violation]:
+    """Repeats of a call with a key where, or when, the first run does not have them dropped."""
+    first, *repeats = ran
+    places: dict[str, tuple[object, ...]] = {"zone": case.zones, "cell": case.cells}
+    places_of_scope = places.get(name.partition("-")[2])
+    if places_of_scope is not None:
+        place = places_of_scope[int(first.worker[1:])]
+        for call in repeats:
+            if places_of_scope[int(call.worker[1:])] != place:
+                yield Violation("keyed-in-scope", f"{name}: at {call.worker} as well")
+    window_s = scenario.CLASSES[name].deduplication_window_us / US_PER_S
+    for call in repeats:
+        if call.at_s > first.at_s + window_s:
+            yield Violation("keyed-in-scope", f"{name}: after its window")
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -1,381 +1,240 @@
-"""A counterexample on loopback sockets: the real program, `maplestile serve`, between scripted workers and
-clients. What has to hold is judged by the same properties, from what the workers and the clients have seen.
+"""Replay of an example on loopback sockets: `maplestile serve` between scripted workers and clients.
 
-    refuse LINK   the worker's port takes nobody when that connection is dialled
+What has to hold is checked by what the workers and the clients have seen. Of the events, those that need a
+real form of their own:
+
+    refuse LINK   the worker's port accepts nobody when that connection is dialled
     drain WORKER  an operator suspends it; `gone`: it leaves the file, and SIGHUP; `return`: it is back
     time          a step of real time
 
-A line that the system takes in part cannot be had on demand, nor can a connection be kept from coming up once
-it is accepted: an `up` waits until it is there, and a `part` or an `away` is told as left out."""
+A line that the system accepts in part cannot be had on demand, nor can a connection be kept from coming up
+once it is accepted: an `up` waits until it is there, and a `part` or an `away` is reported as left out.
+"""
 
 import asyncio
-import base64
-import contextlib
-import json
-import os
-import signal
-import socket
-import struct
-import sys
 import tempfile
 import time
-from asyncio.subprocess import DEVNULL, PIPE, Process
-from collections.abc import Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import Any
 
 import maplestile
-from maplestile.operation.client import CallError, call
-from maplestile.tools.explore import properties
-from maplestile.tools.explore import world as worlds
+from maplestile.tools.explore import properties, scenario
 from maplestile.tools.explore.cases import CASES, Case, CaseError, Event, Example
-
-PATIENCE_S, LOOK_S, REST_S, SETTLE_S = 10.0, 0.005, 1.5, 0.03
+from maplestile.tools.explore.router_process import RouterUnderTest
+from maplestile.tools.explore.scripted_workers import Peer, Received, ScriptedWorker
+from maplestile.tools.explore.simulation import WORKER_STATES, Simulation, Violation
+from maplestile.tools.explore.socket_checks import US_PER_S, Clients, violations
+
+PATIENCE_S = 10.0  # until an event must have come about
+LOOK_S = 0.005  # between two looks whether it has
+REST_S = 1.5  # after the last event
+SETTLE_S = 0.03  # after every event
 ROOT = Path(maplestile.__file__).parent.parent
-SEMANTICS = {"safe": 'semantics = "safe"', "unsafe": 'semantics = "unsafe"'}
-
-
-@dataclass(slots=True)
-class Seen:
-    """A call as the workers have it whole."""
-
-    call: str
-    worker: str
-    at_s: float
-    never_ran: bool = False
-
-
-@dataclass(slots=True, eq=False)
-class Peer:
-    """A connection that a worker has accepted."""
-
-    worker: str
-    reader: asyncio.StreamReader
-    writer: asyncio.StreamWriter
-    lines: list[dict[str, Any]] = field(default_factory=list)
-    open: bool = True
-
 
-class Worker:
-    """Accepts, reads lines, and answers as it is told."""
 
-    def __init__(self, name: str, stage: "Stage") -> None:
-        self.name, self.stage = name, stage
-        self.server: asyncio.Server | None = None
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            self.port = int(probe.getsockname()[1])
-
-    async def listen(self, wanted: bool) -> None:
-        if wanted and self.server is None:
-            self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
-        elif not wanted and self.server is not None:
-            self.server.close()
-            self.server = None
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        peer = Peer(self.name, reader, writer)
-        self.stage.peers.append(peer)
-        with contextlib.suppress(OSError, ValueError):
-            while line := await reader.readline():
-                told = json.loads(line)
-                peer.lines.append(told)
-                if told["kind"] == "CALL":
-                    body = base64.b64decode(told["bytes"]).decode()
-                    self.stage.seen.append(Seen(body, self.name, time.monotonic()))
-                    peer.lines[-1]["body"] = body
-        peer.open = False
-
-
-class Stage:
-    """One replay."""
-
-    def __init__(self, case: Case, folder: Path, root: Path) -> None:
-        self.case, self.folder, self.root = case, folder, root
-        self.peers: list[Peer] = []  # in the order in which they were accepted, as links are dialled
-        self.seen: list[Seen] = []
-        self.answers: dict[int, list[int]] = {}  # the statuses of each call
-        self.due: dict[int, float] = {}
-        self.late: list[int] = []
-        self.clients: list[asyncio.Task[None]] = []
-        self.left: set[int] = set()
-        self.told_s: dict[str, float] = {}
+class SocketReplay:
+    """One replay. `dialled` has the worker of each link, as the simulation knows it."""
+
+    def __init__(self, example: Example, folder: Path, root: Path) -> None:
+        self.example = example
+        self.case: Case = CASES[example.case]
+        self.received = Received()
+        self.workers = {
+            f"w{number}": ScriptedWorker(f"w{number}", self.received) for number in range(self.case.workers)
+        }
+        self.router = RouterUnderTest(self.case, folder, root)
+        self.clients = Clients()
+        self.client_tasks: list[asyncio.Task[None]] = []
+        self.draining_since_s: dict[str, float] = {}
         self.gone: set[str] = set()
-        self.workers = {f"w{n}": Worker(f"w{n}", self) for n in range(case.workers)}
-        self.process: Process | None = None
-        self.invoke = self.operator = ("127.0.0.1", 0)
-        self.passed: list[str] = []
-        self.refusals: list[int] = []  # the links that are refused
-        self.dialled: list[str] = []  # the worker of each link, as the explorer has it
-
-    # The program.
-
-    def file(self) -> Path:
-        classes = []
-        for name in dict.fromkeys(self.case.classes):
-            kind = worlds.CLASSES[name]
-            keyed = (
-                f'scope = "{kind.deduplication_scope.value}"\n'
-                f"window_ms = {kind.deduplication_window_us / 1e3}"
-            )
-            told = SEMANTICS.get(name, f'semantics = "keyed"\n{keyed}')
-            classes.append(
-                f'[[class]]\nname = "{name}"\naim_ms = {kind.latency_objective_us / 1e3}\n'
-                f"deadline_ms = {kind.deadline_us / 1e3}\n{told}\n"
-            )
-        workers = [
-            f'[[worker]]\nid = "{name}"\naddress = "127.0.0.1:{worker.port}"\nkind = "k"\n'
-            f'zone = "{self.case.zones[n]}"\ncell = {self.case.cells[n]}\n'
-            for n, (name, worker) in enumerate(self.workers.items())
-            if name not in self.gone
-        ]
-        file = self.folder / "router.toml"
-        head = '[invoke]\nlisten = "127.0.0.1:0"\n[operation]\nlisten = "127.0.0.1:0"\n'
-        rules = f"[rules]\nattempts = {worlds.MAX_ATTEMPTS}\nkeep_s = 10\n"
-        function = '[[function]]\nname = "f"\nclass = "{}"\nmemory_mb = 100\nlanes = 1\n'
-        kind_text = '[[kind]]\nname = "k"\nmemory_mb = 4000\n'
-        text = head + rules + "".join(classes) + function.format(self.case.classes[0]) + kind_text
-        file.write_text(text + "".join(workers))
-        return file
-
-    async def start(self) -> None:
-        command = [sys.executable, "-m", "maplestile", "serve", str(self.file())]
-        # Of that folder, wherever this was called from, and whatever else is installed.
-        environment = {**os.environ, "PYTHONPATH": str(self.root), "PYTHONSAFEPATH": "1"}
-        self.process = await asyncio.create_subprocess_exec(
-            *command, stdin=DEVNULL, stderr=PIPE, env=environment
-        )
-        assert self.process.stderr is not None
-        found: dict[str, tuple[str, int]] = {}
-        async with asyncio.timeout(PATIENCE_S):
-            while len(found) < 2:
-                line = (await self.process.stderr.readline()).decode()
-                if not line:
-                    raise CaseError("the program ended at its start")
-                for front in ("operator", "invoke"):
-                    if f"{front} front listens on " in line:
-                        told = line.split(f"{front} front listens on ")[1].split(",")[0]
-                        host, _, port = told.rpartition(":")
-                        found[front] = host, int(port)
-        self.invoke, self.operator = found["invoke"], found["operator"]
-        self.draining = asyncio.get_running_loop().create_task(self._drain(self.process.stderr))
-
-    @staticmethod
-    async def _drain(stderr: asyncio.StreamReader) -> None:
-        while await stderr.readline():
-            pass
-
-    async def end(self) -> None:
-        for client in self.clients:
-            client.cancel()
-        assert self.process is not None
-        if self.process.returncode is None:
-            self.process.send_signal(signal.SIGTERM)
-            try:
-                async with asyncio.timeout(PATIENCE_S):
-                    await self.process.wait()
-            except TimeoutError:
-                self.process.kill()
-                await self.process.wait()
-        self.draining.cancel()
+        self.left_out: list[str] = []  # events that cannot be had on sockets
+        self.refused_links = [int(event[1]) for event in example.events if event[0] == "refuse"]
+        self.dialled = _dialled_workers(example)
+
+    async def run(self) -> dict[str, Any]:
+        """Play all events; the result as a JSON object. Raises `CaseError`."""
+        events = self.example.events
+        await self._arrange(events)
+        self.router.write_file(self.workers.values(), self.gone)
+        await self.router.start()
+        try:
+            for number, event in enumerate(events):
+                await self._play(event, events[number + 1 :])
+            await asyncio.sleep(REST_S)
+            found = self._violations()
+        finally:
+            await self._stop()
+        return self._result(found)
+
+    def _violations(self) -> list[Violation]:
+        found = list(violations(self.case, self.clients, self.received.calls, self.draining_since_s))
+        exit_code = self.router.exit_code()
+        if exit_code is not None:
+            found.append(Violation("no-crash", f"the program ended with {exit_code}"))
+        return found
+
+    def _result(self, found: Sequence[Violation]) -> dict[str, Any]:
+        return {
+            "case": self.example.case,
+            "property": self.example.property,
+            "left_out": self.left_out,
+            "broken": [list(violation) for violation in found],
+            "answers": {str(number): statuses for number, statuses in self.clients.statuses.items()},
+            "attempts": [[call.call, call.worker] for call in self.received.calls],
+        }
+
+    async def _stop(self) -> None:
+        for task in self.client_tasks:
+            task.cancel()
+        await self.router.stop()
         for worker in self.workers.values():
             await worker.listen(False)
-        for peer in self.peers:
+        for peer in self.received.peers:
             peer.writer.close()
 
     # Events.
 
-    async def play(self, event: Event, coming: Sequence[Event]) -> None:
-        """`coming` are those after it: a connection's fate has to be arranged before it is dialled."""
-        await self.arrange(coming)
-        word, numbers = str(event[0]), [int(number) for number in event[1:]]
-        match word:
+    async def _play(self, event: Event, coming: Sequence[Event]) -> None:
+        """Have an event happen; `coming` are those after it."""
+        await self._arrange(coming)
+        name = str(event[0])
+        numbers = [int(number) for number in event[1:]]
+        match name:
             case "submit":
                 self._submit()
             case "leave":
-                self.left.add(numbers[0])
-                self.clients[numbers[0]].cancel()
+                self.clients.left.add(numbers[0])
+                self.client_tasks[numbers[0]].cancel()
+            case "time":
+                await asyncio.sleep(scenario.STEP_US / US_PER_S)
+            case _ if name in WORKER_STATES:
+                await self._change_worker(f"w{numbers[0]}", name)
+            case _:
+                await self._play_at_link(name, *numbers)
+        await asyncio.sleep(SETTLE_S)
+
+    async def _play_at_link(self, name: str, link: int = 0, line: int = 0) -> None:
+        match name:
             case "up":
-                await self._until(lambda: len(self.peers) > self._accepted(numbers[0]), word)
+                await self._until(lambda: len(self.received.peers) > self._accepted(link), name)
             case "refuse":
-                pass
+                pass  # `_arrange` has closed the worker's port
             case "reset":
-                self._reset(self._peer(numbers[0]))
+                self._peer(link).reset()
             case "stray":
-                self._say(self._peer(numbers[0]), "nobody", "200")
+                self._peer(link).answer("nobody", scenario.KINDS["ok"])
             case "again":
-                peer = self._peer(numbers[0])
-                self._say(peer, str(peer.lines[numbers[1]]["call"]), "200")
-            case "drain" | "gone" | "return":
-                await self._tell(f"w{numbers[0]}", word)
-            case "time":
-                await asyncio.sleep(worlds.STEP_US / 1e6)
-            case _ if word in worlds.KINDS:
-                peer = self._peer(numbers[0])
-                await self._until(lambda: len(peer.lines) > numbers[1], word)
-                self._answer(peer, peer.lines[numbers[1]], word)
+                peer = self._peer(link)
+                peer.answer(str(peer.messages[line]["call"]), scenario.KINDS["ok"])
+            case _ if name in scenario.KINDS:
+                peer = self._peer(link)
+                await self._until(lambda: len(peer.messages) > line, name)
+                self._answer(peer, peer.messages[line], scenario.KINDS[name])
             case _:
-                self.passed.append(word)
-        await asyncio.sleep(SETTLE_S)
+                self.left_out.append(name)
 
-    async def arrange(self, coming: Sequence[Event]) -> None:
-        """Of each worker the next connection's fate: the program dials as soon as it has decided."""
-        fates: dict[str, bool] = {}
+    async def _arrange(self, coming: Sequence[Event]) -> None:
+        """Open or close each worker's port for its next connection.
+
+        That has to be done ahead of the event, since the router dials as soon as it has decided.
+        """
+        accepts: dict[str, bool] = {}
         for event in coming:
             if event[0] in ("up", "refuse") and int(event[1]) < len(self.dialled):
-                fates.setdefault(self.dialled[int(event[1])], event[0] == "up")
+                accepts.setdefault(self.dialled[int(event[1])], event[0] == "up")
         for name, worker in self.workers.items():
-            await worker.listen(fates.get(name, True) and name not in self.gone)
+            await worker.listen(accepts.get(name, True) and name not in self.gone)
 
     def _accepted(self, link: int) -> int:
-        """The place among the accepted ones of a link, whose number counts those refused as well."""
-        return link - len([n for n in self.refusals if n < link])
+        """The index among the accepted connections of a link, whose number counts the refused ones too."""
+        return link - sum(refused < link for refused in self.refused_links)
 
     def _peer(self, link: int) -> Peer:
-        return self.peers[self._accepted(link)]
+        return self.received.peers[self._accepted(link)]
 
-    async def _until(self, true: Any, what: str) -> None:
-        end = time.monotonic() + PATIENCE_S
-        while not true():
-            if time.monotonic() > end:
-                raise CaseError(f"events: '{what}' did not come about on sockets")
+    async def _until(self, condition: Callable[[], bool], event_name: str) -> None:
+        end_s = time.monotonic() + PATIENCE_S
+        while not condition():
+            if time.monotonic() > end_s:
+                raise CaseError(f"events: '{event_name}' did not come about on sockets")
             await asyncio.sleep(LOOK_S)
 
     def _submit(self) -> None:
-        number = len(self.clients)
-        self.answers[number] = []
-        self.clients.append(asyncio.get_running_loop().create_task(self._call(number)))
+        number = len(self.client_tasks)
+        self.clients.statuses[number] = []
+        self.client_tasks.append(asyncio.get_running_loop().create_task(self._call(number)))
 
     async def _call(self, number: int) -> None:
-        name = self.case.classes[number]
-        kind, body = worlds.CLASSES[name], f"c{number}"
-        reader, writer = await asyncio.open_connection(*self.invoke)
-        self.due[number] = time.monotonic() + kind.deadline_us / 1e6
-        head = f"POST /v1/functions/f/invocations HTTP/1.1\r\nHost: x\r\nMaplestile-Class: {name}\r\n"
-        writer.write(f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode())
+        class_name = self.case.classes[number]
+        body = f"c{number}"
+        reader, writer = await asyncio.open_connection(*self.router.fronts["invoke"])
+        due_s = time.monotonic() + scenario.CLASSES[class_name].deadline_us / US_PER_S
+        head = (
+            "POST /v1/functions/f/invocations HTTP/1.1\r\n"
+            f"Host: x\r\nMaplestile-Class: {class_name}\r\nContent-Length: {len(body)}\r\n\r\n"
+        )
+        writer.write(f"{head}{body}".encode())
         try:
             while line := await reader.readline():
-                if line.startswith(b"HTTP/1.1 "):
-                    self.answers[number].append(int(line.split()[1]))
-                    if time.monotonic() > self.due[number] + worlds.STEP_US / 1e6:
-                        self.late.append(number)
+                if not line.startswith(b"HTTP/1.1 "):
+                    continue
+                self.clients.statuses[number].append(int(line.split()[1]))
+                if time.monotonic() > due_s + scenario.STEP_US / US_PER_S:
+                    self.clients.late.add(number)
         finally:
             writer.close()
 
-    def _answer(self, peer: Peer, told: dict[str, Any], word: str) -> None:
-        if told["kind"] == "CALL" and worlds.KINDS[word] in worlds.NEVER:
-            for one in self.seen:
-                if one.call == told["body"] and one.worker == peer.worker:
-                    one.never_ran = True
-        self._say(peer, str(told["call"]), worlds.KINDS[word])
-
-    @staticmethod
-    def _say(peer: Peer, name: str, kind: str) -> None:
-        head = {"units": "1"} if name.startswith("load") else {}
-        peer.writer.write(json.dumps({"kind": kind, "call": name, "head": head}).encode() + b"\n")
-
-    @staticmethod
-    def _reset(peer: Peer) -> None:
-        link = peer.writer.get_extra_info("socket")
-        link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        peer.writer.transport.abort()
-
-    async def _tell(self, worker: str, what: str) -> None:
-        if what == "drain":
-            self.told_s[worker] = time.monotonic()
-            await self._operate("PUT", f"/v1/runners/{worker}/suspend")
+    def _answer(self, peer: Peer, message: dict[str, Any], kind: str) -> None:
+        if message["kind"] == "CALL" and kind in scenario.NEVER:
+            for call in self.received.calls:
+                if call.call == message["body"] and call.worker == peer.worker:
+                    call.never_ran = True
+        peer.answer(str(message["call"]), kind)
+
+    async def _change_worker(self, worker: str, event_name: str) -> None:
+        if event_name == "drain":
+            self.draining_since_s[worker] = time.monotonic()
+            await self.router.request("PUT", f"/v1/runners/{worker}/suspend")
             return
-        if what == "gone":
-            self.told_s.setdefault(worker, time.monotonic())
+        if event_name == "gone":
+            self.draining_since_s.setdefault(worker, time.monotonic())
             self.gone.add(worker)
         else:
-            self.gone.discard(worker)
-            self.told_s.pop(worker, None)
-            await self.workers[worker].listen(False)
-            self.workers[worker] = Worker(worker, self)
-            await self.workers[worker].listen(True)
-            await self._operate("PUT", f"/v1/runners/{worker}/resume")
-        self.file()
-        assert self.process is not None
-        os.kill(self.process.pid, signal.SIGHUP)
-
-    async def _operate(self, method: str, path: str) -> None:
-        try:
-            await call(self.operator, method, path, PATIENCE_S)
-        except CallError as fault:
-            raise CaseError(f"the operators' front: {fault}") from None
-
-    # What was seen.
-
-    def broken(self) -> list[tuple[str, str]]:
-        found: list[tuple[str, str]] = []
-        for number, statuses in self.answers.items():
-            name = self.case.classes[number]
-            if len(statuses) > 1:
-                found.append(("one-answer", f"{name}: {len(statuses)} answers"))
-            if number not in self.left and (not statuses or number in self.late):
-                found.append(("answer-by-deadline", f"{name}: {statuses or 'no answer'}"))
-            whole = [one for one in self.seen if one.call == f"c{number}"]
-            ran = [one for one in whole if not one.never_ran]
-            if name == "unsafe" and len(ran) > 1:
-                found.append(("unsafe-once", f"at {', '.join(one.worker for one in ran)}"))
-            if len(whole) > worlds.MAX_ATTEMPTS:
-                found.append(("attempt-limit", f"{name}: {len(whole)} attempts"))
-            if 503 in statuses and ran and name not in ("safe", "keyed-all"):
-                found.append(("harmless-refusal", f"{name}: refused, and it may have run"))
-            found += self._keyed(name, ran)
-        for one in self.seen:
-            told_s = self.told_s.get(one.worker)
-            if told_s is not None and one.at_s > told_s + worlds.settings().drain_grace_us / 1e6:
-                found.append(("nothing-after-drain", f"{one.call} at {one.worker}"))
-        if self.process is not None and self.process.returncode is not None:
-            found.append(("no-crash", f"the program ended with {self.process.returncode}"))
-        return found
+            await self._restart_worker(worker)
+        self.router.write_file(self.workers.values(), self.gone)
+        self.router.reload()
+
+    async def _restart_worker(self, worker: str) -> None:
+        self.gone.discard(worker)
+        self.draining_since_s.pop(worker, None)
+        await self.workers[worker].listen(False)
+        self.workers[worker] = ScriptedWorker(worker, self.received)
+        await self.workers[worker].listen(True)
+        await self.router.request("PUT", f"/v1/runners/{worker}/resume")
+
 
-    def _keyed(self, name: str, ran: list[Seen]) -> list[tuple[str, str]]:
-        if not name.startswith("keyed") or len(ran) < 2:
-            return []
-        kind, scope = worlds.CLASSES[name], name.partition("-")[2]
-        place = {"all": (0, 0), "zone": self.case.zones, "cell": self.case.cells}[scope]
-        first = int(ran[0].worker[1:])
-        other = [one for one in ran if scope != "all" and place[int(one.worker[1:])] != place[first]]
-        late = [one for one in ran[1:] if one.at_s > ran[0].at_s + kind.deduplication_window_us / 1e6]
-        told = [f"{name}: at {one.worker} as well" for one in other]
-        return [("keyed-in-scope", one) for one in (*told, *(f"{name}: after its window" for _ in late))]
+def _dialled_workers(example: Example) -> list[str]:
+    """The worker of each link of an example, by the order in which the links are dialled."""
+    simulation = Simulation(CASES[example.case], properties)
+    for event in example.events:
+        simulation.play(event)
+    return [link.worker for link in simulation.links]
 
 
 async def _replay(example: Example, root: Path) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(CASES[example.case], Path(folder), root)
-        stage.refusals = [int(event[1]) for event in example.events if event[0] == "refuse"]
-        played = worlds.World(stage.case, properties)
-        for event in example.events:
-            played.play(event)
-        stage.dialled = [link.worker for link in played.links]
-        await stage.arrange(example.events)
-        await stage.start()
-        try:
-            for number, event in enumerate(example.events):
-                await stage.play(event, example.events[number + 1 :])
-            await asyncio.sleep(REST_S)
-            broken = stage.broken()
-        finally:
-            await stage.end()
-    return {
-        "case": example.case,
-        "property": example.property,
-        "left_out": stage.passed,
-        "broken": [list(one) for one in broken],
-        "answers": {str(n): told for n, told in stage.answers.items()},
-        "attempts": [[one.call, one.worker] for one in stage.seen],
-    }
+        return await SocketReplay(example, Path(folder), root).run()
 
 
 def replay(example: Example, root: Path = ROOT) -> dict[str, Any]:
-    """What came of it: the properties broken, the statuses of each call, and who had it whole. `root` is
-    the folder of the program's package. Raises CaseError where an event does not come about on sockets."""
+    """Replay an example on sockets.
+
+    The result has the violated properties, the statuses of each call, and who received it complete. `root` is
+    the folder of the program's package. Raises `CaseError` where an event does not come about on sockets.
+    """
     try:
         return asyncio.run(_replay(example, root))
-    except (TimeoutError, IndexError) as fault:
-        raise CaseError(f"events: not to be played on sockets: {fault or type(fault).__name__}") from None
+    except (TimeoutError, IndexError) as error:
+        reason = error or type(error).__name__
+        raise CaseError(f"events: not to be played on sockets: {reason}") from None
