--- /dev/null
+++ b/maplestile/tools/faults/relay_commands.py
@@ -0,0 +1,90 @@
+"""The commands of the relay's control port, decoded from its JSON lines."""
+
+import json
+from dataclasses import dataclass, replace
+
+from maplestile.common.address import Address, parse_address
+from maplestile.common.toml_table import TomlTable
+from maplestile.tools.faults.schedule import Net, Schedule, ScheduleError, schedule_from
+
+COMMANDS = ("udp", "tcp", "begin", "heal", "counts")
+NO_DELAY = Net(loss=0.0, delay_us=0, jitter_us=0)
+
+
+@dataclass(slots=True, frozen=True)
+class RegisterMember:
+    """`udp`: the real socket of a member."""
+
+    member: int
+    address: Address
+
+
+@dataclass(slots=True, frozen=True)
+class OpenLink:
+    """`tcp`: a front for connections from one member to another, whose listener is at `address`."""
+
+    origin: int
+    target: int
+    address: Address
+
+
+@dataclass(slots=True, frozen=True)
+class Begin:
+    """`begin`: play a schedule from now on."""
+
+    schedule: Schedule
+
+
+@dataclass(slots=True, frozen=True)
+class Heal:
+    """`heal`: have everything pass again."""
+
+
+@dataclass(slots=True, frozen=True)
+class ReadCounts:
+    """`counts`: what became of datagrams, chunks and connections so far."""
+
+
+Command = RegisterMember | OpenLink | Begin | Heal | ReadCounts
+
+
+def parse(line: bytes) -> TomlTable:
+    """Read a line as a table of fields. Raises `ScheduleError`."""
+    try:
+        values = json.loads(line)
+    except ValueError:
+        raise ScheduleError("not JSON") from None
+    return TomlTable(values, "", ScheduleError)
+
+
+def decode(table: TomlTable, default: Schedule) -> Command:
+    """Take a command's fields out of a table, for a relay that was started with the schedule `default`.
+
+    Raises `ScheduleError` naming the field.
+    """
+    last_member = default.members - 1
+    match table.choice("do", COMMANDS):
+        case "udp":
+            member = table.whole("member", most=last_member)
+            return RegisterMember(member, parse_address(table.loopback("address")))
+        case "tcp":
+            origin = table.whole("from", most=last_member)
+            target = table.whole("to", most=last_member)
+            return OpenLink(origin, target, parse_address(table.loopback("address")))
+        case "begin":
+            return Begin(_schedule(table, default))
+        case "heal":
+            return Heal()
+    return ReadCounts()
+
+
+def _schedule(command: TomlTable, default: Schedule) -> Schedule:
+    if "schedule" not in command.values:
+        return default
+    table = command.table("schedule")
+    has_net = "net" in table.values
+    table.values = {"seed": default.seed, **table.values, "members": default.members}
+    schedule = schedule_from(table)
+    table.end()
+    # Faults without a network of their own: what passes, passes at once.
+    return schedule if has_net else replace(schedule, net=NO_DELAY)
--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -47,9 +47,15 @@
 
 from maplestile.common.toml_table import ConfigError, TomlTable
 
-MEMBERS_MOST, DURATION_MOST_S = 2000, 24 * 3600.0
+MEMBERS_MOST = 2000
+DURATION_MOST_S = 24 * 3600.0
+MAX_DELAY_MS = 60_000
+MAX_SEED = (1 << 63) - 1
+US_PER_MS = 1000
+US_PER_S = 1e6
+MIN_FLAP_S = 1e-3  # the shortest time for which a flapping link is down, or up
 KINDS = ("kill", "pause", "split", "cut", "flap")
-FOREVER_US = int(DURATION_MOST_S * 1e6)
+FOREVER_US = int(DURATION_MOST_S * US_PER_S)
 
 
 class ScheduleError(ConfigError):
@@ -70,6 +76,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
+    """One fault, from `at_us` on."""
+
     kind: str  # one of KINDS
     at_us: int
     until_us: int  # the end of a pause, split, cut or flap; a kill has none
@@ -80,6 +88,7 @@
     up_us: int = 0
 
     def side(self, member: int) -> int:
+        """The number of the side of a split that a member is on."""
         for number, side in enumerate(self.sides):
             if member in side:
                 return number
@@ -89,30 +98,41 @@
         """Whether nothing passes from `origin` to `target` at that moment, by this fault."""
         if not self.at_us <= now_us < self.until_us:
             return False
-        if self.kind == "split":
-            return self.side(origin) != self.side(target)
-        if self.kind == "cut":
-            return origin in self.members and target in self.others
-        if self.kind == "flap":
-            there = origin in self.members and target in self.others
-            back = target in self.members and origin in self.others
-            return (there or back) and (now_us - self.at_us) % (self.down_us + self.up_us) < self.down_us
+        match self.kind:
+            case "split":
+                return self.side(origin) != self.side(target)
+            case "cut":
+                return self._concerns(origin, target)
+            case "flap":
+                concerned = self._concerns(origin, target) or self._concerns(target, origin)
+                return concerned and self._is_down(now_us)
         return False
 
+    def _concerns(self, origin: int, target: int) -> bool:
+        return origin in self.members and target in self.others
+
+    def _is_down(self, now_us: int) -> bool:
+        return (now_us - self.at_us) % (self.down_us + self.up_us) < self.down_us
+
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
+    """All faults among some members, and what their network does all the time."""
+
     seed: int
     members: int
     net: Net = Net()
     faults: tuple[Fault, ...] = ()
 
     def cut(self, origin: int, target: int, now_us: int) -> bool:
+        """Whether nothing passes from `origin` to `target` at that moment."""
         return any(fault.cuts(origin, target, now_us) for fault in self.faults)
 
     def fate(self, origin: int, target: int, now_us: int, chance: random.Random) -> tuple[int, ...]:
-        """The delays in microseconds after which a datagram arrives: none where it is lost, two where it
-        comes twice."""
+        """The delays in microseconds after which a datagram arrives.
+
+        There are none where it is lost, and two where it comes twice.
+        """
         net = self.net
         if chance.random() < net.loss or self.cut(origin, target, now_us):
             return ()
@@ -124,56 +144,78 @@
         return tuple(delays)
 
     def delay_us(self, chance: random.Random) -> int:
+        """Draw the one-way delay of a datagram."""
         return self.net.delay_us + int(chance.expovariate(1.0) * self.net.jitter_us)
 
 
 def schedule_from(top: TomlTable) -> Schedule:
-    """Takes the schedule's own fields out of `top`, and leaves the others for its caller."""
+    """Take the schedule's own fields out of `top`, and leave the others for the caller.
+
+    Raises `ScheduleError` naming the field.
+    """
     members = top.whole("members", least=2, most=MEMBERS_MOST)
-    seed, net = top.whole("seed", most=(1 << 63) - 1), top.table("net")
-    told = Net(
-        loss=net.number("loss", 0.0, most=1.0),
-        delay_us=_us(net, "delay_ms", 0.5),
-        jitter_us=_us(net, "jitter_ms", 1.0),
-        duplicate=net.number("duplicate", 0.0, most=1.0),
-        reorder=net.number("reorder", 0.0, most=1.0),
-        reorder_us=_us(net, "reorder_ms", 20.0),
-    )
-    net.end()
+    seed = top.whole("seed", most=MAX_SEED)
+    net = _net(top.table("net"))
     faults = [_fault(kind, table, members) for kind in KINDS for table in top.tables(kind, needed=False)]
-    return Schedule(seed, members, told, tuple(sorted(faults, key=lambda fault: fault.at_us)))
-
+    return Schedule(seed, members, net, tuple(sorted(faults, key=lambda fault: fault.at_us)))
 
-def _us(table: TomlTable, name: str, default: float) -> int:
-    return int(table.number(name, default, most=60_000) * 1000)
 
-
-def _fault(kind: str, told: TomlTable, members: int) -> Fault:
-    at_us = _seconds(told, "at_s")
-    if kind == "kill":
-        fault = Fault(kind, at_us, FOREVER_US, _member(told, members))
-    elif kind == "pause":
-        fault = Fault(kind, at_us, at_us + _seconds(told, "for_s"), _member(told, members))
-    else:
-        until_us = _seconds(told, "until_s")
-        if until_us < at_us:
-            raise told.wrong("until_s", "must not be before at_s")
-        if kind == "split":
-            sides = tuple(frozenset(side) for side in told.groups("sides", members))
+def _net(table: TomlTable) -> Net:
+    net = Net(
+        loss=table.number("loss", 0.0, most=1.0),
+        delay_us=_milliseconds(table, "delay_ms", 0.5),
+        jitter_us=_milliseconds(table, "jitter_ms", 1.0),
+        duplicate=table.number("duplicate", 0.0, most=1.0),
+        reorder=table.number("reorder", 0.0, most=1.0),
+        reorder_us=_milliseconds(table, "reorder_ms", 20.0),
+    )
+    table.end()
+    return net
+
+
+def _fault(kind: str, table: TomlTable, members: int) -> Fault:
+    at_us = _seconds(table, "at_s")
+    match kind:
+        case "kill":
+            fault = Fault(kind, at_us, FOREVER_US, _member(table, members))
+        case "pause":
+            fault = Fault(kind, at_us, at_us + _seconds(table, "for_s"), _member(table, members))
+        case "split":
+            until_us = _end(table, at_us)
+            sides = tuple(frozenset(side) for side in table.groups("sides", members))
             fault = Fault(kind, at_us, until_us, sides=sides)
-        else:
-            ends = frozenset(told.numbers("from", members)), frozenset(told.numbers("to", members))
-            down_us, up_us = (
-                (_seconds(told, "down_s", 1e-3), _seconds(told, "up_s", 1e-3)) if kind == "flap" else (0, 0)
-            )
-            fault = Fault(kind, at_us, until_us, *ends, down_us=down_us, up_us=up_us)
-    told.end()
+        case _:
+            fault = _link_fault(kind, table, at_us, members)
+    table.end()
     return fault
 
 
-def _seconds(told: TomlTable, name: str, least: float = 0.0) -> int:
-    return int(told.number(name, least=least, most=DURATION_MOST_S) * 1e6)
+def _link_fault(kind: str, table: TomlTable, at_us: int, members: int) -> Fault:
+    """A cut or a flap."""
+    until_us = _end(table, at_us)
+    origins = frozenset(table.numbers("from", members))
+    targets = frozenset(table.numbers("to", members))
+    if kind == "cut":
+        return Fault(kind, at_us, until_us, origins, targets)
+    down_us = _seconds(table, "down_s", MIN_FLAP_S)
+    up_us = _seconds(table, "up_s", MIN_FLAP_S)
+    return Fault(kind, at_us, until_us, origins, targets, down_us=down_us, up_us=up_us)
+
+
+def _end(table: TomlTable, at_us: int) -> int:
+    until_us = _seconds(table, "until_s")
+    if until_us < at_us:
+        raise table.wrong("until_s", "must not be before at_s")
+    return until_us
+
+
+def _milliseconds(table: TomlTable, name: str, default: float) -> int:
+    return int(table.number(name, default, most=MAX_DELAY_MS) * US_PER_MS)
+
+
+def _seconds(table: TomlTable, name: str, least: float = 0.0) -> int:
+    return int(table.number(name, least=least, most=DURATION_MOST_S) * US_PER_S)
 
 
-def _member(told: TomlTable, members: int) -> frozenset[int]:
-    return frozenset((told.whole("member", most=members - 1),))
+def _member(table: TomlTable, members: int) -> frozenset[int]:
+    return frozenset((table.whole("member", most=members - 1),))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The schedule of faults, and the relay that plays it between sockets of this process."""
+"""The schedule of faults, and the relay that applies it between sockets of this process."""
 
 import asyncio
 import json
@@ -35,16 +35,18 @@
             with self.subTest(fault=fault.kind, origin=origin, target=target, now=now):
                 self.assertEqual(fault.cuts(origin, target, now), expected)
 
-    def test_shares_of_loss_and_duplicates_are_those_told(self) -> None:
+    def test_loss_and_duplicates_have_the_configured_shares(self) -> None:
         schedule = Schedule(1, 2, Net(loss=0.2, duplicate=0.1, reorder=0.3, reorder_us=1_000_000))
         chance = random.Random(1)
-        fates = [schedule.fate(0, 1, 0, chance) for _ in range(5000)]
-        self.assertAlmostEqual(sum(not fate for fate in fates) / 5000, 0.2, delta=0.03)
-        self.assertAlmostEqual(sum(len(fate) == 2 for fate in fates) / 5000, 0.08, delta=0.02)
-        self.assertAlmostEqual(sum(max(f, default=0) >= 1_000_000 for f in fates) / 5000, 0.24, delta=0.03)
+        delays = [schedule.fate(0, 1, 0, chance) for _ in range(5000)]
+        self.assertAlmostEqual(sum(not one for one in delays) / 5000, 0.2, delta=0.03)
+        self.assertAlmostEqual(sum(len(one) == 2 for one in delays) / 5000, 0.08, delta=0.02)
+        self.assertAlmostEqual(
+            sum(max(one, default=0) >= 1_000_000 for one in delays) / 5000, 0.24, delta=0.03
+        )
 
     def test_a_bad_schedule_names_its_field(self) -> None:
-        for told, place in (
+        for values, place in (
             ({"members": 3}, "seed"),
             ({"seed": 1, "members": 3, "net": {"loss": 2}}, "net.loss"),
             (
@@ -55,16 +57,16 @@
             ({"seed": 1, "members": 3, "pause": [{"at_s": 1, "member": 1}]}, "pause[0].for_s"),
         ):
             with self.assertRaises(ScheduleError) as caught:
-                schedule_from(TomlTable(told, "", ScheduleError))
+                schedule_from(TomlTable(values, "", ScheduleError))
             self.assertTrue(str(caught.exception).startswith(place), str(caught.exception))
 
 
 class Echo(asyncio.DatagramProtocol):
     def __init__(self) -> None:
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.got.append(data)
+        self.received.append(data)
 
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
@@ -78,13 +80,13 @@
         for front in self.relay.fronts:
             self.addCleanup(front.transport.close)
 
-    async def ask(self, **told: Any) -> dict[str, Any]:
-        return await self.relay.told(json.dumps(told).encode())
+    async def send(self, **command: Any) -> dict[str, Any]:
+        return await self.relay.told(json.dumps(command).encode())
 
-    async def meet(self) -> None:
+    async def register(self) -> None:
         for number, (transport, _) in enumerate(self.ends):
             host, port = transport.get_extra_info("sockname")
-            self.assertTrue((await self.ask(do="udp", member=number, address=f"{host}:{port}"))["ok"])
+            self.assertTrue((await self.send(do="udp", member=number, address=f"{host}:{port}"))["ok"])
 
     async def until(self, true: Any) -> None:
         async with asyncio.timeout(10):
@@ -93,22 +95,22 @@
 
     async def test_datagrams_pass_are_cut_one_way_and_pass_again(self) -> None:
         (one, _), (_, other) = self.ends
-        one.sendto(b"stranger", self.fronts[1])
+        one.sendto(b"unknown", self.fronts[1])
         await self.until(lambda: self.relay.counts["udp.unknown"] == 1)
-        await self.meet()
+        await self.register()
         one.sendto(b"a", self.fronts[1])
-        await self.until(lambda: other.got == [b"a"])
+        await self.until(lambda: other.received == [b"a"])
         cut = {"at_s": 0, "until_s": 100, "from": [0], "to": [1]}
-        await self.ask(do="begin", schedule={"cut": [cut]})
+        await self.send(do="begin", schedule={"cut": [cut]})
         one.sendto(b"b", self.fronts[1])
         await self.until(lambda: self.relay.counts["udp.lost"] == 1)
         self.ends[1][0].sendto(b"back", self.fronts[0])
-        await self.until(lambda: self.ends[0][1].got == [b"back"])
-        await self.ask(do="heal")
+        await self.until(lambda: self.ends[0][1].received == [b"back"])
+        await self.send(do="heal")
         one.sendto(b"c", self.fronts[1])
-        await self.until(lambda: other.got == [b"a", b"c"])
+        await self.until(lambda: other.received == [b"a", b"c"])
 
-    async def test_tcp_bytes_wait_at_a_cut_and_come_whole_and_in_order(self) -> None:
+    async def test_tcp_bytes_wait_at_a_cut_and_arrive_complete_and_in_order(self) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(await reader.readexactly(100_000))
             writer.close()
@@ -116,17 +118,17 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
-        told = await self.ask(do="tcp", **{"from": 0, "to": 1}, address=f"127.0.0.1:{port}")
-        host, _, front = told["front"].rpartition(":")
+        reply = await self.send(do="tcp", **{"from": 0, "to": 1}, address=f"127.0.0.1:{port}")
+        host, _, front = reply["front"].rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(front))
         self.addCleanup(writer.close)
         data = random.Random(1).randbytes(100_000)
         split = {"at_s": 0, "until_s": 100, "sides": [[0], [1]]}
-        await self.ask(do="begin", schedule={"net": {"loss": 0.1, "jitter_ms": 0}, "split": [split]})
+        await self.send(do="begin", schedule={"net": {"loss": 0.1, "jitter_ms": 0}, "split": [split]})
         writer.write(data)
         await self.until(lambda: self.relay.counts["tcp.held"] > 0)
         self.assertEqual(self.relay.counts["tcp.chunks"], 0)
-        await self.ask(do="heal")
+        await self.send(do="heal")
         async with asyncio.timeout(10):
             got = bytearray()
             while chunk := await reader.read(65_536):
