--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -1,22 +1,32 @@
-"""Public cluster traces in CSV, read row by row: what each function asks, and a function table from it.
+"""Public cluster traces in CSV, read row by row: what each function uses, and a function table from it.
 
-Known by their header: the Azure Functions trace of 2019 (invocations a minute, durations, memory by app) and
-that of 2021 (one row a call). Several files of one trace are put together by function."""
+They are known by their header: the Azure Functions trace of 2019 (invocations a minute, durations, memory by
+app) and that of 2021 (one row a call). Several files of one trace are put together by function.
+See https://github.com/Azure/AzurePublicDataset for the forms.
+"""
 
 import csv
 import json
 import math
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 from typing import TextIO
 
-MINUTE_S, DAY_MINUTES, SHORT_NAME, LANES_MOST = 60.0, 1440, 16, 16
+MINUTE_S = 60.0
+DAY_MINUTES = 1440
+MS_PER_S = 1000
+SHORT_NAME_LENGTH = 16
+MAX_LANES = 16
+MAX_BAD_ROWS = 1000  # named; a file of another kind must not fill the memory
 
+# Receives each group of calls that a row has: app, function, start, span in which they start, and count.
 Keep = Callable[[str, str, float, float, int], None]
+Row = list[str]
+Columns = Mapping[str, int]  # the index of each column by its name
 
 
 class TraceError(Exception):
-    """A file that is no trace known here."""
+    """A file that is no known trace."""
 
 
 class RowError(Exception):
@@ -41,147 +51,183 @@
     last_s: float = -math.inf
 
     def rate(self) -> float:
+        """Calls a second."""
         return self.calls / self.span_s if self.span_s > 0 else 0.0
 
     def duration_ms(self) -> float | None:
+        """The mean duration."""
         return self.duration_sum_ms / self.durations if self.durations else None
 
     def gap_s(self) -> float | None:
+        """The mean time between the starts of two calls."""
         return self.gap_sum_s / self.gaps if self.gaps else None
 
+    def add_gap(self, gap_s: float) -> None:
+        """Count the time between the starts of two calls."""
+        self.gap_most_s = max(self.gap_most_s, gap_s)
+        self.gap_sum_s += gap_s
+        self.gaps += 1
+
+    def add_durations(self, mean_ms: float, count: float, most_ms: float) -> None:
+        """Count some calls' durations."""
+        self.duration_sum_ms += mean_ms * count
+        self.durations += count
+        self.duration_most_ms = max(self.duration_most_ms, most_ms)
+
 
 @dataclass(slots=True)
 class Trace:
+    """What the files of one trace have said so far."""
+
     functions: dict[tuple[str, str], Usage] = field(default_factory=dict)
     memory: dict[str, tuple[float, float]] = field(default_factory=dict)  # app to sum and weight
-    bad: list[str] = field(default_factory=list)
+    bad: list[str] = field(default_factory=list)  # rows that could not be used, by their line
     rows: int = 0
     first_s: float = math.inf
     last_s: float = -math.inf
-    # Where each call goes that a row tells: app, function, when it began, within what span, and how many.
-    keep: "Keep | None" = None
+    keep: Keep | None = None
 
     def usage(self, owner: str, app: str, name: str) -> Usage:
+        """The usage of a function, which is new at its first row. Raises `RowError`."""
         if not app or not name:
             raise RowError("no app or no function")
         found = self.functions.get((app, name))
         if found is None:
-            found = self.functions[app, name] = Usage(owner, app, name)
+            found = Usage(owner, app, name)
+            self.functions[app, name] = found
         return found
 
     def memory_mb(self, usage: Usage) -> float | None:
+        """The mean memory of a function's app; None where the trace has none."""
         total, weight = self.memory.get(usage.app, (0.0, 0.0))
         return total / weight if weight else None
 
-    def read(self, file: TextIO, name: str, bad_most: int = 1000) -> None:
-        """Read one file; a bad row is named by its line and left out."""
-        rows = csv.reader(file)
+    def read(self, file: TextIO, name: str, bad_most: int = MAX_BAD_ROWS) -> None:
+        """Read one file; a row that cannot be used is named by its line and left out.
+
+        Raises `TraceError` where the file is no known trace.
+        """
+        reader = csv.reader(file)
         try:
-            header = [column.strip() for column in next(rows, [])]
-        except (csv.Error, UnicodeDecodeError) as fault:
-            raise TraceError(f"{name}: {fault}") from None
-        take = self._schema(header, name)
+            header = [column.strip() for column in next(reader, [])]
+        except (csv.Error, UnicodeDecodeError) as error:
+            raise TraceError(f"{name}: {error}") from None
+        read_row = self._row_reader(header, name)
         while True:
             try:
-                row = next(rows)
-                if not row:
-                    continue
-                self.rows += 1
-                if len(row) != len(header):
-                    raise RowError(f"{len(row)} fields where {len(header)} are due")
-                take(row)
+                row = next(reader)
+                if row:
+                    self._read_row(row, len(header), read_row)
             except StopIteration:
                 break
-            except (RowError, csv.Error) as fault:
-                if len(self.bad) < bad_most:  # a file of another kind must not fill the memory
-                    self.bad.append(f"{name}, line {rows.line_num}: {fault}")
+            except (RowError, csv.Error) as error:
+                if len(self.bad) < bad_most:
+                    self.bad.append(f"{name}, line {reader.line_num}: {error}")
+        self._set_spans()
+
+    def _read_row(self, row: Row, width: int, read_row: Callable[[Row], None]) -> None:
+        self.rows += 1
+        if len(row) != width:
+            raise RowError(f"{len(row)} fields where {width} are due")
+        read_row(row)
+
+    def _set_spans(self) -> None:
+        """Give the functions without a span of their own that of the whole trace."""
         if self.last_s > self.first_s:
             for usage in self.functions.values():
                 usage.span_s = usage.span_s or self.last_s - self.first_s
 
-    def _schema(self, header: list[str], name: str) -> Callable[[list[str]], None]:
-        place = {column: n for n, column in enumerate(header)}
-        if {"HashApp", "HashFunction", "1"} <= place.keys():
-            minutes = [place[str(m)] for m in range(1, DAY_MINUTES + 1) if str(m) in place]
-            return lambda row: self._minutes(row, place, minutes)
-        if {"HashApp", "HashFunction", "Average", "Count"} <= place.keys():
-            return lambda row: self._durations(row, place)
-        if {"HashApp", "SampleCount", "AverageAllocatedMb"} <= place.keys():
-            return lambda row: self._memory(row, place)
-        if {"app", "func", "end_timestamp", "duration"} <= place.keys():
-            return lambda row: self._call(row, place)
+    def _row_reader(self, header: Row, name: str) -> Callable[[Row], None]:
+        """What reads the rows of a file with this header."""
+        columns = {column: index for index, column in enumerate(header)}
+        names = columns.keys()
+        if {"HashApp", "HashFunction", "1"} <= names:
+            minutes = [columns[str(m)] for m in range(1, DAY_MINUTES + 1) if str(m) in columns]
+            return lambda row: self._read_minutes(row, columns, minutes)
+        if {"HashApp", "HashFunction", "Average", "Count"} <= names:
+            return lambda row: self._read_durations(row, columns)
+        if {"HashApp", "SampleCount", "AverageAllocatedMb"} <= names:
+            return lambda row: self._read_memory(row, columns)
+        if {"app", "func", "end_timestamp", "duration"} <= names:
+            return lambda row: self._read_call(row, columns)
         raise TraceError(f"{name}: its header is of no trace known here")
 
-    def _minutes(self, row: list[str], place: dict[str, int], minutes: list[int]) -> None:
-        counts = [number(row[at], f"minute {n + 1}") for n, at in enumerate(minutes)]
-        owner = row[place["HashOwner"]] if "HashOwner" in place else ""
-        usage = self.usage(owner, row[place["HashApp"]], row[place["HashFunction"]])
-        before = usage.span_s
+    def _hashed_usage(self, row: Row, columns: Columns) -> Usage:
+        owner = row[columns["HashOwner"]] if "HashOwner" in columns else ""
+        return self.usage(owner, row[columns["HashApp"]], row[columns["HashFunction"]])
+
+    def _read_minutes(self, row: Row, columns: Columns, minutes: list[int]) -> None:
+        """A function's calls in each minute."""
+        counts = [number(row[index], f"minute {minute}") for minute, index in enumerate(minutes, 1)]
+        usage = self._hashed_usage(row, columns)
+        start_s = usage.span_s
         usage.calls += sum(counts)
         usage.span_s += MINUTE_S * len(counts)
-        for n, count in enumerate(counts):
-            if not count:
-                continue
-            if self.keep is not None:
-                self.keep(usage.app, usage.name, before + MINUTE_S * n, MINUTE_S, int(count))
-            at_s = before + MINUTE_S * (n + 0.5)
-            if usage.last_s > -math.inf:
-                usage.gap_most_s = max(usage.gap_most_s, at_s - usage.last_s)
-                usage.gap_sum_s += at_s - usage.last_s
-                usage.gaps += 1
-            usage.gaps += int(count) - 1  # within a minute calls are taken as close together
-            usage.last_s = at_s
-
-    def _durations(self, row: list[str], place: dict[str, int]) -> None:
-        average, count = number(row[place["Average"]], "Average"), number(row[place["Count"]], "Count")
-        most = number(row[place["Maximum"]], "Maximum") if "Maximum" in place else average
-        owner = row[place["HashOwner"]] if "HashOwner" in place else ""
-        usage = self.usage(owner, row[place["HashApp"]], row[place["HashFunction"]])
-        usage.duration_sum_ms += average * count
-        usage.durations += count
-        usage.duration_most_ms = max(usage.duration_most_ms, most)
-
-    def _memory(self, row: list[str], place: dict[str, int]) -> None:
-        average = number(row[place["AverageAllocatedMb"]], "AverageAllocatedMb")
-        weight = number(row[place["SampleCount"]], "SampleCount")
-        if not (app := row[place["HashApp"]]):
+        for minute, count in enumerate(counts):
+            if count:
+                self._add_minute(usage, start_s + MINUTE_S * minute, int(count))
+
+    def _add_minute(self, usage: Usage, start_s: float, count: int) -> None:
+        if self.keep is not None:
+            self.keep(usage.app, usage.name, start_s, MINUTE_S, count)
+        middle_s = start_s + MINUTE_S / 2
+        if usage.last_s > -math.inf:
+            usage.add_gap(middle_s - usage.last_s)
+        usage.gaps += count - 1  # within a minute calls are taken as close together
+        usage.last_s = middle_s
+
+    def _read_durations(self, row: Row, columns: Columns) -> None:
+        """A function's mean and longest duration."""
+        average = number(row[columns["Average"]], "Average")
+        count = number(row[columns["Count"]], "Count")
+        most = number(row[columns["Maximum"]], "Maximum") if "Maximum" in columns else average
+        self._hashed_usage(row, columns).add_durations(average, count, most)
+
+    def _read_memory(self, row: Row, columns: Columns) -> None:
+        """An app's mean memory."""
+        average = number(row[columns["AverageAllocatedMb"]], "AverageAllocatedMb")
+        weight = number(row[columns["SampleCount"]], "SampleCount")
+        app = row[columns["HashApp"]]
+        if not app:
             raise RowError("no app")
-        total, before = self.memory.get(app, (0.0, 0.0))
-        self.memory[app] = total + average * weight, before + weight
-
-    def _call(self, row: list[str], place: dict[str, int]) -> None:
-        end_s = number(row[place["end_timestamp"]], "end_timestamp")
-        duration_s = number(row[place["duration"]], "duration")
-        usage = self.usage("", row[place["app"]], row[place["func"]])
-        began_s = end_s - duration_s
+        total, former_weight = self.memory.get(app, (0.0, 0.0))
+        self.memory[app] = total + average * weight, former_weight + weight
+
+    def _read_call(self, row: Row, columns: Columns) -> None:
+        """One call; rows stand in the order of the calls' ends."""
+        end_s = number(row[columns["end_timestamp"]], "end_timestamp")
+        duration_s = number(row[columns["duration"]], "duration")
+        usage = self.usage("", row[columns["app"]], row[columns["func"]])
+        start_s = end_s - duration_s
         if self.keep is not None:
-            self.keep(usage.app, usage.name, began_s, 0.0, 1)
+            self.keep(usage.app, usage.name, start_s, 0.0, 1)
         if usage.last_s > -math.inf:
-            gap_s = max(0.0, began_s - usage.last_s)  # rows stand in order of their ends
-            usage.gap_sum_s, usage.gaps = usage.gap_sum_s + gap_s, usage.gaps + 1
-            usage.gap_most_s = max(usage.gap_most_s, gap_s)
-        usage.last_s = max(usage.last_s, began_s)
+            usage.add_gap(max(0.0, start_s - usage.last_s))
+        usage.last_s = max(usage.last_s, start_s)
         usage.calls += 1
-        usage.duration_sum_ms += duration_s * 1000
-        usage.durations += 1
-        usage.duration_most_ms = max(usage.duration_most_ms, duration_s * 1000)
-        self.first_s, self.last_s = min(self.first_s, began_s), max(self.last_s, end_s)
+        duration_ms = duration_s * MS_PER_S
+        usage.add_durations(duration_ms, 1, duration_ms)
+        self.first_s = min(self.first_s, start_s)
+        self.last_s = max(self.last_s, end_s)
 
     def ranked(self, top: int = 0) -> list[Usage]:
-        found = sorted(self.functions.values(), key=lambda u: (-u.calls, u.app, u.name))
+        """The functions by their calls, the busiest first; only so many where `top` is not 0."""
+        found = sorted(self.functions.values(), key=lambda usage: (-usage.calls, usage.app, usage.name))
         return found[:top] if top else found
 
     def named(self, top: int = 0) -> Iterator[tuple[Usage, str]]:
         """Each function with the name it has in a function table: short, and no name twice."""
         taken = set[str]()
         for usage in self.ranked(top):
-            name = usage.name[:SHORT_NAME]
-            name = f"{usage.app[:SHORT_NAME]}-{usage.name}" if name in taken else name
+            name = usage.name[:SHORT_NAME_LENGTH]
+            if name in taken:
+                name = f"{usage.app[:SHORT_NAME_LENGTH]}-{usage.name}"
             taken.add(name)
             yield usage, name
 
 
 def number(text: str, column: str) -> float:
+    """Read a number that is finite and not negative. Raises `RowError` naming the column."""
     try:
         value = float(text)
     except ValueError:
@@ -192,27 +238,30 @@
 
 
 def summary(trace: Trace, top: int = 0) -> Iterator[dict[str, object]]:
+    """One record for each function, the busiest first."""
     for usage in trace.ranked(top):
         yield {
             "app": usage.app,
             "function": usage.name,
             "calls": int(usage.calls),
-            "rate_per_s": _short(usage.rate()),
-            "mean_gap_s": _short(usage.gap_s()),
-            "longest_gap_s": _short(usage.gap_most_s if usage.gaps else None),
-            "mean_ms": _short(usage.duration_ms()),
-            "most_ms": _short(usage.duration_most_ms if usage.durations else None),
-            "memory_mb": _short(trace.memory_mb(usage)),
+            "rate_per_s": _rounded(usage.rate()),
+            "mean_gap_s": _rounded(usage.gap_s()),
+            "longest_gap_s": _rounded(usage.gap_most_s if usage.gaps else None),
+            "mean_ms": _rounded(usage.duration_ms()),
+            "most_ms": _rounded(usage.duration_most_ms if usage.durations else None),
+            "memory_mb": _rounded(trace.memory_mb(usage)),
         }
 
 
-def _short(value: float | None) -> float | None:
+def _rounded(value: float | None) -> float | None:
+    """To four significant digits."""
     return None if value is None else float(f"{value:.4g}")
 
 
 def table(rows: Iterable[dict[str, object]]) -> Iterator[str]:
-    for n, row in enumerate(rows):
-        if not n:
+    """The records as lines with tabs, under a line with the names of the columns."""
+    for index, row in enumerate(rows):
+        if index == 0:
             yield "\t".join(row)
         yield "\t".join("-" if value is None else str(value) for value in row.values())
 
@@ -220,9 +269,9 @@
 def functions(trace: Trace, class_name: str, memory_mb: float, top: int = 0) -> Iterator[str]:
     """A function table for the operator's file; a row that lacks its memory gets the one given."""
     for usage, name in trace.named(top):
-        # By Little's law: as many lanes as calls are in hand on the mean.
-        in_hand = usage.rate() * (usage.duration_ms() or 0.0) / 1000
-        lanes = min(LANES_MOST, max(1, math.ceil(in_hand)))
+        # By Little's law: as many lanes as calls are in flight on the mean.
+        in_flight = usage.rate() * (usage.duration_ms() or 0.0) / MS_PER_S
+        lanes = min(MAX_LANES, max(1, math.ceil(in_flight)))
         memory = max(1.0, trace.memory_mb(usage) or memory_mb)
         yield f"[[function]]\nname = {json.dumps(name)}\nclass = {json.dumps(class_name)}"
         yield f"memory_mb = {memory:.1f}\nlanes = {lanes}\n"
