--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -1,12 +1,15 @@
-"""An experiment of the model: a schedule of faults (`faults/schedule.py`, the same that the relay plays) and
+"""Experiments of the membership model.
+
+A file has a schedule of faults (`faults/schedule.py`, the same that the relay plays) and:
 
     duration_s = 120
     lifeguard = true             # off: plain SWIM
     period_ms = 1000             # the protocol's period; the rest of its tuning is the program's own
     duties = 20                  # shared periodic duties, such as the probes of so many runners; 0 for none
 
-The same file and seed give the same figures, byte for byte. A file that cannot be used raises
-`ScheduleError` naming the field."""
+The same file and seed give the same metrics, byte for byte. A file that cannot be used raises
+`ScheduleError` naming the field.
+"""
 
 import tomllib
 from dataclasses import dataclass
@@ -14,11 +17,20 @@
 from typing import Any
 
 from maplestile.common.toml_table import TomlTable
-from maplestile.tools.faults.schedule import DURATION_MOST_S, Schedule, ScheduleError, schedule_from
+from maplestile.tools.faults.schedule import (
+    DURATION_MOST_S,
+    US_PER_MS,
+    US_PER_S,
+    Schedule,
+    ScheduleError,
+    schedule_from,
+)
 
 
 @dataclass(slots=True, frozen=True)
 class Experiment:
+    """A schedule of faults, and for how long and with which settings it is played."""
+
     schedule: Schedule
     duration_us: int
     lifeguard: bool = True
@@ -28,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """A fault of one thing, by its place, for a time."""
+    """A fault of one instance, router or agent, by its index, for a time."""
 
     at_us: int
     for_us: int
@@ -36,34 +48,45 @@
 
 
 def span_from(table: TomlTable, name: str = "", count: int = 0) -> Span:
-    """`at_s`, `for_s`, and the field `name`, a place below `count`, if any. Raises the table's error."""
-    at_us, for_us = (int(table.number(one, most=DURATION_MOST_S) * 1e6) for one in ("at_s", "for_s"))
-    span = Span(at_us, for_us, table.whole(name, most=count - 1) if name else 0)
+    """Read `at_s`, `for_s`, and the field `name`, an index below `count`, if any.
+
+    Raises the table's error.
+    """
+    at_us = _seconds(table, "at_s")
+    for_us = _seconds(table, "for_s")
+    which = table.whole(name, most=count - 1) if name else 0
+    span = Span(at_us, for_us, which)
     table.end()
     return span
 
 
+def _seconds(table: TomlTable, name: str) -> int:
+    return int(table.number(name, most=DURATION_MOST_S) * US_PER_S)
+
+
 def load(path: Path) -> Experiment:
+    """Read a file. Raises `ScheduleError`."""
     return parse(read(path))
 
 
 def read(path: Path) -> dict[str, Any]:
-    """The file's tables; what cannot be read as TOML raises `ScheduleError`."""
+    """Read a file's tables. Raises `ScheduleError` where it is no TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
-    except OSError as fault:
-        raise ScheduleError(f"{path}: {fault.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        raise ScheduleError(f"{path}: not TOML: {fault}") from None
+    except OSError as error:
+        raise ScheduleError(f"{path}: {error.strerror}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ScheduleError(f"{path}: not TOML: {error}") from None
 
 
-def parse(told: dict[str, Any]) -> Experiment:
-    top = TomlTable(told, "", ScheduleError)
+def parse(tables: dict[str, Any]) -> Experiment:
+    """Read an experiment out of a file's tables. Raises `ScheduleError` naming the field."""
+    top = TomlTable(tables, "", ScheduleError)
     experiment = Experiment(
         schedule_from(top),
-        duration_us=int(top.number("duration_s", least=0.001, most=DURATION_MOST_S) * 1e6),
+        duration_us=int(top.number("duration_s", least=0.001, most=DURATION_MOST_S) * US_PER_S),
         lifeguard=top.flag("lifeguard", True),
-        period_us=int(top.number("period_ms", 1000, least=10, most=60_000) * 1000),
+        period_us=int(top.number("period_ms", 1000, least=10, most=60_000) * US_PER_MS),
         duties=top.whole("duties", 0, most=10_000),
     )
     top.end()
--- /dev/null
+++ b/maplestile/tools/model/membership_metrics.py
@@ -0,0 +1,122 @@
+"""What is measured in a run of the membership model: detection, false positives, traffic and convergence."""
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from maplestile.membership.tuning import Tuning
+from maplestile.tools.faults.schedule import Fault, Schedule
+from maplestile.tools.model.experiment import Experiment
+
+Figures = dict[str, float | None]
+
+US_PER_S = 1e6
+US_PER_MINUTE = 60e6
+DIGITS = 6  # after the decimal point of every metric
+
+
+@dataclass(slots=True)
+class TimeSeries:
+    """One value a period: time, mean view and mean suspects of the sampled members, isolated members."""
+
+    at_s: list[float] = field(default_factory=list)
+    view: list[float] = field(default_factory=list)
+    suspects: list[float] = field(default_factory=list)
+    isolated: list[int] = field(default_factory=list)
+
+
+@dataclass(slots=True)
+class Measurements:
+    """What a run has counted so far."""
+
+    sent: int = 0  # messages
+    health_checks: int = 0
+    longest_gap_us: int = 0  # between two checks of one target
+    checked_us: dict[str, int] = field(default_factory=dict)  # when each target was checked last
+    confirmed_us: dict[tuple[int, int], int] = field(default_factory=dict)  # (observer, member) to first time
+    false_positives: int = 0
+    isolated: int = 0
+    ever_isolated: set[int] = field(default_factory=set)
+    converged_us: list[int] = field(default_factory=list)  # from the healing of each split
+    series: TimeSeries = field(default_factory=TimeSeries)
+
+    def record_check(self, target: str, now_us: int) -> None:
+        """Count a health check of a shared target."""
+        self.health_checks += 1
+        gap_us = now_us - self.checked_us.get(target, now_us)
+        self.longest_gap_us = max(self.longest_gap_us, gap_us)
+        self.checked_us[target] = now_us
+
+    def record_isolation(self, observer: int, is_isolated: bool) -> None:
+        """Count a member that finds itself isolated, or no longer."""
+        self.isolated += 1 if is_isolated else -1
+        self.ever_isolated.add(observer)
+
+
+def is_excused(schedule: Schedule, tuning: Tuning, observer: int, member: int, now_us: int) -> bool:
+    """Whether a member declared dead had met a fault lately, as that observer sees it."""
+    reach_us = tuning.suspicion_us(schedule.members, 0) * tuning.health_most
+    return any(
+        _concerns(fault, observer, member)
+        for fault in schedule.faults
+        if fault.at_us <= now_us <= fault.until_us + reach_us
+    )
+
+
+def _concerns(fault: Fault, observer: int, member: int) -> bool:
+    match fault.kind:
+        case "kill" | "pause":
+            return member in fault.members
+        case "split":
+            return fault.side(observer) != fault.side(member)
+    return bool({observer, member} & (fault.members | fault.others))
+
+
+def metrics(experiment: Experiment, measured: Measurements, live_members: Sequence[int]) -> Figures:
+    """The metrics of a run that has ended, in the order in which they are printed."""
+    schedule = experiment.schedule
+    kills = [fault for fault in schedule.faults if fault.kind == "kill"]
+    splits = [fault for fault in schedule.faults if fault.kind == "split"]
+    detection = _detection_periods(experiment, measured, kills, live_members)
+    member_minutes = schedule.members * experiment.duration_us / US_PER_MINUTE
+    periods = experiment.duration_us / experiment.period_us
+    duties = experiment.duties
+    values: Figures = {
+        "members": schedule.members,
+        "seconds": experiment.duration_us / US_PER_S,
+        "lifeguard": int(experiment.lifeguard),
+        "loss": schedule.net.loss,
+        "detection_median_periods": _quantile(detection, 0.5),
+        "detection_p99_periods": _quantile(detection, 0.99),
+        "undetected": len(live_members) * len(kills) - len(detection),
+        "false_positives": measured.false_positives,
+        "false_positives_per_1000_member_minutes": 1000 * measured.false_positives / member_minutes,
+        "messages_per_member_per_period": measured.sent / schedule.members / periods,
+        "probes_per_duty_per_period": measured.health_checks / duties / periods if duties else None,
+        "longest_gap_of_a_duty_periods": measured.longest_gap_us / experiment.period_us if duties else None,
+        "ever_isolated": len(measured.ever_isolated),
+        "isolated_at_end": measured.isolated,
+        "converged_after_heal_s": max(measured.converged_us) / US_PER_S if measured.converged_us else None,
+        "not_converged": len(splits) - len(measured.converged_us),
+    }
+    return {key: None if value is None else round(float(value), DIGITS) for key, value in values.items()}
+
+
+def _detection_periods(
+    experiment: Experiment, measured: Measurements, kills: Sequence[Fault], live_members: Sequence[int]
+) -> list[float]:
+    """The times from each kill until each live member declared the victim dead."""
+    detection = []
+    for fault in kills:
+        (victim,) = fault.members
+        for observer in live_members:
+            confirmed_us = measured.confirmed_us.get((observer, victim))
+            if confirmed_us is not None:
+                detection.append((confirmed_us - fault.at_us) / experiment.period_us)
+    return detection
+
+
+def _quantile(values: Sequence[float], share: float) -> float | None:
+    if not values:
+        return None
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/maplestile/tools/model/report.py
+++ b/maplestile/tools/model/report.py
@@ -1,4 +1,4 @@
-"""The model's figures as JSON or CSV, and its course as a plot (matplotlib, without a screen)."""
+"""The model's metrics as JSON or CSV, and its time series as a plot (matplotlib, without a screen)."""
 
 import csv
 import io
@@ -8,16 +8,21 @@
 from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
-from typing import TypeVar
+from typing import Any, TypeVar
 
-from maplestile.tools.model.run import Course
+from maplestile.tools.model.membership_metrics import Figures, TimeSeries
+
+Spread = dict[str, dict[str, float] | None]
+Experiment = TypeVar("Experiment")
 
 
-def as_json(figures: dict[str, float | None]) -> str:
+def as_json(figures: Figures) -> str:
+    """The metrics of one run as JSON."""
     return json.dumps(figures, indent=2, sort_keys=True)
 
 
-def as_csv(figures: dict[str, float | None]) -> str:
+def as_csv(figures: Figures) -> str:
+    """The metrics of one run as CSV, one a line."""
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
     writer.writerow(("figure", "value"))
@@ -26,55 +31,55 @@
     return out.getvalue()
 
 
-Experiment = TypeVar("Experiment")
-
-
-def over(figures: Callable[[Experiment], dict[str, float | None]], runs: Sequence[Experiment]) -> "Spread":
-    """The spread of the figures over some runs, as many at a time as there are cores."""
+def over(figures: Callable[[Experiment], Figures], runs: Sequence[Experiment]) -> Spread:
+    """The spread of the metrics over some runs, as many at a time as there are cores."""
     with ProcessPoolExecutor(min(len(runs), os.cpu_count() or 1)) as pool:
         return spread(list(pool.map(figures, runs)))
 
 
-Spread = dict[str, dict[str, float] | None]
-
-
-def spread(runs: list[dict[str, float | None]]) -> Spread:
-    """Each figure's least, median and greatest over runs of other seeds; None where it has none."""
-    told: Spread = {}
+def spread(runs: list[Figures]) -> Spread:
+    """Each metric's least, median and greatest over runs of other seeds; None where it has none."""
+    found: Spread = {}
     for key in sorted(runs[0]):
         values = [value for figures in runs if (value := figures[key]) is not None]
-        told[key] = None
+        found[key] = None
         if values:
             middle = round(statistics.median(values), 6)
-            told[key] = {"min": min(values), "median": middle, "max": max(values), "runs": len(values)}
-    return told
+            found[key] = {"min": min(values), "median": middle, "max": max(values), "runs": len(values)}
+    return found
 
 
-def spread_csv(told: Spread) -> str:
+def spread_csv(spread: Spread) -> str:
+    """The spread as CSV, one metric a line."""
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
     writer.writerow(("figure", "min", "median", "max", "runs"))
-    for key, row in told.items():
-        writer.writerow((key, *(row or dict.fromkeys(("min", "median", "max"), "") | {"runs": 0}).values()))
+    for key, row in spread.items():
+        values = ("", "", "", 0) if row is None else tuple(row.values())
+        writer.writerow((key, *values))
     return out.getvalue()
 
 
-def plot(course: Course, title: str, path: Path) -> None:
-    """Two panels over time: the mean view of the sampled members with their suspects, and those cut off."""
-    import matplotlib
+def plot(series: TimeSeries, title: str, path: Path) -> None:
+    """Draw the mean view of the sampled members with their suspects, and below it the isolated members."""
+    import matplotlib  # here, since it takes long to import and most runs draw nothing
 
     matplotlib.use("Agg")  # no screen: the figure goes to a file
     from matplotlib import pyplot
 
     figure, (top, bottom) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 5))
-    top.plot(course.at_s, course.view, label="members in view (mean)")
-    top.plot(course.at_s, course.suspects, label="suspected (mean)")
-    top.set_ylabel("members")
-    top.legend(loc="best")
-    bottom.step(course.at_s, course.isolated, where="post", color="tab:red")
+    _plot_views(top, series)
+    bottom.step(series.at_s, series.isolated, where="post", color="tab:red")
     bottom.set_ylabel("isolated")
     bottom.set_xlabel("seconds")
     figure.suptitle(title)
     figure.tight_layout()
     figure.savefig(path, dpi=100, metadata={"Software": None})
     pyplot.close(figure)
+
+
+def _plot_views(axes: Any, series: TimeSeries) -> None:
+    axes.plot(series.at_s, series.view, label="members in view (mean)")
+    axes.plot(series.at_s, series.suspects, label="suspected (mean)")
+    axes.set_ylabel("members")
+    axes.legend(loc="best")
