--- /dev/null
+++ b/maplestile/requests/policy_epochs.py
@@ -0,0 +1,27 @@
+"""Counts of calls and attempts by the policy epoch that they were decided under."""
+
+from collections import Counter
+
+MAX_EPOCHS = 8  # epochs whose counts are kept: the newest
+
+
+class EpochCounts:
+    """The counters `calls` and `attempts` of each of the newest epochs."""
+
+    __slots__ = ("by_epoch", "current")
+
+    def __init__(self, epoch: int) -> None:
+        self.by_epoch: dict[int, Counter[str]] = {}
+        self.current: Counter[str]  # of the epoch in force
+        self.enter(epoch)
+
+    def enter(self, epoch: int) -> None:
+        """Count what comes from now on under this epoch; the counts of the oldest are dropped."""
+        self.current = self.by_epoch.setdefault(epoch, Counter())
+        for old in sorted(self.by_epoch)[:-MAX_EPOCHS]:
+            del self.by_epoch[old]
+
+    def count_attempt(self, epoch: int) -> None:
+        """Count an attempt, unless the counts of its epoch have been dropped."""
+        if epoch in self.by_epoch:
+            self.by_epoch[epoch]["attempts"] += 1
--- /dev/null
+++ b/maplestile/requests/timers.py
@@ -0,0 +1,67 @@
+"""Timers by ticks, with one alarm for the earliest tick; the driver's clock and alarm are handed in."""
+
+import heapq
+from collections import deque
+from collections.abc import Callable
+
+Callback = Callable[[], object]
+
+
+class TimerQueue:
+    """Callbacks by the tick in which they are due.
+
+    `clock` gives the time in microseconds; `alarm` is given the time, in microseconds, at which the driver
+    has to call `run_due`. A tick has one alarm, however many callbacks are due in it.
+    """
+
+    __slots__ = ("_alarm", "_armed_tick", "_clock", "_tick_us", "callbacks", "ticks")
+
+    def __init__(self, tick_us: int, clock: Callable[[], int], alarm: Callable[[int], None]) -> None:
+        self._tick_us = tick_us
+        self._clock = clock
+        self._alarm = alarm
+        self._armed_tick = 0  # the tick that the alarm is set to; 0 if it is not set
+        self.callbacks: dict[int, list[Callback]] = {}  # by tick
+        self.ticks: list[int] = []  # a heap of the keys of `callbacks`
+
+    def at(self, due_us: int, callback: Callback) -> None:
+        """Call back in the first tick at or after `due_us`, as on the simulator's wire."""
+        tick = -(-due_us // self._tick_us)
+        callbacks = self.callbacks.get(tick)
+        if callbacks is None:
+            callbacks = self.callbacks[tick] = []
+            heapq.heappush(self.ticks, tick)
+            self._set_alarm()
+        callbacks.append(callback)
+
+    def run_due(self) -> None:
+        """Run what is due; the driver calls this when the alarm goes off.
+
+        Raises what a callback raises; the callbacks that were due with it run in the next tick.
+        """
+        due = self._take_due()
+        self._armed_tick = 0
+        self._set_alarm()  # first, since a callback may fail, and then no timer would ever run again
+        try:
+            while due:
+                due.popleft()()
+        finally:
+            for callback in due:  # one that fails keeps back none that is due with it
+                self.at(self._clock(), callback)
+
+    def catch_up(self) -> None:
+        """Run what is due in the midst of much input: a deadline must not wait until all of it is handled."""
+        if self.ticks and self.ticks[0] * self._tick_us <= self._clock():
+            self.run_due()
+
+    def _take_due(self) -> deque[Callback]:
+        now_tick = self._clock() // self._tick_us
+        due = deque[Callback]()
+        while self.ticks and self.ticks[0] <= now_tick:
+            due += self.callbacks.pop(heapq.heappop(self.ticks))
+        return due
+
+    def _set_alarm(self) -> None:
+        if self.ticks and not 0 < self._armed_tick <= self.ticks[0]:
+            self._armed_tick = self.ticks[0]
+            self._alarm(self._armed_tick * self._tick_us)
