--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -1,7 +1,8 @@
-"""The runner pool on sockets: a task for each connection, which dials, reads lines, and tells the pool.
+"""The runner pool on sockets: a task for each connection, which dials, reads lines, and reports to the pool.
 
 A line that cannot be read condemns its connection: where the next answer begins, and whose it is, cannot be
-known any more."""
+known any more.
+"""
 
 import asyncio
 import logging
@@ -18,13 +19,16 @@
 FLUSH_AGAIN_S = 0.001  # until a line is looked at again that waits for its client's input to be read
 
 
-class Stream:
+class StreamSocket:
     """A `pool.Socket` on a stream of asyncio's."""
 
     def __init__(self, pool: Pool, connection: Connection, writer: asyncio.StreamWriter) -> None:
-        self.pool, self.connection, self.writer = pool, connection, writer
+        self.pool = pool
+        self.connection = connection
+        self.writer = writer
 
     def write(self, line: bytes) -> bool:
+        """Write a line; false if the system has not taken it all: then the pool is notified once it has."""
         self.writer.write(line)
         if not self.holds():
             return True
@@ -32,9 +36,11 @@
         return False
 
     def holds(self) -> bool:
+        """Return whether the transport holds some of what was written."""
         return bool(self.writer.transport.get_write_buffer_size())
 
     def abort(self) -> None:
+        """Close at once, whatever the transport holds."""
         self.writer.transport.abort()
 
     async def _drain(self) -> None:
@@ -58,34 +64,28 @@
         self.starved: Callable[[], object] = lambda: None  # no descriptor is left
 
     def dial(self, connection: Connection) -> None:
+        """Start the task of a connection, which ends by closing it at the pool."""
         self.tasks[connection] = asyncio.get_running_loop().create_task(self._serve(connection))
 
     def hang_up(self, connection: Connection) -> None:
+        """Cancel the task of a connection that the pool has closed."""
         task = self.tasks.pop(connection, None)
         if task is not None and task is not asyncio.current_task():
             task.cancel()
 
     def flush_soon(self, connection: Connection) -> None:
+        """Look again, in a millisecond, at lines that wait for their clients' input to be read."""
         asyncio.get_running_loop().call_later(FLUSH_AGAIN_S, self.settled, connection)
 
     async def _serve(self, connection: Connection) -> None:
         end = Result.CONNECT_FAILED
         try:
-            async with asyncio.timeout(self.limits.connect_timeout_us / 1e6):
-                reader, writer = await asyncio.open_connection(
-                    *connection.runner.address, limit=self.limits.runner_read_bytes
-                )
+            reader, writer = await self._open_stream(connection)
             end = Result.RESET
             reads.bound(writer.transport, self.limits.runner_read_bytes)
             writer.transport.set_write_buffer_limits(high=0)
-            self.up(connection, Stream(self, connection, writer))
-            lines = wire.Lines(self.limits.runner_line_bytes)
-            while data := await self._read(reader, lines):
-                self.heard(connection)
-                for line in lines.feed(data):
-                    self.answered(connection, wire.parse(line))
-                    self.core.catch_up()
-                self.settled(connection)
+            self.up(connection, StreamSocket(self, connection, writer))
+            await self._read_answers(connection, reader)
         except wire.LineError as fault:
             self.counters["runners.malformed"] += 1
             log.warning("runner %s: %s; connection condemned", connection.runner.uid, fault)
@@ -97,6 +97,22 @@
         finally:
             self.close(connection, end)
 
+    async def _open_stream(self, connection: Connection) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        host, port = connection.runner.address
+        most = self.limits.runner_read_bytes
+        async with asyncio.timeout(self.limits.connect_timeout_us / 1e6):
+            return await asyncio.open_connection(host, port, limit=most)
+
+    async def _read_answers(self, connection: Connection, reader: asyncio.StreamReader) -> None:
+        """Report answers until the runner closes. Raises LineError, or OSError if the connection breaks."""
+        lines = wire.Lines(self.limits.runner_line_bytes)
+        while data := await self._read(reader, lines):
+            self.heard(connection)
+            for line in lines.feed(data):
+                self.answered(connection, wire.parse(line))
+                self.core.catch_up()
+            self.settled(connection)
+
     async def _read(self, reader: asyncio.StreamReader, lines: wire.Lines) -> bytes:
         if not lines.rest:
             return await reader.read(self.limits.runner_read_bytes)
--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of runners as told so far, by start-up events or by whole lists, with their addresses."""
+"""The endpoint list: runners with their addresses, by the latest events or the latest whole list."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -8,8 +8,8 @@
 from maplestile.common.address import Address
 from maplestile.dispatch import api
 
-SERIALS = 1 << 32  # serial numbers there are
-LEAST_WEIGHT = 0.01
+SERIAL_NUMBERS = 1 << 32  # how many there are
+MIN_WEIGHT = 0.01
 STATES = {
     "Ready": api.WorkerState.RUNNING,
     "Terminating": api.WorkerState.DRAINING,
@@ -23,7 +23,10 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """`version` counts the events of the name server; a list no newer than it is old news."""
+    """The runners by uid; `version` counts the events of the name server.
+
+    A list that is no newer than the version is out of date. The uids in `suspended` are shown as draining.
+    """
 
     version: int = -1
     entries: dict[str, api.WorkerEntry] = field(default_factory=dict)
@@ -31,16 +34,13 @@
     suspended: frozenset[str] = frozenset()
 
     def apply_known(self, known: Mapping[str, Any]) -> None:
-        """The events of the start: the first one holds the whole list, later ones what has changed."""
+        """Apply the events of the start: the first one holds the whole list, later ones what has changed.
+
+        Raises EndpointListError if one cannot be used.
+        """
         try:
             for update in known["updates"]:
-                told = update["endpoints"]
-                if told.get("all"):
-                    self.entries.clear()
-                    self.addresses.clear()
-                for target in told["targets"]:
-                    self._put(*_target(target))
-                self.version = max(self.version, int(update["index"]))
+                self._apply_update(update)
             self.version = max(self.version, int(known.get("index", self.version)))
         except KeyError as missing:
             raise EndpointListError(f"known: field {missing} is missing or unknown") from None
@@ -48,14 +48,16 @@
             raise EndpointListError(f"known: {fault}") from None
 
     def behind(self, serial: int) -> bool:
-        """A serial is older than the list at hand, in the serial numbers of RFC 1982: they wrap."""
-        return self.version >= 0 and 0 < (self.version - serial) % SERIALS < SERIALS // 2
+        """Return whether a serial is older than the version, in the serial numbers of RFC 1982: they wrap."""
+        return self.version >= 0 and 0 < (self.version - serial) % SERIAL_NUMBERS < SERIAL_NUMBERS // 2
 
     def apply_whole(
         self, version: int, listed: Iterable[tuple[api.WorkerEntry, Address]], anew: bool = False
     ) -> bool:
-        """A whole list; true if it was news. A late reply to an older query must not bring back the dead;
-        with `anew` the numbers have begun again, or the list at hand lacked something."""
+        """Apply a whole list; false if it is out of date: a late reply must not bring back the dead.
+
+        With `anew` the numbers have begun again, or the list at hand lacked something.
+        """
         if not anew and (version == self.version or self.behind(version)):
             return False
         self.version = version
@@ -66,26 +68,18 @@
         return True
 
     def drain(self, drained: Iterable[str]) -> None:
+        """Mark these uids as draining. Raises KeyError if one is not listed."""
         for uid in drained:
             self.entries[uid] = replace(self.entries[uid], state=api.WorkerState.DRAINING)
 
     def replace(self, other: "EndpointList") -> None:
-        """The list of another configuration; its number never falls, since the numbers go on."""
+        """Take the list of another configuration; the version never falls, since the numbers go on."""
         self.version = max(self.version, other.version)
-        self.entries, self.addresses = dict(other.entries), dict(other.addresses)
-
-    def _put(self, entry: api.WorkerEntry, address: Address) -> None:
-        if entry.state is api.WorkerState.GONE:
-            self.entries.pop(entry.worker, None)
-            self.addresses.pop(entry.worker, None)
-        else:
-            # A weight of none, or of less, would end every draw among seats: it is a very small one.
-            weight = entry.weight if LEAST_WEIGHT < entry.weight < math.inf else LEAST_WEIGHT
-            self.entries[entry.worker] = replace(entry, weight=weight)
-            self.addresses[entry.worker] = address
+        self.entries = dict(other.entries)
+        self.addresses = dict(other.addresses)
 
     def shown(self) -> tuple[api.WorkerEntry, ...]:
-        """The list as decisions and pool are to see it: who is suspended drains, whatever was told."""
+        """Return the list as decisions and pool see it: a suspended runner drains, whatever is listed."""
         draining = api.WorkerState.DRAINING
         return tuple(
             replace(entry, state=draining) if uid in self.suspended else entry
@@ -93,18 +87,38 @@
         )
 
     def event(self, kind: api.ListKind = api.ListKind.FULL) -> api.WorkerListReceived:
+        """Return the event that hands the list to the decisions."""
         return api.WorkerListReceived(kind, self.version, self.shown())
 
+    def _apply_update(self, update: Mapping[str, Any]) -> None:
+        endpoints = update["endpoints"]
+        if endpoints.get("all"):
+            self.entries.clear()
+            self.addresses.clear()
+        for target in endpoints["targets"]:
+            self._put(*_decode_target(target))
+        self.version = max(self.version, int(update["index"]))
+
+    def _put(self, entry: api.WorkerEntry, address: Address) -> None:
+        if entry.state is api.WorkerState.GONE:
+            self.entries.pop(entry.worker, None)
+            self.addresses.pop(entry.worker, None)
+            return
+        # A weight of none, or of less, would end every draw among replicas: it is a very small one.
+        weight = entry.weight if MIN_WEIGHT < entry.weight < math.inf else MIN_WEIGHT
+        self.entries[entry.worker] = replace(entry, weight=weight)
+        self.addresses[entry.worker] = address
+
 
-def _target(told: Mapping[str, Any]) -> tuple[api.WorkerEntry, Address]:
-    host, _, port = str(told.get("endpoint", "")).rpartition(":")
+def _decode_target(target: Mapping[str, Any]) -> tuple[api.WorkerEntry, Address]:
+    host, _, port = str(target.get("endpoint", "")).rpartition(":")
     entry = api.WorkerEntry(
-        worker=told["uid"],
-        zone=told.get("az", ""),
-        kind=told.get("model", ""),
-        cell=int(told.get("pod_group", 0)),
-        state=STATES[told.get("state", "Ready")],
-        weight=float(told.get("capacity_hint", 1.0)),
-        started_us=int(told.get("boot_ms", 0)) * 1000,
+        worker=target["uid"],
+        zone=target.get("az", ""),
+        kind=target.get("model", ""),
+        cell=int(target.get("pod_group", 0)),
+        state=STATES[target.get("state", "Ready")],
+        weight=float(target.get("capacity_hint", 1.0)),
+        started_us=int(target.get("boot_ms", 0)) * 1000,
     )
     return entry, (host, int(port or 0))
--- /dev/null
+++ b/maplestile/requests/line_writer.py
@@ -0,0 +1,112 @@
+"""Queues of lines before connections, and their dispatch: what the rules ask of a line is checked here.
+
+A line may wait for its connection, or behind a full socket buffer, for long enough that what allowed it holds
+no more: then it ends as never sent.
+"""
+
+from typing import TYPE_CHECKING
+
+from maplestile.dispatch.api import Result
+from maplestile.requests.connections import Connection, ControlTag, Message, Socket
+from maplestile.requests.records import Presence
+from maplestile.requests.states import AttemptState
+from maplestile.wire import runner as wire
+
+if TYPE_CHECKING:
+    from maplestile.requests.pool import Pool
+
+
+class LineWriter:
+    """Writes the lines that are queued before the connections of a pool."""
+
+    __slots__ = ("_pool",)
+
+    def __init__(self, pool: "Pool") -> None:
+        self._pool = pool
+
+    def write(self, connection: Connection, message: Message) -> None:
+        """Queue a line, and write what the socket takes."""
+        connection.queue.append(message)
+        self.flush(connection)
+
+    def flush(self, connection: Connection) -> None:
+        """Write what the socket takes; what may no longer be sent ends here, unwritten."""
+        socket = connection.socket
+        if socket is None or connection.closed() or connection.partial is not None:
+            return
+        postponed = 0  # lines at the head of the queue that stay there for now
+        while len(connection.queue) > postponed and connection.partial is None:
+            message = connection.queue[postponed]
+            presence = self._presence(message)
+            if len(connection.queue) <= postponed or connection.queue[postponed] is not message:
+                continue  # its client has gone, and the core has withheld it
+            if presence is Presence.UNREAD:
+                postponed += 1
+                continue
+            del connection.queue[postponed]
+            if presence is Presence.GONE:
+                self._pool.counters["runners.client_gone"] += 1
+                self._pool.ends.end_unsent(message, Result.SUPERSEDED)
+            elif self._is_stale(connection, message):
+                self._pool.counters["runners.stale"] += 1
+                self._pool.ends.end_unsent(message, Result.SUPERSEDED)
+            else:
+                self._write_line(socket, connection, message)
+        if postponed and not connection.closed():
+            self._pool.counters["runners.postponed"] += 1
+            self._pool.flush_soon(connection)
+
+    def drained(self, connection: Connection) -> None:
+        """Go on: the system has taken the rest of what was written in part."""
+        if connection.partial is not None and not connection.closed():
+            self._written(connection.partial)
+        connection.partial = None
+        self.flush(connection)
+
+    def _presence(self, message: Message) -> Presence:
+        """Guard against an attempt that begins after its client has left, while the loop was busy or away.
+
+        What has been read of the client in time has been reported to the core already.
+        """
+        if message.attempt is None or not self._pool.input_is_old():
+            return Presence.WAITING
+        return self._pool.core.presence(message.attempt)
+
+    def _is_stale(self, connection: Connection, message: Message) -> bool:
+        """Return whether a rule has come to bar the line since it was decided.
+
+        Its runner drains (rule 3), its key may be deduplicated no more (rule 1), or its own deadline has
+        passed.
+        """
+        now = self._pool.clock()
+        forgotten = 0 < message.until_us <= now
+        overdue = message.request is not None and message.due_us <= now
+        return message.fresh and (forgotten or overdue or not connection.runner.takes_new)
+
+    def _write_line(self, socket: Socket, connection: Connection, message: Message) -> None:
+        """Write one line; what of it the system does not take at once is the connection's `partial`."""
+        pool = self._pool
+        if not connection.open and not connection.control_tags:
+            connection.idle_us = pool.clock() - connection.used_us
+        if message.attempt is not None:
+            connection.open[message.tag] = message.attempt
+        elif message.tag:
+            tag = ControlTag(message.control_number, message.is_health_check)
+            connection.control_tags[message.tag] = tag
+        pool.move(message, AttemptState.PARTIALLY_WRITTEN)
+        if message.request is not None:
+            message.line = wire.call(message.request, message.due_us - pool.clock())
+        whole = socket.write(message.line)
+        connection.used_us = message.written_us = pool.clock()
+        if whole:
+            self._written(message)
+        else:
+            connection.partial = message
+
+    def _written(self, message: Message) -> None:
+        """Take note that the system has all of a line."""
+        if message.attempt is not None:
+            self._pool.calls_written += 1
+        # Any other state: it was cancelled, or answered, before its last byte.
+        if message.state is AttemptState.PARTIALLY_WRITTEN:
+            self._pool.move(message, AttemptState.WRITTEN)
--- /dev/null
+++ b/maplestile/requests/runner_directory.py
@@ -0,0 +1,57 @@
+"""The runners that a pool knows, kept up to date with the endpoint list."""
+
+from typing import TYPE_CHECKING
+
+from maplestile.common.address import Address
+from maplestile.dispatch.api import Result, WorkerEntry, WorkerState
+from maplestile.requests.connections import Runner
+from maplestile.requests.endpoint_list import EndpointList
+
+if TYPE_CHECKING:
+    from maplestile.requests.pool import Pool
+
+
+class RunnerDirectory:
+    """The runners by uid: those that are listed, and those that still have connections."""
+
+    __slots__ = ("_pool", "runners")
+
+    def __init__(self, pool: "Pool") -> None:
+        self._pool = pool
+        self.runners: dict[str, Runner] = {}
+
+    def update(self, endpoints: EndpointList) -> None:
+        """Take another endpoint list: runners drain, go, come, or are other processes than before."""
+        for entry in endpoints.shown():
+            self._update_runner(entry, endpoints.addresses[entry.worker])
+        for uid in [uid for uid in self.runners if uid not in endpoints.entries]:
+            runner = self.runners[uid]
+            runner.listed = False
+            runner.takes_new = False
+            self._pool.table.close_unused(runner)
+            self.forget_if_gone(runner)
+
+    def forget_if_gone(self, runner: Runner) -> None:
+        """Forget a runner that is not listed any more and has no connection left."""
+        if not runner.listed and not runner.connections:
+            self.runners.pop(runner.uid, None)
+
+    def _update_runner(self, entry: WorkerEntry, address: Address) -> None:
+        takes_new = entry.state is WorkerState.RUNNING
+        runner = self.runners.get(entry.worker)
+        if runner is None:
+            self.runners[entry.worker] = Runner(entry.worker, address, entry.started_us, takes_new)
+            return
+        runner.listed = True
+        runner.takes_new = takes_new
+        moved = address != runner.address
+        if moved or entry.started_us > runner.started_us:
+            runner.address = address
+            runner.started_us = entry.started_us
+            self._close_to_old_process(runner, moved)
+
+    def _close_to_old_process(self, runner: Runner, moved: bool) -> None:
+        """Close connections to a process that is no more: nobody would ever answer there."""
+        for connection in list(runner.connections):
+            if moved or connection.opened_us < runner.started_us:
+                self._pool.close(connection, Result.RESET)
--- a/maplestile/requests/states.py
+++ b/maplestile/requests/states.py
@@ -1,8 +1,9 @@
-"""The lives of a call, of an attempt on its way to a runner, and of a connection to one.
+"""The states of a call, of an attempt on its way to a runner, and of a connection to one.
 
-The core and the pool move them by `Transition` alone, so a transition that is not in the table is counted
-(`states.forbidden`) and logged. The state moves on all the same, since a router must not fall over it;
-`maplestile explore` shows that none is ever met. `docs/attempt-states.md` says why each one is as it is."""
+The core and the pool change them by `Transition` alone, so a transition that is not in the table is counted
+(`states.forbidden`) and logged. The state changes all the same, since a router must not fall over it;
+`maplestile explore` shows that none is ever met. `docs/attempt-states.md` says why each one is as it is.
+"""
 
 import logging
 from collections import Counter
@@ -13,37 +14,39 @@
 
 
 class State(Enum):
-    """One of a life; `then` are those that may follow, a tuple, since a member's hash is slow."""
+    """A state; `successors` are those that may follow: a tuple, since a member's hash is slow."""
 
-    then: tuple["State", ...]
+    successors: tuple["State", ...]
 
 
 class CallState(State):
-    """A request of a client's."""
+    """The states of a client's request."""
 
-    PENDING = "owed"  # its one final answer
+    PENDING = "pending"  # without its one final answer
     ANSWERED = "answered"
     WITHDRAWN = "withdrawn"  # its client waits no longer
 
 
 class AttemptState(State):
-    """A line to a runner: a call's attempt, an order to load, a probe."""
+    """The states of a line to a runner: a call's attempt, a load request, a health check."""
 
     QUEUED = "queued"  # behind its connection, or what is written there: not a byte is out
-    PARTIALLY_WRITTEN = "part"  # the system has taken some of it, perhaps all
+    PARTIALLY_WRITTEN = "partially written"  # the system has taken some of it, perhaps all
     WRITTEN = "written"  # the system has all of it: from here on it may run
     ANSWERED = "answered"
     UNSENT = "unsent"  # never whole at the runner: it did not run
-    CONNECTION_LOST = "broken"  # its connection ended, and it may have run
-    CANCELLED = "called off"
+    CONNECTION_LOST = "connection lost"  # its connection ended, and it may have run
+    CANCELLED = "cancelled"
 
 
 class ConnectionState(State):
-    """A connection to a runner."""
+    """The states of a connection to a runner."""
 
     OPENING = "opening"
     UP = "up"
-    UNVERIFIED = "doubtful"  # silent for longer than its requests could wait: carries nothing new until heard
+    UNVERIFIED = (
+        "unverified"  # silent for longer than its requests could wait: carries nothing new until heard
+    )
     CLOSED = "closed"
 
 
@@ -65,12 +68,14 @@
     ConnectionState.UP: (ConnectionState.UNVERIFIED, ConnectionState.CLOSED),
     ConnectionState.UNVERIFIED: (ConnectionState.UP, ConnectionState.CLOSED),
 }
-for one in (*CallState, *AttemptState, *ConnectionState):
-    one.then = TRANSITIONS.get(one, ())
+for _state in (*CallState, *AttemptState, *ConnectionState):
+    _state.successors = TRANSITIONS.get(_state, ())
 StateType = TypeVar("StateType", bound=State)
 
 
 class Stateful(Protocol[StateType]):
+    """A record that has a state."""
+
     state: StateType
 
 
@@ -80,9 +85,10 @@
     def __init__(self, counters: Counter[str]) -> None:
         self.counters = counters
 
-    def __call__(self, thing: Stateful[StateType], to: StateType) -> None:
-        if to not in thing.state.then:
+    def __call__(self, record: Stateful[StateType], to: StateType) -> None:
+        """Set the state of a record; count and log a transition that is not in the table."""
+        if to not in record.state.successors:
             self.counters["states.forbidden"] += 1
             kind = type(to).__name__
-            log.error("%s: %s to %s is no transition", kind, thing.state.value, to.value)
-        thing.state = to
+            log.error("%s: %s to %s is no transition", kind, record.state.value, to.value)
+        record.state = to
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -116,7 +116,7 @@
         self.now += 1_000_000
         self.send(2, b"die")  # the first one after a rest: it meets the reset of a connection long dropped
         await self.until(2)
-        self.assertEqual(self.pool.keep_us, 800_000)
+        self.assertEqual(self.pool.idle_timeout.timeout_us, 800_000)
         self.worker = Worker()
         self.list(port=self.worker.port)
         self.send(3, b"abc")
@@ -128,7 +128,7 @@
         for _ in range(3):
             self.now += 5_100_000
             self.pool.sweep()
-        self.assertEqual(self.pool.keep_us, 5_000_000)
+        self.assertEqual(self.pool.idle_timeout.timeout_us, 5_000_000)
 
     async def test_rest_that_others_bore_of_late_is_not_blamed_for_a_break(self) -> None:
         """One runner that goes had a router of many close all its idle connections, and shake hands anew."""
@@ -138,7 +138,7 @@
             self.now += 1_000_000
         self.send(9, b"die")
         await self.until(9)
-        self.assertEqual(self.pool.keep_us, 5_000_000)
+        self.assertEqual(self.pool.idle_timeout.timeout_us, 5_000_000)
         self.assertEqual(self.counters["runners.broke_after_rest"], 1)
 
     async def test_idle_connections_make_room_for_another_runner_at_the_cap(self) -> None:
