--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -16,10 +16,11 @@
 
 
 class Rig:
-    """A pool that notes what it is asked, and a clock that is moved by hand."""
+    """A pool that records what it is asked for, and a clock that is moved by hand."""
 
     def __init__(self, **limits: Any) -> None:
-        self.now, self.due = START, 0
+        self.now = START
+        self.due = 0
         self.sent: list[AttemptId] = []
         self.cancelled: list[AttemptId] = []
         self.unwritten = set[AttemptId]()  # those that wait for their connection
@@ -55,7 +56,8 @@
     def run(self, duration_us: int) -> None:
         end = self.now + duration_us
         while self.due and self.due <= end:
-            self.now, self.due = max(self.now, self.due), 0
+            self.now = max(self.now, self.due)
+            self.due = 0
             self.core.tick()
         self.now = end
 
@@ -87,7 +89,7 @@
     assert rig.answers[0].verdict is Verdict.REFUSED and rig.answers[0].retry_after_us > 0
 
 
-def test_withdrawn_request_gets_no_answer_and_its_attempt_is_called_off() -> None:
+def test_withdrawn_request_gets_no_answer_and_its_attempt_is_cancelled() -> None:
     rig = Rig()
     call = rig.submit()
     rig.core.withdraw(call)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""The runner pool between a core's stand-in and a worker's: what a rule asks is checked at the write."""
+"""The runner pool between doubles of a core and a worker: rules are checked as lines are written."""
 
 import asyncio
 import errno
@@ -23,33 +23,42 @@
 CLOCK = "maplestile.net.receive_timestamps.time.perf_counter"
 
 
-class Ends:
-    """Notes how attempts end."""
+class CoreRecorder:
+    """Records how attempts and health checks end."""
 
     def __init__(self) -> None:
         self.ended: dict[AttemptId, Result] = {}
+        self.health_checks_ended: dict[int, Result] = {}
 
     def catch_up(self) -> None: ...
 
     def attempt_ended(self, attempt: AttemptId, result: Result, *_: Any) -> None:
         self.ended[attempt] = result
 
+    def probe_ended(self, tag: int, result: Result, *_: Any) -> None:
+        self.health_checks_ended[tag] = result
+
 
 class PoolTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.now, self.ends, self.worker, self.fleet = 1_000_000, Ends(), Worker(), EndpointList()
+        self.now = 1_000_000
+        self.core = CoreRecorder()
+        self.worker = Worker()
+        self.endpoints = EndpointList()
         self.counters = Counter[str]()
         limits = Limits(runner_streams=2, runner_idle_us=5_000_000, runner_line_us=20_000)
         self.pool = RunnerPool(limits, lambda: self.now, self.counters)
-        self.pool.core = cast(Core, self.ends)
+        self.pool.core = cast(Core, self.core)
         self.list()
 
     def list(
         self, state: api.WorkerState = api.WorkerState.RUNNING, started_us: int = 0, port: int = 0
     ) -> None:
         entry = api.WorkerEntry("s-0", "east", "std", 2, state, 4.0, started_us)
-        self.fleet.apply_whole(self.fleet.version + 1, [(entry, ("127.0.0.1", port or self.worker.port))])
-        self.pool.update(self.fleet)
+        self.endpoints.apply_whole(
+            self.endpoints.version + 1, [(entry, ("127.0.0.1", port or self.worker.port))]
+        )
+        self.pool.update(self.endpoints)
 
     def send(self, number: int, body: bytes) -> None:
         request = Request(f"t{number}", "f", "review", 5_000_000, body=body)
@@ -57,7 +66,7 @@
 
     async def until(self, *numbers: int) -> None:
         async with asyncio.timeout(20):
-            while not all((n, 0) in self.ends.ended for n in numbers):
+            while not all((n, 0) in self.core.ended for n in numbers):
                 await asyncio.sleep(0.005)
 
     async def test_attempt_that_is_withheld_never_goes_and_one_that_is_out_goes_on(self) -> None:
@@ -74,7 +83,7 @@
         self.assertFalse(self.pool.withhold((3, 0)))
         self.worker.die()
         await self.until(3)
-        self.assertEqual((self.ends.ended[3, 0], set(self.ends.ended)), (Result.RESET, {(2, 0), (3, 0)}))
+        self.assertEqual((self.core.ended[3, 0], set(self.core.ended)), (Result.RESET, {(2, 0), (3, 0)}))
         self.assertNotIn("states.forbidden", self.counters)
 
     async def test_connection_without_a_descriptor_says_nothing_of_the_runner(self) -> None:
@@ -85,21 +94,22 @@
         with unittest.mock.patch("asyncio.open_connection", side_effect=none_left):
             self.send(1, b"x")
             await self.until(1)
-        self.assertEqual((self.ends.ended[1, 0], starved), (Result.SUPERSEDED, [1]))
+        self.assertEqual((self.core.ended[1, 0], starved), (Result.SUPERSEDED, [1]))
 
     async def test_send_that_waits_for_its_connection_goes_stale_when_its_runner_is_suspended(self) -> None:
         self.send(1, b"x")
         self.pool.probe(7, "s-0")
-        self.fleet.suspended = frozenset({"s-0"})
-        self.pool.update(self.fleet)
+        self.endpoints.suspended = frozenset({"s-0"})
+        self.pool.update(self.endpoints)
         await self.until(1)
-        self.assertEqual((self.ends.ended[1, 0], self.worker.lines), (Result.SUPERSEDED, []))
+        self.assertEqual((self.core.ended[1, 0], self.worker.lines), (Result.SUPERSEDED, []))
+        self.assertEqual(self.core.health_checks_ended, {7: Result.SUPERSEDED})
 
-    async def test_send_that_waits_for_its_connection_goes_stale_when_a_drain_is_told(self) -> None:
+    async def test_send_that_waits_for_its_connection_goes_stale_when_a_drain_is_notified(self) -> None:
         self.send(1, b"x")  # the connection is not up before the loop runs
         self.list(api.WorkerState.DRAINING)
         await self.until(1)
-        self.assertEqual((self.ends.ended[1, 0], self.worker.ran), (Result.SUPERSEDED, []))
+        self.assertEqual((self.core.ended[1, 0], self.worker.ran), (Result.SUPERSEDED, []))
 
     async def test_streams_are_bounded_and_a_second_connection_is_opened(self) -> None:
         for n in range(3):
@@ -108,13 +118,15 @@
         self.pool.cancel((0, 0))
         self.send(3, b"abc")
         await self.until(3)
-        self.assertEqual((self.ends.ended[3, 0], self.pool.connections), (Result.OK, 2))
+        self.assertEqual((self.core.ended[3, 0], self.pool.connections), (Result.OK, 2))
 
-    async def test_rest_that_breaks_connections_is_learned_and_forgotten(self) -> None:
+    async def test_idle_time_that_breaks_connections_is_learned_and_forgotten(self) -> None:
         self.send(1, b"abc")
         await self.until(1)
         self.now += 1_000_000
-        self.send(2, b"die")  # the first one after a rest: it meets the reset of a connection long dropped
+        self.send(
+            2, b"die"
+        )  # the first one after an idle time: it meets the reset of a connection long dropped
         await self.until(2)
         self.assertEqual(self.pool.idle_timeout.timeout_us, 800_000)
         self.worker = Worker()
@@ -122,7 +134,7 @@
         self.send(3, b"abc")
         await self.until(3)
         self.now += 900_000
-        self.send(4, b"abc")  # not by the one that has rested for so long
+        self.send(4, b"abc")  # not by the one that has been idle for so long
         await self.until(4)
         self.assertEqual(len(self.worker.open), 2)
         for _ in range(3):
@@ -130,7 +142,7 @@
             self.pool.sweep()
         self.assertEqual(self.pool.idle_timeout.timeout_us, 5_000_000)
 
-    async def test_rest_that_others_bore_of_late_is_not_blamed_for_a_break(self) -> None:
+    async def test_idle_time_that_others_survived_of_late_is_not_blamed_for_a_break(self) -> None:
         """One runner that goes had a router of many close all its idle connections, and shake hands anew."""
         for n in range(5):
             self.send(n, b"abc")
@@ -152,14 +164,14 @@
             )
             for n, worker in enumerate(workers)
         ]
-        self.fleet.apply_whole(self.fleet.version + 1, entries)
-        self.pool.update(self.fleet)
+        self.endpoints.apply_whole(self.endpoints.version + 1, entries)
+        self.pool.update(self.endpoints)
         for number in range(4):
             self.now += 1_000
             request = Request(f"t{number}", "f", "review", 5_000_000, body=b"abc")
             self.pool.send((number, 0), f"m-{number}", request, 5_000_000)
             await self.until(number)
-        self.assertEqual(set(self.ends.ended.values()), {Result.OK})
+        self.assertEqual(set(self.core.ended.values()), {Result.OK})
         self.assertEqual((self.pool.connections, self.counters["runners.made_room"]), (2, 2))
         self.assertEqual([len(self.pool.runners[f"m-{n}"].connections) for n in range(4)], [0, 0, 1, 1])
 
@@ -168,11 +180,11 @@
         self.send(2, b"abc")
         await self.until(2)
         self.list(started_us=2_000_000)
-        self.assertEqual(self.ends.ended[1, 0], Result.RESET)
+        self.assertEqual(self.core.ended[1, 0], Result.RESET)
         self.now = 3_000_000
         self.send(3, b"abc")
         await self.until(3)
-        self.assertEqual(self.ends.ended[3, 0], Result.OK)
+        self.assertEqual(self.core.ended[3, 0], Result.OK)
 
     async def test_idle_connection_is_closed_before_the_runner_does(self) -> None:
         self.send(1, b"abc")
@@ -188,14 +200,14 @@
         self.worker.die()
         self.send(1, b"abc")
         await self.until(1)
-        self.assertEqual(self.ends.ended[1, 0], Result.CONNECT_FAILED)
+        self.assertEqual(self.core.ended[1, 0], Result.CONNECT_FAILED)
         self.pool.send((2, 0), "s-unknown", Request("t", "f", "review", 1), 1)
-        self.assertEqual(self.ends.ended[2, 0], Result.CONNECT_FAILED)
+        self.assertEqual(self.core.ended[2, 0], Result.CONNECT_FAILED)
 
     async def test_death_resets_what_was_written(self) -> None:
         self.send(1, b"die")
         await self.until(1)
-        self.assertEqual(self.ends.ended[1, 0], Result.RESET)
+        self.assertEqual(self.core.ended[1, 0], Result.RESET)
 
     async def test_line_that_cannot_be_read_condemns_its_connection_and_all_that_is_open_there(self) -> None:
         long = b"x" * 70_000
@@ -203,8 +215,8 @@
             self.send(2 * n, b"hang:")
             self.send(2 * n + 1, b"raw:" + spoilt)  # on the same connection; the last two have no end
             await self.until(2 * n, 2 * n + 1)
-            ends = self.ends.ended[2 * n, 0], self.ends.ended[2 * n + 1, 0]
-            self.assertEqual(ends, (Result.RESET, Result.RESET))
+            results = self.core.ended[2 * n, 0], self.core.ended[2 * n + 1, 0]
+            self.assertEqual(results, (Result.RESET, Result.RESET))
             self.assertEqual(self.pool.connections, 0)
         self.assertEqual(self.counters["runners.malformed"], 5)
 
@@ -214,7 +226,7 @@
         await self.until(1)
         self.send(2, b"abc")
         await self.until(2)
-        self.assertEqual((self.ends.ended[1, 0], self.ends.ended[2, 0]), (Result.OK, Result.OK))
+        self.assertEqual((self.core.ended[1, 0], self.core.ended[2, 0]), (Result.OK, Result.OK))
         self.assertEqual((self.counters["runners.late"], self.pool.connections), (2, 1))
 
     async def test_try_after_a_full_answer_does_not_take_the_second_copy_of_that_for_its_own(self) -> None:
@@ -222,7 +234,7 @@
         await self.until(1)
         self.pool.send((1, 1), "s-0", Request("t1", "f", "review", 5_000_000, body=b"abc"), 5_000_000)
         async with asyncio.timeout(20):
-            while (1, 1) not in self.ends.ended:
+            while (1, 1) not in self.core.ended:
                 await asyncio.sleep(0.005)
         self.assertEqual(self.pool.connections, 2)
 
@@ -239,9 +251,9 @@
         self.assertIsNotNone(connection.partial)
         self.worker.pause.set()
         self.pool.close(connection, Result.RESET)
-        self.assertEqual(self.ends.ended, {(1, 0): Result.RESET})
+        self.assertEqual(self.core.ended, {(1, 0): Result.RESET})
         await self.until(2)
-        self.assertEqual((self.ends.ended[2, 0], len(self.worker.ran)), (Result.ERROR, 2))
+        self.assertEqual((self.core.ended[2, 0], len(self.worker.ran)), (Result.ERROR, 2))
 
     async def test_line_that_a_runner_does_not_take_goes_nowhere_else_and_ends_its_connection(self) -> None:
         """It would come too late for the deadline that it tells; another connection would be filled, too."""
@@ -256,7 +268,7 @@
         self.send(3, b"abc")  # behind it
         await self.until(1, 2, 3)
         never_ran = Result.CONNECT_FAILED
-        self.assertEqual(self.ends.ended, {(1, 0): Result.RESET, (2, 0): never_ran, (3, 0): never_ran})
+        self.assertEqual(self.core.ended, {(1, 0): Result.RESET, (2, 0): never_ran, (3, 0): never_ran})
         self.assertEqual((self.counters["runners.stalled"], self.pool.connections), (1, 0))
         self.worker.pause.set()
 
@@ -274,7 +286,7 @@
         self.assertEqual(self.pool.connections, 1)  # the silent one carries nothing any more
 
 
-class StampTest(unittest.TestCase):
+class ReceiveTimestampsTest(unittest.TestCase):
     def test_what_a_select_finds_without_waiting_may_be_as_old_as_the_select_before(self) -> None:
         times = iter([100, 100, 200, 900, 1_500])
         looks = iter([0.0, 0.0, 0.01, 0.0107, 0.0107, 0.0113, 0.0113])  # at the start, then two a select
@@ -290,7 +302,7 @@
         selector.select(-1)  # the reader of what the last one found runs only now
         self.assertEqual((selector.read_us, selector.since_us), (200, 900))
 
-    def test_what_came_while_the_process_stood_still_is_old_until_the_loop_has_rested(self) -> None:
+    def test_what_came_while_the_process_stood_still_is_old_until_the_loop_has_waited(self) -> None:
         looks = iter([0.0, 0.0, 1.5, 1.5, 1.5002, 1.501, 1.52, 1.521, 1.9, 1.91, 1.9101])
         times = iter([100, 100, 1_500_100, 1_500_300, 1_520_000, 1_910_000])
         timer = unittest.mock.patch(CLOCK, lambda: next(looks))
