--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -336,32 +336,15 @@
             if attempt in self.flights and self.pool.withhold(attempt):
                 self.attempt_ended(attempt, Result.SUPERSEDED)
 
+    def _reject(self, action: api.RejectCall) -> None:
+        self._finish(action.call, Outcome(Verdict.REFUSED, retry_after_us=action.retry_after_us))
+
     def _cancel_attempt(self, action: api.CancelAttempt) -> None:
         attempt = (action.call, action.attempt)
         if attempt in self.flights:
             self.pool.cancel(attempt)
             self.attempt_ended(attempt, Result.CANCELLED)
 
-    def _set_timer(self, action: api.SetTimer) -> None:
-        token = action.token
-        self.at(action.due_us, lambda: self.give(api.TimerFired(token)))
-
-    def _reject_call(self, action: api.RejectCall) -> None:
-        self._finish(action.call, Outcome(Verdict.REFUSED, retry_after_us=action.retry_after_us))
-
-    def _fail_call(self, action: api.FailCall) -> None:
-        self._fail(action.call)
-
-    def _close_idle(self, action: api.CloseIdleConnections) -> None:
-        self.pool.close_idle(action.worker)
-
-    def _write_log(self, action: api.WriteLog) -> None:
-        log.info("module: %s", action.text)
-
-    def _count_without_effect(self, _action: api.Action) -> None:
-        """Count what needs no act: the list is polled all the time, and there is no way to other routers."""
-        self.counters["actions.without_effect"] += 1
-
 
 def _arrival(call: int, request: Request, left_us: int) -> api.CallArrived:
     return api.CallArrived(
@@ -377,19 +360,33 @@
     )
 
 
+def _set_timer(core: Core, action: api.SetTimer) -> None:
+    token = action.token
+    core.at(action.due_us, lambda: core.give(api.TimerFired(token)))
+
+
+def _write_log(_core: Core, action: api.WriteLog) -> None:
+    log.info("module: %s", action.text)
+
+
+def _count_without_effect(core: Core, _action: api.Action) -> None:
+    """Count what needs no act: the list is polled all the time, and there is no way to other routers."""
+    core.counters["actions.without_effect"] += 1
+
+
 # A table, since every call brings several actions about and a chain of comparisons would stand before each.
 ACTION_HANDLERS: dict[type, Callable[[Core, Any], None]] = {
     api.SendAttempt: Core._send_attempt,
-    api.SetTimer: Core._set_timer,
-    api.RejectCall: Core._reject_call,
-    api.FailCall: Core._fail_call,
+    api.SetTimer: _set_timer,
+    api.RejectCall: Core._reject,
+    api.FailCall: lambda core, action: core._fail(action.call),
     api.CancelAttempt: Core._cancel_attempt,
     api.RequestLoad: lambda core, action: core.control.request_load(action),
     api.RequestUnload: lambda core, action: core.control.request_unload(action),
     api.SendHealthCheck: lambda core, action: core.control.check_health_if_ours(action),
-    api.CloseIdleConnections: Core._close_idle,
-    api.WriteLog: Core._write_log,
-    api.WatchEndpoints: Core._count_without_effect,
-    api.FetchEndpoints: Core._count_without_effect,
-    api.SendToPeer: Core._count_without_effect,
+    api.CloseIdleConnections: lambda core, action: core.pool.close_idle(action.worker),
+    api.WriteLog: _write_log,
+    api.WatchEndpoints: _count_without_effect,
+    api.FetchEndpoints: _count_without_effect,
+    api.SendToPeer: _count_without_effect,
 }
