--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,7 @@
-"""Whoever ends something just then: the real program, and stand-ins that hold, cut or close on cue.
+"""What ends at an awkward moment: the real program, and stand-ins that hold, cut or close on cue.
 
-`docs/endings.md` lists the moments."""
+`docs/endings.md` lists the moments.
+"""
 
 import contextlib
 import json
@@ -19,8 +20,8 @@
 GONE_S = 0.3  # from then on nothing may begin for a client that has closed
 
 
-class Holding(Worker):
-    """Holds each connection before its handshake, until it is told to let them up."""
+class HoldingWorker(Worker):
+    """Holds each connection before its handshake, until `hold` is set."""
 
     def __init__(self) -> None:
         self.hold = threading.Event()
@@ -33,12 +34,29 @@
         super()._accept()
 
 
-class Asking:
-    """A client with a thread of its own that asks anew as it is answered, until it finds a close."""
+class ArrivalTimesWorker(Worker):
+    """Records when each call and each load request came."""
+
+    def __init__(self) -> None:
+        self.arrived_s: list[float] = []  # Unix time
+        super().__init__()
+
+    def _answer(self, message: dict[str, Any]) -> dict[str, Any] | bytes | None:
+        if message["kind"] in ("CALL", "LOAD"):
+            self.arrived_s.append(time.time())
+        return super()._answer(message)
+
+
+class PersistentClient:
+    """A client with a thread of its own that sends anew as it is answered, until it finds a close."""
 
     def __init__(self, port: int, method: str, ahead: int) -> None:
-        self.client, self.method, self.ahead = Client(port), method, ahead
-        self.open, self.answered, self.faults = set[int](), 0, list[str]()
+        self.client = Client(port)
+        self.method = method
+        self.ahead = ahead
+        self.open = set[int]()
+        self.answered = 0
+        self.faults = list[str]()
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
@@ -69,7 +87,7 @@
         return self.faults + (["it has not ended"] if self.thread.is_alive() else [])
 
 
-def calls(*workers: Worker) -> list[dict[str, Any]]:
+def call_lines(*workers: Worker) -> list[dict[str, Any]]:
     return [line for worker in workers for line in list(worker.lines) if line["kind"] == "CALL"]
 
 
@@ -87,7 +105,7 @@
         limits = params()["limits"] | {"cancelling": False}
         for ending, changes in (("close", {}), ("interrupt", {}), ("interrupt", {"limits": limits})):
             with self.subTest(ending, changes=changes):
-                worker = Holding()
+                worker = HoldingWorker()
                 self.start(worker, **changes)
                 id_ = self.client.call("review", b"abc")
                 eventually(lambda: self.program.counters().get("attempts.sent"), "the decision")
@@ -101,7 +119,7 @@
                 # What comes after it by the same connection shows that it came up, and that it was dropped.
                 other = Client(self.program.port("platform"))
                 other.served("review", b"later")
-                self.assertEqual([line["bytes"] for line in calls(worker)], ["bGF0ZXI="])
+                self.assertEqual([line["bytes"] for line in call_lines(worker)], ["bGF0ZXI="])
                 counters = self.program.counters()
                 self.assertEqual(counters.get("attempts.moot", 0) + counters.get("attempts.cancelled", 0), 1)
                 self.assertNotIn("states.forbidden", counters)
@@ -121,7 +139,7 @@
             worker.pause.set()
         eventually(lambda: self.program.counters().get("attempts.full"), "the answer")
         time.sleep(GONE_S)
-        self.assertEqual(len(calls(first, second)), 1)
+        self.assertEqual(len(call_lines(first, second)), 1)
         self.assertEqual(self.program.counters()["attempts.sent"], 1)
 
     def test_call_that_is_held_between_tries_is_dropped_with_its_client(self) -> None:
@@ -131,9 +149,9 @@
         eventually(lambda: self.program.counters().get("attempts.full"), "the first try")
         self.client.close()
         time.sleep(GONE_S)
-        before = len(calls(worker))
+        before = len(call_lines(worker))
         time.sleep(3.0)  # the pause after a full answer is over by then
-        self.assertEqual(len(calls(worker)), before)
+        self.assertEqual(len(call_lines(worker)), before)
 
     def test_client_that_ended_its_side_alone_gets_the_answer_of_what_is_out(self) -> None:
         worker = Worker()
@@ -164,7 +182,7 @@
             self.program.process.send_signal(signal.SIGCONT)
             time.sleep(GONE_S)
         self.client.served("review", b"abc")
-        self.assertEqual({line["bytes"] for line in calls(worker)}, {"YWJj"})
+        self.assertEqual({line["bytes"] for line in call_lines(worker)}, {"YWJj"})
 
 
 class DrainTest(unittest.TestCase):
@@ -178,14 +196,15 @@
 
     def test_request_that_comes_when_nothing_is_owed_is_answered_or_finds_a_clean_close(self) -> None:
         """Callers that ask again the moment they have their answer, up to the very end of the process."""
-        faults, asked = list[str](), [0]
+        faults = list[str]()
+        sent = [0]
 
         def ask() -> None:
             client = Client(self.port)
             while True:
                 try:
                     id_ = client.call("test-submit", b"abc")
-                    asked[0] += 1
+                    sent[0] += 1
                     answer = client.read()
                 except (ConnectionError, OSError) as fault:
                     faults.append(repr(fault))
@@ -198,7 +217,7 @@
         callers = [threading.Thread(target=ask, daemon=True) for _ in range(8)]
         for caller in callers:
             caller.start()
-        eventually(lambda: asked[0] > 100, "calls")
+        eventually(lambda: sent[0] > 100, "calls")
         self.program.process.send_signal(signal.SIGTERM)
         for caller in callers:
             caller.join(PATIENCE_S)
@@ -208,15 +227,15 @@
 
     def assert_answered(self) -> None:
         """Whatever was taken had its one answer."""
-        told = json.loads(self.program.find(r'^(\{"counters".*)'))["counters"]
-        answered = sum(count for name, count in told.items() if name.startswith("answers."))
-        self.assertEqual((told["requests.taken"], told.get("requests.withdrawn", 0)), (answered, 0))
+        counters = json.loads(self.program.find(r'^(\{"counters".*)'))["counters"]
+        answered = sum(count for name, count in counters.items() if name.startswith("answers."))
+        self.assertEqual((counters["requests.taken"], counters.get("requests.withdrawn", 0)), (answered, 0))
 
-    def ask_on(self, method: str, ahead: int) -> "Asking":
+    def keep_sending(self, method: str, ahead: int) -> PersistentClient:
         """A client that never stops: it has always about so many open."""
-        asking = Asking(self.port, method, ahead)
-        eventually(lambda: asking.answered > ahead, "answers")
-        return asking
+        persistent = PersistentClient(self.port, method, ahead)
+        eventually(lambda: persistent.answered > ahead, "answers")
+        return persistent
 
     def held_call(self) -> Client:
         """One that is open till the process ends, so that at no time before nothing is owed."""
@@ -227,9 +246,9 @@
 
     def test_clients_that_never_stop_are_parted_with_while_another_is_still_owed_its_answer(self) -> None:
         held = self.held_call()
-        asking = [self.ask_on(*kind) for kind in (("review", 4), ("review", 1), ("test-submit", 2))]
+        persistent = [self.keep_sending(*kind) for kind in (("review", 4), ("review", 1), ("test-submit", 2))]
         self.program.process.send_signal(signal.SIGTERM)
-        self.assertEqual([one.end() for one in asking], [[], [], []])
+        self.assertEqual([client.end() for client in persistent], [[], [], []])
         self.assertEqual(select.select([held.socket], [], [], 0)[0], [])
         self.assertIn("error", held.read() or {})
         self.assertIsNone(held.read())
@@ -238,9 +257,9 @@
 
     def test_clients_whose_connections_are_never_read_to_their_end_find_a_clean_close(self) -> None:
         held = self.held_call()
-        asking = [self.ask_on("check", 2000), self.ask_on("check", 2000)]
+        persistent = [self.keep_sending("check", 2000), self.keep_sending("check", 2000)]
         self.program.process.send_signal(signal.SIGTERM)
-        self.assertEqual([one.end() for one in asking], [[], []])
+        self.assertEqual([client.end() for client in persistent], [[], []])
         self.assertIn("error", held.read() or {})
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assert_answered()
@@ -277,10 +296,10 @@
         client.close()
 
     def test_client_that_never_reads_its_answers_does_not_keep_the_process(self) -> None:
-        deaf = socket.socket()
-        deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        deaf.connect(("127.0.0.1", self.port))
-        client = Client(self.port, deaf)
+        unreading = socket.socket()
+        unreading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        unreading.connect(("127.0.0.1", self.port))
+        client = Client(self.port, unreading)
         for _ in range(14):
             client.call("review", b"long:")
         eventually(lambda: self.program.counters().get("answers.served", 0) >= 14, "the answers")
@@ -288,7 +307,7 @@
         self.program.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assertLess(time.monotonic() - began, 4.5)
-        deaf.close()
+        unreading.close()
 
     def test_sigterm_at_any_moment_of_the_start_ends_the_process_soon(self) -> None:
         for delay_s in (0.0, 0.1, 0.2, 0.3, 0.4, 0.6):
@@ -316,8 +335,8 @@
         eventually(lambda: program.counters().get("names.lists"), "the list")
         open_now = len(list(Path(f"/proc/{program.process.pid}/fd").iterdir()))
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (open_now, 256))
-        told = program.reload(lambda text: text.replace(str(names.port), str(other.port)))
-        self.assertEqual(told["taken"], ["dns"])
+        reloaded = program.reload(lambda text: text.replace(str(names.port), str(other.port)))
+        self.assertEqual(reloaded["taken"], ["dns"])
         eventually(lambda: other.queries, "a query to the new name server")
         eventually(lambda: program.counters().get("names.lists", 0) > 1 or other.queries > 3, "its list")
         self.assertGreater(program.counters()["descriptors.none_left"], 0)
@@ -335,8 +354,8 @@
         eventually(lambda: names.queries, "a query")
         silent = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         silent.bind(("127.0.0.1", 0))
-        told = program.reload(lambda text: text.replace(str(names.port), str(silent.getsockname()[1])))
-        self.assertEqual(told["taken"], ["dns"])
+        reloaded = program.reload(lambda text: text.replace(str(names.port), str(silent.getsockname()[1])))
+        self.assertEqual(reloaded["taken"], ["dns"])
         names.workers, names.serial = [("s-0", workers[0].port, 1), ("s-1", workers[1].port, 0)], 2
         eventually(lambda: program.counters().get("names.lists"), "the list of the one before")
         client = Client(port)
@@ -347,7 +366,7 @@
         silent.close()
 
 
-class FleetRampTest(unittest.TestCase):
+class FleetSlowStartTest(unittest.TestCase):
     def test_cold_worker_gets_no_more_than_its_budget_from_twenty_routers_together(self) -> None:
         """A warm worker drains just as a cold one comes: every router has homes to move, and thin traffic."""
         routers, functions, rate = 20, 40, 24.0
@@ -359,16 +378,8 @@
         clients = [Client(program.port("platform")) for program in programs]
         for client in clients:
             self.addCleanup(client.close)
-        cold, began = Worker(), time.time()
-        arrived = list[float]()
-        noted = cold._answer
-
-        def note(told: dict[str, Any]) -> dict[str, Any] | bytes | None:
-            if told["kind"] in ("CALL", "LOAD"):
-                arrived.append(time.time())
-            return noted(told)
-
-        cold._answer = note  # type: ignore[method-assign]
+        cold = ArrivalTimesWorker()
+        began = time.time()
         turn, joined = 0, 0.0
         while (now := time.time()) < began + 9.0:
             if not joined and now > began + 4.0:
@@ -391,11 +402,13 @@
             time.sleep(max(0.0, began + turn / rate - time.time()))
         # What a worker of this fleet carries: the traffic is 0.6 of what three of them do.
         capacity = rate / 0.6 / 3
-        told = params()["guarantees"]
-        span_s = told["overloadForUs"] / 1e6
-        for at in arrived:
+        guarantees = params()["guarantees"]
+        span_s = guarantees["overloadForUs"] / 1e6
+        for at in cold.arrived_s:
             age_s = max(0.0, at - span_s - joined)
-            share = told["startCapacity"] + (1 - told["startCapacity"]) * age_s / (told["coldUs"] / 1e6)
-            budget = told["fallMultiple"] * share * capacity * span_s
-            count = sum(at - span_s < other <= at for other in arrived)
+            share = guarantees["startCapacity"] + (1 - guarantees["startCapacity"]) * age_s / (
+                guarantees["coldUs"] / 1e6
+            )
+            budget = guarantees["fallMultiple"] * share * capacity * span_s
+            count = sum(at - span_s < other <= at for other in cold.arrived_s)
             self.assertLessEqual(count, budget + 2 * budget**0.5 + 2)
