--- /dev/null
+++ b/tests/test_control_commands.py
@@ -0,0 +1,147 @@
+"""The codec of the replicated log's commands and replies, against the recorded wire forms."""
+
+import json
+from typing import Any
+
+import pytest
+
+from maplestile.common.errors import CommandRejected
+from maplestile.control import commands
+from maplestile.control.policy.document import Document
+from tests.control_script import SCRIPT, TOLD, WORDS
+from tests.recordings import RECORDED
+
+SUBMITTED = ("steward-submitted.jsonl", "herald-submitted.jsonl", "agent-submitted.jsonl")
+BY_THE_AGENT = {
+    "register",
+    "word",
+    "grant",
+    "begin",
+    "back",
+    "out",
+    "part",
+    "renewed",
+    "policy verdict",
+    "policy commit",
+    "policy read",
+}
+
+
+def recorded(name: str) -> list[dict[str, Any]]:
+    return [json.loads(line) for line in (RECORDED / name).read_bytes().splitlines()]
+
+
+def submitted() -> list[dict[str, Any]]:
+    return [command for name in SUBMITTED for command in recorded(name)]
+
+
+def test_what_an_agent_submits_by_itself_is_encoded_in_the_recorded_order() -> None:
+    seen = set()
+    for encoded in submitted():
+        if encoded["do"] in BY_THE_AGENT:
+            seen.add(encoded["do"])
+            again = commands.encode(commands.decode(encoded))
+            assert json.dumps(again) == json.dumps(encoded)
+    assert seen == BY_THE_AGENT
+
+
+def test_what_the_leader_decides_is_encoded_in_the_recorded_order() -> None:
+    halt = commands.HaltRollout(rollout=1, reason="r0 fails 30 of 30 calls", agent="a0")
+    abort = commands.AbortPolicy(change=3, reason="no word of r1 in 5 s", agent="a0")
+    for command in (halt, abort):
+        encoded = commands.encode(command)
+        assert json.dumps(encoded) in [json.dumps(one) for one in SCRIPT]
+
+
+def test_each_command_of_the_script_is_decoded_alike_after_it_was_encoded() -> None:
+    decoded = 0
+    for encoded in (*SCRIPT, WORDS, TOLD):
+        try:
+            command = commands.decode(encoded)
+        except CommandRejected:
+            continue
+        decoded += 1
+        assert commands.decode(json.loads(json.dumps(commands.encode(command)))) == command
+    assert decoded > 100
+
+
+def test_every_command_has_a_name_and_is_in_the_script() -> None:
+    decoded = set[str]()
+    for encoded in (*SCRIPT, WORDS):
+        try:
+            decoded.add(commands.name_of(commands.decode(encoded)))
+        except CommandRejected:
+            continue
+    assert decoded == {
+        *BY_THE_AGENT,
+        "start",
+        "halt",
+        "resume",
+        "undo",
+        "release",
+        "policy propose",
+        "policy rollback",
+        "policy abort",
+    }
+
+
+@pytest.mark.parametrize(
+    ("encoded", "reason"),
+    [
+        ({}, "no command 'None'"),
+        ({"do": "fly"}, "no command 'fly'"),
+        ({"do": "begin", "instance": "r0", "lease": 1}, "damaged command: KeyError: 'agent'"),
+        (
+            {"do": "register", "agent": "a0", "instances": [], "runners": ["w0"]},
+            "damaged command: TypeError: runners: must be a table",
+        ),
+        (
+            {"do": "start", "action": "drain", "budget": 1, "targets": [["r0"]]},
+            "damaged command: TypeError: targets: must be texts, not ['r0']",
+        ),
+        (
+            {"do": "policy read", "agent": "a0", "instances": [["r0"]]},
+            "damaged command: TypeError: instances: must be texts, not ['r0']",
+        ),
+        ({"do": "word", "agent": "a0", "words": [1]}, "damaged command: TypeError: words: must be a table"),
+        ({"do": "word", "words": {}}, "damaged command: KeyError: 'agent'"),
+        (
+            {"do": "policy propose", "document": {"listen": {}}, "base": 0, "agent": "a0"},
+            "listen: is no part of policy; it stays in each router's file",
+        ),
+    ],
+)
+def test_a_command_of_no_use_is_refused_with_its_place(encoded: dict[str, Any], reason: str) -> None:
+    with pytest.raises(CommandRejected) as refused:
+        commands.decode(encoded)
+    assert str(refused.value) == reason
+
+
+def test_a_lease_that_is_named_as_null_is_none_that_there_is() -> None:
+    named = commands.decode({"do": "release", "instance": "r0", "lease": None})
+    assert named == commands.ReleaseLease(instance="r0", lease=commands.NO_LEASE)
+    assert commands.decode({"do": "release", "instance": "r0"}) == commands.ReleaseLease(instance="r0")
+
+
+def test_each_recorded_reply_is_decoded_and_encoded_again() -> None:
+    for exchange in recorded("log-commands.jsonl"):
+        encoded = exchange["reply"]
+        try:
+            command = commands.decode(exchange["command"])
+        except CommandRejected as refusal:
+            assert commands.encode_reply(commands.Rejected(str(refusal))) == encoded
+            continue
+        reply = commands.decode_reply(command, encoded)
+        assert json.dumps(commands.encode_reply(reply)) == json.dumps(encoded)
+
+
+def test_a_command_from_the_wire_goes_to_the_log_as_it_is() -> None:
+    damaged = {"reason": "", "do": "fly", "agent": "a0"}
+    assert commands.as_encoded(damaged) is damaged
+    proposal = commands.ProposePolicy(document=Document.of({"rules": {}}), base=0, agent="a0")
+    assert commands.as_encoded(proposal) == {
+        "do": "policy propose",
+        "document": {"rules": {}},
+        "base": 0,
+        "agent": "a0",
+    }
