--- a/maplestile/control/policy/planner.py
+++ b/maplestile/control/policy/planner.py
@@ -7,7 +7,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from maplestile.control.policy.agreed import AgreedPolicies, Command
+from maplestile.control.commands import AbortPolicy, CommitPolicy, EncodedCommand, encode
+from maplestile.control.policy.agreed import AgreedPolicies
 
 CHECK_US = 6_000_000  # for a router's verdict; then the change is aborted
 ABSENT_US = 3_000_000  # of six reads none named it: it is down or cut off
@@ -20,8 +21,15 @@
     change: int = 0
     since_us: int = 0  # when this leader first saw the change
 
-    def decide(self, agreed: AgreedPolicies, instances: Iterable[str], now_us: int) -> Command | None:
-        """At most one command: the log answers it before the next is thought of."""
+    def decide(self, agreed: AgreedPolicies, instances: Iterable[str], now_us: int) -> EncodedCommand | None:
+        """The wire form of `next_command`."""
+        command = self.next_command(agreed, instances, now_us)
+        return None if command is None else encode(command)
+
+    def next_command(
+        self, agreed: AgreedPolicies, instances: Iterable[str], now_us: int
+    ) -> CommitPolicy | AbortPolicy | None:
+        """At most one command: the log answers it before the next is decided on."""
         change = agreed.checking()
         if change is None:
             return None
@@ -31,11 +39,11 @@
         unchecked = [name for name in sorted(instances) if change.verdicts.get(name) != ""]
         silent = [name for name in unchecked if not agreed.serves(name)]
         if change.verdicts and silent == unchecked and (not silent or waited_us >= self.absent_us):
-            return {"do": "policy commit", "change": change.number, "absent": silent}
+            return CommitPolicy(change=change.number, absent=tuple(silent))
         if waited_us < self.check_us:
             return None
         missing = [name for name in unchecked if name not in silent]
         reason = f"no verdict within {self.check_us / 1e6:g} s of {', '.join(missing)}"
         if not missing:
             reason = "no router is there to check it"
-        return {"do": "policy abort", "change": change.number, "reason": reason}
+        return AbortPolicy(change=change.number, reason=reason)
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -13,9 +13,10 @@
 from pysyncobj import FAIL_REASON, SyncObj, SyncObjConf, replicated  # type: ignore[import-untyped]
 from pysyncobj.node import TCPNode  # type: ignore[import-untyped]
 
+from maplestile.control.commands import Command, EncodedCommand, EncodedReply, as_encoded
 from maplestile.control.log_storage import check
 from maplestile.control.settings import ControlSettings
-from maplestile.control.state import Command, ControlState, Reply
+from maplestile.control.state import ControlState
 
 log = logging.getLogger("maplestile.control")
 TICK_S = 0.01
@@ -50,7 +51,7 @@
         super().__init__(me, others, conf)
 
     @replicated  # type: ignore[untyped-decorator]
-    def apply_command(self, command: Command) -> Reply:
+    def apply_command(self, command: EncodedCommand) -> EncodedReply:
         if command.get("do") == "word":  # what an agent tells of its instances; no part of what is agreed
             number, _ = self.words.get(command["agent"], (0, {}))
             self.words[command["agent"]] = number + 1, command["words"]
@@ -135,12 +136,13 @@
         finally:
             self.replica.destroy()
 
-    async def submit(self, command: Command) -> Reply:
+    async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
         """Have a command agreed on and applied; its answer. Raises LogError where no leader took it in time,
         or where its fate is not known; the text says which."""
         began = time.monotonic()
+        encoded = as_encoded(command)
         while True:
-            reply, fault = await self._once(command, began + ANSWER_S - time.monotonic())
+            reply, fault = await self._once(encoded, began + ANSWER_S - time.monotonic())
             if reply is not None and not fault:
                 break
             if fault not in NOT_TAKEN:
@@ -154,10 +156,10 @@
         self.counters["control.slowest_us"] = max(self.counters["control.slowest_us"], took_us)
         return reply
 
-    async def _once(self, command: Command, wait_s: float) -> tuple[Reply | None, int]:
-        answer: asyncio.Future[tuple[Reply | None, int]] = asyncio.get_running_loop().create_future()
+    async def _once(self, command: EncodedCommand, wait_s: float) -> tuple[EncodedReply | None, int]:
+        answer: asyncio.Future[tuple[EncodedReply | None, int]] = asyncio.get_running_loop().create_future()
 
-        def answered(reply: Reply | None, fault: int) -> None:
+        def answered(reply: EncodedReply | None, fault: int) -> None:
             if not answer.done():
                 answer.set_result((reply, fault))
 
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -7,9 +7,10 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
+from maplestile.control.commands import Command, EncodedCommand, EncodedReply, as_encoded
 from maplestile.control.raft_log import LogError
 from maplestile.control.settings import ControlSettings
-from maplestile.control.state import Command, ControlState, Reply
+from maplestile.control.state import ControlState
 
 log = logging.getLogger("maplestile.control")
 READ_S = 0.2
@@ -39,11 +40,11 @@
                 log.warning("control: no voter's agent answers: %s", fault)
             await asyncio.sleep(READ_S)
 
-    async def submit(self, command: Command) -> Reply:
-        reply: Reply = (await self._ask(command))["reply"]
+    async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
+        reply: EncodedReply = (await self._ask(as_encoded(command)))["reply"]
         return reply
 
-    async def _ask(self, command: Command | None) -> dict[str, Any]:
+    async def _ask(self, command: EncodedCommand | None) -> dict[str, Any]:
         """The first of the voters' agents that answers, in the order of the file."""
         faults = list[str]()
         for address in self.plan.ask:
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -7,7 +7,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from maplestile.control.state import Command, ControlState, Phase, Stage
+from maplestile.control.commands import EncodedCommand, GrantLease, HaltRollout, HealthReport, encode
+from maplestile.control.state import ControlState, Phase, Stage
+
+__all__ = ["HealthReport", "RolloutPlanner", "Rules"]
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,15 +26,6 @@
     failed_most: float = 0.1  # share of failed calls of a released instance over which the rollout halts
 
 
-@dataclass(slots=True, frozen=True)
-class HealthReport:
-    """What an agent tells of one instance: whether it can serve, and its calls since its start."""
-
-    ready: bool
-    served: int = 0
-    failed: int = 0
-
-
 @dataclass(slots=True)
 class Heard:
     word: HealthReport
@@ -71,8 +65,15 @@
 
     def decide(
         self, control: ControlState, members_out: frozenset[str], term: int, now_us: int
-    ) -> Command | None:
-        """At most one command: the log answers it before the next is thought of."""
+    ) -> EncodedCommand | None:
+        """The wire form of `next_command`."""
+        command = self.next_command(control, members_out, term, now_us)
+        return None if command is None else encode(command)
+
+    def next_command(
+        self, control: ControlState, members_out: frozenset[str], term: int, now_us: int
+    ) -> GrantLease | HaltRollout | None:
+        """At most one command: the log answers it before the next is decided on."""
         rollout = control.rollout
         self._follow(control, now_us)
         if rollout is None or rollout.phase not in (Phase.RUNNING, Phase.UNDOING):
@@ -83,7 +84,7 @@
         down = self.down(control, rollout.kind, members_out, now_us)
         out = len(control.out(rollout.kind)) + len(down)
         if (reason := self._ailing(control, down, out, now_us)) and rollout.phase is Phase.RUNNING:
-            return {"do": "halt", "rollout": rollout.number, "reason": reason}
+            return HaltRollout(rollout=rollout.number, reason=reason)
         step = control.next_step()
         if step is None:
             return None
@@ -91,14 +92,9 @@
         counted = {*control.out(rollout.kind), *down, *self.resting, step[0]}
         if len(counted) > rollout.budget:
             return None
-        return {
-            "do": "grant",
-            "rollout": rollout.number,
-            "instance": step[0],
-            "down": down,
-            "after": control.number,
-            "term": term,
-        }
+        return GrantLease(
+            rollout=rollout.number, instance=step[0], down=tuple(down), after=control.number, term=term
+        )
 
     def _follow(self, control: ControlState, now_us: int) -> None:
         numbers = {lease.number for lease in control.leases.values()}
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -127,6 +127,10 @@
             self.worst_out[kind] = max(self.worst_out[kind], len(self.out(kind)))
         return {"ok": True, **reply}
 
+    def apply_encoded(self, command: Command) -> Reply:
+        """Apply the wire form of a command; the wire form of the reply."""
+        return self.apply(command)
+
     # Instances.
 
     def _register(self, command: Command) -> Reply:
