--- /dev/null
+++ b/maplestile/control/lease_transitions.py
@@ -0,0 +1,167 @@
+"""The transitions of the leases: by the leader, by the agents, and the release by an operator."""
+
+from maplestile.common.errors import CommandRejected
+from maplestile.control.commands import (
+    RUNNERS,
+    Accepted,
+    BeginStep,
+    ConfirmDrained,
+    ConfirmRenewed,
+    FinishStep,
+    GrantLease,
+    LeaseChanged,
+    ReleaseLease,
+    ReportPart,
+    StepBegun,
+)
+from maplestile.control.fleet import FleetState
+from maplestile.control.rollout import (
+    DRAIN,
+    PART_BEGUN,
+    PART_IN,
+    PART_OUT,
+    PART_UNTOUCHED,
+    START,
+    Lease,
+    Stage,
+)
+from maplestile.control.rollout_transitions import current_rollout
+
+
+def grant_lease(fleet: FleetState, command: GrantLease) -> LeaseChanged:
+    """Grant the rollout's next step, where the budget has room for it."""
+    rollout = current_rollout(fleet, command.rollout)
+    step = fleet.next_step()
+    if command.after != fleet.number:
+        raise CommandRejected("something else was granted since")
+    if step is None or step.instance != command.instance:
+        raise CommandRejected(f"it is not the turn of '{command.instance}'")
+    counted = {*fleet.out(rollout.kind), *command.down, step.instance}
+    if len(counted) > rollout.budget:
+        raise CommandRejected(f"{len(counted)} would be out, and the budget is {rollout.budget}")
+    number = fleet.next_number()
+    holder = fleet.known(rollout.kind).get(step.instance)
+    if holder is None:
+        # Its agent has dropped it since the start. Every release has spent a number on that and has answered
+        # so; all voters must go on to number alike.
+        raise CommandRejected(f"damaged command: KeyError: {step.instance!r}")
+    lease = Lease(
+        number=number,
+        instance=step.instance,
+        holder=holder,
+        action=step.action,
+        stage=Stage.GRANTED,
+        term=command.term,
+    )
+    if rollout.kind == RUNNERS:
+        lease.parts = dict.fromkeys(fleet.agents(), PART_UNTOUCHED)
+        if step.action == START:  # nothing is taken out by it, so no halt has to come before its begin
+            lease.stage = Stage.RETURNING
+    fleet.leases[lease.instance] = lease
+    return LeaseChanged(lease.number)
+
+
+def release_lease(fleet: FleetState, command: ReleaseLease) -> LeaseChanged:
+    """Drop a lease that will not end by itself; the operator vouches for the instance."""
+    lease = fleet.leases.get(command.instance)
+    if lease is None:
+        raise CommandRejected(f"'{command.instance}' is not out")
+    if command.lease not in (None, lease.number):
+        raise CommandRejected(f"'{lease.instance}' is out by lease {lease.number}")
+    del fleet.leases[lease.instance]
+    if fleet.rollout is not None:
+        fleet.finish_if_complete(fleet.rollout)
+    return LeaseChanged(lease.number)
+
+
+# Steps of routers, by the holder of the lease.
+
+
+def begin_step(fleet: FleetState, command: BeginStep) -> StepBegun:
+    """Let the holder touch the instance: what it read of the lease may be outdated."""
+    lease = _held_lease(fleet, command)
+    if lease.stage is not Stage.GRANTED or lease.of_runner:
+        raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
+    lease.stage = Stage.BEGUN
+    return StepBegun(lease.action)
+
+
+def finish_step(fleet: FleetState, command: FinishStep) -> Accepted:
+    """End a step: its holder has seen the instance serve again."""
+    lease = _held_lease(fleet, command)
+    if lease.stage is Stage.GRANTED or lease.action == DRAIN or lease.of_runner:
+        raise CommandRejected(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
+    del fleet.leases[lease.instance]
+    fleet.complete_step(lease)
+    return Accepted()
+
+
+def confirm_drained(fleet: FleetState, command: ConfirmDrained) -> Accepted:
+    """End the step of a drain: the instance has nothing in flight, and stays out."""
+    lease = _held_lease(fleet, command)
+    if lease.stage is not Stage.BEGUN or lease.action != DRAIN or lease.of_runner:
+        raise CommandRejected(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
+    lease.stage = Stage.OUT
+    fleet.complete_step(lease)
+    return Accepted()
+
+
+def _held_lease(
+    fleet: FleetState, command: BeginStep | FinishStep | ConfirmDrained | ConfirmRenewed
+) -> Lease:
+    lease = fleet.leases.get(command.instance)
+    if lease is None or lease.number != command.lease or lease.holder != command.agent:
+        raise CommandRejected(f"{command.agent} holds no lease {command.lease} of '{command.instance}'")
+    return lease
+
+
+# Steps of runners, in which every agent has a part.
+
+
+def report_part(fleet: FleetState, command: ReportPart) -> Accepted:
+    """Take one agent's report; the lease moves on once all agents have reported the same."""
+    lease = fleet.leases.get(command.instance)
+    if lease is None or lease.number != command.lease or lease.parts is None:
+        raise CommandRejected(f"there is no lease {command.lease} of a runner '{command.instance}'")
+    if command.agent not in lease.parts:
+        raise CommandRejected(f"{command.agent} has no part in lease {lease.number}")
+    stages = (Stage.RETURNING,) if command.did == PART_IN else (Stage.GRANTED, Stage.BEGUN)
+    if command.did not in (PART_BEGUN, PART_OUT, PART_IN) or lease.stage not in stages:
+        raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
+    lease.parts[command.agent] = command.did
+    if command.did == PART_IN:
+        _return_runner(fleet, lease)
+    else:
+        _take_out_runner(fleet, lease)
+    return Accepted()
+
+
+def _return_runner(fleet: FleetState, lease: Lease) -> None:
+    if _all_parts(lease, PART_IN):
+        del fleet.leases[lease.instance]
+        fleet.complete_step(lease)
+
+
+def _take_out_runner(fleet: FleetState, lease: Lease) -> None:
+    lease.stage = Stage.BEGUN
+    if not _all_parts(lease, PART_OUT):
+        return
+    if lease.action == DRAIN:
+        lease.stage = Stage.OUT
+        fleet.complete_step(lease)
+    else:
+        lease.stage = Stage.AWAY
+
+
+def _all_parts(lease: Lease, part: str) -> bool:
+    return lease.parts is not None and set(lease.parts.values()) == {part}
+
+
+def confirm_renewed(fleet: FleetState, command: ConfirmRenewed) -> Accepted:
+    """Let routers use a runner again: its holder has replaced the process."""
+    lease = _held_lease(fleet, command)
+    if lease.stage is not Stage.AWAY or lease.parts is None:
+        raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
+    lease.stage = Stage.RETURNING
+    lease.parts = dict.fromkeys(lease.parts, PART_UNTOUCHED)
+    return Accepted()
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -89,11 +89,11 @@
         if step is None:
             return None
         # One already out, by its own lease or by an outage, takes up no more of the budget by its step.
-        counted = {*control.out(rollout.kind), *down, *self.resting, step[0]}
+        counted = {*control.out(rollout.kind), *down, *self.resting, step.instance}
         if len(counted) > rollout.budget:
             return None
         return GrantLease(
-            rollout=rollout.number, instance=step[0], down=tuple(down), after=control.number, term=term
+            rollout=rollout.number, instance=step.instance, down=tuple(down), after=control.number, term=term
         )
 
     def _follow(self, control: ControlState, now_us: int) -> None:
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -8,6 +8,7 @@
 from maplestile.common.errors import CommandRejected
 from maplestile.control import commands
 from maplestile.control.policy.document import Document
+from maplestile.control.state import ControlState
 from tests.control_script import SCRIPT, TOLD, WORDS
 from tests.recordings import RECORDED
 
@@ -145,3 +146,31 @@
         "base": 0,
         "agent": "a0",
     }
+
+
+def test_a_grant_for_a_target_that_its_agent_has_dropped_is_refused_and_spends_a_number() -> None:
+    control = ControlState()
+    control.apply(commands.Register(instances=("r0",), agent="a0"))
+    control.apply(commands.StartRollout(action="restart", targets=("r0",), budget=1))
+    control.apply(commands.Register(instances=(), agent="a0"))
+    reply = control.apply(commands.GrantLease(instance="r0", down=(), after=1, term=1))
+    assert reply == commands.Rejected("damaged command: KeyError: 'r0'")
+    assert (control.number, control.leases) == (2, {})
+
+
+def test_a_heartbeat_is_no_command_of_the_agreed_state() -> None:
+    reply = ControlState().apply(commands.Heartbeat(agent="a0", reports={}))
+    assert reply == commands.Rejected("no command 'word'")
+
+
+def test_a_damaged_command_leaves_the_state_as_it_was() -> None:
+    control = ControlState()
+    before = control.told()
+    runners = {"w0": True, "": False}
+    for damaged in (
+        {"do": "register", "agent": "a0", "instances": ["r0"], "runners": runners},
+        {"do": "register", "agent": "a0", "instances": ["r0"], "runners": ["w0"]},
+        {"do": "policy propose", "document": {"rules": {}}, "base": 0},
+    ):
+        assert not control.apply_encoded(damaged)["ok"]
+        assert control.told() == before
