--- a/maplestile/control/commands.py
+++ b/maplestile/control/commands.py
@@ -349,6 +349,12 @@
     return tuple(texts)
 
 
+def _text(value: object, place: str) -> str:
+    if not isinstance(value, str):
+        raise TypeError(f"{place}: must be a text")
+    return value
+
+
 def _table(value: object, place: str) -> Mapping[str, Any]:
     if not isinstance(value, Mapping):
         raise TypeError(f"{place}: must be a table")
@@ -481,8 +487,8 @@
 def _read_policy(encoded: Mapping[str, Any]) -> ReadPolicy:
     return ReadPolicy(
         instances=_texts(encoded["instances"], "instances"),
-        agent=encoded["agent"],
-        router_status=encoded.get("told"),
+        agent=_text(encoded["agent"], "agent"),
+        router_status=_table(encoded["told"], "told") if "told" in encoded else None,
     )
 
 
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -1,10 +1,11 @@
 """The agreed state of the control plane on Raft, by pysyncobj: this voter's replica, and commands to the log.
 
-The library does the consensus: elections, the log, its journal on disk, snapshots. It runs on this process's
-event loop by ticks, so `ControlState` is touched by one thread alone."""
+The library does the consensus (Ongaro and Ousterhout, "In search of an understandable consensus algorithm",
+2014): elections, the log, its journal on disk, snapshots. It runs on this process's event loop by ticks, so
+`ControlState` is touched by one thread alone.
+"""
 
 import asyncio
-import logging
 import time
 from collections import Counter
 from collections.abc import Mapping
@@ -13,21 +14,36 @@
 from pysyncobj import FAIL_REASON, SyncObj, SyncObjConf, replicated  # type: ignore[import-untyped]
 from pysyncobj.node import TCPNode  # type: ignore[import-untyped]
 
-from maplestile.control.commands import Command, EncodedCommand, EncodedReply, as_encoded
+from maplestile.common.errors import CommandRejected
+from maplestile.control.commands import (
+    Accepted,
+    Command,
+    EncodedCommand,
+    EncodedReply,
+    Heartbeat,
+    ReadPolicy,
+    Rejected,
+    as_encoded,
+    decode,
+    encode_reply,
+)
+from maplestile.control.errors import CommandNotTaken, LogError, OutcomeUnknown
 from maplestile.control.log_storage import check
 from maplestile.control.settings import ControlSettings
 from maplestile.control.state import ControlState
 
-log = logging.getLogger("maplestile.control")
+__all__ = ["LogError", "RaftLog"]
+
 TICK_S = 0.01
-ANSWER_S = 5.0  # for a command to be agreed on: an election takes up to 1.4 s, a lossy link more than one
-AGAIN_S = 0.1
-# The library's reasons for which a command is surely not in the log: its queue was full, no leader was known,
-# another entry stands in its place.
+ANSWER_TIMEOUT_S = 5.0
+"""For a command to be agreed on: an election takes up to 1.4 s, a lossy link more than one."""
+RETRY_INTERVAL_S = 0.1
+US_PER_S = 1e6
 NOT_TAKEN = (FAIL_REASON.QUEUE_FULL, FAIL_REASON.MISSING_LEADER, FAIL_REASON.DISCARDED)
-LEADER = 2  # the library's number for that state
-# What is agreed rarely and must be seen soon: a leader lost is replaced within 0.4 to 1.4 s of its last word.
-TIMES = {
+"""The library's reasons for which a command is surely not in the log: its queue was full, no leader was
+known, another entry stands in its place."""
+LEADER_STATE = 2  # the library's number
+RAFT_TIMES_S = {
     "raftMinTimeout": 0.5,
     "raftMaxTimeout": 1.4,
     "appendEntriesPeriod": 0.1,
@@ -35,100 +51,114 @@
     "connectionRetryTime": 0.5,
     "leaderFallbackTimeout": 1.5,
 }
+"""What is agreed is rare and must be seen soon: a lost leader is replaced within 0.4 to 1.4 s of its last
+heartbeat."""
 
 
-class LogError(Exception):
-    """A command whose fate is not known, or that no leader could take; the text says which."""
-
-
-class Replica(SyncObj):  # type: ignore[misc]
+class Replica(SyncObj):  # type: ignore[misc]  # the library has no types
     """What the log's entries are applied to, on every voter alike."""
 
-    def __init__(self, me: TCPNode, others: list[TCPNode], conf: SyncObjConf) -> None:
+    def __init__(self, own_node: TCPNode, other_nodes: list[TCPNode], conf: SyncObjConf) -> None:
+        # See docs/ROADMAP.md: the snapshot lacks these.
         self.control = ControlState()
-        self.words: dict[str, tuple[int, dict[str, Any]]] = {}  # the last word of each agent, and its number
-        self.told: dict[str, tuple[float, dict[str, Any]]] = {}  # when, by this machine's clock, and what
-        super().__init__(me, others, conf)
+        self.heartbeats: dict[str, tuple[int, dict[str, Any]]] = {}  # each agent's last, and its number
+        # When, by this machine's clock, each agent last reported on its routers' policy, and what.
+        self.router_status: dict[str, tuple[float, dict[str, Any]]] = {}
+        super().__init__(own_node, other_nodes, conf)
 
-    @replicated  # type: ignore[untyped-decorator]
+    @replicated  # type: ignore[untyped-decorator]  # the library has no types
     def apply_command(self, command: EncodedCommand) -> EncodedReply:
-        if command.get("do") == "word":  # what an agent tells of its instances; no part of what is agreed
-            number, _ = self.words.get(command["agent"], (0, {}))
-            self.words[command["agent"]] = number + 1, command["words"]
-            return {"ok": True}
-        if "told" in command:  # likewise, of their policy
-            self.told[command["agent"]] = time.monotonic(), command["told"]
-        return self.control.apply(command)
+        """Apply an entry of the log."""
+        try:
+            decoded = decode(command)
+        except CommandRejected as refusal:
+            return encode_reply(Rejected(str(refusal)))
+        if isinstance(decoded, Heartbeat):  # no part of what is agreed
+            number, _ = self.heartbeats.get(decoded.agent, (0, {}))
+            self.heartbeats[decoded.agent] = (number + 1, command["words"])
+            return encode_reply(Accepted())
+        if isinstance(decoded, ReadPolicy) and decoded.router_status is not None:  # nor is this
+            self.router_status[decoded.agent] = (time.monotonic(), dict(decoded.router_status))
+        return encode_reply(self.control.apply(decoded))
 
 
 def node_of(address: str, reach: str) -> TCPNode:
-    """A voter known to all by `address`, and reached from here at `reach`."""
-    host, _, port = reach.rpartition(":")
+    """A voter that all know by `address`, and that is reached from here at `reach`."""
+    reach_host, _, reach_port = reach.rpartition(":")
 
-    class Reached(TCPNode):  # type: ignore[misc]
-        ip = property(lambda self: host)
-        port = property(lambda self: int(number))
+    class RelayedNode(TCPNode):  # type: ignore[misc]  # the library has no types
+        ip = property(lambda self: reach_host)
+        port = property(lambda self: int(reach_port))
 
-    number = port
-    return Reached(address) if reach != address else TCPNode(address)
+    return TCPNode(address) if reach == address else RelayedNode(address)
 
 
 class RaftLog:
     """This process's voter."""
 
-    def __init__(self, plan: ControlSettings, counters: Counter[str]) -> None:
-        """Raises CommandRejected or OSError where its folder is of no use."""
-        assert plan.folder is not None
-        self.plan, self.counters = plan, counters
-        plan.folder.mkdir(parents=True, exist_ok=True)
-        check(plan.folder, plan.name)
-        mine = next(voter for voter in plan.voters if voter.name == plan.name)
-        others = [node_of(voter.address, voter.reach) for voter in plan.voters if voter.name != plan.name]
-        # No command waits here for a leader: asked of a voter that is cut off, it must not take effect once
-        # that is healed, long after its operator has heard that it failed.
+    def __init__(self, settings: ControlSettings, counters: Counter[str]) -> None:
+        """Raises CommandRejected or OSError where the voter's folder cannot be used."""
+        assert settings.folder is not None
+        self.settings = settings
+        self.counters = counters
+        settings.folder.mkdir(parents=True, exist_ok=True)
+        check(settings.folder, settings.name)
+        own_node = TCPNode(next(voter.address for voter in settings.voters if voter.name == settings.name))
+        others = [voter for voter in settings.voters if voter.name != settings.name]
+        other_nodes = [node_of(voter.address, voter.reach) for voter in others]
+        # No command waits here for a leader: submitted to a voter that is cut off, it must not take effect
+        # once that is healed, long after its operator has seen it fail.
         conf = SyncObjConf(
             autoTick=False,
-            bindAddress=plan.listen,
+            bindAddress=settings.listen,
             commandsWaitLeader=False,
             useFork=False,
-            journalFile=str(plan.folder / "journal"),
-            fullDumpFile=str(plan.folder / "snapshot"),
-            **TIMES,
+            journalFile=str(settings.folder / "journal"),
+            fullDumpFile=str(settings.folder / "snapshot"),
+            **RAFT_TIMES_S,
         )
-        self.replica = Replica(TCPNode(mine.address), others, conf)
+        self.replica = Replica(own_node, other_nodes, conf)
 
     @property
     def control(self) -> ControlState:
+        """The agreed state, as far as this voter has applied the log."""
         control: ControlState = self.replica.control
         return control
 
     @property
     def words(self) -> Mapping[str, tuple[int, dict[str, Any]]]:
-        words: dict[str, tuple[int, dict[str, Any]]] = self.replica.words
-        return words
+        """The last heartbeat of each agent in its wire form, and how many have come from it."""
+        heartbeats: dict[str, tuple[int, dict[str, Any]]] = self.replica.heartbeats
+        return heartbeats
 
     @property
     def told(self) -> Mapping[str, tuple[float, dict[str, Any]]]:
-        now, told = time.monotonic(), self.replica.told
-        return {agent: (round(max(0.0, now - at), 1), one) for agent, (at, one) in told.items()}
+        """Of each agent: how many seconds ago it reported on its routers' policy, and what."""
+        now_s = time.monotonic()
+        return {
+            agent: (round(max(0.0, now_s - at_s), 1), status)
+            for agent, (at_s, status) in self.replica.router_status.items()
+        }
 
     def ready(self) -> bool:
         """The replica holds what was agreed up to its start, and a leader is known."""
         return bool(self.replica.isReady())
 
     def status(self) -> dict[str, Any]:
-        """The voter as operators see it: its state, the leader's address, and RaftLog's term and index."""
-        told = self.replica.getStatus()
-        leader = next((v.name for v in self.plan.voters if v.address == str(told["leader"])), None)
+        """The voter as operators see it: its state, the leader's name, and Raft's term and index."""
+        status = self.replica.getStatus()
+        leader_address = str(status["leader"])
+        leaders = (voter.name for voter in self.settings.voters if voter.address == leader_address)
         return {
-            "voter": self.plan.name,
-            "leading": told["state"] == LEADER,
-            "leader": leader,
-            "term": told["raft_term"],
-            "index": told["commit_idx"],
+            "voter": self.settings.name,
+            "leading": status["state"] == LEADER_STATE,
+            "leader": next(leaders, None),
+            "term": status["raft_term"],
+            "index": status["commit_idx"],
         }
 
     async def run(self) -> None:
+        """Take part in the consensus until cancelled."""
         try:
             while True:
                 self.replica.doTick(0.0)
@@ -137,36 +167,47 @@
             self.replica.destroy()
 
     async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
-        """Have a command agreed on and applied; its answer. Raises LogError where no leader took it in time,
-        or where its fate is not known; the text says which."""
-        began = time.monotonic()
+        """Have a command agreed on and applied; the wire form of the reply.
+
+        Raises CommandNotTaken where no leader took it in time, and OutcomeUnknown where it may yet take
+        effect.
+        """
         encoded = as_encoded(command)
+        start_s = time.monotonic()
         while True:
-            reply, fault = await self._once(encoded, began + ANSWER_S - time.monotonic())
-            if reply is not None and not fault:
+            remaining_s = start_s + ANSWER_TIMEOUT_S - time.monotonic()
+            reply, failure = await self._submit_once(encoded, remaining_s)
+            if reply is not None and not failure:
                 break
-            if fault not in NOT_TAKEN:
-                raise LogError(f"the leader changed meanwhile (reason {fault}); it may yet take effect")
-            if time.monotonic() - began > ANSWER_S - AGAIN_S:
+            if failure not in NOT_TAKEN:
+                reason = f"the leader changed meanwhile (reason {failure}); it may yet take effect"
+                raise OutcomeUnknown(reason)
+            if time.monotonic() - start_s > ANSWER_TIMEOUT_S - RETRY_INTERVAL_S:
                 self.counters["control.no_leader"] += 1
-                raise LogError(f"no leader within {ANSWER_S:.0f} s: it was not taken")
-            await asyncio.sleep(AGAIN_S)
-        self.counters["control.commands"] += 1
-        took_us = int((time.monotonic() - began) * 1e6)
-        self.counters["control.slowest_us"] = max(self.counters["control.slowest_us"], took_us)
+                raise CommandNotTaken(f"no leader within {ANSWER_TIMEOUT_S:.0f} s: it was not taken")
+            await asyncio.sleep(RETRY_INTERVAL_S)
+        self._count_command(int((time.monotonic() - start_s) * US_PER_S))
         return reply
 
-    async def _once(self, command: EncodedCommand, wait_s: float) -> tuple[EncodedReply | None, int]:
+    async def _submit_once(
+        self, encoded: EncodedCommand, timeout_s: float
+    ) -> tuple[EncodedReply | None, int]:
+        """The reply, and the library's reason where the command failed; 0 for none."""
         answer: asyncio.Future[tuple[EncodedReply | None, int]] = asyncio.get_running_loop().create_future()
 
-        def answered(reply: EncodedReply | None, fault: int) -> None:
+        def on_answer(reply: EncodedReply | None, failure: int) -> None:
             if not answer.done():
-                answer.set_result((reply, fault))
+                answer.set_result((reply, failure))
 
-        self.replica.apply_command(command, callback=answered)
+        self.replica.apply_command(encoded, callback=on_answer)
         try:
-            async with asyncio.timeout(max(wait_s, AGAIN_S)):
+            async with asyncio.timeout(max(timeout_s, RETRY_INTERVAL_S)):
                 return await answer
         except TimeoutError:
             self.counters["control.unanswered"] += 1
-            raise LogError(f"no majority agreed within {ANSWER_S:.0f} s; it may yet take effect") from None
+            reason = f"no majority agreed within {ANSWER_TIMEOUT_S:.0f} s; it may yet take effect"
+            raise OutcomeUnknown(reason) from None
+
+    def _count_command(self, took_us: int) -> None:
+        self.counters["control.commands"] += 1
+        self.counters["control.slowest_us"] = max(self.counters["control.slowest_us"], took_us)
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -1,5 +1,8 @@
-"""The agreed state of the control plane for an agent that is no voter: read, and asked for, through those
-that are. What it reads may be a little old; every command is judged by the log, so that does no harm."""
+"""The agreed state for an agent that is no voter: read, and changed, through the agents of voters.
+
+What it reads may be a little old. Every command is checked by the log against what the command's sender
+believed, so that does no harm.
+"""
 
 import asyncio
 import logging
@@ -7,55 +10,72 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
+from maplestile.common.address import Address
 from maplestile.control.commands import Command, EncodedCommand, EncodedReply, as_encoded
-from maplestile.control.raft_log import LogError
+from maplestile.control.errors import LogError
 from maplestile.control.settings import ControlSettings
 from maplestile.control.state import ControlState
 
 log = logging.getLogger("maplestile.control")
-READ_S = 0.2
-Ask = Callable[..., Awaitable[dict[str, Any]]]
+
+POLL_INTERVAL_S = 0.2
+
+AgentClient = Callable[..., Awaitable[dict[str, Any]]]
+"""Sends a line to another agent (address, name of the line, instances, more fields) and gives its answer."""
 
 
 class RemoteLog:
-    def __init__(self, plan: ControlSettings, ask: Ask, counters: Counter[str]) -> None:
-        self.plan, self.ask, self.counters = plan, ask, counters
+    """The log as this agent reaches it: by the voters' agents that its file names."""
+
+    def __init__(self, settings: ControlSettings, client: AgentClient, counters: Counter[str]) -> None:
+        self.settings = settings
+        self.client = client
+        self.counters = counters
         self.control = ControlState()
-        self.words: Mapping[str, tuple[int, dict[str, Any]]] = {}
+        self.words: Mapping[str, tuple[int, dict[str, Any]]] = {}  # only a leader needs the heartbeats
         self.told: Mapping[str, tuple[float, dict[str, Any]]] = {}
         self.current = False
 
     def ready(self) -> bool:
+        """Whether the last answer came from a voter that is ready."""
         return self.current
 
     def status(self) -> dict[str, Any]:
+        """As of a voter: this is none, and never leads."""
         return {"voter": None, "leading": False, "leader": None, "term": 0, "index": 0}
 
     async def run(self) -> None:
+        """Poll the agreed state until cancelled."""
         while True:
             try:
-                await self._ask(None)
-            except LogError as fault:
+                await self._request(None)
+            except LogError as error:
                 self.current = False
-                log.warning("control: no voter's agent answers: %s", fault)
-            await asyncio.sleep(READ_S)
+                log.warning("control: no voter's agent answers: %s", error)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
-        reply: EncodedReply = (await self._ask(as_encoded(command)))["reply"]
+        """Have a command agreed on and applied; the wire form of the reply. Raises LogError."""
+        reply: EncodedReply = (await self._request(as_encoded(command)))["reply"]
         return reply
 
-    async def _ask(self, command: EncodedCommand | None) -> dict[str, Any]:
-        """The first of the voters' agents that answers, in the order of the file."""
-        faults = list[str]()
-        for address in self.plan.ask:
+    async def _request(self, command: EncodedCommand | None) -> dict[str, Any]:
+        """The answer of the first of the voters' agents that gives one, in the order of the file."""
+        failures = list[str]()
+        for host, port in self.settings.ask:
             try:
-                told = await self.ask(address, "control", [], command=command)
-                if "error" in told:
-                    raise LogError(told["error"])
-                control: dict[str, Any] = told["control"]
-                self.control, self.current = ControlState.of(control["state"]), bool(control["ready"])
-                self.told = {agent: (one[0], one[1]) for agent, one in control.get("told", {}).items()}
-                return control
-            except (OSError, TimeoutError, ValueError, KeyError, TypeError, LogError) as fault:
-                faults.append(f"{address[0]}:{address[1]}: {fault or type(fault).__name__}")
-        raise LogError("; ".join(faults))
+                return await self._request_from((host, port), command)
+            except (OSError, TimeoutError, ValueError, KeyError, TypeError, LogError) as error:
+                failures.append(f"{host}:{port}: {error or type(error).__name__}")
+        raise LogError("; ".join(failures))
+
+    async def _request_from(self, address: Address, command: EncodedCommand | None) -> dict[str, Any]:
+        answer = await self.client(address, "control", [], command=command)
+        if "error" in answer:
+            raise LogError(answer["error"])
+        control: dict[str, Any] = answer["control"]
+        self.control = ControlState.of(control["state"])
+        self.current = bool(control["ready"])
+        reported = control.get("told", {})
+        self.told = {agent: (age_s, status) for agent, (age_s, status, *_) in reported.items()}
+        return control
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -104,6 +104,14 @@
             {"do": "policy read", "agent": "a0", "instances": [["r0"]]},
             "damaged command: TypeError: instances: must be texts, not ['r0']",
         ),
+        (
+            {"do": "policy read", "agent": ["a0"], "instances": []},
+            "damaged command: TypeError: agent: must be a text",
+        ),
+        (
+            {"do": "policy read", "agent": "a0", "instances": [], "told": None},
+            "damaged command: TypeError: told: must be a table",
+        ),
         ({"do": "word", "agent": "a0", "words": [1]}, "damaged command: TypeError: words: must be a table"),
         ({"do": "word", "words": {}}, "damaged command: KeyError: 'agent'"),
         (
