--- a/maplestile/control/policy/planner.py
+++ b/maplestile/control/policy/planner.py
@@ -1,8 +1,9 @@
 """When a change of policy may be committed, and when it is given up. Free of I/O.
 
-The leader's driver hands in the agreed state with its own monotonic time in microseconds, and submits what
-comes back to the log, where `agreed.AgreedPolicies` judges it once more. A leader that has just been elected
-starts with an empty `PolicyPlanner`: verdicts and reads are in the log, its patience begins anew."""
+The leader's driver hands in the agreed state with its own monotonic time in microseconds, and submits the
+command that comes back to the log, where `transitions` checks it once more. A newly elected leader starts
+with an empty `PolicyPlanner`: verdicts and reads are in the log, its timeouts begin anew.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,12 +11,17 @@
 from maplestile.control.commands import AbortPolicy, CommitPolicy, EncodedCommand, encode
 from maplestile.control.policy.agreed import AgreedPolicies
 
-CHECK_US = 6_000_000  # for a router's verdict; then the change is aborted
-ABSENT_US = 3_000_000  # of six reads none named it: it is down or cut off
+US_PER_S = 1e6
+CHECK_US = 6_000_000
+"""A router that gives no verdict within this time has the change aborted."""
+ABSENT_US = 3_000_000
+"""A router that none of the six reads within this time has named is down or cut off."""
 
 
 @dataclass(slots=True)
 class PolicyPlanner:
+    """The leader's own memory of the change that is being checked, and its decisions."""
+
     check_us: int = CHECK_US
     absent_us: int = ABSENT_US
     change: int = 0
@@ -34,16 +40,20 @@
         if change is None:
             return None
         if change.number != self.change:
-            self.change, self.since_us = change.number, now_us
+            self.change = change.number
+            self.since_us = now_us
         waited_us = now_us - self.since_us
         unchecked = [name for name in sorted(instances) if change.verdicts.get(name) != ""]
-        silent = [name for name in unchecked if not agreed.serves(name)]
-        if change.verdicts and silent == unchecked and (not silent or waited_us >= self.absent_us):
-            return CommitPolicy(change=change.number, absent=tuple(silent))
+        absent = [name for name in unchecked if not agreed.serves(name)]
+        present = [name for name in unchecked if agreed.serves(name)]
+        absence_is_certain = not absent or waited_us >= self.absent_us
+        if change.verdicts and not present and absence_is_certain:
+            return CommitPolicy(change=change.number, absent=tuple(absent))
         if waited_us < self.check_us:
             return None
-        missing = [name for name in unchecked if name not in silent]
-        reason = f"no verdict within {self.check_us / 1e6:g} s of {', '.join(missing)}"
+        return AbortPolicy(change=change.number, reason=self._abort_reason(present))
+
+    def _abort_reason(self, missing: list[str]) -> str:
         if not missing:
-            reason = "no router is there to check it"
-        return AbortPolicy(change=change.number, reason=reason)
+            return "no router is there to check it"
+        return f"no verdict within {self.check_us / US_PER_S:g} s of {', '.join(missing)}"
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -1,67 +1,76 @@
 """When the next step of a rollout may start, and when a rollout halts by itself. Free of I/O.
 
-The leader's driver hands in what it sees, with its own monotonic time in microseconds, and submits what comes
-back to the log, where `state.ControlState` judges it once more. A newly elected leader starts with
-an empty `RolloutPlanner`: it waits until it has heard of every instance before it grants anything."""
+The leader's driver hands in what it has heard, with its own monotonic time in microseconds, and submits the
+command that comes back to the log, where `state.ControlState` checks it once more. A newly elected leader
+starts with an empty `RolloutPlanner`: it waits until it has heard of every instance before it grants a step.
+"""
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from maplestile.control.commands import EncodedCommand, GrantLease, HaltRollout, HealthReport, encode
-from maplestile.control.state import ControlState, Phase, Stage
+from maplestile.control.commands import (
+    RUNNERS,
+    EncodedCommand,
+    GrantLease,
+    HaltRollout,
+    HealthReport,
+    encode,
+)
+from maplestile.control.rollout import Phase, Rollout, Stage
+from maplestile.control.state import ControlState
 
 __all__ = ["HealthReport", "RolloutPlanner", "Rules"]
 
+US_PER_S = 1_000_000
+
 
 @dataclass(slots=True, frozen=True)
 class Rules:
     """What an operator's file may set; times in microseconds."""
 
-    fresh_us: int = 2_000_000  # what was heard of an instance is worth something for so long
+    fresh_us: int = 2_000_000  # a health report counts for so long
     settle_us: int = 1_000_000  # one that is back counts as out so long: its health is yet to be seen
     outage_us: int = 3_000_000  # more out than the budget for so long halts the rollout
     step_us: int = 60_000_000  # a step that takes longer halts the rollout
-    grace_us: int = 5_000_000  # a new leader waits so long at most for word of every instance
-    calls_least: int = 20  # fewer say nothing of an instance's health
+    grace_us: int = 5_000_000  # a new leader waits so long at most for a report of every instance
+    calls_least: int = 20  # fewer calls say nothing of an instance's health
     failed_most: float = 0.1  # share of failed calls of a released instance over which the rollout halts
 
 
-@dataclass(slots=True)
-class Heard:
-    word: HealthReport
+@dataclass(slots=True, frozen=True)
+class ReceivedReport:
+    """The last health report of an instance, and when it came."""
+
+    report: HealthReport
     at_us: int
 
 
+@dataclass(slots=True, frozen=True)
+class Progress:
+    """How many ended steps of a rollout have been seen."""
+
+    rollout: int = 0
+    done: int = 0
+    undone: int = 0
+
+
 @dataclass(slots=True)
 class RolloutPlanner:
-    """The leader's own memory: when it first saw each lease, and what it heard of each instance and when."""
+    """The leader's own memory of the rollout, and its decisions."""
 
     rules: Rules
     began_us: int
-    heard: dict[str, Heard] = field(default_factory=dict)
-    leases: dict[int, int] = field(default_factory=dict)  # number to when it was seen first
-    released: dict[str, HealthReport] = field(
-        default_factory=dict
-    )  # calls of an instance when its step ended
-    resting: dict[str, int] = field(default_factory=dict)  # those whose steps ended of late, and when
-    ended: tuple[int, int, int] = (0, 0, 0)  # the rollout, and how many of its done and undone were seen
-    over_us: int = 0  # since when more are out than the budget; 0 if they are not
-
-    def hear(self, words: Mapping[str, HealthReport], now_us: int) -> None:
-        for name, word in words.items():
-            self.heard[name] = Heard(word, now_us)
-
-    def down(self, control: ControlState, kind: str, members_out: frozenset[str], now_us: int) -> list[str]:
-        """Those out without a lease. Instances: not ready, not heard of lately, or out by membership.
-        Runners: those that their owners among the routers find silent (`members_out` holds them, too)."""
-        if kind == "runners":
-            return [name for name in control.runners if name not in control.leases and name in members_out]
-        unleased = (name for name in sorted(control.instances) if name not in control.leases)
-        return [name for name in unleased if name in members_out or not self._serves(name, now_us)]
-
-    def _serves(self, name: str, now_us: int) -> bool:
-        heard = self.heard.get(name)
-        return heard is not None and heard.word.ready and now_us - heard.at_us <= self.rules.fresh_us
+    reports: dict[str, ReceivedReport] = field(default_factory=dict)  # by instance
+    lease_seen_us: dict[int, int] = field(default_factory=dict)  # when each lease was seen first, by number
+    baselines: dict[str, HealthReport] = field(default_factory=dict)  # by instance: at the end of its step
+    settling_us: dict[str, int] = field(default_factory=dict)  # instances whose steps ended of late, and when
+    progress: Progress = Progress()
+    excess_since_us: int = 0  # since when more are out than the budget; 0 if they are not
+
+    def hear(self, reports: Mapping[str, HealthReport], now_us: int) -> None:
+        """Take the health reports of an agent's instances."""
+        for name, report in reports.items():
+            self.reports[name] = ReceivedReport(report, now_us)
 
     def decide(
         self, control: ControlState, members_out: frozenset[str], term: int, now_us: int
@@ -73,69 +82,140 @@
     def next_command(
         self, control: ControlState, members_out: frozenset[str], term: int, now_us: int
     ) -> GrantLease | HaltRollout | None:
-        """At most one command: the log answers it before the next is decided on."""
+        """At most one command: the log answers it before the next is decided on.
+
+        `members_out` are instances and runners that the membership finds gone, `term` is Raft's.
+        """
         rollout = control.rollout
-        self._follow(control, now_us)
+        self._track_leases(control, now_us)
+        self._track_ended_steps(rollout, now_us)
         if rollout is None or rollout.phase not in (Phase.RUNNING, Phase.UNDOING):
             return None
-        known = all(name in self.heard for name in control.instances)
-        if not known and now_us - self.began_us < self.rules.grace_us:
-            return None  # a new leader: what it has not heard of yet must not pass for lost
+        if not self._has_heard_enough(control, now_us):
+            return None
         down = self.down(control, rollout.kind, members_out, now_us)
-        out = len(control.out(rollout.kind)) + len(down)
-        if (reason := self._ailing(control, down, out, now_us)) and rollout.phase is Phase.RUNNING:
-            return HaltRollout(rollout=rollout.number, reason=reason)
+        halt_reason = self._halt_reason(control, rollout, down, now_us)
+        if halt_reason and rollout.phase is Phase.RUNNING:
+            return HaltRollout(rollout=rollout.number, reason=halt_reason)
+        return self._grant(control, rollout, down, term)
+
+    def down(self, control: ControlState, kind: str, members_out: frozenset[str], now_us: int) -> list[str]:
+        """The instances of a kind that are out without a lease.
+
+        Routers: not ready, not heard of lately, or gone from the membership. Runners: those that the routers
+        which check them find silent (`members_out` holds them, too).
+        """
+        if kind == RUNNERS:
+            return [name for name in control.runners if name not in control.leases and name in members_out]
+        unleased = [name for name in sorted(control.instances) if name not in control.leases]
+        return [name for name in unleased if name in members_out or not self._serves(name, now_us)]
+
+    def _serves(self, name: str, now_us: int) -> bool:
+        received = self.reports.get(name)
+        if received is None or not received.report.ready:
+            return False
+        return now_us - received.at_us <= self.rules.fresh_us
+
+    def _has_heard_enough(self, control: ControlState, now_us: int) -> bool:
+        """Whether an instance that has not been heard of counts as lost: not at once under a new leader."""
+        all_heard = all(name in self.reports for name in control.instances)
+        return all_heard or now_us - self.began_us >= self.rules.grace_us
+
+    def _grant(
+        self, control: ControlState, rollout: Rollout, down: Sequence[str], term: int
+    ) -> GrantLease | None:
         step = control.next_step()
         if step is None:
             return None
         # One already out, by its own lease or by an outage, takes up no more of the budget by its step.
-        counted = {*control.out(rollout.kind), *down, *self.resting, step.instance}
+        counted = {*control.out(rollout.kind), *down, *self.settling_us, step.instance}
         if len(counted) > rollout.budget:
             return None
         return GrantLease(
-            rollout=rollout.number, instance=step.instance, down=tuple(down), after=control.number, term=term
+            rollout=rollout.number,
+            instance=step.instance,
+            down=tuple(down),
+            after=control.number,
+            term=term,
         )
 
-    def _follow(self, control: ControlState, now_us: int) -> None:
+    # What this leader has seen.
+
+    def _track_leases(self, control: ControlState, now_us: int) -> None:
         numbers = {lease.number for lease in control.leases.values()}
-        self.leases = {n: self.leases.get(n, now_us) for n in numbers}
-        rollout = control.rollout
-        number, done, undone = self.ended
-        if rollout is not None and number != rollout.number:
-            # A new leader does not know when they ended: as many as may be out at once count as the last.
-            done, undone = (max(0, len(one) - rollout.budget) for one in (rollout.done, rollout.undone))
+        self.lease_seen_us = {number: self.lease_seen_us.get(number, now_us) for number in numbers}
+
+    def _track_ended_steps(self, rollout: Rollout | None, now_us: int) -> None:
         if rollout is not None:
-            for name in (*rollout.done[done:], *rollout.undone[undone:]):
-                self.resting[name] = now_us
-            for name in rollout.done[done:]:
-                heard = self.heard.get(name)
-                self.released[name] = heard.word if heard is not None else HealthReport(False)
-            self.ended = rollout.number, len(rollout.done), len(rollout.undone)
-        self.resting = {n: at for n, at in self.resting.items() if now_us - at < self.rules.settle_us}
+            self._see_progress(rollout, now_us)
+        self.settling_us = {
+            name: ended_us
+            for name, ended_us in self.settling_us.items()
+            if now_us - ended_us < self.rules.settle_us
+        }
         if rollout is None or rollout.phase not in (Phase.RUNNING, Phase.HALTED):
-            self.released = {}
+            self.baselines = {}
 
-    def _ailing(self, control: ControlState, down: list[str], out: int, now_us: int) -> str:
-        """Why the rollout has to halt; empty if it need not."""
-        rollout = control.rollout
-        assert rollout is not None
+    def _see_progress(self, rollout: Rollout, now_us: int) -> None:
+        seen = self.progress
+        if seen.rollout != rollout.number:
+            # A new leader does not know when they ended: as many as may be out at once count as the last.
+            done = max(0, len(rollout.done) - rollout.budget)
+            undone = max(0, len(rollout.undone) - rollout.budget)
+            seen = Progress(rollout.number, done, undone)
+        for name in (*rollout.done[seen.done :], *rollout.undone[seen.undone :]):
+            self.settling_us[name] = now_us
+        for name in rollout.done[seen.done :]:
+            received = self.reports.get(name)
+            self.baselines[name] = HealthReport(False) if received is None else received.report
+        self.progress = Progress(rollout.number, len(rollout.done), len(rollout.undone))
+
+    # Why a rollout has to halt.
+
+    def _halt_reason(self, control: ControlState, rollout: Rollout, down: Sequence[str], now_us: int) -> str:
+        """Why the rollout has to halt; "" if it need not."""
+        return (
+            self._outage_reason(control, rollout, down, now_us)
+            or self._slow_step_reason(control, now_us)
+            or self._failed_calls_reason(control)
+        )
+
+    def _outage_reason(
+        self, control: ControlState, rollout: Rollout, down: Sequence[str], now_us: int
+    ) -> str:
+        out = len(control.out(rollout.kind)) + len(down)
+        if not down or out <= rollout.budget:
+            self.excess_since_us = 0
+            return ""
         # One that is just back may still be out in the eyes of others: an excess has to last. No step is
         # granted meanwhile.
-        self.over_us = (self.over_us or now_us) if down and out > rollout.budget else 0
-        if self.over_us and now_us - self.over_us >= self.rules.outage_us:
-            return f"{out} out and the budget is {rollout.budget}: {', '.join(down)} without a step"
+        self.excess_since_us = self.excess_since_us or now_us
+        if now_us - self.excess_since_us < self.rules.outage_us:
+            return ""
+        return f"{out} out and the budget is {rollout.budget}: {', '.join(down)} without a step"
+
+    def _slow_step_reason(self, control: ControlState, now_us: int) -> str:
         for lease in control.leases.values():
-            since_us = now_us - self.leases[lease.number]
-            if lease.stage is not Stage.OUT and since_us > self.rules.step_us:
-                return f"the step of {lease.instance} takes over {self.rules.step_us // 1_000_000} s"
-        for name, before in self.released.items():
-            heard = self.heard.get(name)
-            if heard is None or name in control.leases:
+            took_us = now_us - self.lease_seen_us[lease.number]
+            if lease.stage is not Stage.OUT and took_us > self.rules.step_us:
+                return f"the step of {lease.instance} takes over {self.rules.step_us // US_PER_S} s"
+        return ""
+
+    def _failed_calls_reason(self, control: ControlState) -> str:
+        for name, baseline in self.baselines.items():
+            received = self.reports.get(name)
+            if received is None or name in control.leases:
                 continue
-            served, failed = heard.word.served, heard.word.failed
-            if served + failed >= before.served + before.failed:  # the same process: count what came since
-                served, failed = served - before.served, failed - before.failed
+            served, failed = _calls_since(baseline, received.report)
             calls = served + failed
             if calls >= self.rules.calls_least and failed > self.rules.failed_most * calls:
                 return f"{name} fails {failed} of {calls} calls since its release"
         return ""
+
+
+def _calls_since(baseline: HealthReport, report: HealthReport) -> tuple[int, int]:
+    """The calls served and failed since the baseline, or since the start of a new process."""
+    is_same_process = report.served + report.failed >= baseline.served + baseline.failed
+    if not is_same_process:
+        return report.served, report.failed
+    return report.served - baseline.served, report.failed - baseline.failed
