--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from benchmarks.fit import Series
+from maplestile.control.commands import ReadPolicy, Register, encode
 from maplestile.control.raft_log import LogError, RaftLog
 from maplestile.control.rollout_planner import Rules
 from maplestile.control.settings import ControlSettings, Voter
@@ -87,20 +88,16 @@
     async def agent(number: int) -> None:
         names = [f"r{number}-{n}" for n in range(routers)]
         asked = voters.rafts[number % VOTERS]
-        await asked.submit({"do": "register", "agent": f"g{number}", "instances": names})
+        await asked.submit(Register(agent=f"g{number}", instances=tuple(names)))
         await asyncio.sleep(number / agents)
         while time.monotonic() < end:
             began = time.monotonic()
-            read = {
-                "do": "policy read",
-                "agent": f"g{number}",
-                "instances": names,
-                "told": {name: told(name) for name in names},
-            }
+            status = {name: told(name) for name in names}
+            read = ReadPolicy(agent=f"g{number}", instances=tuple(names), router_status=status)
             try:
                 await asked.submit(read)
                 counts["reads"] += 1
-                counts["bytes"] += len(pickle.dumps(read))
+                counts["bytes"] += len(pickle.dumps(encode(read)))
                 counts["late"] += time.monotonic() - began > 1.0
             except LogError:
                 counts["late"] += 1
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -38,7 +38,17 @@
 
 from maplestile.agent.policy_controller import CHECKING_S, LOOK_S, READ_S
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.policy.agreed import Change, Phase
+from maplestile.control.commands import (
+    PolicyCommitted,
+    PolicyRead,
+    ProposePolicy,
+    ReadPolicy,
+    Register,
+    Rejected,
+    SubmitVerdict,
+)
+from maplestile.control.policy.change import Change, Phase
+from maplestile.control.policy.document import Document
 from maplestile.control.policy.follower import Follower, PolicyAnnouncement, PolicyStatus, Rules, Step
 from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.control.state import ControlState
@@ -108,8 +118,8 @@
         self.names = [f"r{n}" for n in range(plan.routers)]
         self.owner = {name: n % plan.agents for n, name in enumerate(self.names)}
         for agent in range(plan.agents):
-            told = {"do": "register", "agent": f"a{agent}", "instances": self.names[agent :: plan.agents]}
-            assert self.control.apply(told)["ok"]
+            register = Register(agent=f"a{agent}", instances=tuple(self.names[agent :: plan.agents]))
+            assert not isinstance(self.control.apply(register), Rejected)
         self.routers = {name: Follower(Rules(), 0, 0) for name in self.names}
         self.fences: dict[str, tuple[int, int]] = {}
         self.seen = dict.fromkeys(range(plan.agents), 0)  # the epoch of each agent's replica
@@ -162,8 +172,9 @@
             asked_us, named = self.now, [name for name in mine if name not in self.down]
             yield self.env.timeout(self._jittered(self.plan.commit_us))
             if agent not in self.cut and self.chance.random() >= self.plan.loss:
-                told = {"do": "policy read", "agent": f"a{agent}", "instances": named}
-                fence = int(self.control.apply(told)["epoch"]), asked_us
+                read = self.control.apply(ReadPolicy(agent=f"a{agent}", instances=tuple(named)))
+                assert isinstance(read, PolicyRead), read
+                fence = read.epoch, asked_us
                 self.fences.update(dict.fromkeys(named, fence))
             checking = self.control.policy.checking() is not None
             yield self.env.timeout(max(1, (CHECKING_US if checking else READ_US) - (self.now - asked_us)))
@@ -200,8 +211,13 @@
             return
         yield from self._agreed_on(agent)
         refuses = self.chance.random() < self.plan.refuse / self.plan.routers
-        told = {"agent": f"a{agent}", "instance": name, "reason": "refused" if refuses else ""}
-        self.control.apply({"do": "policy verdict", "change": change.number, **told})
+        verdict = SubmitVerdict(
+            agent=f"a{agent}",
+            change=change.number,
+            instance=name,
+            reason="refused" if refuses else "",
+        )
+        self.control.apply(verdict)
 
     def _ticks(self) -> simpy.events.ProcessGenerator:
         while True:
@@ -218,13 +234,13 @@
     def _leader(self) -> simpy.events.ProcessGenerator:
         while True:
             yield self.env.timeout(LOOK_US)
-            command = self.arbiter.decide(self.control.policy, self.control.instances, self.now)
+            command = self.arbiter.next_command(self.control.policy, self.control.instances, self.now)
             if command is None:
                 continue
             yield self.env.timeout(self._jittered(self.plan.commit_us))
             reply = self.control.apply(command)
-            if reply["ok"] and command["do"] == "policy commit":
-                epoch = int(reply["epoch"])
+            if isinstance(reply, PolicyCommitted):
+                epoch = reply.epoch
                 self.committed_us[epoch] = self.now
                 cut = {name for name, agent in self.owner.items() if agent in self.cut}
                 self.away[epoch] = cut | self.down
@@ -241,9 +257,9 @@
         yield self.env.timeout(2 * READ_US)
         for number in range(self.plan.changes):
             policy = self.control.policy
-            told = {"do": "policy propose", "agent": "a0", "base": policy.epoch.number}
-            reply = self.control.apply({**told, "document": {"rules": {"attempts": number + 1}}})
-            assert reply["ok"], reply
+            document = Document.of({"rules": {"attempts": number + 1}})
+            reply = self.control.apply(ProposePolicy(agent="a0", base=policy.epoch.number, document=document))
+            assert not isinstance(reply, Rejected), reply
             while policy.checking() is not None:
                 yield self.env.timeout(LOOK_US)
             assert policy.change is not None
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -35,7 +35,18 @@
 
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
+from maplestile.control.commands import (
+    BeginStep,
+    FinishStep,
+    GrantLease,
+    HaltRollout,
+    HealthReport,
+    Register,
+    Rejected,
+    ResumeRollout,
+    StartRollout,
+)
+from maplestile.control.rollout_planner import RolloutPlanner, Rules
 from maplestile.control.state import ACTIONS, ACTIVE, ControlState, Lease, Phase, Stage, budget_of
 from maplestile.tools.faults.schedule import DURATION_MOST_S, ScheduleError
 from maplestile.tools.model.experiment import Span, span_from
@@ -108,7 +119,7 @@
         names = [f"r{n}" for n in range(plan.instances)]
         for agent in range(plan.agents):
             theirs = names[agent :: plan.agents]
-            self.control.apply({"do": "register", "agent": f"a{agent}", "instances": theirs})
+            self.control.apply(Register(agent=f"a{agent}", instances=tuple(theirs)))
         self.names = names
         self.down = set[str]()  # truly out, planned or not
         self.lost = set[str]()  # out by an outage
@@ -127,9 +138,9 @@
 
     def run(self) -> dict[str, float | None]:
         plan = self.plan
-        start: dict[str, Any] = {"do": "start", "action": plan.action, "targets": [], "budget": plan.budget}
+        start = StartRollout(action=plan.action, targets=(), budget=plan.budget)
         reply = self.control.apply(start)
-        assert reply["ok"], reply
+        assert not isinstance(reply, Rejected), reply
         self.env.process(self._look())
         self.env.process(self._words())
         for outage in self.plan.outages:
@@ -153,7 +164,7 @@
                     self.hands.add(lease.number)
                     self.env.process(self._step(lease))
             if self.watcher is not None and not self.pending:
-                command = self.watcher.decide(self.control, frozenset(), 1, self.now)
+                command = self.watcher.next_command(self.control, frozenset(), 1, self.now)
                 if command is not None:
                     self.pending = True
                     self.env.process(self._decided(command))
@@ -163,13 +174,14 @@
                 return
             yield self.env.timeout(LOOK_US)
 
-    def _decided(self, command: dict[str, Any]) -> simpy.events.ProcessGenerator:
+    def _decided(self, command: GrantLease | HaltRollout) -> simpy.events.ProcessGenerator:
         yield self._commit()
         self.pending = False
-        if self.control.apply(command)["ok"] and command["do"] == "halt":
+        is_rejected = isinstance(self.control.apply(command), Rejected)
+        if isinstance(command, HaltRollout) and not is_rejected:
             self.halts += 1
             yield self.env.timeout(self.plan.halt_for_us)  # an operator looks, and has it go on
-            self.control.apply({"do": "resume"})
+            self.control.apply(ResumeRollout())
 
     def _words(self) -> simpy.events.ProcessGenerator:
         while True:
@@ -180,9 +192,9 @@
             yield self.env.timeout(WORD_US)
 
     def _step(self, lease: Lease) -> simpy.events.ProcessGenerator:
-        told = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
+        begin = BeginStep(agent=lease.holder, instance=lease.instance, lease=lease.number)
         yield self._commit()
-        if not self.control.apply({"do": "begin", **told})["ok"]:
+        if isinstance(self.control.apply(begin), Rejected):
             return
         self.begins.append(self.now)
         self._out(lease.instance)
@@ -193,7 +205,7 @@
         if lease.instance not in self.lost:
             self.down.discard(lease.instance)
         yield self._commit()
-        self.control.apply({"do": "back", **told})
+        self.control.apply(FinishStep(agent=lease.holder, instance=lease.instance, lease=lease.number))
 
     def _out(self, name: str) -> None:
         self.down.add(name)
@@ -220,12 +232,12 @@
         yield self.env.timeout(self.plan.halt_at_us)
         asked_us = self.now
         yield self._commit()
-        if not self.control.apply({"do": "halt", "reason": "by the plan"})["ok"]:
+        if isinstance(self.control.apply(HaltRollout(reason="by the plan")), Rejected):
             return
         yield self.env.timeout(self.plan.halt_for_us)
         late = [at for at in self.begins if at > asked_us]
         self.halted_us.append(max(late) - asked_us if late else 0)
-        self.control.apply({"do": "resume"})
+        self.control.apply(ResumeRollout())
 
     def _figures(self) -> dict[str, float | None]:
         rollout = self.control.rollout
