--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -29,7 +29,7 @@
 )
 from maplestile.control.errors import CommandNotTaken, LogError, OutcomeUnknown
 from maplestile.control.log_storage import check
-from maplestile.control.settings import ControlSettings
+from maplestile.control.settings import ControlSettings, Voter
 from maplestile.control.state import ControlState
 
 __all__ = ["LogError", "RaftLog"]
@@ -82,19 +82,32 @@
         return encode_reply(self.control.apply(decoded))
 
 
-def node_of(address: str, reach: str) -> TCPNode:
-    """A voter that all know by `address`, and that is reached from here at `reach`."""
-    reach_host, _, reach_port = reach.rpartition(":")
+class RelayedNode(TCPNode):  # type: ignore[misc]  # the library has no types
+    """A voter that all know by one address, and that is reached from here at another."""
 
-    class RelayedNode(TCPNode):  # type: ignore[misc]  # the library has no types
-        ip = property(lambda self: reach_host)
-        port = property(lambda self: int(reach_port))
+    def __init__(self, address: str, reach: str) -> None:
+        super().__init__(address)
+        self._reach_host, _, port = reach.rpartition(":")
+        self._reach_port = int(port)
 
-    return TCPNode(address) if reach == address else RelayedNode(address)
+    @property
+    def ip(self) -> str:
+        """The host to connect to."""
+        return self._reach_host
+
+    @property
+    def port(self) -> int:
+        """The port to connect to."""
+        return self._reach_port
+
+
+def node_of(voter: Voter) -> TCPNode:
+    """The library's view of another voter."""
+    return TCPNode(voter.address) if voter.reach == voter.address else RelayedNode(voter.address, voter.reach)
 
 
 class RaftLog:
-    """This process's voter."""
+    """The voter of this process."""
 
     def __init__(self, settings: ControlSettings, counters: Counter[str]) -> None:
         """Raises CommandRejected or OSError where the voter's folder cannot be used."""
@@ -105,7 +118,7 @@
         check(settings.folder, settings.name)
         own_node = TCPNode(next(voter.address for voter in settings.voters if voter.name == settings.name))
         others = [voter for voter in settings.voters if voter.name != settings.name]
-        other_nodes = [node_of(voter.address, voter.reach) for voter in others]
+        other_nodes = [node_of(voter) for voter in others]
         # No command waits here for a leader: submitted to a voter that is cut off, it must not take effect
         # once that is healed, long after its operator has seen it fail.
         conf = SyncObjConf(
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -12,8 +12,9 @@
     address = "127.0.0.1:7401"
     reach = "127.0.0.1:8401"          # where this agent reaches it, if not there (a relay between)
 
-An agent that is no voter leaves `listen` and `folder` out, names itself by `name`, and tells the agents it
-asks by `ask = ["127.0.0.1:7070", ...]`."""
+An agent that is no voter leaves `listen` and `folder` out, names itself by `name`, and names the agents of
+voters that it submits to by `ask = ["127.0.0.1:7070", ...]`.
+"""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -21,14 +22,19 @@
 from maplestile.common.address import Address, parse_address
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
+from maplestile.control.budget import budget_of
 from maplestile.control.rollout_planner import Rules
-from maplestile.control.state import budget_of
 
-VOTERS = (1, 3, 5)  # one is for trying things out: it outlives no failure
+VOTER_COUNTS = (1, 3, 5)
+"""How many voters there may be. One is for trying things out: it outlives no failure."""
+INSTANCES_FOR_CHECK = 100  # any number does: only the form of a budget is checked here
+US_PER_S = 1e6
 
 
 @dataclass(slots=True, frozen=True)
 class Voter:
+    """An agent that takes part in the consensus, and where it is reached."""
+
     name: str
     address: str
     reach: str
@@ -36,6 +42,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlSettings:
+    """An agent's part in the control plane."""
+
     name: str  # of this agent
     listen: str  # "" for one that is no voter
     folder: Path | None
@@ -46,30 +54,18 @@
 
 
 def control_from(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
-    """Raises the table's own error, naming the field."""
-    rules = Rules(
-        step_us=int(table.number("step_s", 60.0, least=0.1) * 1e6),
-        settle_us=int(table.number("settle_s", 1.0) * 1e6),
-        failed_most=table.number("failed_most", 0.1, most=1.0),
-        calls_least=table.whole("calls_least", 20, least=1),
-    )
-    budget = table.values.pop("budget", 1)
-    try:
-        budget_of(budget, 100)
-    except CommandRejected as refusal:
-        raise table.error(f"{table.place('budget')}: {refusal}") from None
-    name, listen = table.text("name"), table.loopback("listen") if "listen" in table.values else ""
+    """The settings of a file's tables. Raises the table's own error, naming the field."""
+    rules = _rules(table)
+    budget = _budget(table)
+    name = table.text("name")
+    listen = table.loopback("listen") if "listen" in table.values else ""
     folder = Path(table.text("folder")) if listen else None
-    asked = table.values.pop("ask", [])
-    if not isinstance(asked, list) or not all(isinstance(one, str) for one in asked):
-        raise table.wrong("ask", "must be a list of host:port")
-    ask = tuple(
-        parse_address(TomlTable({"ask": one}, table.path, table.error).loopback("ask")) for one in asked
-    )
+    ask = _voter_agents(table)
     named = tuple(_voter(voter) for voter in voters)
-    if listen and (len(named) not in VOTERS or name not in [voter.name for voter in named]):
+    names = [voter.name for voter in named]
+    if listen and (len(named) not in VOTER_COUNTS or name not in names):
         raise table.wrong("name", "must be one of one, three or five [[voter]]")
-    if len({voter.name for voter in named}) < len(named):
+    if len(set(names)) < len(names):
         raise table.wrong("voter", "a name stands twice")
     if not listen and not ask:
         raise table.wrong("ask", "must name agents of voters where there is no 'listen'")
@@ -77,6 +73,35 @@
     return ControlSettings(name, listen, folder, named, ask, budget, rules)
 
 
+def _rules(table: TomlTable) -> Rules:
+    return Rules(
+        step_us=int(table.number("step_s", 60.0, least=0.1) * US_PER_S),
+        settle_us=int(table.number("settle_s", 1.0) * US_PER_S),
+        failed_most=table.number("failed_most", 0.1, most=1.0),
+        calls_least=table.whole("calls_least", 20, least=1),
+    )
+
+
+def _budget(table: TomlTable) -> int | str:
+    budget: int | str = table.values.pop("budget", 1)
+    try:
+        budget_of(budget, INSTANCES_FOR_CHECK)
+    except CommandRejected as refusal:
+        raise table.error(f"{table.place('budget')}: {refusal}") from None
+    return budget
+
+
+def _voter_agents(table: TomlTable) -> tuple[Address, ...]:
+    addresses = table.values.pop("ask", [])
+    if not isinstance(addresses, list) or not all(isinstance(address, str) for address in addresses):
+        raise table.wrong("ask", "must be a list of host:port")
+    return tuple(_loopback_address(table, address) for address in addresses)
+
+
+def _loopback_address(table: TomlTable, address: str) -> Address:
+    return parse_address(TomlTable({"ask": address}, table.path, table.error).loopback("ask"))
+
+
 def _voter(table: TomlTable) -> Voter:
     address = table.loopback("address")
     reach = table.loopback("reach") if "reach" in table.values else address
