--- a/maplestile/control/log_storage.py
+++ b/maplestile/control/log_storage.py
@@ -130,10 +130,17 @@
 
 def _check_snapshot(path: Path) -> None:
     try:
-        with gzip.open(path) as file:
-            if not file.read(READ_BYTES):
-                raise EOFError("there is nothing in it")
-            while file.read(READ_BYTES):
-                pass
+        content_bytes = _bytes_of_gzip(path)
     except (OSError, EOFError, zlib.error) as fault:
         raise CommandRejected(f"{path}: not whole: {fault}") from None
+    if not content_bytes:
+        raise CommandRejected(f"{path}: not whole: there is nothing in it")
+
+
+def _bytes_of_gzip(path: Path) -> int:
+    """How many bytes of content are in the file. Raises where its checksum is not that of its content."""
+    content_bytes = 0
+    with gzip.open(path) as file:
+        while chunk := file.read(READ_BYTES):
+            content_bytes += len(chunk)
+    return content_bytes
--- a/maplestile/control/policy/__init__.py
+++ b/maplestile/control/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The policy that a fleet agrees on, on every router or on none; free of I/O but for `store.py`."""
+"""The policy that a fleet agrees on, in force on every router or on none. Free of I/O but for `store`."""
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -2,24 +2,30 @@
 
     [rules]                   # whole
     [[class]]                 # whole
-    [limits]                  # `LIMITS` of it; what is cut from a machine or a listener stays the file's
+    [limits]                  # `POLICY_LIMITS` of it; those of a machine or a listener stay the file's
 
 A document takes the place of these tables of each router's file, whole: what it does not name has the
 checker's default, and nothing of the file's own policy is left in force. It is checked as a file is at start,
-by `invoke/operator.py`; here only its shape is looked at."""
+by `invoke/operator_file.py`; here only its shape is checked.
+"""
 
 import hashlib
 import json
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
 from maplestile.common.toml_table import ConfigError
 
-RULES, CLASS, LIMITS_TABLE = "rules", "class", "limits"
-TABLES = (RULES, CLASS, LIMITS_TABLE)
-LIMITS = ("open_requests", "records", "record_s", "body_bytes", "deadline_most_s")
-DOCUMENT_BYTES = 16_384  # some hundred classes; the kept epochs of it go round with the agreed state
+RULES_TABLE = "rules"
+CLASS_TABLE = "class"
+LIMITS_TABLE = "limits"
+POLICY_TABLES = (RULES_TABLE, CLASS_TABLE, LIMITS_TABLE)
+POLICY_LIMITS = ("open_requests", "records", "record_s", "body_bytes", "deadline_most_s")
+DOCUMENT_BYTES = 16_384
+"""The most of a document: some hundred classes. The kept epochs of it go round with the agreed state."""
+DIGEST_BYTES = 8
+
 Tables = dict[str, Any]
 
 
@@ -29,22 +35,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    text: str  # canonical JSON: the same policy is the same text
+    """A checked document, as canonical JSON: the same policy is the same text."""
+
+    text: str
 
     @classmethod
     def of(cls, tables: object) -> "Document":
-        """Raises PolicyError for what is no table of policy, and for a document that is too large."""
+        """The document of these tables.
+
+        Raises PolicyError for what is no table of policy, and for a document that is too large.
+        """
         if not isinstance(tables, Mapping):
             raise PolicyError("policy: must be a table")
-        for name in tables:
-            if name not in TABLES:
-                raise PolicyError(f"{name}: is no part of policy; it stays in each router's file")
-        limits = tables.get(LIMITS_TABLE, {})
-        if not isinstance(limits, Mapping):
-            raise PolicyError("limits: must be a table")
-        for name in limits:
-            if name not in LIMITS:
-                raise PolicyError(f"limits.{name}: is no part of policy; it stays in each router's file")
+        _check_names(tables)
         try:
             text = json.dumps(tables, sort_keys=True, separators=(",", ":"), allow_nan=False)
         except (TypeError, ValueError) as fault:  # a date of TOML, or no number
@@ -55,28 +58,45 @@
 
     @classmethod
     def own(cls, root: Mapping[str, Any]) -> "Document":
-        """The policy that an operator's file tells itself."""
-        tables = {name: root[name] for name in (RULES, CLASS) if name in root}
+        """The policy of an operator's file itself. Raises PolicyError."""
+        tables = {name: root[name] for name in (RULES_TABLE, CLASS_TABLE) if name in root}
         limits = root.get(LIMITS_TABLE)
         if isinstance(limits, Mapping):
-            tables[LIMITS_TABLE] = {name: limits[name] for name in LIMITS if name in limits}
+            tables[LIMITS_TABLE] = {name: limits[name] for name in POLICY_LIMITS if name in limits}
         return cls.of(tables)
 
     def tables(self) -> Tables:
-        told: Tables = json.loads(self.text)
-        return told
+        """The tables of the document; each call makes new ones."""
+        tables: Tables = json.loads(self.text)
+        return tables
 
     def digest(self) -> str:
-        return hashlib.blake2b(self.text.encode(), digest_size=8).hexdigest()
+        """The same for the same policy, as hexadecimal digits."""
+        return hashlib.blake2b(self.text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
     def over(self, root: Mapping[str, Any]) -> Tables:
         """The tables of an operator's file, with these in the place of its own policy."""
-        mine, left = self.tables(), {name: value for name, value in root.items() if name not in TABLES}
-        kept = root.get(LIMITS_TABLE, {})
-        if isinstance(kept, Mapping):  # else the checker tells
-            kept = {name: value for name, value in kept.items() if name not in LIMITS}
-            mine[LIMITS_TABLE] = {**kept, **mine.get(LIMITS_TABLE, {})}
-        return {**left, **mine}
+        merged = {name: value for name, value in root.items() if name not in POLICY_TABLES}
+        tables = self.tables()
+        file_limits = root.get(LIMITS_TABLE, {})
+        if isinstance(file_limits, Mapping):  # else the checker refuses it
+            kept = {name: value for name, value in file_limits.items() if name not in POLICY_LIMITS}
+            tables[LIMITS_TABLE] = {**kept, **tables.get(LIMITS_TABLE, {})}
+        return {**merged, **tables}
+
+
+def _check_names(tables: Mapping[str, Any]) -> None:
+    _refuse_other_names(tables, POLICY_TABLES, "")
+    limits = tables.get(LIMITS_TABLE, {})
+    if not isinstance(limits, Mapping):
+        raise PolicyError("limits: must be a table")
+    _refuse_other_names(limits, POLICY_LIMITS, f"{LIMITS_TABLE}.")
+
+
+def _refuse_other_names(names: Iterable[str], allowed: tuple[str, ...], place: str) -> None:
+    for name in names:
+        if name not in allowed:
+            raise PolicyError(f"{place}{name}: is no part of policy; it stays in each router's file")
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,10 +108,13 @@
 
 
 def digest_of(document: Document | None) -> str:
-    """ "" stands for the files' own."""
+    """The digest of a document; an empty text stands for the files' own policy."""
     return "" if document is None else document.digest()
 
 
 def document_of(tables: object) -> Document | None:
-    """What the wire and the log carry: tables, or none for the files' own policy."""
+    """The document of what the wire and the log carry: tables, or None for the files' own policy.
+
+    Raises PolicyError.
+    """
     return None if tables is None else Document.of(tables)
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -7,20 +7,24 @@
     any --its build or file refuses what is committed--> REFUSED --heard one that fits--> CURRENT
 
 A router that starts, or that stood still, may have missed a commit, so it takes no new calls until its agent
-tells what was committed after that moment. One that merely hears nothing is cut off, and serves with the last
-epoch it knows: all of its epochs were committed. It never goes back.
+announces what was committed after that moment. One that merely hears nothing is cut off, and serves with the
+last epoch it knows: all of its epochs were committed. It never goes back.
 
-Times are microseconds of the machine's monotonic clock, which its agent shares."""
+Times are microseconds of the machine's monotonic clock, which its agent shares.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 from maplestile.control.policy.document import Document
 
-NO_EPOCH = -1  # nothing on record
+NO_EPOCH = -1
+"""The epoch of a router that has none on record."""
 
 
 class PolicyStatus(Enum):
+    """How a router's epoch stands beside the fleet's."""
+
     WAITING = "waiting"
     CURRENT = "current"
     STALE = "stale"
@@ -28,7 +32,7 @@
 
 
 class Step(Enum):
-    """What the driver has to do about a word."""
+    """What the driver has to do about an announcement."""
 
     NOTHING = "nothing"
     ADOPT = "adopt"
@@ -38,6 +42,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
+    """The timeouts of a router that hears nothing, in microseconds."""
+
     stale_us: int = 5_000_000
     wait_us: int = 10_000_000
     pause_us: int = 2_000_000  # an agent hears nothing of a router for so long: to the leader it is absent
@@ -45,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyAnnouncement:
-    """What the agent tells: at `fenced_us` or later this epoch was the committed one."""
+    """What the agent announces: at `fenced_us` or later this epoch was the committed one."""
 
     epoch: int
     fenced_us: int
@@ -64,6 +70,8 @@
 
 @dataclass(slots=True)
 class Follower:
+    """The state machine of one router's policy."""
+
     rules: Rules
     epoch: int  # on record, or NO_EPOCH
     since_us: int  # since when it may have missed a commit: its start, or the end of a standstill
@@ -74,21 +82,27 @@
     pledge: PreparedPolicy | None = None
 
     def __post_init__(self) -> None:
+        """Count the time without a tick from the start."""
         self.ticked_us = self.since_us
 
     def tick(self, now_us: int) -> None:
-        """Called now and then, and before anything is decided."""
-        gap_us, self.ticked_us = now_us - self.ticked_us, now_us
+        """Let time pass; called now and then, and before anything is decided."""
+        gap_us = now_us - self.ticked_us
+        self.ticked_us = now_us
         if gap_us > self.rules.pause_us:
-            self.since_us = now_us
-            if self.standing in (PolicyStatus.CURRENT, PolicyStatus.STALE):
-                self.standing = PolicyStatus.WAITING
+            self._restart(now_us)
         if self.standing is PolicyStatus.CURRENT and now_us - self.confirmed_us > self.rules.stale_us:
             self.standing = PolicyStatus.STALE
-        waited = now_us - self.since_us > self.rules.wait_us
-        if self.standing is PolicyStatus.WAITING and waited and self.epoch != NO_EPOCH:
+        has_waited = now_us - self.since_us > self.rules.wait_us
+        if self.standing is PolicyStatus.WAITING and has_waited and self.epoch != NO_EPOCH:
             self.standing = PolicyStatus.STALE
 
+    def _restart(self, now_us: int) -> None:
+        """A commit may have been missed while the process stood still."""
+        self.since_us = now_us
+        if self.standing in (PolicyStatus.CURRENT, PolicyStatus.STALE):
+            self.standing = PolicyStatus.WAITING
+
     def admits(self, now_us: int) -> bool:
         """Whether new calls are taken."""
         self.tick(now_us)
@@ -96,37 +110,43 @@
 
     def stale_us(self, now_us: int) -> int:
         """For how long its epoch has not been known to be the committed one; 0 while it is."""
-        return now_us - (self.confirmed_us or self.since_us) if self.standing is PolicyStatus.STALE else 0
+        if self.standing is not PolicyStatus.STALE:
+            return 0
+        return now_us - (self.confirmed_us or self.since_us)
 
     def promise(self, change: int, document: Document | None) -> None:
-        """The driver has found that the change fits this build and file."""
+        """Remember that the driver has found the change to fit this build and file."""
         self.pledge = PreparedPolicy(change, document)
 
-    def hear(self, word: PolicyAnnouncement, now_us: int) -> Step:
+    def hear(self, announcement: PolicyAnnouncement, now_us: int) -> Step:
+        """Take an announcement; what the driver has to do about it."""
         self.tick(now_us)
-        if word.epoch < self.epoch:
+        if announcement.epoch < self.epoch:
             return Step.OLDER
-        if self.pledge is not None and word.checking != self.pledge.change:
+        if self.pledge is not None and announcement.checking != self.pledge.change:
             self.pledge = None  # decided; if it was committed the document comes with its epoch
-        if word.epoch > self.epoch:
-            return Step.ADOPT if word.whole else Step.FETCH
-        if self.standing is PolicyStatus.REFUSED:  # its own epoch, on record, that its file or build refused
-            return Step.ADOPT if word.whole else Step.FETCH
-        self._confirm(word, now_us)
+        # A refused epoch may be the one on record, which this file or build does not fit any more.
+        if announcement.epoch > self.epoch or self.standing is PolicyStatus.REFUSED:
+            return Step.ADOPT if announcement.whole else Step.FETCH
+        self._confirm(announcement, now_us)
         return Step.NOTHING
 
-    def adopted(self, word: PolicyAnnouncement, now_us: int) -> None:
-        """The driver has put the word's epoch on record and in force."""
-        self.epoch, self.reason = word.epoch, ""
+    def adopted(self, announcement: PolicyAnnouncement, now_us: int) -> None:
+        """Note that the driver has put the announced epoch on record and in force."""
+        self.epoch = announcement.epoch
+        self.reason = ""
         if self.standing is PolicyStatus.REFUSED:
             self.standing = PolicyStatus.WAITING
-        self._confirm(word, now_us)
+        self._confirm(announcement, now_us)
 
     def refused(self, reason: str) -> None:
-        """This build or file refuses what is committed: it decides no new call by anything else."""
-        self.standing, self.reason = PolicyStatus.REFUSED, reason
+        """Note that the build or file refuses what is committed: no new call is decided by anything else."""
+        self.standing = PolicyStatus.REFUSED
+        self.reason = reason
 
-    def _confirm(self, word: PolicyAnnouncement, now_us: int) -> None:
-        if word.fenced_us < self.since_us or now_us - word.fenced_us > self.rules.stale_us:
+    def _confirm(self, announcement: PolicyAnnouncement, now_us: int) -> None:
+        fenced_us = announcement.fenced_us
+        if fenced_us < self.since_us or now_us - fenced_us > self.rules.stale_us:
             return  # what was committed since then is not known
-        self.confirmed_us, self.standing = max(self.confirmed_us, word.fenced_us), PolicyStatus.CURRENT
+        self.confirmed_us = max(self.confirmed_us, fenced_us)
+        self.standing = PolicyStatus.CURRENT
--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -2,30 +2,41 @@
 
 import logging
 from pathlib import Path
+from typing import Any
 
 from maplestile.common import durable_file as durable
 from maplestile.control.policy.document import AdoptedPolicy, PolicyError, document_of
 
 log = logging.getLogger("maplestile.policy")
-VERSION, NAME = 1, "policy.json"
+
+VERSION = 1
+NAME = "policy.json"
 
 
 def read(folder: Path) -> AdoptedPolicy | None:
-    """None where there is none, or none of use, which is logged: the router then waits for its fleet."""
-    body = durable.read(folder / NAME, VERSION)
-    if body is None:
+    """The epoch on record.
+
+    None where there is none, or none that can be used, which is logged: the router then waits for its fleet.
+    """
+    record = durable.read(folder / NAME, VERSION)
+    if record is None:
         return None
     try:
-        epoch, document = body["epoch"], document_of(body["document"])
-        if type(epoch) is not int or epoch < 0:
-            raise ValueError("its epoch is no number")
+        return _decode(record)
     except (ValueError, KeyError, TypeError, PolicyError) as fault:
         log.warning("policy: the record in %s is of no use: %s", folder, fault)
         return None
+
+
+def _decode(record: Any) -> AdoptedPolicy:
+    epoch = record["epoch"]
+    document = document_of(record["document"])
+    if type(epoch) is not int or epoch < 0:
+        raise ValueError("its epoch is no number")
     return AdoptedPolicy(epoch, document)
 
 
-def write(folder: Path, record: AdoptedPolicy) -> None:
-    """Raises OSError; the record before then stands."""
-    tables = None if record.document is None else record.document.tables()
-    durable.write(folder / NAME, VERSION, {"epoch": record.epoch, "document": tables})
+def write(folder: Path, adopted: AdoptedPolicy) -> None:
+    """Put an epoch on record. Raises OSError; the record before then stands."""
+    tables = None if adopted.document is None else adopted.document.tables()
+    durable.write(folder / NAME, VERSION, {"epoch": adopted.epoch, "document": tables})
