--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -48,7 +48,7 @@
     control, exchanges, changes = ControlState(), list[object](), list[object]()
     for command in SCRIPT:
         before = control.told()
-        exchanges.append({"command": command, "reply": control.apply(command)})
+        exchanges.append({"command": command, "reply": control.apply_encoded(command)})
         changes.append({key: value for key, value in control.told().items() if value != before[key]})
     return {
         "log-commands.jsonl": as_lines(exchanges),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -15,6 +15,7 @@
 from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]
 
 from maplestile.common.errors import CommandRejected
+from maplestile.control.commands import GrantLease, Rejected, encode
 from maplestile.control.log_storage import check
 from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
 from maplestile.control.state import ACTIVE, ControlState, Phase, Stage, budget_of
@@ -26,7 +27,7 @@
 def control(**owners: list[str]) -> ControlState:
     made = ControlState()
     for agent, names in (owners or {"a0": NAMES[:2], "a1": NAMES[2:]}).items():
-        assert made.apply({"do": "register", "agent": agent, "instances": names})["ok"]
+        assert made.apply_encoded({"do": "register", "agent": agent, "instances": names})["ok"]
     return made
 
 
@@ -40,7 +41,7 @@
         self.words = {name: HealthReport(True) for name in NAMES}
 
     def ask(self, do: str, **more: Any) -> dict[str, Any]:
-        return self.control.apply({"do": do, **more})
+        return self.control.apply_encoded({"do": do, **more})
 
     def ok(self, do: str, **more: Any) -> dict[str, Any]:
         reply = self.ask(do, **more)
@@ -51,10 +52,12 @@
         """Time passes, the words come, and what the leader decides is applied."""
         self.now += after_us
         self.watcher.hear(self.words, self.now)
-        command = self.watcher.decide(self.control, self.out, 1, self.now)
-        if command is not None:
-            self.ok(**command)
-        return command
+        command = self.watcher.next_command(self.control, self.out, 1, self.now)
+        if command is None:
+            return None
+        encoded = encode(command)
+        self.ok(**encoded)
+        return encoded
 
     def held(self, name: str) -> dict[str, Any]:
         lease = self.control.leases[name]
@@ -300,11 +303,11 @@
             self.ok("register", agent=agent, instances=names, runners=runners)
 
     def ok(self, do: str, **more: Any) -> None:
-        reply = self.control.apply({"do": do, **more})
+        reply = self.control.apply_encoded({"do": do, **more})
         self.assertTrue(reply["ok"], reply)
 
     def no(self, reason: str, do: str, **more: Any) -> None:
-        reply = self.control.apply({"do": do, **more})
+        reply = self.control.apply_encoded({"do": do, **more})
         self.assertIn(reason, reply.get("reason", "it was agreed on"))
 
     def grant(self, name: str, **more: Any) -> dict[str, Any]:
@@ -371,8 +374,8 @@
         self.ok("start", action="drain", kind="runners", targets=["w1"], budget=1)
         watcher = RolloutPlanner(Rules(settle_us=0), 0)
         watcher.hear({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
-        self.assertIsNone(watcher.decide(self.control, frozenset({"w2"}), 1, 2))
-        self.assertIsNotNone(watcher.decide(self.control, frozenset(), 1, 3))
+        self.assertIsNone(watcher.next_command(self.control, frozenset({"w2"}), 1, 2))
+        self.assertIsNotNone(watcher.next_command(self.control, frozenset(), 1, 3))
 
 
 class Machine(RuleBasedStateMachine):
@@ -388,7 +391,7 @@
             names = [name for name, owner in self.control.instances.items() if owner == agent]
             runners = {"w0": managed, "w1": False}
             told = {"do": "register", "agent": agent, "instances": names, "runners": runners}
-            assert self.control.apply(told)["ok"]
+            assert self.control.apply_encoded(told)["ok"]
         self.unused = set[tuple[str, str]]()  # (agent, runner) where its routers have nothing with the runner
         self.begun = set[str]()  # what agents really have in hand or down: the truth beside the state
         self.released = set[str]()
@@ -399,7 +402,7 @@
         chosen=st.lists(st.sampled_from(NAMES), max_size=4),
     )
     def start(self, action: str, budget: int, chosen: list[str]) -> None:
-        self.control.apply({"do": "start", "action": action, "targets": chosen, "budget": budget})
+        self.control.apply_encoded({"do": "start", "action": action, "targets": chosen, "budget": budget})
 
     @rule(
         action=st.sampled_from(("restart", "drain")),
@@ -408,7 +411,7 @@
     )
     def start_runners(self, action: str, budget: int, chosen: list[str]) -> None:
         told = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
-        self.control.apply(told)
+        self.control.apply_encoded(told)
 
     @precondition(lambda self: self.control.out("runners"))
     @rule(
@@ -421,11 +424,11 @@
         lease = self.control.leases[out[pick % len(out)]]
         told = {"agent": agent, "instance": lease.instance, "lease": lease.number}
         if did == "renewed":
-            if self.control.apply({"do": did, **told})["ok"]:
+            if self.control.apply_encoded({"do": did, **told})["ok"]:
                 # Its process is touched only while no router anywhere uses it.
                 assert {(one, lease.instance) for one in ("a0", "a1")} <= self.unused
             return
-        if self.control.apply({"do": "part", "did": did, **told})["ok"]:
+        if self.control.apply_encoded({"do": "part", "did": did, **told})["ok"]:
             if did == "out":
                 self.unused.add((agent, lease.instance))
             elif did == "in":
@@ -433,7 +436,7 @@
 
     @rule(what=st.sampled_from(("halt", "resume", "undo")))
     def operator(self, what: str) -> None:
-        self.control.apply({"do": what})
+        self.control.apply_encoded({"do": what})
 
     @rule(name=st.sampled_from(NAMES), is_lost=st.booleans())
     def lose(self, name: str, is_lost: bool) -> None:
@@ -448,14 +451,15 @@
         self.now += pause
         words = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
         self.watcher.hear(words, self.now)
-        command = self.watcher.decide(self.control, frozenset(), 1, self.now)
+        command = self.watcher.next_command(self.control, frozenset(), 1, self.now)
         if command is None:
             return
         reply = self.control.apply(command)
-        assert reply["ok"], reply  # nothing came between
+        assert not isinstance(reply, Rejected), reply  # nothing came between
         rollout = self.control.rollout
         assert rollout is not None
-        if command["do"] == "grant" and command["instance"] not in self.begun and rollout.kind == "routers":
+        is_grant = isinstance(command, GrantLease) and command.instance not in self.begun
+        if is_grant and rollout.kind == "routers":
             down = self.lost | set(self.control.out("routers"))
             assert len(down) <= rollout.budget, (down, rollout)
 
@@ -465,7 +469,7 @@
         out = self.control.out("routers")
         lease = self.control.leases[out[pick % len(out)]]
         told = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
-        if self.control.apply({"do": do, **told})["ok"]:
+        if self.control.apply_encoded({"do": do, **told})["ok"]:
             (self.begun.discard if do == "back" else self.begun.add)(lease.instance)
 
     @precondition(lambda self: self.control.leases)
@@ -473,7 +477,7 @@
     def release(self, pick: int) -> None:
         """An operator vouches that it serves."""
         name = sorted(self.control.leases)[pick % len(self.control.leases)]
-        assert self.control.apply({"do": "release", "instance": name})["ok"]
+        assert self.control.apply_encoded({"do": "release", "instance": name})["ok"]
         self.begun.discard(name)
         self.unused = {(agent, runner) for agent, runner in self.unused if runner != name}
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,6 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from maplestile.common.toml_table import ConfigError
+from maplestile.control.commands import encode
 from maplestile.control.policy import store
 from maplestile.control.policy.agreed import Phase
 from maplestile.control.policy.document import DOCUMENT_BYTES, AdoptedPolicy, Document, PolicyError
@@ -49,7 +50,7 @@
         self.arbiter = PolicyPlanner()
 
     def ask(self, do: str, **more: Any) -> dict[str, Any]:
-        return self.control.apply({"do": do, "agent": "a0", **more})
+        return self.control.apply_encoded({"do": do, "agent": "a0", **more})
 
     def ok(self, do: str, **more: Any) -> dict[str, Any]:
         reply = self.ask(do, **more)
@@ -71,7 +72,8 @@
         self.ok("policy verdict", change=change, **told)
 
     def look(self, now_us: int) -> dict[str, Any] | None:
-        return self.arbiter.decide(self.control.policy, self.control.instances, now_us)
+        command = self.arbiter.next_command(self.control.policy, self.control.instances, now_us)
+        return None if command is None else encode(command)
 
     def commit(self, document: dict[str, Any] | None = None, **more: Any) -> None:
         base = self.control.policy.epoch.number
@@ -82,7 +84,7 @@
             self.verdict(number)
         command = self.look(0)
         assert command is not None and command["do"] == "policy commit"
-        assert self.control.apply(command)["ok"]
+        assert self.control.apply_encoded(command)["ok"]
 
 
 def test_a_change_is_committed_once_every_live_router_has_checked_it() -> None:
@@ -102,7 +104,7 @@
     fleet.verdict(1)
     command = fleet.look(9 * S)
     assert command is not None and (command["do"], command["absent"]) == ("policy commit", [])
-    assert fleet.control.apply(command)["epoch"] == 1
+    assert fleet.control.apply_encoded(command)["epoch"] == 1
     assert fleet.control.policy.epoch.document == ONE
     fleet.no("is not being checked", "policy commit", change=1, absent=[])
 
@@ -122,7 +124,7 @@
     assert fleet.look(0) is None
     command = fleet.look(7 * S)
     assert command is not None and command["reason"] == "no verdict within 6 s of r1"
-    assert fleet.control.apply(command)["ok"] and fleet.control.policy.epoch.number == 0
+    assert fleet.control.apply_encoded(command)["ok"] and fleet.control.policy.epoch.number == 0
     fleet.ok("policy propose", base=0, document=ONE)  # nobody is there at all
     fleet.no("no router has checked it", "policy commit", change=3, absent=["r0", "r1"])
     fleet.no("change 2 is not being checked", "policy commit", change=2, absent=["r0", "r1"])
@@ -140,7 +142,7 @@
     command = fleet.look(3 * S)
     assert command is not None and command["absent"] == ["r1"]
     fleet.read(1)  # back just before the commit: it is let serve by the old epoch
-    assert not fleet.control.apply(command)["ok"]
+    assert not fleet.control.apply_encoded(command)["ok"]
     assert fleet.look(4 * S) is None
     fleet.verdict(1)
     command = fleet.look(4 * S)
@@ -375,7 +377,7 @@
         self.names = {"r0": "a0", "r1": "a0", "r2": "a1"}
         for agent in ("a0", "a1"):
             mine = [name for name, owner in self.names.items() if owner == agent]
-            assert self.control.apply({"do": "register", "agent": agent, "instances": mine})["ok"]
+            assert self.control.apply_encoded({"do": "register", "agent": agent, "instances": mine})["ok"]
         self.arbiter = PolicyPlanner()
         self.routers = {name: Follower(Rules(), NO_EPOCH, self.now) for name in self.names}
         self.words = dict.fromkeys(self.names, PolicyAnnouncement(0, 0, whole=True))
@@ -388,17 +390,17 @@
     def propose(self, base: int) -> None:
         self.document += 1
         told = {"do": "policy propose", "agent": "a0", "base": self.control.policy.epoch.number - base}
-        self.control.apply({**told, "document": {"rules": {"attempts": self.document}}})
+        self.control.apply_encoded({**told, "document": {"rules": {"attempts": self.document}}})
 
     @rule()
     def rollback(self) -> None:
         epoch = self.control.policy.epoch.number
-        self.control.apply({"do": "policy rollback", "agent": "a1", "base": epoch})
+        self.control.apply_encoded({"do": "policy rollback", "agent": "a1", "base": epoch})
 
     @rule(agent=st.sampled_from(("a0", "a1")), named=st.sets(st.sampled_from(("r0", "r1", "r2"))))
     def read(self, agent: str, named: set[str]) -> None:
         mine = [name for name in sorted(named) if self.names[name] == agent]
-        reply = self.control.apply({"do": "policy read", "agent": agent, "instances": mine})
+        reply = self.control.apply_encoded({"do": "policy read", "agent": agent, "instances": mine})
         change = self.control.policy.checking()
         for name in mine:
             self.words[name] = PolicyAnnouncement(
@@ -417,7 +419,7 @@
     def judge(self, name: str, refuses: int) -> None:
         if (change := self.control.policy.checking()) is not None:
             told = {"agent": self.names[name], "instance": name, "reason": "no" if not refuses else ""}
-            self.control.apply({"do": "policy verdict", "change": change.number, **told})
+            self.control.apply_encoded({"do": "policy verdict", "change": change.number, **told})
 
     @rule(name=st.sampled_from(("r0", "r1", "r2")))
     def restart(self, name: str) -> None:
@@ -438,10 +440,11 @@
     @precondition(lambda self: self.control.policy.checking() is not None)
     @rule()
     def lead(self) -> None:
-        command = self.arbiter.decide(self.control.policy, self.control.instances, self.now)
+        decided = self.arbiter.next_command(self.control.policy, self.control.instances, self.now)
+        command = None if decided is None else encode(decided)
         if command is None:
             return
-        reply = self.control.apply(command)
+        reply = self.control.apply_encoded(command)
         assert reply["ok"], reply
         if command["do"] == "policy commit":
             change = self.control.policy.change
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -62,7 +62,7 @@
         control = ControlState()
         for exchange, state in zip(lines("log-commands.jsonl"), states()[1:], strict=True):
             with self.subTest(exchange["command"]):
-                self.assertEqual(control.apply(exchange["command"]), exchange["reply"])
+                self.assertEqual(control.apply_encoded(exchange["command"]), exchange["reply"])
                 self.assertEqual(control.told(), state)
         self.assertEqual(control.told(), json.loads(content("state.json")))
 
@@ -77,7 +77,7 @@
         ):
             control = ControlState.of(json.loads(json.dumps(before)))
             self.assertEqual(control.told(), before)
-            self.assertEqual(control.apply(exchange["command"]), exchange["reply"])
+            self.assertEqual(control.apply_encoded(exchange["command"]), exchange["reply"])
             self.assertEqual(control.told(), after)
 
     def test_a_state_of_no_use_is_refused(self) -> None:
@@ -121,7 +121,7 @@
         raft = asyncio.run(record.run_voter(self.plan, []))
         expected = ControlState()
         for command in (*SCRIPT, TOLD):
-            expected.apply(command)
+            expected.apply_encoded(command)
         self.assertEqual(raft.control.told(), expected.told())
         self.assertEqual({agent: told for agent, (_, told) in raft.told.items()}, {"a0": TOLD["told"]})
 
