--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -1,7 +1,8 @@
-"""The voters: what an agreed read of an agent costs each of three, by the reads and by what they tell.
+"""What an agreed read of an agent costs each of three voters, by the number of reads and by their size.
 
-Three voters of the shipped RaftLog driver stand in this process, on loopback, with their journals on disk. An
-agent is a `policy read` asked of one of them each second, with what each of the agent's routers told."""
+Three voters of the shipped `RaftLog` run in this process, on loopback, with their journals on disk. An agent
+is a `ReadPolicy` submitted to one of them each second, with what each of the agent's routers reports.
+"""
 
 import asyncio
 import pickle
@@ -19,7 +20,11 @@
 from maplestile.control.settings import ControlSettings, Voter
 from tests.fleet import free_ports
 
-VOTERS, SECONDS = 3, 6.0
+VOTERS = 3
+SECONDS = 6.0
+SECONDS_SMALL = 2.0
+READ_INTERVAL_S = 1.0
+READY_TIMEOUT_S = 20
 AGENTS = (5, 15, 30, 60)  # with a router each
 ROUTERS = (1, 4, 12, 30)  # of each of eight agents
 FEW_AGENTS = 8
@@ -27,14 +32,16 @@
 
 @dataclass(frozen=True)
 class Use:
+    """What the reads cost, for each second."""
+
     reads: float  # agreed a second
     late: float  # share not agreed within the second
     voter_ms: float  # processor time of a voter a second
     log_bytes: float  # of entries a second, as each voter keeps them
 
 
-def told(router: str) -> dict[str, Any]:
-    """What a router tells its agent of the policy, as long as a real one's."""
+def router_status() -> dict[str, Any]:
+    """What a router reports to its agent of the policy, as long as a real one's."""
     calls = {str(epoch): {"calls": 126_000, "attempts": 127_000} for epoch in range(8)}
     return {
         "epoch": 7,
@@ -48,6 +55,8 @@
 
 
 class Voters:
+    """The voters, and their event-loop tasks."""
+
     def __init__(self, folder: Path) -> None:
         ports = free_ports(VOTERS)
         addresses = [f"127.0.0.1:{port}" for port in ports]
@@ -61,17 +70,20 @@
         return ControlSettings(voter.name, voter.address, self.folder / voter.name, voters, (), 1, rules)
 
     async def ready(self) -> None:
-        async with asyncio.timeout(20):
+        """Wait until each is ready."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not all(raft.ready() for raft in self.rafts):
                 await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
+        """Stop them all."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
 async def measure(agents: int, routers: int, seconds: float) -> Use:
+    """The cost of the reads of so many agents with so many routers each."""
     with tempfile.TemporaryDirectory() as folder:
         voters = Voters(Path(folder))
         try:
@@ -83,41 +95,48 @@
 
 async def _load(voters: Voters, agents: int, routers: int, seconds: float) -> Use:
     counts = Counter[str]()
-    end = time.monotonic() + seconds
-
-    async def agent(number: int) -> None:
-        names = [f"r{number}-{n}" for n in range(routers)]
-        asked = voters.rafts[number % VOTERS]
-        await asked.submit(Register(agent=f"g{number}", instances=tuple(names)))
-        await asyncio.sleep(number / agents)
-        while time.monotonic() < end:
-            began = time.monotonic()
-            status = {name: told(name) for name in names}
-            read = ReadPolicy(agent=f"g{number}", instances=tuple(names), router_status=status)
-            try:
-                await asked.submit(read)
-                counts["reads"] += 1
-                counts["bytes"] += len(pickle.dumps(encode(read)))
-                counts["late"] += time.monotonic() - began > 1.0
-            except LogError:
-                counts["late"] += 1
-            await asyncio.sleep(max(0.0, began + 1.0 - time.monotonic()))
-
-    spent, began = time.process_time(), time.monotonic()
-    await asyncio.gather(*(agent(number) for number in range(agents)))
-    took_s = time.monotonic() - began
-    voter_ms = 1e3 * (time.process_time() - spent) / VOTERS / took_s
-    asked = max(1, counts["reads"] + counts["late"])
-    return Use(counts["reads"] / took_s, counts["late"] / asked, voter_ms, counts["bytes"] / took_s)
+    end_s = time.monotonic() + seconds
+    spent_s = time.process_time()
+    start_s = time.monotonic()
+    await asyncio.gather(
+        *(_agent(voters, number, agents, routers, end_s, counts) for number in range(agents))
+    )
+    took_s = time.monotonic() - start_s
+    voter_ms = 1e3 * (time.process_time() - spent_s) / VOTERS / took_s
+    submitted = max(1, counts["reads"] + counts["late"])
+    return Use(counts["reads"] / took_s, counts["late"] / submitted, voter_ms, counts["bytes"] / took_s)
+
+
+async def _agent(
+    voters: Voters, number: int, agents: int, routers: int, end_s: float, counts: Counter[str]
+) -> None:
+    """Register the agent's routers, then submit a read each second until the end."""
+    names = tuple(f"r{number}-{n}" for n in range(routers))
+    raft = voters.rafts[number % VOTERS]
+    await raft.submit(Register(agent=f"g{number}", instances=names))
+    await asyncio.sleep(number / agents)
+    while time.monotonic() < end_s:
+        start_s = time.monotonic()
+        status = {name: router_status() for name in names}
+        read = ReadPolicy(agent=f"g{number}", instances=names, router_status=status)
+        try:
+            await raft.submit(read)
+            counts["reads"] += 1
+            counts["bytes"] += len(pickle.dumps(encode(read)))
+            counts["late"] += time.monotonic() - start_s > READ_INTERVAL_S
+        except LogError:
+            counts["late"] += 1
+        await asyncio.sleep(max(0.0, start_s + READ_INTERVAL_S - time.monotonic()))
 
 
 def run(small: bool = False) -> list[Series]:
+    """The series by agents and by routers."""
     by_agents = Series("voter by agents", "agents of a router", "ms of processor time a second")
     late = Series("reads late by agents", "agents of a router", "share")
     each = f"routers of each of {FEW_AGENTS} agents"
     by_routers = Series("voter by routers", each, "ms of processor time a second")
     log = Series("voter log", each, "B a second")
-    seconds = 2.0 if small else SECONDS
+    seconds = SECONDS_SMALL if small else SECONDS
     for agents in AGENTS[:2] if small else AGENTS:
         use = asyncio.run(measure(agents, 1, seconds))
         by_agents.add(agents, use.voter_ms)
