--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -1,14 +1,15 @@
 """The codec of the replicated log's commands and replies, against the recorded wire forms."""
 
 import json
-from typing import Any
+from typing import Any, get_args
 
 import pytest
 
 from maplestile.common.errors import CommandRejected
 from maplestile.control import commands
 from maplestile.control.policy.document import Document
-from maplestile.control.state import ControlState
+from maplestile.control.policy.transitions import POLICY_TRANSITIONS
+from maplestile.control.state import FLEET_TRANSITIONS, ControlState
 from tests.control_script import SCRIPT, TOLD, WORDS
 from tests.recordings import RECORDED
 
@@ -182,3 +183,9 @@
     ):
         assert not control.apply_encoded(damaged)["ok"]
         assert control.told() == before
+
+
+def test_every_command_of_the_agreed_state_has_one_transition() -> None:
+    assert not set(FLEET_TRANSITIONS) & set(POLICY_TRANSITIONS)
+    assert {*FLEET_TRANSITIONS, *POLICY_TRANSITIONS} == set(get_args(commands.StateCommand))
+    assert set(get_args(commands.Command)) == {*get_args(commands.StateCommand), commands.Heartbeat}
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -125,6 +125,16 @@
         self.assertEqual(raft.control.told(), expected.told())
         self.assertEqual({agent: told for agent, (_, told) in raft.told.items()}, {"a0": TOLD["told"]})
 
+    def test_a_damaged_heartbeat_is_answered_and_leaves_the_last_one(self) -> None:
+        damaged: list[dict[str, Any]] = [
+            {"do": "word"},
+            {"do": "word", "agent": "a0"},
+            {"do": "word", "agent": "a0", "words": [1]},
+        ]
+        raft = asyncio.run(record.run_voter(self.plan, damaged))
+        self.assertEqual(dict(raft.words), {"a0": (1, WORDS["words"])})
+        self.assertEqual(raft.counters["control.commands"], len(damaged))
+
     def test_the_recorded_journal_holds_the_script(self) -> None:
         journal = FileJournal(str(self.folder / "journal"))
         self.addCleanup(journal._destroy)
