--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -31,10 +31,11 @@
     return tuple(texts)
 
 
-def _text(value: object, place: str) -> str:
-    if not isinstance(value, str):
-        raise TypeError(f"{place}: must be a text")
-    return value
+def _hashable(values: Iterable[object]) -> tuple[object, ...]:
+    hashable = tuple(values)
+    for value in hashable:
+        hash(value)
+    return hashable
 
 
 def _table(value: object, place: str) -> Mapping[str, Any]:
@@ -187,9 +188,17 @@
 
 
 def read_policy(encoded: Mapping[str, Any]) -> types.ReadPolicy:
-    """Decode the command of this name."""
+    """Decode the command of this name.
+
+    Every release counts a read also where a name or the status in it is of no use; voters must go on to count
+    alike, so these are left out and the rest is taken.
+    """
+    instances = _hashable(encoded["instances"])
+    agent = encoded["agent"]
+    hash(agent)
+    status = encoded.get("told")
     return types.ReadPolicy(
-        instances=_texts(encoded["instances"], "instances"),
-        agent=_text(encoded["agent"], "agent"),
-        router_status=_table(encoded["told"], "told") if "told" in encoded else None,
+        instances=tuple(name for name in instances if isinstance(name, str)),
+        agent=agent,
+        router_status=status if isinstance(status, Mapping) else None,
     )
--- a/maplestile/control/lease_transitions.py
+++ b/maplestile/control/lease_transitions.py
@@ -14,7 +14,7 @@
     ReportPart,
     StepBegun,
 )
-from maplestile.control.fleet import FleetState
+from maplestile.control.fleet import FleetState, Step
 from maplestile.control.rollout import (
     DRAIN,
     PART_BEGUN,
@@ -39,26 +39,24 @@
     counted = {*fleet.out(rollout.kind), *command.down, step.instance}
     if len(counted) > rollout.budget:
         raise CommandRejected(f"{len(counted)} would be out, and the budget is {rollout.budget}")
+    lease = _new_lease(fleet, rollout.kind, step, command.term)
+    fleet.leases[lease.instance] = lease
+    return LeaseChanged(lease.number)
+
+
+def _new_lease(fleet: FleetState, kind: str, step: Step, term: int) -> Lease:
     number = fleet.next_number()
-    holder = fleet.known(rollout.kind).get(step.instance)
+    holder = fleet.known(kind).get(step.instance)
     if holder is None:
         # Its agent has dropped it since the start. Every release has spent a number on that and has answered
         # so; all voters must go on to number alike.
         raise CommandRejected(f"damaged command: KeyError: {step.instance!r}")
-    lease = Lease(
-        number=number,
-        instance=step.instance,
-        holder=holder,
-        action=step.action,
-        stage=Stage.GRANTED,
-        term=command.term,
-    )
-    if rollout.kind == RUNNERS:
+    lease = Lease(number, step.instance, holder, step.action, Stage.GRANTED, term)
+    if kind == RUNNERS:
         lease.parts = dict.fromkeys(fleet.agents(), PART_UNTOUCHED)
         if step.action == START:  # nothing is taken out by it, so no halt has to come before its begin
             lease.stage = Stage.RETURNING
-    fleet.leases[lease.instance] = lease
-    return LeaseChanged(lease.number)
+    return lease
 
 
 def release_lease(fleet: FleetState, command: ReleaseLease) -> LeaseChanged:
