--- /dev/null
+++ b/maplestile/router/policy_messages.py
@@ -0,0 +1,67 @@
+"""What an agent and its router tell each other of the policy, with the codec of the operators' front.
+
+An announcement is `{"epoch", "fenced_us", "checking"}`, with `"document"` if it comes along; a check is
+`{"change", "document"}`. Both are answered by JSON objects, too.
+"""
+
+from collections.abc import Mapping
+from dataclasses import asdict, dataclass
+from typing import Any
+
+from maplestile import __version__
+from maplestile.control.policy.document import Document, PolicyError, document_of
+from maplestile.control.policy.follower import PolicyAnnouncement
+
+
+@dataclass(slots=True, frozen=True)
+class PolicyCheck:
+    """A change that the router is to check; no document stands for the policy of its own file."""
+
+    change: int
+    document: Document | None
+
+
+@dataclass(slots=True, frozen=True)
+class PolicyReport:
+    """What a router reports of its policy."""
+
+    epoch: int
+    digest: str  # of the document in force; empty for the file's own policy
+    standing: str  # the value of a PolicyStatus
+    stale_s: float  # for how long its epoch has not been known to be the committed one
+    reason: str  # of a refusal
+    build: str
+    calls: Mapping[str, Mapping[str, int]]  # by epoch
+
+    def as_json(self, fetch: bool = False) -> dict[str, Any]:
+        """The form on the wire; `fetch` asks for the document of the announced epoch."""
+        return asdict(self) | ({"fetch": True} if fetch else {})
+
+
+def decode_announcement(message: object) -> PolicyAnnouncement:
+    """What the agent announces. Raises PolicyError, which names the field."""
+    epoch = _whole_number(message, "epoch")
+    fenced_us = _whole_number(message, "fenced_us")
+    checking = _whole_number(message, "checking")
+    assert isinstance(message, dict)  # it had its numbers
+    document = document_of(message.get("document"))
+    return PolicyAnnouncement(epoch, fenced_us, checking, "document" in message, document)
+
+
+def decode_check(message: object) -> PolicyCheck:
+    """What the router is to check. Raises PolicyError, which names the field."""
+    change = _whole_number(message, "change")
+    assert isinstance(message, dict)  # it had its number
+    return PolicyCheck(change, document_of(message.get("document")))
+
+
+def encode_check_passed() -> dict[str, Any]:
+    """The answer to a check of a change that fits this build and file."""
+    return {"build": __version__}
+
+
+def _whole_number(message: object, name: str) -> int:
+    value = message.get(name) if isinstance(message, dict) else None
+    if type(value) is not int or value < 0:
+        raise PolicyError(f"{name}: must be a whole number")
+    return value
