--- a/tools/measure_rollout.py
+++ b/tools/measure_rollout.py
@@ -4,7 +4,8 @@
 
 Each round starts a fleet, calls it with the load tool without a rollout, then restarts all its routers under
 the same load and seed for each budget, halts one rollout, and kills the leader's machine. Prints one JSON
-object with the least, median and greatest over the rounds."""
+object with the least, median and greatest over the rounds.
+"""
 
 import argparse
 import json
@@ -20,45 +21,52 @@
 from tests.test_process_rollout import Calls
 
 BUDGETS = (1, 2, 3)
+STEP_S = 30.0
+LOAD_TOOL_START_S = 0.7
+AFTER_HALT_S = 2.5  # in which a step would begin, if the halt were not followed
 
 
 def spread(values: list[float]) -> dict[str, float]:
+    """The least, median and greatest."""
     ordered = sorted(values)
-    told = {"min": ordered[0], "median": statistics.median(ordered), "max": ordered[-1]}
-    return {key: round(value, 4) for key, value in told.items()} | {"runs": len(ordered)}
+    summary = {"min": ordered[0], "median": statistics.median(ordered), "max": ordered[-1]}
+    return {key: round(value, 4) for key, value in summary.items()} | {"runs": len(ordered)}
 
 
-def one_round(seconds: float, into: dict[str, list[float]]) -> None:
+def one_round(seconds: float, samples: dict[str, list[float]]) -> None:
+    """Measure one fleet, and add to the samples."""
     test = unittest.TestCase()
     try:
-        fleet = Fleet(test, 30.0)
+        fleet = Fleet(test, STEP_S)
         fleet.until_whole()
-        told(into, "none", Calls(fleet, seconds).result())
+        record_calls(samples, "none", Calls(fleet, seconds).result())
         for budget in BUDGETS:
             calls = Calls(fleet, seconds)
-            time.sleep(0.7)  # the load tool's own start
-            took = rollout(fleet, budget)
-            into.setdefault(f"seconds, budget {budget}", []).append(took)
-            told(into, f"budget {budget}", calls.result())
-            into.setdefault(f"most out, budget {budget}", []).append(fleet.worst_out())
+            time.sleep(LOAD_TOOL_START_S)
+            took_s = roll_out(fleet, budget)
+            samples.setdefault(f"seconds, budget {budget}", []).append(took_s)
+            record_calls(samples, f"budget {budget}", calls.result())
+            samples.setdefault(f"most out, budget {budget}", []).append(fleet.worst_out())
             for agent in fleet.agents:
                 agent.log.clear()
-        into.setdefault("last begin after halt ms", []).append(halted(fleet))
-        into.setdefault("failover s", []).append(failover(fleet))
+        samples.setdefault("last begin after halt ms", []).append(last_begin_after_halt_ms(fleet))
+        samples.setdefault("failover s", []).append(failover_s(fleet))
     finally:
         test.doCleanups()
 
 
-def told(into: dict[str, list[float]], name: str, result: dict[str, Any]) -> None:
-    into.setdefault(f"served share, {name}", []).append(result["served_share"])
-    into.setdefault(f"p99 ms, {name}", []).append(result["latency_ms"]["p99"])
+def record_calls(samples: dict[str, list[float]], name: str, result: dict[str, Any]) -> None:
+    """Add the load tool's report to the samples."""
+    samples.setdefault(f"served share, {name}", []).append(result["served_share"])
+    samples.setdefault(f"p99 ms, {name}", []).append(result["latency_ms"]["p99"])
     lost = sum(count for end, count in result["ends"].items() if end not in ("served", "refused"))
-    into.setdefault(f"lost or failed calls, {name}", []).append(lost)
+    samples.setdefault(f"lost or failed calls, {name}", []).append(lost)
 
 
-def rollout(fleet: Fleet, budget: int) -> float:
+def roll_out(fleet: Fleet, budget: int) -> float:
+    """Restart all routers; the seconds that it took."""
     before = (fleet.status(0)["rollout"] or {}).get("number")
-    began = time.monotonic()
+    started_s = time.monotonic()
     assert fleet.run(0, "rollout", "start", "--budget", str(budget))[0] == 0
 
     def ended() -> bool:
@@ -66,47 +74,48 @@
         return bool(rollout.get("number") != before and rollout.get("phase") == "done")
 
     eventually(ended, "the rollout")
-    return time.monotonic() - began
+    return time.monotonic() - started_s
 
 
-def halted(fleet: Fleet) -> float:
-    """How long after the operator's word the last step began, in milliseconds; 0 if none did."""
+def last_begin_after_halt_ms(fleet: Fleet) -> float:
+    """Milliseconds from the operator's halt until the last step began; 0 if none did."""
     assert fleet.run(0, "rollout", "start", "--budget", "2")[0] == 0
     eventually(lambda: any(one["event"] == "back" for one in fleet.events()), "a step's end")
-    asked_us = time.monotonic_ns() // 1000
+    halted_us = time.monotonic_ns() // 1000
     assert fleet.run(1, "rollout", "halt")[0] == 0
-    time.sleep(2.5)
-    late = [one["t_us"] - asked_us for one in fleet.events() if one["event"] == "begin"]
+    time.sleep(AFTER_HALT_S)
+    late = [one["t_us"] - halted_us for one in fleet.events() if one["event"] == "begin"]
     eventually(lambda: fleet.status(0)["leases"] == [], "what was under way")
     assert fleet.run(1, "rollout", "resume")[0] == 0
     fleet.until_phase(0, "done")
     return float(max([0, *late])) / 1000
 
 
-def failover(fleet: Fleet) -> float:
+def failover_s(fleet: Fleet) -> float:
     """From the kill of the leader's machine until another voter leads and has had a command agreed on."""
     leader = eventually(lambda: [n for n in [fleet.leader()] if n is not None], "a leader")[0]
     lost = fleet.agents[leader]
     routers = fleet.routers_of(lost)
-    began = time.monotonic()
+    started_s = time.monotonic()
     lost.process.kill()
     for pid in routers:
         os.kill(pid, signal.SIGKILL)
     others = [n for n in range(AGENTS) if n != leader]
     start = ("rollout", "start", "--budget", "3", f"r{others[0] * 2}")
     eventually(lambda: fleet.run(others[0], *start)[0] == 0, "a command agreed on")
-    return time.monotonic() - began
+    return time.monotonic() - started_s
 
 
 def main() -> None:
+    """Run the rounds, and print the summary."""
     parser = argparse.ArgumentParser(description="rollouts on sockets")
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=14.0)
-    asked = parser.parse_args()
-    figures: dict[str, list[float]] = {}
-    for _ in range(asked.rounds):
-        one_round(asked.seconds, figures)
-    print(json.dumps({name: spread(values) for name, values in figures.items()}, indent=2))
+    arguments = parser.parse_args()
+    samples: dict[str, list[float]] = {}
+    for _ in range(arguments.rounds):
+        one_round(arguments.seconds, samples)
+    print(json.dumps({name: spread(values) for name, values in samples.items()}, indent=2))
 
 
 if __name__ == "__main__":
