--- /dev/null
+++ b/maplestile/agent/command_server.py
@@ -0,0 +1,201 @@
+"""The agent's command server: one JSON object a line in, one object back.
+
+    {"do": "status", "instances": ["n1"]}
+
+`instances` may be left out, for all. Commands to the control plane have `what` and `command` as well, those
+about a runner have `runner`.
+"""
+
+import asyncio
+import json
+import logging
+from collections.abc import Awaitable, Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, Protocol, TypeVar
+from urllib.parse import quote
+
+from maplestile.agent.command_client import ASK_S
+from maplestile.agent.instance import Instance
+from maplestile.agent.router_client import RESUME_PATH, SUSPEND_PATH
+from maplestile.operation.api import MEMBERS, METRICS, READY
+
+log = logging.getLogger("maplestile.agent")
+LINE_BYTES = 65_536
+Reply = dict[str, Any]
+Answer = TypeVar("Answer")
+
+# By command: method and path at the operators' front of each chosen instance.
+OPERATE = {
+    "ready": ("GET", READY),
+    "figures": ("GET", METRICS),
+    "members": ("GET", MEMBERS),
+    "suspend": ("PUT", SUSPEND_PATH),
+    "resume": ("PUT", RESUME_PATH),
+}
+
+
+class CommandError(Exception):
+    """A command that is refused, with the reason for whoever sent it."""
+
+
+@dataclass(slots=True, frozen=True)
+class AgentCommand:
+    """A command line, decoded."""
+
+    do: object
+    instances: dict[str, Instance]  # those named, or all
+    names_instances: bool
+    operation: str  # of a command to the control plane
+    content: Any  # of a command to the control plane
+    runner: object
+
+    @classmethod
+    def decode(cls, line: bytes, instances: Mapping[str, Instance]) -> "AgentCommand":
+        """Raises CommandError where it is not understood, or names an instance that is not there."""
+        try:
+            message = json.loads(line)
+            do = message["do"]
+            names = message.get("instances") or list(instances)
+            chosen = {name: instances[name] for name in names}
+        except (ValueError, KeyError, TypeError, AttributeError) as fault:
+            raise CommandError(f"not understood, or no such instance: {fault}") from None
+        return cls(
+            do=do,
+            instances=chosen,
+            names_instances=bool(message.get("instances")),
+            operation=str(message.get("what")),
+            content=message.get("command"),
+            runner=message.get("runner"),
+        )
+
+
+Handler = Callable[[AgentCommand], Awaitable[Reply]]
+
+
+class ControlCommands(Protocol):
+    """The agent's control plane as its command server reaches it."""
+
+    async def rollout(self, operation: str, command: Any) -> Reply:
+        """An operator's command about rollouts."""
+        ...
+
+    async def policy(self, operation: str, command: Any) -> Reply:
+        """An operator's command about the fleet's policy."""
+        ...
+
+    async def replicated_log(self, command: object) -> Reply:
+        """For an agent that is no voter: the agreed state, and the reply to its command, if it gives one."""
+        ...
+
+
+class CommandServer:
+    """Answers the commands of operators and of other agents, one a connection."""
+
+    def __init__(self, instances: Mapping[str, Instance], stop_agent: Callable[[], None]) -> None:
+        self.instances = instances
+        self.stop_agent = stop_agent
+        self.control: ControlCommands | None = None
+        self.no_control_reason = "no [control] in its file"
+        self.handlers: dict[str, Handler] = {
+            "status": self._status,
+            "stop": self._stop,
+            "restart": self._restart,
+            "counters": self._counters,
+            "reload": self._reload,
+            "rollout": self._rollout,
+            "policy": self._policy,
+            "control": self._replicated_log,
+            **dict.fromkeys(OPERATE, self._operate),
+        }
+
+    def enable_control(self, control: ControlCommands) -> None:
+        """Pass commands about rollouts and policy on from now on."""
+        self.control = control
+
+    def disable_control(self, reason: str) -> None:
+        """Refuse commands about rollouts and policy from now on, so that nobody acts by an old state."""
+        self.control = None
+        self.no_control_reason = reason
+
+    async def listen(self, host: str, port: int) -> asyncio.Server:
+        """Listen for connections. Raises OSError."""
+        return await asyncio.start_server(self.serve, host, port, limit=LINE_BYTES)
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the one command of a connection, and close it."""
+        try:
+            async with asyncio.timeout(ASK_S):
+                reply = await self._reply(await reader.readline())
+                writer.write(json.dumps(reply).encode() + b"\n")
+                await writer.drain()
+        except (OSError, ValueError, TimeoutError) as fault:
+            log.warning("a question that cannot be answered: %s", fault)
+        finally:
+            writer.close()
+
+    async def _reply(self, line: bytes) -> Reply:
+        try:
+            command = AgentCommand.decode(line, self.instances)
+            return await self._handler_of(command)(command)
+        except CommandError as fault:
+            return {"error": str(fault)}
+
+    def _handler_of(self, command: AgentCommand) -> Handler:
+        handler = self.handlers.get(command.do) if isinstance(command.do, str) else None
+        if handler is None:
+            raise CommandError(f"no command '{command.do}'")
+        return handler
+
+    # Processes.
+
+    async def _status(self, command: AgentCommand) -> Reply:
+        return {"instances": {name: one.process.status() for name, one in command.instances.items()}}
+
+    async def _stop(self, command: AgentCommand) -> Reply:
+        await asyncio.gather(*(one.process.stop() for one in command.instances.values()))
+        if not command.names_instances:
+            self.stop_agent()
+        return await self._status(command)
+
+    async def _restart(self, command: AgentCommand) -> Reply:
+        await asyncio.gather(*(one.process.restart() for one in command.instances.values()))
+        return await self._status(command)
+
+    async def _counters(self, command: AgentCommand) -> Reply:
+        return {"counters": await _of_each(command, lambda instance: instance.process.count())}
+
+    async def _reload(self, command: AgentCommand) -> Reply:
+        return {"reload": await _of_each(command, lambda instance: instance.process.reload())}
+
+    # Operators' fronts.
+
+    async def _operate(self, command: AgentCommand) -> Reply:
+        do = str(command.do)
+        method, path = OPERATE[do]
+        if isinstance(command.runner, str):
+            path = path.format(quote(command.runner, safe=""))
+        elif "{}" in path:
+            raise CommandError(f"'{do}' needs a runner")
+        replies = await _of_each(command, lambda instance: instance.client.operate(method, path))
+        return {do: {name: reply.as_json() for name, reply in replies.items()}}
+
+    # The control plane.
+
+    async def _rollout(self, command: AgentCommand) -> Reply:
+        return await self._control_plane().rollout(command.operation, command.content or {})
+
+    async def _policy(self, command: AgentCommand) -> Reply:
+        return await self._control_plane().policy(command.operation, command.content or {})
+
+    async def _replicated_log(self, command: AgentCommand) -> Reply:
+        return await self._control_plane().replicated_log(command.content)
+
+    def _control_plane(self) -> ControlCommands:
+        if self.control is None:
+            raise CommandError(f"this agent has no control plane: {self.no_control_reason}")
+        return self.control
+
+
+async def _of_each(command: AgentCommand, ask: Callable[[Instance], Awaitable[Answer]]) -> dict[str, Answer]:
+    answers = await asyncio.gather(*(ask(instance) for instance in command.instances.values()))
+    return dict(zip(command.instances, answers, strict=True))
--- /dev/null
+++ b/maplestile/agent/process_output.py
@@ -0,0 +1,47 @@
+"""The log lines of a supervised process: printed under its name, and searched for its answers to signals."""
+
+import asyncio
+import json
+import sys
+from typing import Any
+
+# How a router's drain ends its log: the text passes between two processes, so it stands in both.
+DRAINED_LINE = b"stops; nothing is owed"
+
+
+class ProcessOutput:
+    """The lines that one instance logs, over all its processes.
+
+    A router answers SIGUSR1 and SIGHUP by a line with a JSON object of one key, as `{"counters": ...}`.
+    """
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.drained = False  # the running process has logged that its drain is over
+        self.pending: dict[str, asyncio.Future[Any]] = {}  # by the key of the line that is waited for
+
+    def expect(self, key: str) -> asyncio.Future[Any]:
+        """The value of the next line that is an object with that key alone."""
+        answer = self.pending[key] = asyncio.get_running_loop().create_future()
+        return answer
+
+    def handle(self, line: bytes) -> None:
+        """Take one line: an answer that is waited for, or else a line to be printed."""
+        # An adopted process has no exit code to tell a clean end from a kill: this line has to do.
+        if line.rstrip().endswith(DRAINED_LINE):
+            self.drained = True
+        if line.startswith(b'{"') and self._is_answer(line):
+            return
+        sys.stderr.write(f"[{self.name}] {line.decode(errors='replace')}")
+        sys.stderr.flush()
+
+    def _is_answer(self, line: bytes) -> bool:
+        try:
+            ((key, value),) = json.loads(line).items()
+        except ValueError:
+            return False
+        answer = self.pending.pop(key, None)
+        if answer is None or answer.done():
+            return False
+        answer.set_result(value)
+        return True
--- /dev/null
+++ b/maplestile/agent/settings.py
@@ -0,0 +1,110 @@
+"""The settings of an agent: its TOML file with the instances that it supervises."""
+
+import sys
+import tomllib
+from dataclasses import dataclass
+from pathlib import Path
+
+from maplestile.common.address import parse_address
+from maplestile.common.toml_table import TomlTable
+from maplestile.control.settings import ControlSettings, control_from
+from maplestile.invoke.operator_file import OperatorError
+
+
+@dataclass(slots=True, frozen=True)
+class InstanceSettings:
+    """One `[[instance]]` of the agent's file: a router of this program, or any other command."""
+
+    name: str
+    command: tuple[str, ...]
+    environment: tuple[tuple[str, str], ...]
+    router_file: Path | None  # the configuration of a router; None of any other command
+    operator_address: str  # HOST:PORT of the operators' front, where no router file names it
+
+    @property
+    def is_router(self) -> bool:
+        """Whether it is a router of this program; to any other command SIGHUP may mean its end."""
+        return self.router_file is not None
+
+    @property
+    def has_operator_front(self) -> bool:
+        """Whether it may be asked for its readiness, metrics and members."""
+        return self.is_router or bool(self.operator_address)
+
+
+@dataclass(slots=True, frozen=True)
+class AgentSettings:
+    """The agent's file."""
+
+    listen: tuple[str, int]
+    instances: tuple[InstanceSettings, ...]
+    backoff_s: float  # before the first restart of a process that has ended early
+    backoff_most_s: float
+    steady_s: float  # after which a process that ends did not end early
+    stop_s: float  # from SIGTERM to SIGKILL
+    control: ControlSettings | None = None
+    folder: Path | None = None  # of the process registry, and of the instances' logs
+
+
+def load_settings(path: Path) -> AgentSettings:
+    """Read the agent's file. Raises OperatorError, which names the field, where it cannot be used."""
+    root = _read_toml(path)
+    agent = root.table("agent")
+    settings = AgentSettings(
+        listen=parse_address(agent.loopback("listen")),
+        instances=tuple(_instance_settings(table, path.parent) for table in root.tables("instance")),
+        backoff_s=agent.number("backoff_s", 0.5, least=0.01),
+        backoff_most_s=agent.number("backoff_most_s", 30.0, least=0.01),
+        steady_s=agent.number("steady_s", 10.0),
+        stop_s=agent.number("stop_s", 8.0, least=0.1),
+        control=_control_settings(root),
+        folder=Path(agent.text("folder")) if "folder" in agent.values else None,
+    )
+    names = [instance.name for instance in settings.instances]
+    if len(set(names)) < len(names):
+        raise OperatorError("instance: a name stands twice")
+    agent.end()
+    root.end()
+    return settings
+
+
+def _read_toml(path: Path) -> TomlTable:
+    try:
+        return TomlTable(tomllib.loads(path.read_text(encoding="utf-8")), "", OperatorError)
+    except OSError as fault:
+        raise OperatorError(f"{path}: {fault.strerror}") from None
+    except tomllib.TOMLDecodeError as fault:
+        raise OperatorError(f"{path}: no TOML: {fault}") from None
+
+
+def _control_settings(root: TomlTable) -> ControlSettings | None:
+    voters = root.tables("voter", needed=False)
+    if "control" in root.values:
+        return control_from(root.table("control"), voters)
+    if voters:
+        raise OperatorError("voter: is of no use without [control]")
+    return None
+
+
+def _instance_settings(table: TomlTable, folder: Path) -> InstanceSettings:
+    name = table.text("name")
+    file = table.text("file", "")
+    operator_address = table.loopback("operator") if "operator" in table.values else ""
+    command = table.values.pop("command", None)
+    environment = table.values.pop("env", {})
+    if bool(file) == bool(command):
+        raise OperatorError(f"{table.path}: needs 'file' or 'command', and not both")
+    if file:
+        command = [sys.executable, "-m", "maplestile", "serve", str(folder / file)]
+    if not isinstance(command, list) or not all(isinstance(part, str) for part in command):
+        raise OperatorError(f"{table.path}.command: must be a list of texts")
+    if not isinstance(environment, dict) or not all(isinstance(v, str) for v in environment.values()):
+        raise OperatorError(f"{table.path}.env: must be a table of texts")
+    table.end()
+    return InstanceSettings(
+        name=name,
+        command=tuple(command),
+        environment=tuple(environment.items()),
+        router_file=folder / file if file else None,
+        operator_address=operator_address,
+    )
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -12,13 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.agent.process_registry import (
-    AdoptedProcess,
-    ProcessGone,
-    ProcessRegistry,
-    lines,
-    started_of,
-)
+from maplestile.agent.adopted_process import AdoptedProcess, ProcessGone, started_of
+from maplestile.agent.log_reader import lines
+from maplestile.agent.process_registry import ProcessRegistry
 from maplestile.agent.supervisor import ask
 from tests.fleet import AGENTS, free_ports
 from tests.standins import PATIENCE_S, ROOT, Program, eventually
@@ -191,24 +187,24 @@
     folder, child = Path(tempfile.mkdtemp()), sleeper()
 
     async def look() -> None:
-        roster = ProcessRegistry(folder)
-        roster.put("r", child.pid)
-        left = ProcessRegistry(folder).left("r")
-        assert left is not None and left.pid == child.pid and left.returncode is None
-        assert ProcessRegistry(folder).left("other") is None
+        registry = ProcessRegistry(folder)
+        registry.put("r", child.pid)
+        orphan = ProcessRegistry(folder).orphan("r")
+        assert orphan is not None and orphan.pid == child.pid and orphan.returncode is None
+        assert ProcessRegistry(folder).orphan("other") is None
         for started in (started_of(child.pid) + 1, 0):
             try:
                 AdoptedProcess(child.pid, started)
             except ProcessGone:
                 continue
             raise AssertionError("another process passed for it")
-        left.send_signal(signal.SIGTERM)
+        orphan.send_signal(signal.SIGTERM)
         async with asyncio.timeout(PATIENCE_S):
-            assert await left.wait() == 0
-        left.send_signal(signal.SIGTERM)  # nobody there: nothing happens
+            assert await orphan.wait() == 0
+        orphan.send_signal(signal.SIGTERM)  # nobody there: nothing happens
         child.wait()
-        assert ProcessRegistry(folder).left("r") is None
-        roster.put("r", None)
+        assert ProcessRegistry(folder).orphan("r") is None
+        registry.put("r", None)
         for damaged in (b"", b"{}", b'{"version": 1, "sum": "", "body": {}}'):
             (folder / "roster.json").write_bytes(damaged)
             assert ProcessRegistry(folder).known == {}
