--- a/maplestile/agent/control_plane.py
+++ b/maplestile/agent/control_plane.py
@@ -10,6 +10,7 @@
 from maplestile.agent.policy_controller import PolicyController
 from maplestile.agent.replicated_log import ReplicatedLog
 from maplestile.agent.rollout_controller import RolloutController
+from maplestile.agent.supervised_process import SupervisedProcess
 from maplestile.control.raft_log import RaftLog
 from maplestile.control.remote_log import RemoteLog
 from maplestile.control.settings import ControlSettings
@@ -32,7 +33,8 @@
             replicated_log = RaftLog(settings, counters)
         else:
             replicated_log = RemoteLog(settings, ask, counters)
-        routers, others = {}, {}
+        routers: dict[str, Instance] = {}
+        others: dict[str, SupervisedProcess] = {}
         for name, instance in instances.items():
             if instance.process.settings.has_operator_front:
                 routers[name] = instance
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -153,7 +153,7 @@
         """Have a router check the change, and its verdict agreed on."""
         reason = await policy.check(change)
         if reason is None:
-            await asyncio.sleep(LOOK_INTERVAL_S)  # it is asked again, for as long as the change is checked
+            await asyncio.sleep(LOOK_INTERVAL_S)  # it is repeated, for as long as the change is checked
             return
         verdict = SubmitVerdict(
             agent=self.settings.name, change=change.number, instance=policy.name, reason=reason
@@ -169,7 +169,7 @@
         )
         if is_agreed:
             policy.checked_change = change.number
-        else:  # the change is decided, or this agent has not registered yet: it is asked again if need be
+        else:  # the change is decided, or this agent has not registered yet: it is repeated if need be
             await asyncio.sleep(REPEAT_INTERVAL_S)
 
     # Operators' commands.
--- a/maplestile/agent/rollout_steps.py
+++ b/maplestile/agent/rollout_steps.py
@@ -63,8 +63,10 @@
     async def take(self, lease: Lease, router: RouterHandle) -> None:
         """Take the step of a lease to its end; ends at once where its begin is not agreed on."""
         # The lease changes while the step is taken.
-        instance, number = lease.instance, lease.number
-        action, stage = lease.action, lease.stage
+        instance = lease.instance
+        number = lease.number
+        action = lease.action
+        stage = lease.stage
         step = {"instance": instance, "lease": number}
         # Not the first: begun by the agent before this one, and its instances have been started since, but
         # for those that were adopted; or drained, and started by somebody since.
