--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,14 +1,11 @@
-"""A fleet of real routers that know each other, with the project's fault relay between them."""
+"""A fleet of agents that vote, each with routers of its own, and the fault relay between all of them."""
 
 import contextlib
-import http.client
 import io
 import json
 import os
-import random
 import re
 import signal
-import socket
 import subprocess
 import sys
 import tempfile
@@ -16,166 +13,15 @@
 from collections import Counter
 from collections.abc import Iterable
 from pathlib import Path
-from typing import Any
 
 from maplestile.tools.cli import main
+from tests.router_group import FOREVER, PEERS, PERIOD_S, Json, Relay, Routers, free_ports
 from tests.standins import PATIENCE_S, ROOT, Program, Worker, eventually
 
-# A short period keeps the tests short: the least suspicion is 4 periods, the longest 24 (0.8 and 4.8 s).
-PERIOD_S = 0.2
-PEERS = """[peers]
-listen = "127.0.0.1:0"
-advertise = "{advertise}"
-seeds = [{seeds}]
-period_ms = 200
-ack_ms = 80
-watch_ms = 200
-"""
-Json = dict[str, Any]
-
-
-class Relay:
-    """The relay as a process of its own, steered by its control port."""
-
-    def __init__(self, test: unittest.TestCase, members: int, seed: int = 3) -> None:
-        file = Path(tempfile.mkdtemp()) / "relay.toml"
-        file.write_text(f"seed = {seed}\nmembers = {members}\n")
-        self.program = Program("relay", str(file))
-        test.addCleanup(self.program.kill)
-        told = json.loads(self.program.find(r'^(\{"relay".*)'))["relay"]
-        self.fronts: list[str] = told["fronts"]
-        host, _, port = told["control"].rpartition(":")
-        self.socket = socket.create_connection((host, int(port)), timeout=PATIENCE_S)
-        self.file = self.socket.makefile("rb")
-        test.addCleanup(self.socket.close)
-        test.addCleanup(self.file.close)
-
-    def ask(self, do: str, **more: Any) -> Json:
-        self.socket.sendall(json.dumps({"do": do, **more}).encode() + b"\n")
-        reply: Json = json.loads(self.file.readline())
-        if "error" in reply:
-            raise AssertionError(reply["error"])
-        return reply
-
-    def begin(self, **schedule: Any) -> None:
-        """These faults from now on, until the next or `heal`."""
-        self.ask("begin", schedule=schedule)
-
-    def link(self, origin: int, target: int, address: str) -> str:
-        return str(self.ask("tcp", **{"from": origin, "to": target}, address=address)["front"])
-
-
-FOREVER = {"at_s": 0, "until_s": 3600}
-
-
-class Routers:
-    """Routers of one operator's file each, with the relay between all of them; the first is their seed."""
-
-    def __init__(self, test: unittest.TestCase, count: int) -> None:
-        self.test, self.folder = test, Path(tempfile.mkdtemp())
-        self.workers = [Worker(), Worker()]
-        self.relay = Relay(test, count)
-        self.programs = [self.begin(number) for number in range(count)]
-        for number in range(count):
-            self.meet(number)
-
-    def begin(self, number: int) -> Program:
-        text = (ROOT / "deploy" / "operator.toml").read_text()
-        for old, new in (
-            *((f"127.0.0.1:808{n}", "127.0.0.1:0") for n in range(3)),
-            *((f"127.0.0.1:900{n}", f"127.0.0.1:{self.workers[n - 1].port}") for n in (1, 2)),
-            ('name = "palash-desk"', f'name = "r{number}"'),
-        ):
-            text = text.replace(old, new)
-        seeds = f'"{self.relay.fronts[0]}"' if number else ""
-        file = self.folder / f"r{number}.toml"
-        file.write_text(text + PEERS.format(advertise=self.relay.fronts[number], seeds=seeds))
-        program = Program("serve", str(file))
-        self.test.addCleanup(program.kill)
-        return program
+__all__ = ["AGENTS", "EACH", "FOREVER", "PERIOD_S", "ROLLOUT_S", "Fleet", "Relay", "Routers", "free_ports"]
 
-    def meet(self, number: int) -> None:
-        """Tell the relay where the router's own socket is."""
-        address = self.programs[number].find(r"members meet on UDP (127\.0\.0\.1:\d+)")
-        self.relay.ask("udp", member=number, address=address)
-
-    def restart(self, number: int) -> None:
-        self.programs[number] = self.begin(number)
-        self.meet(number)
-
-    def ask(self, number: int, path: str) -> str:
-        port = self.programs[number].port("operator")
-        link = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
-        try:
-            link.request("GET", path)
-            answer = link.getresponse()
-            self.test.assertEqual(answer.status, 200)
-            return answer.read().decode()
-        finally:
-            link.close()
-
-    def view(self, number: int) -> Json:
-        told: Json = json.loads(self.ask(number, "/v1/members"))
-        return told
-
-    def statuses(self, number: int) -> dict[str, str]:
-        return {told["name"]: told["status"] for told in self.view(number)["members"]}
-
-    def status(self, number: int, member: str) -> tuple[str, int]:
-        for told in self.view(number)["members"]:
-            if told["name"] == member:
-                return told["status"], told["incarnation"]
-        return "unknown", -1
-
-    def all_see(self, numbers: list[int], member: str, status: str) -> bool:
-        return all(self.status(number, member)[0] == status for number in numbers)
-
-    def whole(self, numbers: list[int]) -> bool:
-        """All of these see all of these alive and nobody else in view, and none is cut off."""
-        names = {f"r{number}" for number in numbers}
-        for number in numbers:
-            view = self.view(number)
-            seen = {m["name"] for m in view["members"] if m["status"] == "alive"}
-            doubted = any(m["status"] == "suspect" for m in view["members"])
-            if view["isolated"] or doubted or seen != names:
-                return False
-        return True
-
-    def until_whole(self, numbers: list[int] | None = None) -> None:
-        chosen = list(range(len(self.programs))) if numbers is None else numbers
-        eventually(lambda: self.whole(chosen), "one view of all")
-
-    def counter(self, number: int, name: str) -> int:
-        return self.programs[number].counters().get(name, 0)
-
-    def deaths(self, numbers: list[int]) -> list[int]:
-        """How many members each of these has declared dead, or was told so and believed it."""
-        return [self.counter(number, "peers.events.confirm") for number in numbers]
-
-    def stop(self, number: int) -> None:
-        self.programs[number].process.send_signal(signal.SIGSTOP)
-
-    def go_on(self, number: int) -> None:
-        self.programs[number].process.send_signal(signal.SIGCONT)
-
-
-def free_ports(count: int) -> list[int]:
-    """Ports below the range that the system gives to connections, so that none is taken meanwhile."""
-    chance, found = random.Random(), list[int]()
-    while len(found) < count:
-        port = chance.randrange(12_000, 30_000)
-        with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
-            try:
-                tcp.bind(("127.0.0.1", port))
-                udp.bind(("127.0.0.1", port))
-            except OSError:
-                continue
-        if port not in found:
-            found.append(port)
-    return found
-
-
-AGENTS, EACH = 3, 2  # voters, and the routers of each
+AGENTS = 3  # voters
+EACH = 2  # routers of each
 ROLLOUT_S = 60.0  # a test's patience with a rollout: six steps with faults between, on a busy machine
 CONTROL = """[agent]
 listen = "127.0.0.1:{listen}"
@@ -193,7 +39,8 @@
     """Three agents that vote, with two routers each; the relay between the voters and between the routers.
 
     Members of the relay: routers 0 to 5, then agents 6 to 8. A router's UDP socket has its own port, so that
-    it is the same after a restart."""
+    it is the same after a restart.
+    """
 
     def __init__(
         self,
@@ -205,17 +52,23 @@
         older: str = "",
         roster: bool = False,
     ) -> None:
-        """With `toy` the runner w2 is a process of the first agent, else a stand-in of this one. `policy` are
-        more lines of the routers' `[policy]`, which they have none of without; `older` is a folder with
-        another build of the program, which the last router runs. With `roster` agents have a folder, by which
-        the next one adopts what the one before has left."""
-        self.policy, self.older, self.roster = policy, older, roster
-        self.test, self.folder = test, Path(tempfile.mkdtemp())
+        """With `toy` the runner w2 is a process of the first agent, else a stand-in of this one.
+
+        `policy` are more lines of the routers' `[policy]`, which they have none of without; `older` is a
+        folder with another build of the program, which the last router runs. With `roster` agents have a
+        folder, by which the next one adopts what the one before has left.
+        """
+        self.policy = policy
+        self.older = older
+        self.roster = roster
+        self.test = test
+        self.folder = Path(tempfile.mkdtemp())
         self.workers = [Worker(), Worker()]
         self.relay = Relay(test, AGENTS * EACH + AGENTS)
         self.names = [f"r{n}" for n in range(routers)]
         ports = free_ports(2 * AGENTS + 3 * len(self.names) + 1)
-        self.toy, self.runner_ports = toy, [worker.port for worker in self.workers]
+        self.toy = toy
+        self.runner_ports = [worker.port for worker in self.workers]
         if toy:
             self.runner_ports[1] = ports[-1]
         ports.pop()
@@ -339,15 +192,15 @@
 
     def status(self, number: int) -> Json:
         """The rollout as this agent sees it; {} while it cannot tell."""
-        told: Json = self.command(number, "rollout", "status")[0].get("rollout", {})
-        return told
+        status: Json = self.command(number, "rollout", "status")[0].get("rollout", {})
+        return status
 
     def phase(self, number: int) -> str:
         rollout = self.status(number).get("rollout") or {}
         return str(rollout.get("phase", ""))
 
     def leader(self, among: Iterable[int] = range(AGENTS)) -> int | None:
-        """The agent whose voter leads, by its own word."""
+        """The agent whose voter leads, by its own status."""
         for number in among:
             raft = self.status(number).get("raft", {})
             if raft.get("leading") and self.status(number)["ready"]:
@@ -390,20 +243,22 @@
             for line in list(program.log):
                 if line.startswith("{") and '"t_us"' in line:
                     found.append(json.loads(line))
-        return sorted(found, key=lambda told: told["t_us"])
+        return sorted(found, key=lambda event: event["t_us"])
 
     def programs(self) -> list[Program]:
         return self.agents
 
     def worst_out(self, besides: dict[str, tuple[int, int]] | None = None) -> int:
         """The most instances out at once: from `begin` of a step to its `back`, or for good after a drain.
-        `besides` are outages that a test made itself: instance to (from, until) on the same clock."""
+
+        `besides` are outages that a test made itself: instance to (from, until) on the same clock.
+        """
         changes: list[tuple[int, int, str]] = []
-        for told in self.events():
-            if told["event"] in ("begin", "take up") and told.get("action") != "start":
-                changes.append((told["t_us"], 1, told["instance"]))
-            elif told["event"] == "back":
-                changes.append((told["t_us"], -1, told["instance"]))
+        for event in self.events():
+            if event["event"] in ("begin", "take up") and event.get("action") != "start":
+                changes.append((event["t_us"], 1, event["instance"]))
+            elif event["event"] == "back":
+                changes.append((event["t_us"], -1, event["instance"]))
         for name, (since, until) in (besides or {}).items():
             changes += [(since, 1, name), (until, -1, name)]
         out, worst = Counter[str](), 0
