--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -101,7 +101,7 @@
         )
         return hashlib.blake2b(repr(told).encode(), digest_size=12).digest()
 
-    def of(self, value: Any) -> Any:
+    def of(self, value: Any) -> Any:  # noqa: C901, PLR0911, PLR0912 -- one case for each type
         """Anything, by what it is; things that have a life of their own by their names."""
         match value:
             case None | bool() | bytes():
@@ -191,7 +191,7 @@
             found += [(due, told) for then in actions if (told := self.timer(then)) is not None]
         return sorted(found, key=repr)
 
-    def timer(self, then: Callable[[], object]) -> Any:
+    def timer(self, then: Callable[[], object]) -> Any:  # noqa: PLR0911 -- one return for each kind
         """What it would do; None if nothing."""
         core = self.world.core
         name, cells = then.__qualname__, dict(_cells(then))
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -27,7 +27,8 @@
     router = 17
 
 What it leaves out: Raft itself, messages (a command is agreed on after its time, or its answer is lost), and
-the calls, which are counted by their rate."""
+the calls, which are counted by their rate.
+"""
 
 import random
 from dataclasses import dataclass, replace
@@ -63,6 +64,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
+    """The settings of one run on the model; times in microseconds."""
+
     seed: int
     routers: int
     agents: int
@@ -114,6 +117,8 @@
 
 
 class Model:
+    """One run of policy changes on simpy's clock, with the shipped decisions."""
+
     def __init__(self, plan: Plan) -> None:
         self.plan, self.env, self.chance = plan, simpy.Environment(), random.Random(plan.seed)
         self.control, self.arbiter = ControlState(), PolicyPlanner()
@@ -135,9 +140,11 @@
 
     @property
     def now(self) -> int:
+        """The simulated time in microseconds."""
         return int(self.env.now)
 
     def run(self) -> dict[str, float | None]:
+        """Play the run to its end, and return its measurements by name."""
         for agent in range(self.plan.agents):
             self.env.process(self._agent(agent))
         for cut in self.plan.cuts:
@@ -329,8 +336,10 @@
 
 
 def figures(plan: Plan) -> dict[str, float | None]:
+    """Play one run, and return its measurements by name."""
     return Model(plan).run()
 
 
 def with_seeds(plan: Plan, count: int) -> list[Plan]:
+    """Return the same run with so many seeds, counted up from its own."""
     return [replace(plan, seed=plan.seed + n) for n in range(count)]
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -25,7 +25,8 @@
     at_s = 10
     for_s = 1.2
 
-What it leaves out: Raft itself (a command is agreed on after its time), lost words, and the calls."""
+What it leaves out: Raft itself (a command is agreed on after its time), lost words, and the calls.
+"""
 
 import random
 from dataclasses import dataclass, replace
@@ -56,6 +57,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
+    """The settings of one run on the model; times in microseconds."""
+
     seed: int
     instances: int
     agents: int
@@ -113,6 +116,8 @@
 
 
 class Model:
+    """One run of a rollout on simpy's clock, with the shipped decisions."""
+
     def __init__(self, plan: Plan) -> None:
         self.plan, self.env, self.chance = plan, simpy.Environment(), random.Random(plan.seed)
         self.control = ControlState()
@@ -134,9 +139,11 @@
 
     @property
     def now(self) -> int:
+        """The simulated time in microseconds."""
         return int(self.env.now)
 
     def run(self) -> dict[str, float | None]:
+        """Play the run to its end, and return its measurements by name."""
         plan = self.plan
         start = StartRollout(action=plan.action, targets=(), budget=plan.budget)
         reply = self.control.apply(start)
@@ -256,8 +263,10 @@
 
 
 def figures(plan: Plan) -> dict[str, float | None]:
+    """Play one run, and return its measurements by name."""
     return Model(plan).run()
 
 
 def with_seeds(plan: Plan, count: int) -> list[Plan]:
+    """Return the same run with so many seeds, counted up from its own."""
     return [replace(plan, seed=plan.seed + n) for n in range(count)]
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -237,4 +237,4 @@
         file.write(b"first\n")
     found = asyncio.run(look())
     assert [found[0], *found[2:]] == [b"first\n", b"third\n", b"last\n"] and len(found[1]) == (9 << 20) + 1
-    assert os.path.exists(path)
+    assert Path(path).exists()
