--- a/tests/recording.py
+++ b/tests/recording.py
@@ -24,9 +24,10 @@
 
 # Everything that may vary from run to run is masked here and nowhere else.
 MASKS: tuple[tuple[re.Pattern[str], str], ...] = (
+    # Before the root: the interpreter of an environment may stand below it.
+    (re.compile(re.escape(sys.executable) + r"(?![\w.])"), "PYTHON"),
     (re.compile(re.escape(str(ROOT))), "ROOT"),
     (re.compile(r"is not a valid \w+"), "is not a valid CLASS"),  # of an enumeration: a name of the code
-    (re.compile(re.escape(sys.executable) + r"(?![\w.])"), "PYTHON"),
     (re.compile(re.escape(tempfile.gettempdir()) + r"/tmp[a-z0-9_]+"), "TEMPORARY"),
     (re.compile(r"127\.0\.0\.1:[1-9]\d{4}\b"), "127.0.0.1:PORT"),
     (re.compile(r"\('127\.0\.0\.1', [1-9]\d{4}\)"), "('127.0.0.1', PORT)"),
