--- a/maplestile/tools/load/connection.py
+++ b/maplestile/tools/load/connection.py
@@ -1,6 +1,7 @@
 """HTTP/1.1 connections of the load tool, by h11, kept and used again."""
 
 import asyncio
+import select
 from collections import deque
 
 import h11
@@ -30,8 +31,8 @@
         self._protocol = h11.Connection(h11.CLIENT)
 
     def is_closed(self) -> bool:
-        """Whether either side has ended the connection."""
-        return self._reader.at_eof() or self._writer.is_closing()
+        """Whether either side has ended the connection, also if this loop has not read of that yet."""
+        return self._reader.at_eof() or self._writer.is_closing() or self._has_unread_input()
 
     def is_reusable(self) -> bool:
         """Whether the last call has left the connection ready for another."""
@@ -43,6 +44,16 @@
         """Close the connection."""
         self._writer.close()
 
+    def _has_unread_input(self) -> bool:
+        """Look at the socket itself: between two calls, all that can come is the end of the connection.
+
+        A loop that was busy for a while would otherwise write calls to connections that ended long ago, and
+        nobody could tell whether those calls were received.
+        """
+        poll = select.poll()
+        poll.register(self._writer.get_extra_info("socket"), select.POLLIN)
+        return bool(poll.poll(0))
+
     async def call(self, host: str, path: str, headers: Headers, body: bytes) -> int:
         """Post the body and return the status of the answer.
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -4,12 +4,16 @@
 import contextlib
 import io
 import json
+import select
+import socket
 import tempfile
+import threading
 import unittest
 from pathlib import Path
 
 from maplestile.tools.cli import main
 from maplestile.tools.load import arrivals, client, report
+from maplestile.tools.load.connection import Connection, NotSent, Target
 from maplestile.tools.traces import Trace
 
 Arrival = arrivals.Arrival
@@ -101,6 +105,57 @@
         self.assertEqual(dict(result.ends), {"nowhere": 2})
 
 
+class EndedConnectionTest(unittest.IsolatedAsyncioTestCase):
+    """Connections that the front ends while the tool's loop is busy, so that it has not read of their end."""
+
+    def setUp(self) -> None:
+        listener = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(listener.close)
+        self.target = Target(listener.getsockname()[:2])
+        self.addCleanup(self.target.close)
+        self.may_end = threading.Event()
+        thread = threading.Thread(target=self.serve, args=(listener,), daemon=True)
+        self.addCleanup(thread.join, 5.0)
+        thread.start()
+
+    def serve(self, listener: socket.socket) -> None:
+        """End the first connection after its answer, the second before any, and keep the third."""
+        for answers, ends in ((True, True), (False, True), (True, False)):
+            peer, _ = listener.accept()
+            self.addCleanup(peer.close)
+            if answers:
+                peer.recv(4096)
+                peer.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            if ends:
+                self.may_end.wait(5.0)
+                peer.close()
+
+    def block_until_ended(self, connection: Connection) -> None:
+        """Wait without the loop: the system knows of the end, and nothing has read of it."""
+        peer = connection._writer.get_extra_info("socket")
+        self.assertEqual(select.select([peer], [], [], 5.0)[0], [peer])
+
+    async def call(self, connection: Connection) -> int:
+        return await connection.call("front", "/", [], b"x")
+
+    async def test_a_connection_that_ended_gets_no_call(self) -> None:
+        idle = await self.target.connect()
+        self.assertEqual(await self.call(idle), 200)
+        self.assertFalse(idle.is_closed())
+        self.target.release(idle)
+        self.may_end.set()
+        self.block_until_ended(idle)
+        unused = await self.target.connect()
+        self.assertIsNot(unused, idle)
+        self.block_until_ended(unused)
+        with self.assertRaises(NotSent):
+            await self.call(unused)
+        unused.close()
+        last = await self.target.connect()
+        self.assertEqual(await self.call(last), 200)
+        last.close()
+
+
 class CommandTest(unittest.TestCase):
     def test_unusable_arguments_are_named(self) -> None:
         for words, reason in (
