--- a/benchmarks/name_lists.py
+++ b/benchmarks/name_lists.py
@@ -15,7 +15,7 @@
 from maplestile.net.dns_discovery import LIST_NAME, DnsDiscovery
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire.dns import SOA, SRV, TXT, A
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import NameServerLimits
 from tests.standins import name_bytes, record
 
 ANSWER_BYTES = 8_000
@@ -105,7 +105,7 @@
         if changed_s and fleet.version == server.serial:
             stale.append((time.monotonic() - changed_s) * 1e3)
 
-    names = DnsDiscovery(address, fleet, Limits(), Counter(), taken)
+    names = DnsDiscovery(address, fleet, NameServerLimits(), Counter(), taken)
     polling = asyncio.create_task(names.run())
     try:
         while len(fleet.entries) < workers:
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -87,10 +87,10 @@
         return Bounds(
             self.operator.connections,
             self.operator.idle_s,
-            limits.http_request_us,
+            limits.invoke.request_us,
             self.operator.body_bytes,
-            limits.http_linger_us,
-            limits.accept_burst,
+            limits.invoke.linger_us,
+            limits.listeners.accept_burst,
         )
 
     # Requests.
--- a/maplestile/net/answer_writer.py
+++ b/maplestile/net/answer_writer.py
@@ -26,9 +26,9 @@
         client.writer.write(data)
         client.written_bytes += len(data)
         unsent = client.unsent_bytes(now_us)
-        if unsent > table.limits.client_write_bytes:
+        if unsent > table.limits.clients.unread_bytes:
             self._disconnect(client)
-        elif unsent and table.unsent_bytes() > table.limits.all_write_bytes:
+        elif unsent and table.unsent_bytes() > table.limits.clients.all_unread_bytes:
             self._disconnect(self._longest_unread(now_us))
 
     def _longest_unread(self, now_us: int) -> Client:
--- a/maplestile/net/client_table.py
+++ b/maplestile/net/client_table.py
@@ -32,7 +32,7 @@
 
     def is_full(self) -> bool:
         """Return whether the cap of connections is reached."""
-        return len(self.clients) + len(self.flushing) >= self.limits.client_connections
+        return len(self.clients) + len(self.flushing) >= self.limits.clients.connections
 
     def mark_active(self, client: Client) -> None:
         """Make the client the most recently active one."""
@@ -79,16 +79,16 @@
         if client.message_reads:
             return EvictionRank.ONE_REQUEST if client.message_reads == 1 else EvictionRank.RETURNING
         silent_us = now_us - client.message_since_us
-        if silent_us > self.limits.client_silent_us:
+        if silent_us > self.limits.clients.silent_us:
             return EvictionRank.SILENT
-        return EvictionRank.WAITING if silent_us > self.limits.client_grace_us else EvictionRank.NEW
+        return EvictionRank.WAITING if silent_us > self.limits.clients.grace_us else EvictionRank.NEW
 
     def _abort_unread(self) -> bool:
         """Abort a closed connection whose client has not read its last answers for long."""
         now_us = self.clock()
         for client in self.flushing:
             unread_us = now_us - client.unread_since_us if client.unsent_bytes(now_us) else 0
-            if unread_us > self.limits.client_unread_us:
+            if unread_us > self.limits.clients.unread_us:
                 self.counters["clients.idle_evicted"] += 1
                 del self.flushing[client]
                 client.writer.transport.abort()
@@ -97,7 +97,7 @@
 
     def _evict_unfinished(self, candidates: list[Client]) -> bool:
         """Close a connection with a part of a request, of which the rest has not come for long."""
-        since_us = self.clock() - self.limits.client_unfinished_us
+        since_us = self.clock() - self.limits.clients.unfinished_us
         for client in candidates:
             if not client.framer.rest or client.message_since_us >= since_us:
                 continue
--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -9,7 +9,7 @@
 from maplestile.common.address import Address
 from maplestile.net import reads
 from maplestile.wire import dns
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import NameServerLimits
 
 HOST_TRIES = 4
 MAX_HOST_QUERIES = 16  # at once
@@ -43,7 +43,7 @@
     """Sends queries to one name server."""
 
     def __init__(
-        self, server: Address, limits: Limits, counters: Counter[str], starved: Callable[[], object]
+        self, server: Address, limits: NameServerLimits, counters: Counter[str], starved: Callable[[], object]
     ) -> None:
         self.server = server
         self.limits = limits
@@ -66,7 +66,7 @@
             if fault.errno in reads.NO_DESCRIPTOR:
                 self.starved()
             raise
-        reads.limit_read_size(self.transport, self.limits.names_read_bytes)
+        reads.limit_read_size(self.transport, self.limits.read_bytes)
 
     def close(self) -> None:
         """Close the socket."""
@@ -82,7 +82,7 @@
         self.counters["names.queries"] += 1
         try:
             self.transport.sendto(dns.query(id_, name, kind))
-            async with asyncio.timeout(self.limits.names_timeout_us / 1e6):
+            async with asyncio.timeout(self.limits.timeout_us / 1e6):
                 reply = await future
             if reply.question not in (None, (name.lower(), kind)):
                 raise dns.DnsError(f"an answer to another question: {reply.question}")
@@ -110,7 +110,7 @@
         if not queries:
             return
         try:
-            await asyncio.wait(queries, timeout=self.limits.names_complete_us / 1e6)
+            await asyncio.wait(queries, timeout=self.limits.complete_us / 1e6)
         finally:
             for query in queries:
                 query.cancel()
--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -11,7 +11,7 @@
 from maplestile.net.dns_client import DnsClient
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire import dns
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import NameServerLimits
 
 log = logging.getLogger(__name__)
 LIST_NAME = "_app._tcp.cluster.lan"
@@ -30,7 +30,7 @@
         self,
         server: Address,
         endpoints: EndpointList,
-        limits: Limits,
+        limits: NameServerLimits,
         counters: Counter[str],
         changed: Callable[[], None],
         starved: Callable[[], object] = lambda: None,
@@ -77,7 +77,7 @@
             failures = 0
             self.heard = True
             self._end_before()
-            next_s = started_s + self.limits.names_poll_us / 1e6
+            next_s = started_s + self.limits.poll_us / 1e6
             await asyncio.sleep(max(MIN_POLL_S, next_s - loop.time()))
 
     async def _poll(self) -> None:
@@ -167,7 +167,7 @@
     A stale server, or a reply that was overtaken, has older serials only for some seconds.
     """
 
-    def __init__(self, limits: Limits, counters: Counter[str]) -> None:
+    def __init__(self, limits: NameServerLimits, counters: Counter[str]) -> None:
         self.limits = limits
         self.counters = counters
         self._replies = 0  # in a row with an older serial
@@ -180,8 +180,8 @@
             self._since_s = now_s
         self._replies += 1
         self.counters["names.outdated"] += 1
-        often = self._replies >= self.limits.names_restart_replies
-        return often and now_s - self._since_s >= self.limits.names_restart_us / 1e6
+        often = self._replies >= self.limits.restart_replies
+        return often and now_s - self._since_s >= self.limits.restart_us / 1e6
 
     def reset(self) -> None:
         """Note a reply whose serial is not older, or a restart that was applied."""
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -64,10 +64,16 @@
         limits = self.limits
 
         def new_reader() -> ClientReader:
-            return ClientReader(limits.client_read_bytes, self.timestamps)
+            return ClientReader(limits.clients.read_bytes, self.timestamps)
 
         return await listen(
-            host, port, self._serve, new_reader, limits.accept_burst, limits.accept_queue, shared
+            host,
+            port,
+            self._serve,
+            new_reader,
+            limits.listeners.accept_burst,
+            limits.listeners.accept_queue,
+            shared,
         )
 
     def adopt(self, settings: Settings) -> None:
@@ -119,9 +125,9 @@
 
     def _open(self, reader: ClientReader, writer: asyncio.StreamWriter) -> Client:
         limits = self.limits
-        reads.limit_read_size(writer.transport, limits.client_read_bytes)
+        reads.limit_read_size(writer.transport, limits.clients.read_bytes)
         now_us = self.core.clock()
-        client = Client(reader, writer, jsonrpc.Framer(limits), now_us, last_active_us=now_us)
+        client = Client(reader, writer, jsonrpc.Framer(limits.messages), now_us, last_active_us=now_us)
         self.clients[client] = None
         reader.on_end = lambda: self.requests.client_gone(client)
         self.counters["clients.connections"] += 1
@@ -141,7 +147,7 @@
         self.table.flushing[client] = None
         try:
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(self.limits.client_close_us / 1e6):
+                async with asyncio.timeout(self.limits.clients.close_us / 1e6):
                     await client.writer.wait_closed()
         finally:
             client.writer.transport.abort()
@@ -157,8 +163,8 @@
             return
         # What still comes is read and dropped: unread, it would reset the connection under its answers.
         client.write_closed = True
-        max_bytes = self.limits.client_read_bytes
-        linger_s = self.limits.client_linger_us / 1e6
+        max_bytes = self.limits.clients.read_bytes
+        linger_s = self.limits.clients.linger_us / 1e6
         await reads.end_and_discard(client.writer, lambda: client.reader.take(max_bytes), linger_s)
 
     async def _read_all(self, client: Client) -> None:
@@ -179,7 +185,7 @@
                 self.requests.handle(client, view, received_us)
                 self.core.catch_up()
                 if (
-                    count % self.table.limits.client_batch_messages == 0
+                    count % self.table.limits.clients.batch_messages == 0
                 ):  # a flood must not keep the others waiting
                     await asyncio.sleep(0)
                     if client.writer.is_closing():
@@ -194,7 +200,7 @@
 
     async def _read(self, client: Client) -> bytes:
         """Return the next input, empty at its end. Raises FramingError if no message is complete in time."""
-        max_bytes = self.table.limits.client_read_bytes
+        max_bytes = self.table.limits.clients.read_bytes
         if client.message_reads and not client.framer.rest:  # idle between requests, for as long as it likes
             data = await client.reader.take(max_bytes)
             client.message_since_us = self.core.clock()
@@ -202,7 +208,7 @@
         # Connections that send nothing, or half a message, must not keep their descriptors for ever. One with
         # a pending answer stays open anyway, and what it sends meanwhile must not go unread.
         while True:
-            left_us = client.message_since_us + self.table.limits.client_message_us - self.core.clock()
+            left_us = client.message_since_us + self.table.limits.clients.message_us - self.core.clock()
             try:
                 return await reads.within(left_us / 1e6, lambda: client.reader.take(max_bytes))
             except TimeoutError:
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/rejection.py
@@ -30,7 +30,7 @@
         table = self.table
         table.counters["clients.rejected"] += 1
         log.warning("client: turned away, %d connections are owed an answer", len(table.clients))
-        if self.connections >= table.limits.client_surplus:
+        if self.connections >= table.limits.clients.surplus_connections:
             writer.transport.abort()  # of which nothing has been read
             return
         self.connections += 1
@@ -45,11 +45,11 @@
     async def _refuse_requests(self, reader: ClientReader, writer: asyncio.StreamWriter) -> None:
         """Refuse all requests up to the first moment at which no part of another one waits."""
         limits = self.table.limits
-        max_bytes = limits.client_read_bytes
-        framer = jsonrpc.Framer(limits)
+        max_bytes = limits.clients.read_bytes
+        framer = jsonrpc.Framer(limits.messages)
         reads.limit_read_size(writer.transport, max_bytes)
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + limits.client_grace_us / 1e6
+        end_s = loop.time() + limits.clients.grace_us / 1e6
         refused = 0
         while not refused or framer.rest:
             data = await reads.within(end_s - loop.time(), lambda: reader.take(max_bytes))
@@ -58,19 +58,19 @@
             for view in framer.feed(data):
                 refused += 1
                 writer.write(self._refusal(view))
-        await reads.end_and_discard(writer, lambda: reader.take(max_bytes), limits.client_linger_us / 1e6)
+        await reads.end_and_discard(writer, lambda: reader.take(max_bytes), limits.clients.linger_us / 1e6)
 
     def _refusal(self, view: memoryview) -> bytes:
         """Return the answer to one message."""
         limits = self.table.limits
         try:
-            message = jsonrpc.parse(view, limits, self.known)
+            message = jsonrpc.parse(view, limits.messages, self.known)
         except jsonrpc.RpcError as fault:
             return jsonrpc.error(fault.id, fault.code, str(fault))
         match message:
             case jsonrpc.Call():
                 self.table.counters["clients.refused_at_cap"] += 1
-                outcome = Outcome(Verdict.REJECTED, retry_after_us=limits.max_retry_after_us)
+                outcome = Outcome(Verdict.REJECTED, retry_after_us=limits.requests.max_retry_after_us)
                 return jsonrpc.answer(message.id, outcome)
             case jsonrpc.Check():
                 return jsonrpc.result(message.id, {"ready": self.ready()})
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -31,7 +31,7 @@
         """Handle one message. Raises FramingError after too many that are of no use."""
         limits = self.table.limits
         try:
-            message = jsonrpc.parse(view, limits, self.known)
+            message = jsonrpc.parse(view, limits.messages, self.known)
             match message:
                 case jsonrpc.Call():
                     self._call(client, message, received_us)
@@ -44,7 +44,7 @@
             log.warning("client: %s; answered with an error", fault)
             self.answers.write(client, jsonrpc.error(fault.id, fault.code, str(fault)))
             client.bad_messages += 1
-            if client.bad_messages > limits.client_faults:
+            if client.bad_messages > limits.clients.bad_messages:
                 raise jsonrpc.FramingError("too many messages that cannot be used") from None
 
     def cancel_all(self, client: Client) -> None:
@@ -62,7 +62,7 @@
     def _call(self, client: Client, call: jsonrpc.Call, received_us: int) -> None:
         if call.id in client.calls:  # an answer could not be told from the other's
             raise jsonrpc.RpcError(jsonrpc.INVALID_REQUEST, "an id that is open already")
-        if len(client.calls) >= self.table.limits.client_streams:
+        if len(client.calls) >= self.table.limits.clients.streams:
             raise jsonrpc.RpcError(jsonrpc.REFUSED, "too many open requests on one connection", call.id)
         if client.reader.ended:  # nobody waits any more for what would start now
             self.counters["clients.disconnected_before"] += 1
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -13,7 +13,7 @@
 from maplestile.net import reads
 from maplestile.requests.pool import Connection, Pool
 from maplestile.wire import runner as wire
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import RunnerLimits
 
 log = logging.getLogger(__name__)
 FLUSH_AGAIN_S = 0.001  # until a line is looked at again that waits for its client's input to be read
@@ -45,7 +45,7 @@
 
     async def _drain(self) -> None:
         try:
-            async with asyncio.timeout(self.pool.limits.runner_stall_us / 1e6):
+            async with asyncio.timeout(self.pool.limits.stall_us / 1e6):
                 await self.writer.drain()
         except TimeoutError:
             self.pool.stalled(self.connection)
@@ -58,7 +58,7 @@
 class RunnerPool(Pool):
     """The core's pool on sockets."""
 
-    def __init__(self, limits: Limits, clock: Callable[[], int], counters: Counter[str]) -> None:
+    def __init__(self, limits: RunnerLimits, clock: Callable[[], int], counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
         self.tasks: dict[Connection, asyncio.Task[None]] = {}
         self.starved: Callable[[], object] = lambda: None  # no descriptor is left
@@ -82,7 +82,7 @@
         try:
             reader, writer = await self._open_stream(connection)
             end = Result.RESET
-            reads.limit_read_size(writer.transport, self.limits.runner_read_bytes)
+            reads.limit_read_size(writer.transport, self.limits.read_bytes)
             writer.transport.set_write_buffer_limits(high=0)
             self.up(connection, StreamSocket(self, connection, writer))
             await self._read_answers(connection, reader)
@@ -99,13 +99,13 @@
 
     async def _open_stream(self, connection: Connection) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         host, port = connection.runner.address
-        most = self.limits.runner_read_bytes
+        most = self.limits.read_bytes
         async with asyncio.timeout(self.limits.connect_timeout_us / 1e6):
             return await asyncio.open_connection(host, port, limit=most)
 
     async def _read_answers(self, connection: Connection, reader: asyncio.StreamReader) -> None:
         """Report answers until the runner closes. Raises LineError, or OSError if the connection breaks."""
-        lines = wire.LineFramer(self.limits.runner_line_bytes)
+        lines = wire.LineFramer(self.limits.line_bytes)
         while data := await self._read(reader, lines):
             self.heard(connection)
             for line in lines.feed(data):
@@ -115,10 +115,10 @@
 
     async def _read(self, reader: asyncio.StreamReader, lines: wire.LineFramer) -> bytes:
         if not lines.rest:
-            return await reader.read(self.limits.runner_read_bytes)
+            return await reader.read(self.limits.read_bytes)
         # A line that was begun comes soon, or never: its writer stopped short, and all behind it waits.
         try:
-            most = self.limits.runner_read_bytes
-            return await reads.within(self.limits.runner_line_us / 1e6, lambda: reader.read(most))
+            most = self.limits.read_bytes
+            return await reads.within(self.limits.line_pause_us / 1e6, lambda: reader.read(most))
         except TimeoutError:
             raise wire.LineError("a line that does not go on") from None
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -73,12 +73,12 @@
     def __init__(self, router: OperatedRouter, limits: Limits) -> None:
         self.router = router
         self.bounds = Bounds(
-            limits.operator_connections,
-            limits.operator_request_us / 1e6,
-            limits.operator_request_us,
-            limits.operator_body_bytes if router.policy is None else limits.operator_policy_bytes,
-            limits.operator_linger_us,
-            limits.accept_burst,
+            limits.operators.connections,
+            limits.operators.request_us / 1e6,
+            limits.operators.request_us,
+            limits.operators.body_bytes if router.policy is None else limits.operators.policy_bytes,
+            limits.operators.linger_us,
+            limits.listeners.accept_burst,
             one_call=True,
         )
         self._views: dict[str, Callable[[], Response]] = {
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import OperatorLimits
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     def __init__(
         self,
         store: CordonStore | None,
-        limits: Limits,
+        limits: OperatorLimits,
         counters: Counter[str],
         on_change: Callable[[], None],
     ) -> None:
@@ -53,9 +53,7 @@
         for runner in runners:
             self._known.pop(runner, None)
             self._known[runner] = None
-        while (
-            len(self._known) > self._limits.max_known_runners
-        ):  # bounds memory: runners come and go for good
+        while len(self._known) > self._limits.known_runners:  # bounds memory: runners come and go for good
             del self._known[next(iter(self._known))]
 
     def suspend(self, runner: str) -> bool:
--- a/maplestile/requests/connection_table.py
+++ b/maplestile/requests/connection_table.py
@@ -21,7 +21,7 @@
 
     def select(self, runner: Runner, tag: str) -> Connection | None:
         """Return the connection for a line to the runner, opened if need be; None if there is no room."""
-        most = self._pool.limits.runner_streams
+        most = self._pool.limits.streams
         # A second copy of the answer that rejected a tag would pass for the answer to its next attempt.
         free = [
             connection
@@ -55,7 +55,7 @@
 
     def over_limit(self) -> bool:
         """Return whether there are too many: another process may share the descriptors now."""
-        return len(self.connections) > self._pool.limits.runner_connections
+        return len(self.connections) > self._pool.limits.connections
 
     def _is_stale(self, connection: Connection) -> bool:
         idle_us = self._pool.clock() - connection.used_us
@@ -63,7 +63,7 @@
 
     def _open(self, runner: Runner) -> Connection | None:
         pool = self._pool
-        if len(self.connections) >= pool.limits.runner_connections and not self._make_room():
+        if len(self.connections) >= pool.limits.connections and not self._make_room():
             return None
         now = pool.clock()
         connection = Connection(runner, now, now)
--- a/maplestile/requests/control_requests.py
+++ b/maplestile/requests/control_requests.py
@@ -23,7 +23,9 @@
     def request_load(self, action: api.RequestLoad) -> None:
         """Have a worker load copies of a function."""
         core = self._core
-        tag = self._start(action.worker, action.function, core.limits.load_timeout_us, self.load_ended)
+        tag = self._start(
+            action.worker, action.function, core.limits.control_requests.load_timeout_us, self.load_ended
+        )
         core.counters["load_requests.sent"] += 1
         core.pool.order(tag, action.worker, action.function, action.copies)
 
@@ -42,7 +44,9 @@
     def check_health(self, worker: str) -> None:
         """Send one health check, whoever wants it."""
         core = self._core
-        tag = self._start(worker, "", core.limits.probe_timeout_us, self.health_check_ended)
+        tag = self._start(
+            worker, "", core.limits.control_requests.health_check_timeout_us, self.health_check_ended
+        )
         core.counters["health_checks.sent"] += 1
         core.pool.probe(tag, worker)
 
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -131,7 +131,7 @@
             due_us = self.leave_us
         self.open[call] = PendingRequest(request, due_us, answer, presence, epoch=self.settings.epoch)
         self.open_bytes += request.bytes()
-        if self._sheds(now - received_us) or (leaving and due_us - now < self.limits.handover_min_budget_us):
+        if self._sheds(now - received_us) or (leaving and due_us - now < self.limits.handover.min_budget_us):
             self._shed(call, leaving)
             return call
         self.epoch_counts.current["calls"] += 1
@@ -189,16 +189,16 @@
     def _sheds(self, lag_us: int) -> bool:
         """Tell whether nothing can be taken now, by the load, the policy, or the end of the process."""
         limits = self.limits
-        full = len(self.open) > limits.open_requests or self.open_bytes > limits.open_bytes
+        full = len(self.open) > limits.requests.open_requests or self.open_bytes > limits.requests.open_bytes
         # Guards memory against a flood, and the requests in hand against a loop that lags ever more.
-        lags = lag_us > limits.max_lag_us
+        lags = lag_us > limits.requests.max_lag_us
         barred = self.admits is not None and not self.admits()  # the policy to decide by is not known
         return barred or full or lags or self.closed
 
     def _shed(self, call: int, leaving: bool) -> None:
         self.counters["requests.shed"] += 1
         # Another process takes it at once.
-        later_us = 0 if leaving or self.closed else self.limits.max_retry_after_us
+        later_us = 0 if leaving or self.closed else self.limits.requests.max_retry_after_us
         self._finish(call, Outcome(Verdict.REJECTED, retry_after_us=later_us))
 
     # The end of a request.
--- a/maplestile/requests/idle_timeout.py
+++ b/maplestile/requests/idle_timeout.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import RunnerLimits
 
 TIMEOUT_SHARE = 0.8  # of the idle time that broke a connection: the timeout of the next ones
 SURVIVORS_TO_ACQUIT = 3  # recent requests after an idle time as long by which a break is not due to it
@@ -39,19 +39,19 @@
     changed_us: int = 0
     survived: deque[SurvivedIdle] = field(default_factory=lambda: deque(maxlen=MAX_SURVIVED))
 
-    def relax(self, now_us: int, limits: Limits) -> None:
+    def relax(self, now_us: int, limits: RunnerLimits) -> None:
         """Double the timeout after a time without a break, up to that of the settings."""
         if (
             now_us - self.changed_us > limits.learned_idle_recovery_us
         ):  # what dropped connections may have passed
-            self.timeout_us = min(2 * self.timeout_us, limits.runner_idle_us)
+            self.timeout_us = min(2 * self.timeout_us, limits.idle_timeout_us)
             self.changed_us = now_us
 
     def learn_survival(self, now_us: int, idle_us: int) -> None:
         """Take note of a connection that was heard after such an idle time."""
         self.survived.append(SurvivedIdle(now_us, idle_us))
 
-    def learn_break(self, now_us: int, written_us: int, idle_us: int, limits: Limits) -> BreakCause:
+    def learn_break(self, now_us: int, written_us: int, idle_us: int, limits: RunnerLimits) -> BreakCause:
         """Shorten the timeout if a break was due to an idle time, and return its cause.
 
         The connection was idle for `idle_us`, a request was written at `written_us`, and it broke before it
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -19,7 +19,7 @@
 from maplestile.requests.runner_directory import RunnerDirectory
 from maplestile.requests.states import AttemptState, ConnectionState, Transition
 from maplestile.wire import runner as wire
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import RunnerLimits
 from maplestile.wire.messages import Request
 
 __all__ = ["Connection", "Message", "Pool", "Runner", "Socket"]
@@ -28,7 +28,7 @@
 class Pool:
     """The core's pool; a driver dials for it, and reports what becomes of its connections."""
 
-    def __init__(self, limits: Limits, clock: Callable[[], int], counters: Counter[str]) -> None:
+    def __init__(self, limits: RunnerLimits, clock: Callable[[], int], counters: Counter[str]) -> None:
         self.limits = limits
         self.clock = clock
         self.counters = counters
@@ -41,7 +41,7 @@
         self.table = ConnectionTable(self)
         self.ends = LineEnds(self)
         self.writer = LineWriter(self)
-        self.idle_timeout = IdleTimeout(limits.runner_idle_us)
+        self.idle_timeout = IdleTimeout(limits.idle_timeout_us)
         self.calls_written = 0  # attempts written whole
         # Whether input may lie unread for so long that it tells of clients who left a while ago.
         self.input_is_old: Callable[[], bool] = lambda: False
@@ -198,7 +198,7 @@
         self.writer.drained(connection)
 
     def stalled(self, connection: Connection) -> None:
-        """Close a connection that does not take the rest of a line for `runner_stall_us`.
+        """Close a connection that does not take the rest of a line for `stall_us`.
 
         Guards the deadline in the line: it would reach the runner too late to be true. What has not gone out
         goes elsewhere, since a further connection to a runner that reads nothing would be filled, too.
@@ -241,7 +241,7 @@
         if runner is None:
             return False
         connection = self.table.select(runner, message.tag)
-        if connection is None or len(connection.queue) >= self.limits.runner_queue:
+        if connection is None or len(connection.queue) >= self.limits.queued_messages:
             self.counters["runners.at_capacity"] += 1
             return False
         if message.attempt is not None:
@@ -255,7 +255,7 @@
         A machine that is cut off gives no sign; a new connection to it would not come up.
         """
         silent_us = self.clock() - message.written_us
-        silent = connection.heard_us < message.written_us and silent_us > self.limits.runner_silent_us
+        silent = connection.heard_us < message.written_us and silent_us > self.limits.silent_us
         if silent and connection.state is ConnectionState.UP:
             self.move(connection, ConnectionState.UNVERIFIED)
 
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -45,7 +45,7 @@
         self.endpoints = config.fleet
         self.selector = selector
         self.counters: Counter[str] = Counter()
-        self.runners = RunnerPool(self.limits, clock, self.counters)
+        self.runners = RunnerPool(self.limits.runners, clock, self.counters)
         self.core = Core(
             config.settings,
             self.limits,
@@ -120,7 +120,7 @@
     def _apply_limits(self) -> None:
         self.limits = self.config.limits.shared(self.process_count)
         self.core.limits = self.limits
-        self.runners.limits = self.limits
+        self.runners.limits = self.limits.runners
         if self.platform is not None:
             self.platform.limits = self.limits
 
--- a/maplestile/router/discovery.py
+++ b/maplestile/router/discovery.py
@@ -34,7 +34,7 @@
         self.driver = DnsDiscovery(
             server,
             components.endpoints,
-            components.limits,
+            components.limits.names,
             components.counters,
             components.endpoints_changed,
             components.descriptors_exhausted,
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -27,10 +27,10 @@
         limits = components.limits
         started_us = clock()
         longest_deadline_us = max(kind.deadline_us for kind in components.core.settings.classes)
-        spare_us = limits.handover_spare_us
+        spare_us = limits.handover.spare_us
         self.end_us = started_us + limits.kill_after_us(longest_deadline_us) - spare_us  # of the process
         # Clients hear of the end late, so they go on calling here until then.
-        self.serve_until_us = min(started_us + limits.drain_least_us, self.end_us)
+        self.serve_until_us = min(started_us + limits.shutdown.drain_least_us, self.end_us)
         self.last_pending_us = started_us  # when a call was last open
 
     async def run(self) -> None:
@@ -40,7 +40,7 @@
         self._announce()
         if await self._serve_until_done():
             assert components.platform is not None
-            choosy_until_us = clock() + components.limits.handover_quiet_wait_us
+            choosy_until_us = clock() + components.limits.handover.quiet_wait_us
             await self._close_platform(components.platform, choosy_until_us)
         else:
             await asyncio.sleep(POLL_S)  # the invoke front has yet to write the last answers
@@ -76,7 +76,7 @@
                     count = len(components.platform.clients)
                     log.info("%s hands over; %d connections stand", components.name, count)
                     return True
-            if clock() >= self.serve_until_us + components.limits.drain_patience_us:
+            if clock() >= self.serve_until_us + components.limits.shutdown.drain_patience_us:
                 await self._reject_new_requests()
             await asyncio.sleep(POLL_S)
         return False
@@ -98,7 +98,7 @@
         components = self.components
         components.core.close()
         if components.platform is not None and components.platform_listener is not None:
-            patience_s = components.limits.drain_patience_us / 1e6
+            patience_s = components.limits.shutdown.drain_patience_us / 1e6
             await components.platform_listener.finish(patience_s, components.descriptors_exhausted)
             components.platform.close_gracefully(0)
 
@@ -118,7 +118,7 @@
         components = self.components
         if components.invoke is None:
             return False
-        if clock() >= self.last_pending_us + components.limits.collect_us:
+        if clock() >= self.last_pending_us + components.limits.shutdown.collect_us:
             return False
         return components.invoke.api.store.uncollected(clock())
 
@@ -135,8 +135,8 @@
             await listener.finish(patience_s, components.descriptors_exhausted)
         while (self._has_unanswered() or platform.has_open_connections()) and clock() < self.end_us:
             await asyncio.sleep(POLL_S)
-            platform.close_gracefully(limits.handover_quiet_us if clock() < choosy_until_us else 0)
+            platform.close_gracefully(limits.handover.quiet_us if clock() < choosy_until_us else 0)
         platform.close_all()
-        linger_until_us = clock() + limits.handover_linger_us
+        linger_until_us = clock() + limits.handover.linger_us
         # What crossed the close is read and dropped.
         await poll_until(lambda: not platform.clients or clock() >= linger_until_us)
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -66,7 +66,9 @@
 
     config = components.config
     store = FileCordonStore(config.folder / "suspended") if config.folder is not None else None
-    components.cordons = Cordons(store, components.limits, components.counters, components.endpoints_changed)
+    components.cordons = Cordons(
+        store, components.limits.operators, components.counters, components.endpoints_changed
+    )
     components.cordons.look()
     # A router with an invoke front has records of calls that another process would not know.
     if config.folder is None or config.operator is not None:
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -40,6 +40,6 @@
         """
         if not self._list_was_current:
             waited_us = clock() - self.components.started_us
-            waited_enough = waited_us >= self.components.limits.names_wait_us
+            waited_enough = waited_us >= self.components.limits.names.start_wait_us
             self._list_was_current = self.discovery.has_answered or waited_enough
         return self._list_was_current
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -34,7 +34,7 @@
         """Observe the other process again and again, until cancelled."""
         while True:
             self.observe()
-            await asyncio.sleep(self.components.limits.handover_poll_us / 1e6)
+            await asyncio.sleep(self.components.limits.handover.poll_us / 1e6)
 
     def observe(self) -> None:
         """Look once at the other process and at the cordons that it stored."""
--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from maplestile.requests.pool import Connection, Pool
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import RunnerLimits
 
 if TYPE_CHECKING:
     from maplestile.tools.explore.simulation import Simulation
@@ -77,7 +77,7 @@
 class SimulatedPool(Pool):
     """The shipped pool of connections, which dials simulated ones."""
 
-    def __init__(self, world: "Simulation", limits: Limits) -> None:
+    def __init__(self, world: "Simulation", limits: RunnerLimits) -> None:
         super().__init__(limits, lambda: world.now, world.counters)
         self.world = world
 
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -6,7 +6,7 @@
 from maplestile.dispatch import api
 from maplestile.dispatch.api import NEVER_RAN, DeduplicationScope, Idempotency
 from maplestile.wire import runner as wire
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import ControlRequestLimits, Limits, RunnerLimits
 
 START = 1_000_000_000_000  # the simulated clock's first moment, in microseconds
 MS = 1000  # microseconds
@@ -78,7 +78,10 @@
 
 def limits() -> Limits:
     """The limits of the data path."""
-    return Limits(load_timeout_us=ORDER_US, runner_silent_us=RUNNER_SILENT_US, runner_streams=2)
+    return Limits(
+        runners=RunnerLimits(silent_us=RUNNER_SILENT_US, streams=2),
+        control_requests=ControlRequestLimits(load_timeout_us=ORDER_US),
+    )
 
 
 class DeterministicRandom(random.Random):
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -123,7 +123,7 @@
         """Create the components under test and connect them with each other."""
         settings = scenario.settings()
         limits = scenario.limits()
-        self.pool = components.pool(self, limits)
+        self.pool = components.pool(self, limits.runners)
         self.core = components.core(
             settings, limits, scenario.SEED, self.pool, lambda: self.now, self._alarm, self.counters
         )
--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from maplestile.dispatch.api import Idempotency, Settings
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import MessageLimits
 from maplestile.wire.messages import Outcome, Request, Verdict
 
 HEAD_END = b"\r\n\r\n"
@@ -87,7 +87,7 @@
 class Framer:
     """Cuts a byte stream into messages: slices of what was fed, valid until the next feed."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
         self.rest = b""  # the beginning of a message whose end has not come
 
@@ -131,7 +131,7 @@
     return _framed(json.dumps(message, separators=(",", ":")).encode())
 
 
-def parse(view: memoryview, limits: Limits, known: KnownNames) -> Call | Interrupt | Check:
+def parse(view: memoryview, limits: MessageLimits, known: KnownNames) -> Call | Interrupt | Check:
     """Decode one message; raises `RpcError` with the code and identifier of the error answer."""
     try:
         message = json.loads(str(view, "utf-8"))
@@ -201,7 +201,7 @@
     )
 
 
-def _request(class_name: str, params: dict[str, Any], limits: Limits, known: KnownNames) -> Request:
+def _request(class_name: str, params: dict[str, Any], limits: MessageLimits, known: KnownNames) -> Request:
     """Return the request of a call; raises `ValueError` with the name of the first wrong field."""
     extras = _extras(_text(params, "info", ""))
     limit_us = int(_number(params, "limit") * US_PER_MS)
@@ -270,7 +270,7 @@
     return number
 
 
-def _body(blob: Any, limits: Limits) -> bytes:
+def _body(blob: Any, limits: MessageLimits) -> bytes:
     try:
         body = binascii.a2b_base64(blob, strict_mode=True)
     except (TypeError, ValueError):
--- a/tests/record_fronts.py
+++ b/tests/record_fronts.py
@@ -11,6 +11,7 @@
 import tempfile
 import time
 from collections.abc import Callable, Iterator
+from dataclasses import fields
 from pathlib import Path
 from typing import Any
 
@@ -24,7 +25,7 @@
 from maplestile.tools.faults.schedule import ScheduleError, schedule_from
 from maplestile.tools.model import experiment
 from maplestile.wire import dns, jsonrpc, runner
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import Limits, MessageLimits
 from maplestile.wire.messages import Outcome, Request, Verdict
 from tests.faulty import FAULTS
 from tests.recording import PROCESS_MASKS, Recorder, as_json, masked, plain, record, relative, run
@@ -479,7 +480,21 @@
     except ConfigError as fault:
         return f"refused: {fault}"
     addresses = [config.name, config.listen, config.dns, config.operation, config.seed]
-    return plain([addresses, config.settings, config.limits, config.fleet.shown()])
+    return plain([addresses, config.settings, _limit_values(config.limits), config.fleet.shown()])
+
+
+def _limit_values(limits: Limits) -> list[float]:
+    """All limits as one list in the order of the recording, from before they were parts: that had the sizes
+    of reads and the wait before a retry between those of the shutdown, ahead of the last four."""
+    moved = (limits.runners.read_bytes, limits.clients.read_bytes, limits.requests.max_retry_after_us)
+    moved_fields = {("runners", "read_bytes"), ("clients", "read_bytes"), ("requests", "max_retry_after_us")}
+    values = [
+        getattr(getattr(limits, part.name), limit.name)
+        for part in fields(limits)
+        for limit in fields(getattr(limits, part.name))
+        if (part.name, limit.name) not in moved_fields
+    ]
+    return [*values[:-4], *moved, *values[-4:]]
 
 
 # Lines and datagrams.
@@ -555,7 +570,7 @@
 
 def jsonrpc_messages() -> str:
     """Requests in and answers out, with the errors that a wrong request gets."""
-    limits = Limits()
+    limits = MessageLimits()
     known = jsonrpc.KnownNames(classes={"review": False, "deck-make": True}, tenants=frozenset({"t"}))
     good: JsonTables = {
         "txn": "00112233445566ff",
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,13 +1,11 @@
 """The core with a pool and a clock of its own: one answer each, whatever comes late, twice or never."""
 
-from typing import Any
-
 import pytest
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import Result
 from maplestile.requests.core import AttemptId, Core
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import HandoverLimits, Limits, RequestLimits
 from maplestile.wire.messages import Outcome, Request, Verdict
 from maplestile.wire.settings import settings_from
 from tests.standins import params
@@ -18,13 +16,14 @@
 class Rig:
     """A pool that records what it is asked for, and a clock that is moved by hand."""
 
-    def __init__(self, **limits: Any) -> None:
+    def __init__(self, limits: Limits | None = None) -> None:
         self.now = START
         self.due = 0
         self.sent: list[AttemptId] = []
         self.cancelled: list[AttemptId] = []
         self.unwritten = set[AttemptId]()  # those that wait for their connection
-        self.core = Core(settings_from(params()), Limits(**limits), 7, self, lambda: self.now, self._alarm)
+        chosen = limits or Limits()
+        self.core = Core(settings_from(params()), chosen, 7, self, lambda: self.now, self._alarm)
         entries = tuple(
             api.WorkerEntry(f"s-{n}", "east", "std", 2, api.WorkerState.RUNNING, 4.0, 0) for n in range(2)
         )
@@ -83,7 +82,7 @@
 
 
 def test_loop_that_lags_sheds_at_once_with_advice() -> None:
-    rig = Rig(max_lag_us=100_000)
+    rig = Rig(Limits(requests=RequestLimits(max_lag_us=100_000)))
     rig.submit(age_us=150_000)
     assert not rig.sent
     assert rig.answers[0].verdict is Verdict.REJECTED and rig.answers[0].retry_after_us > 0
@@ -125,14 +124,14 @@
 
 
 def test_flood_is_refused() -> None:
-    rig = Rig(open_requests=1)
+    rig = Rig(Limits(requests=RequestLimits(open_requests=1)))
     rig.submit()
     rig.submit()
     assert [answer.verdict for answer in rig.answers] == [Verdict.REJECTED]
 
 
 def test_bodies_in_hand_are_bounded_by_bytes_and_given_back() -> None:
-    rig = Rig(open_bytes=3 * Request("", "", "", 1).bytes())
+    rig = Rig(Limits(requests=RequestLimits(open_bytes=3 * Request("", "", "", 1).bytes())))
     calls = [rig.submit() for _ in range(4)]
     assert [answer.verdict for answer in rig.answers] == [Verdict.REJECTED]
     rig.core.withdraw(calls[0])
@@ -142,7 +141,7 @@
 
 
 def test_process_that_ends_soon_answers_all_it_takes_before_and_refuses_what_comes_too_late() -> None:
-    rig = Rig(handover_min_budget_us=250_000)
+    rig = Rig(Limits(handover=HandoverLimits(min_budget_us=250_000)))
     rig.core.leave_us = START + 1_000_000
     rig.submit(budget_us=5_000_000)
     rig.submit(budget_us=500_000)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -23,7 +23,7 @@
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.pool import Connection, Socket
 from maplestile.router.process import clock
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import Limits, RunnerLimits
 from maplestile.wire.settings import settings_from
 from tests.standins import Client, NameServer, Program, Worker, eventually, node, params
 from tests.test_endings import HoldingWorker, call_lines
@@ -195,7 +195,7 @@
 class HoldingRunnerPool(RunnerPool):
     """Connections that have come up are reported to the pool when the test says so."""
 
-    def __init__(self, limits: Limits, counters: Counter[str]) -> None:
+    def __init__(self, limits: RunnerLimits, counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
         self.ready: list[tuple[Connection, Socket]] = []
 
@@ -225,7 +225,7 @@
         limits = Limits()
         loop = asyncio.get_running_loop()
         settings = settings_from(params())
-        pool = HoldingRunnerPool(limits, counters)
+        pool = HoldingRunnerPool(limits.runners, counters)
 
         def alarm(due_us: int) -> None:
             loop.call_later(max(0.0, (due_us - clock()) / 1e6), core.tick)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -14,16 +14,17 @@
 from maplestile.net.client_reader import ClientReader
 from maplestile.net.platform import PlatformFront
 from maplestile.wire.jsonrpc import REFUSED
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import ClientLimits, Limits
 from tests.test_core import Rig
 from tests.test_machines import framed, message
 
-LIMITS = Limits(
-    client_connections=2,
-    client_streams=2,
-    client_write_bytes=100_000,
-    client_message_us=300_000,
-)
+CLIENT_LIMITS = ClientLimits(connections=2, streams=2, unread_bytes=100_000, message_us=300_000)
+LIMITS = Limits(clients=CLIENT_LIMITS)
+
+
+def changed_limits(**changes: int) -> Limits:
+    """Return `LIMITS` with other limits of client connections."""
+    return replace(LIMITS, clients=replace(CLIENT_LIMITS, **changes))
 
 
 @dataclass
@@ -86,7 +87,7 @@
             writer.write(b"Content-Length: 30000\r\n\r\n" + bytes(25_000))
             while sum(sizes) < 25_000:
                 await asyncio.sleep(0.005)
-        self.assertLessEqual(max(sizes), LIMITS.client_read_bytes)
+        self.assertLessEqual(max(sizes), CLIENT_LIMITS.read_bytes)
 
     async def test_check_is_ready_only_when_the_program_is(self) -> None:
         reader, writer = await self.connect()
@@ -97,12 +98,12 @@
     async def fill(self) -> list[asyncio.StreamWriter]:
         """Take the front to its cap with connections that are owed an answer each."""
         writers = list[asyncio.StreamWriter]()
-        for _ in range(LIMITS.client_connections):
+        for _ in range(CLIENT_LIMITS.connections):
             _, writer = await self.connect()
             writer.write(framed(message(limit=9_000)))
             writers.append(writer)
         async with asyncio.timeout(20):
-            while len(self.rig.core.open) < LIMITS.client_connections:
+            while len(self.rig.core.open) < CLIENT_LIMITS.connections:
                 await asyncio.sleep(0.005)
         return writers
 
@@ -110,7 +111,7 @@
         self,
     ) -> None:
         # Long enough for a busy machine: the newcomers are to write before their time is up.
-        self.front.limits = replace(LIMITS, client_grace_us=20_000_000, client_message_us=20_000_000)
+        self.front.limits = changed_limits(grace_us=20_000_000, message_us=20_000_000)
         await self.fill()
         newcomers = [await self.connect() for _ in range(5)]
         for _, writer in newcomers:
@@ -120,7 +121,7 @@
         for reader, _ in newcomers:
             self.assertEqual(wire_code(await self.answer(reader)), REFUSED)
         self.assertEqual(self.counters["clients.refused_at_cap"], 5)
-        self.assertEqual(len(self.rig.core.open), LIMITS.client_connections)
+        self.assertEqual(len(self.rig.core.open), CLIENT_LIMITS.connections)
 
     async def test_connection_whose_request_is_read_and_not_handled_yet_makes_no_room(self) -> None:
         """The bytes are in the stream, and their reader has not had its turn."""
@@ -146,7 +147,7 @@
         async with asyncio.timeout(20):
             while len(self.front.clients) < 2:
                 await asyncio.sleep(0.005)
-        self.rig.now += LIMITS.client_grace_us + 1
+        self.rig.now += CLIENT_LIMITS.grace_us + 1
         self.assertTrue(self.front.evict_idle())
         self.assertTrue(await self.closed(reader))
         late_writer.write(framed(b'{"id":2,"method":"check"}'))
@@ -155,7 +156,7 @@
         async with asyncio.timeout(20):
             while len(self.front.clients) < 2:
                 await asyncio.sleep(0.005)
-        self.rig.now += LIMITS.client_silent_us + 1
+        self.rig.now += CLIENT_LIMITS.silent_us + 1
         self.assertTrue(self.front.evict_idle())  # the one that never asked, and has had its time
         late_writer.write(framed(b'{"id":3,"method":"check"}'))
         self.assertEqual((await self.answer(late))["id"], 3)
@@ -175,7 +176,7 @@
         self.assertEqual(self.counters["clients.idle_evicted"], 4)
 
     async def test_request_in_pieces_makes_no_room_before_its_rest_has_had_its_time(self) -> None:
-        limits = replace(LIMITS, client_message_us=9_000_000)
+        limits = changed_limits(message_us=9_000_000)
         self.front.limits = limits
         pairs = [await self.connect() for _ in range(2)]
         whole = framed(message(limit=9_000))
@@ -184,22 +185,22 @@
         async with asyncio.timeout(20):
             while sum(bool(client.framer.rest) for client in self.front.clients) < 2:
                 await asyncio.sleep(0.005)
-        self.rig.now += limits.client_grace_us + 1
+        self.rig.now += limits.clients.grace_us + 1
         self.assertFalse(self.front.evict_idle())
         self.timestamps.since_us = self.rig.now
         pairs[0][1].write(whole[50:])
         async with asyncio.timeout(20):
             while not self.rig.core.open:
                 await asyncio.sleep(0.005)
-        self.rig.now += limits.client_unfinished_us
+        self.rig.now += limits.clients.unfinished_us
         self.assertTrue(self.front.evict_idle())  # the one whose rest never came
         self.assertEqual((self.counters["clients.unfinished_evicted"], len(self.rig.core.open)), (1, 1))
 
     async def test_client_that_reads_keeps_its_answers_whatever_others_leave_unread(self) -> None:
         """The one with the most unread answers was let go, though others read nothing at all."""
         # Neither asks anything, and on a busy machine the test may take longer than a message may.
-        self.front.limits = replace(
-            LIMITS, client_write_bytes=1 << 30, all_write_bytes=30_000_000, client_message_us=20_000_000
+        self.front.limits = changed_limits(
+            unread_bytes=1 << 30, all_unread_bytes=30_000_000, message_us=20_000_000
         )
         deaf, reading = [await self.connect() for _ in range(2)]
         async with asyncio.timeout(20):
@@ -223,7 +224,7 @@
         """Each left a trace of an exception in the log: 6,672 of them on one day of crowds."""
         faults = list[dict[str, Any]]()
         asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
-        self.front.limits = replace(LIMITS, client_linger_us=5_000_000)
+        self.front.limits = changed_limits(linger_us=5_000_000)
         reader, writer = await self.connect()
         writer.write(b"Content-")
         self.assertIn("error", await self.answer(reader))
@@ -334,13 +335,13 @@
 
     async def test_nothing_begins_for_a_client_whose_close_stands_behind_a_flood(self) -> None:
         """All of it, and the close, are in the system before the first byte is read."""
-        self.front.limits = replace(LIMITS, client_streams=10_000, client_write_bytes=1 << 20)
+        self.front.limits = changed_limits(streams=10_000, unread_bytes=1 << 20)
         flood = socket.create_connection(self.server.address)
         call = json.loads(message(limit=9_000))
         many = [framed(json.dumps(call | {"id": id_, "method": "review"}).encode()) for id_ in range(1, 181)]
         flood.sendall(b"".join(many))
         flood.shutdown(socket.SHUT_WR)
-        self.assertGreater(sum(map(len, many)), 2 * LIMITS.client_read_bytes)
+        self.assertGreater(sum(map(len, many)), 2 * CLIENT_LIMITS.read_bytes)
         reader, writer = await asyncio.open_connection(sock=flood)
         self.addCleanup(writer.close)
         answers = [await self.answer(reader) for _ in many]
@@ -431,7 +432,7 @@
                 await asyncio.sleep(0.005)
 
     async def test_clients_that_close_and_never_read_their_answers_are_counted_and_let_go(self) -> None:
-        self.front.limits = replace(LIMITS, client_write_bytes=64 << 20, client_close_us=1_000_000)
+        self.front.limits = changed_limits(unread_bytes=64 << 20, close_us=1_000_000)
         deaf = list[socket.socket]()
         async with asyncio.timeout(30):
             for _ in range(2):
@@ -450,7 +451,7 @@
             self.assertEqual(wire_code(await self.answer(early)), REFUSED)
             self.assertTrue(await self.closed(early))
             self.assertEqual((len(self.front.table.flushing), self.counters["clients.idle_evicted"]), (2, 0))
-            self.rig.now += LIMITS.client_unread_us + 1
+            self.rig.now += CLIENT_LIMITS.unread_us + 1
             reader, writer = await self.connect()  # at the cap: the first of them makes room
             writer.write(framed(b'{"id":1,"method":"check"}'))
             await self.answer(reader)
@@ -467,7 +468,7 @@
                 while not self.front.clients or (first and not next(iter(self.front.clients)).framer.rest):
                     await asyncio.sleep(0.005)
             raw.sendall(framed(message())[len(first) :])
-            time.sleep(1.2 * LIMITS.client_message_us / 1e6)  # the loop is busy
+            time.sleep(1.2 * CLIENT_LIMITS.message_us / 1e6)  # the loop is busy
             async with asyncio.timeout(20):
                 while not self.rig.core.open:
                     await asyncio.sleep(0.005)
@@ -485,7 +486,7 @@
         call = json.loads(message(limit=9_000))
         half = framed(json.dumps(call | {"id": 2, "method": "review"}).encode())
         writer.write(framed(json.dumps(call | {"id": 1, "method": "review"}).encode()) + half[:-1])
-        await asyncio.sleep(2.5 * LIMITS.client_message_us / 1e6)
+        await asyncio.sleep(2.5 * CLIENT_LIMITS.message_us / 1e6)
         writer.write(half[-1:])
         async with asyncio.timeout(20):
             while len(self.rig.core.open) < 2:
--- /dev/null
+++ b/tests/test_limits.py
@@ -0,0 +1,292 @@
+"""The numbers that a router keeps to under some settings, as they were when `Limits` had no parts yet."""
+
+from dataclasses import asdict, replace
+
+import pytest
+
+from maplestile.wire.limits import Limits
+from maplestile.wire.settings import settings_from
+from tests.standins import params
+
+NOTIFIED = settings_from(params())
+BARE = replace(NOTIFIED, max_open=0, connect_timeout_us=0, idle_close_us=0, load_timeout_us=0)
+FULL = replace(
+    NOTIFIED,
+    max_open=77,
+    streams_per_connection=5,
+    connect_timeout_us=90_000,
+    idle_close_us=4_000_001,
+    load_timeout_us=3_000_000,
+)
+ALONE = {
+    "bare": Limits.from_settings(BARE, 1024, 192),
+    "full": Limits.from_settings(FULL, 256, 64),
+    "stand-in": Limits.from_settings(NOTIFIED, 384, 80.5),
+    "tiny": Limits.from_settings(BARE, 64, 20),
+}
+DEFAULTS = {
+    "clients.connections": 512,
+    "clients.streams": 32,
+    "clients.message_us": 1_500_000,
+    "clients.grace_us": 200_000,
+    "clients.silent_us": 1_000_000,
+    "clients.unfinished_us": 750_000,
+    "clients.surplus_connections": 16,
+    "clients.bad_messages": 64,
+    "clients.batch_messages": 16,
+    "clients.unread_bytes": 4_194_304,
+    "clients.all_unread_bytes": 16_777_216,
+    "clients.close_us": 4_000_000,
+    "clients.unread_us": 1_000_000,
+    "clients.linger_us": 100_000,
+    "clients.read_bytes": 16_384,
+    "listeners.accept_burst": 16,
+    "listeners.accept_queue": 1_024,
+    "requests.open_requests": 20_000,
+    "requests.open_bytes": 67_108_864,
+    "requests.max_lag_us": 60_000,
+    "requests.max_retry_after_us": 1_000_000,
+    "messages.max_budget_us": 600_000_000,
+    "messages.body_bytes": 16_384,
+    "messages.head_bytes": 1_024,
+    "messages.message_bytes": 32_768,
+    "invoke.request_us": 10_000_000,
+    "invoke.linger_us": 1_000_000,
+    "operators.connections": 16,
+    "operators.request_us": 2_000_000,
+    "operators.body_bytes": 1_024,
+    "operators.policy_bytes": 18_432,
+    "operators.linger_us": 200_000,
+    "operators.known_runners": 20_000,
+    "runners.connections": 480,
+    "runners.streams": 32,
+    "runners.queued_messages": 4_096,
+    "runners.min_learned_idle_us": 50_000,
+    "runners.learned_idle_recovery_us": 5_000_000,
+    "runners.line_bytes": 310_762,
+    "runners.line_pause_us": 250_000,
+    "runners.silent_us": 500_000,
+    "runners.stall_us": 100_000,
+    "runners.connect_timeout_us": 250_000,
+    "runners.idle_timeout_us": 12_000_000,
+    "runners.read_bytes": 32_768,
+    "control_requests.load_timeout_us": 10_000_000,
+    "control_requests.health_check_timeout_us": 250_000,
+    "names.poll_us": 250_000,
+    "names.timeout_us": 150_000,
+    "names.read_bytes": 16_384,
+    "names.complete_us": 600_000,
+    "names.restart_us": 12_000_000,
+    "names.restart_replies": 20,
+    "names.start_wait_us": 3_500_000,
+    "handover.poll_us": 100_000,
+    "handover.quiet_us": 20_000,
+    "handover.quiet_wait_us": 1_000_000,
+    "handover.spare_us": 250_000,
+    "handover.min_budget_us": 250_000,
+    "handover.linger_us": 100_000,
+    "shutdown.drain_least_us": 900_000,
+    "shutdown.drain_patience_us": 1_000_000,
+    "shutdown.collect_us": 2_500_000,
+    "shutdown.kill_spare_us": 700_000,
+    "shutdown.kill_deadline_us": 3_000_000,
+    "process.descriptors": 1_024,
+    "process.memory_mb": 192,
+}
+# What differs from the defaults for a process that is alone, and for one of 2, 3 and 4.
+CHANGES: dict[str, list[dict[str, float]]] = {
+    "bare": [
+        {"clients.connections": 496, "requests.open_bytes": 60_118_357, "runners.connections": 448},
+        {
+            "clients.connections": 240,
+            "clients.all_unread_bytes": 9_961_472,
+            "requests.open_bytes": 26_563_925,
+            "runners.connections": 192,
+        },
+        {
+            "clients.connections": 155,
+            "clients.unread_bytes": 2_883_584,
+            "clients.all_unread_bytes": 5_767_168,
+            "requests.open_bytes": 15_379_114,
+            "runners.connections": 106,
+        },
+        {
+            "clients.connections": 112,
+            "clients.unread_bytes": 1_835_008,
+            "clients.all_unread_bytes": 3_670_016,
+            "requests.open_bytes": 9_786_709,
+            "runners.connections": 64,
+        },
+    ],
+    "full": [
+        {
+            "clients.connections": 112,
+            "clients.unread_bytes": 2_883_584,
+            "clients.all_unread_bytes": 5_767_168,
+            "requests.open_requests": 77,
+            "requests.open_bytes": 15_379_114,
+            "runners.connections": 64,
+            "runners.streams": 5,
+            "runners.connect_timeout_us": 90_000,
+            "runners.idle_timeout_us": 3_200_000,
+            "control_requests.load_timeout_us": 3_000_000,
+            "process.descriptors": 256,
+            "process.memory_mb": 64,
+        },
+        {
+            "clients.connections": 47,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_572_864,
+            "requests.open_requests": 77,
+            "requests.open_bytes": 4_194_304,
+            "runners.connections": 1,
+            "runners.streams": 5,
+            "runners.connect_timeout_us": 90_000,
+            "runners.idle_timeout_us": 3_200_000,
+            "control_requests.load_timeout_us": 3_000_000,
+            "process.descriptors": 256,
+            "process.memory_mb": 64,
+        },
+        {
+            "clients.connections": 4,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_requests": 77,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "runners.streams": 5,
+            "runners.connect_timeout_us": 90_000,
+            "runners.idle_timeout_us": 3_200_000,
+            "control_requests.load_timeout_us": 3_000_000,
+            "process.descriptors": 256,
+            "process.memory_mb": 64,
+        },
+        {
+            "clients.connections": 1,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_requests": 77,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "runners.streams": 5,
+            "runners.connect_timeout_us": 90_000,
+            "runners.idle_timeout_us": 3_200_000,
+            "control_requests.load_timeout_us": 3_000_000,
+            "process.descriptors": 256,
+            "process.memory_mb": 64,
+        },
+    ],
+    "stand-in": [
+        {
+            "clients.connections": 176,
+            "clients.unread_bytes": 3_932_160,
+            "clients.all_unread_bytes": 7_864_320,
+            "requests.open_bytes": 20_971_520,
+            "runners.connections": 128,
+            "runners.connect_timeout_us": 2_000_000,
+            "control_requests.load_timeout_us": 9_000_000,
+            "process.descriptors": 384,
+            "process.memory_mb": 80.5,
+        },
+        {
+            "clients.connections": 80,
+            "clients.unread_bytes": 1_310_720,
+            "clients.all_unread_bytes": 2_621_440,
+            "requests.open_bytes": 6_990_506,
+            "runners.connections": 32,
+            "runners.connect_timeout_us": 2_000_000,
+            "control_requests.load_timeout_us": 9_000_000,
+            "process.descriptors": 384,
+            "process.memory_mb": 80.5,
+        },
+        {
+            "clients.connections": 47,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "runners.connect_timeout_us": 2_000_000,
+            "control_requests.load_timeout_us": 9_000_000,
+            "process.descriptors": 384,
+            "process.memory_mb": 80.5,
+        },
+        {
+            "clients.connections": 15,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "runners.connect_timeout_us": 2_000_000,
+            "control_requests.load_timeout_us": 9_000_000,
+            "process.descriptors": 384,
+            "process.memory_mb": 80.5,
+        },
+    ],
+    "tiny": [
+        {
+            "clients.connections": 1,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "process.descriptors": 64,
+            "process.memory_mb": 20,
+        },
+        {
+            "clients.connections": 1,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "process.descriptors": 64,
+            "process.memory_mb": 20,
+        },
+        {
+            "clients.connections": 1,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "process.descriptors": 64,
+            "process.memory_mb": 20,
+        },
+        {
+            "clients.connections": 1,
+            "clients.unread_bytes": 1_048_576,
+            "clients.all_unread_bytes": 1_048_576,
+            "requests.open_bytes": 2_796_202,
+            "runners.connections": 1,
+            "process.descriptors": 64,
+            "process.memory_mb": 20,
+        },
+    ],
+}
+
+
+def numbers(limits: Limits) -> dict[str, float]:
+    return {f"{part}.{name}": value for part, each in asdict(limits).items() for name, value in each.items()}
+
+
+def test_defaults() -> None:
+    assert numbers(Limits()) == DEFAULTS
+
+
+@pytest.mark.parametrize("process_count", [1, 2, 3, 4])
+@pytest.mark.parametrize("name", CHANGES)
+def test_limits_under_settings_for_each_share(name: str, process_count: int) -> None:
+    limits = ALONE[name].shared(process_count)
+    assert numbers(limits) == DEFAULTS | CHANGES[name][process_count - 1]
+    assert limits.shared(1) == ALONE[name]  # what is divided is never divided twice
+
+
+@pytest.mark.parametrize("name", CHANGES)
+def test_limits_from_settings_are_those_of_a_process_alone(name: str) -> None:
+    assert numbers(ALONE[name]) == DEFAULTS | CHANGES[name][0]
+
+
+@pytest.mark.parametrize(
+    ("longest_us", "kill_after_us"),
+    [(0, 700_000), (1_000_000, 1_700_000), (3_000_000, 3_700_000), (9_000_000, 3_700_000)],
+)
+def test_kill_after(longest_us: int, kill_after_us: int) -> None:
+    assert Limits().kill_after_us(longest_us) == kill_after_us
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -11,7 +11,7 @@
 from maplestile.dispatch.api import Result
 from maplestile.requests.endpoint_list import EndpointList, EndpointListError
 from maplestile.wire import dns, jsonrpc, runner
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import MessageLimits
 from maplestile.wire.messages import Outcome, Verdict
 from tests.standins import name_bytes, record, target
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("step", [1, 3, 64, 10_000])
 def test_messages_are_the_same_in_pieces_of_any_size(step: int) -> None:
     stream = framed(message()) + framed(message(txn=TXN[::-1])) + b"content-length:2\r\nX: y\r\n\r\n{}"
-    framer, found = jsonrpc.Framer(Limits()), []
+    framer, found = jsonrpc.Framer(MessageLimits()), []
     for at in range(0, len(stream), step):
         found += [bytes(view) for view in framer.feed(stream[at : at + step])]
     assert found == [message(), message(txn=TXN[::-1]), b"{}"]
@@ -57,13 +57,13 @@
 )
 def test_head_without_one_good_length_ends_the_connection(head: bytes) -> None:
     with pytest.raises(jsonrpc.FramingError):
-        list(jsonrpc.Framer(Limits()).feed(head + b"\r\n\r\n{}"))
+        list(jsonrpc.Framer(MessageLimits()).feed(head + b"\r\n\r\n{}"))
     with pytest.raises(jsonrpc.FramingError):
-        list(jsonrpc.Framer(Limits()).feed(b"x" * 1024))
+        list(jsonrpc.Framer(MessageLimits()).feed(b"x" * 1024))
 
 
 def test_call_takes_class_from_the_method_and_body_from_the_blob() -> None:
-    call = jsonrpc.parse(memoryview(message(second="1", unique=KEY, cpu=8.2)), Limits(), KNOWN)
+    call = jsonrpc.parse(memoryview(message(second="1", unique=KEY, cpu=8.2)), MessageLimits(), KNOWN)
     assert isinstance(call, jsonrpc.Call)
     request = call.request
     assert (request.class_name, request.body, request.key, request.repeat) == ("review", b"hi", KEY, True)
@@ -96,7 +96,7 @@
 )
 def test_malformed_message_is_one_error(body: bytes, code: int) -> None:
     with pytest.raises(jsonrpc.RpcError) as fault:
-        jsonrpc.parse(memoryview(body), Limits(), KNOWN)
+        jsonrpc.parse(memoryview(body), MessageLimits(), KNOWN)
     assert fault.value.code == code
 
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -13,7 +13,7 @@
 from maplestile.net.dns_discovery import DnsDiscovery
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire import dns
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import NameServerLimits
 from tests.standins import name_bytes, record
 
 WORKERS = 60
@@ -73,7 +73,7 @@
         )
         self.addCleanup(transport.close)
         server.serial = serial
-        limits = Limits(names_timeout_us=timeout_us, names_restart_us=restart_us, names_poll_us=20_000)
+        limits = NameServerLimits(timeout_us=timeout_us, restart_us=restart_us, poll_us=20_000)
         self.names = DnsDiscovery(
             transport.get_extra_info("sockname")[:2], fleet, limits, counters, lambda: None
         )
@@ -152,7 +152,7 @@
             while fleet.version != 1:
                 await asyncio.sleep(0.005)
             self.assertEqual((len(fleet.entries), counters["names.serial_restarts"]), (WORKERS - 1, 1))
-            self.assertGreaterEqual(counters["names.outdated"], Limits().names_restart_replies)
+            self.assertGreaterEqual(counters["names.outdated"], NameServerLimits().restart_replies)
             server.serial, server.draining = 2, {3, 4}
             while fleet.version != 2:
                 await asyncio.sleep(0.005)
@@ -192,7 +192,12 @@
         loop, room = asyncio.get_running_loop(), list[int]()
         no_descriptor = OSError(errno.EMFILE, "Too many open files")
         names = DnsDiscovery(
-            ("127.0.0.1", 9), EndpointList(), Limits(), Counter(), lambda: None, lambda: room.append(1)
+            ("127.0.0.1", 9),
+            EndpointList(),
+            NameServerLimits(),
+            Counter(),
+            lambda: None,
+            lambda: room.append(1),
         )
         with unittest.mock.patch.object(loop, "create_datagram_endpoint", side_effect=no_descriptor):
             polling = loop.create_task(names.run())
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -17,7 +17,7 @@
 from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire.http import HttpRequest, Response
-from maplestile.wire.limits import ANSWER_BYTES, Limits
+from maplestile.wire.limits import ANSWER_BYTES, Limits, OperatorLimits
 from maplestile.wire.messages import Verdict
 from tests.helpers import Driver, arrival, ended, entry, fleet, sends, settings
 from tests.standins import target
@@ -130,7 +130,7 @@
 
     async def asyncSetUp(self) -> None:
         self.counters = Counter[str]()
-        limits = Limits(operator_connections=2, operator_request_us=60_000_000)
+        limits = Limits(operators=OperatorLimits(connections=2, request_us=60_000_000))
         http = HttpFront("operator", OperatorApi(Router(), limits), self.counters, lambda: 0)
         self.listener = await http.start("127.0.0.1", 0)
         self.addCleanup(self.listener.close)
@@ -173,7 +173,9 @@
         self.other = self.cordons()
 
     def cordons(self) -> Cordons:
-        cordons = Cordons(FileCordonStore(self.folder), Limits(max_known_runners=3), Counter(), lambda: None)
+        cordons = Cordons(
+            FileCordonStore(self.folder), OperatorLimits(known_runners=3), Counter(), lambda: None
+        )
         cordons.listed(["a", "../b"])
         return cordons
 
@@ -312,15 +314,15 @@
         for descriptors in (256, 384, 1024):
             alone = Limits.from_settings(chosen, descriptors, 80)
             both = alone.shared(2)
-            held = 2 * (both.client_connections + both.runner_connections + both.operator_connections)
+            held = 2 * (both.clients.connections + both.runners.connections + both.operators.connections)
             self.assertLess(held, descriptors - 40)
-            self.assertGreaterEqual(2 * both.client_connections, descriptors // 3)
-            self.assertLess(both.open_bytes, alone.open_bytes)
+            self.assertGreaterEqual(2 * both.clients.connections, descriptors // 3)
+            self.assertLess(both.requests.open_bytes, alone.requests.open_bytes)
             self.assertEqual(both.shared(1), alone)
 
 
 class LongAnswerTest(unittest.TestCase):
     def test_the_longest_answer_passes_the_bounds(self) -> None:
         limits = Limits.from_settings(settings(), 256, 80)
-        self.assertGreater(limits.runner_line_bytes, 4 * ANSWER_BYTES / 3 + 1000)
-        self.assertGreater(limits.client_write_bytes, 2 * 4 * ANSWER_BYTES / 3)
+        self.assertGreater(limits.runners.line_bytes, 4 * ANSWER_BYTES / 3 + 1000)
+        self.assertGreater(limits.clients.unread_bytes, 2 * 4 * ANSWER_BYTES / 3)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -16,7 +16,7 @@
 from maplestile.net.runners import RunnerPool
 from maplestile.requests.core import AttemptId, Core
 from maplestile.requests.endpoint_list import EndpointList
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import RunnerLimits
 from maplestile.wire.messages import Request
 from tests.standins import Worker
 
@@ -46,7 +46,7 @@
         self.worker = Worker()
         self.endpoints = EndpointList()
         self.counters = Counter[str]()
-        limits = Limits(runner_streams=2, runner_idle_us=5_000_000, runner_line_us=20_000)
+        limits = RunnerLimits(streams=2, idle_timeout_us=5_000_000, line_pause_us=20_000)
         self.pool = RunnerPool(limits, lambda: self.now, self.counters)
         self.pool.core = cast(Core, self.core)
         self.list()
@@ -155,7 +155,7 @@
 
     async def test_idle_connections_make_room_for_another_runner_at_the_cap(self) -> None:
         """A fleet of more runners than descriptors: each call to a further one counted as refused there."""
-        self.pool.limits = replace(self.pool.limits, runner_connections=2)
+        self.pool.limits = replace(self.pool.limits, connections=2)
         workers = [Worker() for _ in range(4)]
         entries = [
             (
@@ -244,7 +244,7 @@
             while not self.worker.ran:
                 await asyncio.sleep(0.005)
         (connection,) = self.pool.runners["s-0"].connections
-        self.pool.limits = replace(self.pool.limits, runner_stall_us=60_000_000)
+        self.pool.limits = replace(self.pool.limits, stall_us=60_000_000)
         self.worker.pause.clear()  # reads nothing, so what comes stays in the buffers
         big = Request("t2", "f", "review", 5_000_000, body=b"error:" + bytes(30_000_000))
         self.pool.send((2, 0), "s-0", big, 5_000_000)
@@ -257,7 +257,7 @@
 
     async def test_line_that_a_runner_does_not_take_goes_nowhere_else_and_ends_its_connection(self) -> None:
         """It would come too late for the deadline that it tells; another connection would be filled, too."""
-        self.pool.limits = replace(self.pool.limits, runner_streams=8)
+        self.pool.limits = replace(self.pool.limits, streams=8)
         self.send(1, b"hang:")
         async with asyncio.timeout(20):
             while not self.worker.ran:
