--- /dev/null
+++ b/maplestile/requests/attempts.py
@@ -0,0 +1,106 @@
+"""Attempts in flight: sent to workers as the dispatcher decides, timed, and reported to it when they end."""
+
+from collections import Counter
+from collections.abc import Callable
+
+from maplestile.dispatch import api
+from maplestile.dispatch.api import NEVER_RAN, Result
+from maplestile.requests.decision_loop import DecisionLoop
+from maplestile.requests.policy_epochs import EpochCounts
+from maplestile.requests.records import AttemptId, InFlightAttempt, Pool
+from maplestile.requests.request_table import RequestTable
+from maplestile.requests.timers import TimerQueue
+from maplestile.wire.messages import Outcome, Report, Verdict
+
+
+class AttemptTable:
+    """The attempts whose end has not been reported."""
+
+    def __init__(
+        self,
+        requests: RequestTable,
+        decisions: DecisionLoop,
+        pool: Pool,
+        epochs: EpochCounts,
+        timers: TimerQueue,
+        clock: Callable[[], int],
+        counters: Counter[str],
+    ) -> None:
+        self._requests = requests
+        self._decisions = decisions
+        self._pool = pool
+        self._epochs = epochs
+        self._timers = timers
+        self._clock = clock
+        self._counters = counters
+        self.flights: dict[AttemptId, InFlightAttempt] = {}
+        # Where a fleet agrees on the policy: takes note of each attempt with the epoch that decided on it.
+        self.on_sent: Callable[[AttemptId, int], None] | None = None
+
+    def send(self, action: api.SendAttempt) -> None:
+        """Send an attempt to a worker, and end it as TIMEOUT if it takes too long."""
+        pending = self._requests.open.get(action.call)
+        if pending is None:
+            # Over since the decision; the dispatcher is notified of that next.
+            self._counters["attempts.already_over"] += 1
+            return
+        now = self._clock()
+        attempt = (action.call, pending.attempts)
+        pending.attempts += 1
+        left_us = pending.due_us - now
+        wait_us = min(action.timeout_us or left_us, left_us)
+        self.flights[attempt] = InFlightAttempt(action.worker, now)
+        self._counters["attempts.sent"] += 1
+        self._epochs.count_attempt(action.epoch)
+        if action.epoch != pending.epoch:  # must never be: a call is decided under one policy throughout
+            self._counters["policy.mixed_calls"] += 1
+        if self.on_sent is not None:
+            self.on_sent(attempt, action.epoch)
+        self._timers.at(now + max(0, wait_us), lambda: self._time_out(attempt))
+        self._pool.send(attempt, action.worker, pending.request, max(1, wait_us), action.until_us)
+
+    def cancel(self, action: api.CancelAttempt) -> None:
+        """Cancel an attempt at its worker."""
+        self._cancel((action.call, action.attempt), Result.CANCELLED)
+
+    def withhold(self, call: int, attempts: int) -> None:
+        """Guard against an attempt that waits for its connection and begins long after its client left."""
+        for number in range(attempts):
+            attempt = (call, number)
+            if attempt in self.flights and self._pool.withhold(attempt):
+                self.end(attempt, Result.SUPERSEDED)
+
+    def end(
+        self,
+        attempt: AttemptId,
+        result: Result,
+        body: bytes = b"",
+        queued_ahead: int = 0,
+        report: Report = (),
+    ) -> None:
+        """Report the end of an attempt; a second one, or one after a timeout or a cancel, is only counted."""
+        flight = self.flights.pop(attempt, None)
+        if flight is None:
+            self._counters["attempts.late"] += 1
+            return
+        self._counters[f"attempts.{result.value}"] += 1
+        call = attempt[0]
+        pending = self._requests.open.get(call)
+        if pending is not None and result not in NEVER_RAN:
+            pending.ran = True
+        if pending is not None and result is Result.OK:
+            self._requests.finish(call, Outcome(Verdict.SERVED, body, ran=True))
+        elapsed_us = max(0, self._clock() - flight.sent_us)
+        over = call not in self._requests.open
+        warmth = api.Warmth.UNKNOWN
+        self._decisions.give(
+            api.AttemptEnded(*attempt, flight.worker, result, elapsed_us, over, warmth, queued_ahead, report)
+        )
+
+    def _time_out(self, attempt: AttemptId) -> None:
+        self._cancel(attempt, Result.TIMEOUT)
+
+    def _cancel(self, attempt: AttemptId, result: Result) -> None:
+        if attempt in self.flights:
+            self._pool.cancel(attempt)
+            self.end(attempt, result)
--- a/maplestile/requests/policy_epochs.py
+++ b/maplestile/requests/policy_epochs.py
@@ -8,15 +8,17 @@
 class EpochCounts:
     """The counters `calls` and `attempts` of each of the newest epochs."""
 
-    __slots__ = ("by_epoch", "current")
+    __slots__ = ("by_epoch", "current", "epoch")
 
     def __init__(self, epoch: int) -> None:
         self.by_epoch: dict[int, Counter[str]] = {}
-        self.current: Counter[str]  # of the epoch in force
+        self.epoch: int  # the one in force, and its counters
+        self.current: Counter[str]
         self.enter(epoch)
 
     def enter(self, epoch: int) -> None:
         """Count what comes from now on under this epoch; the counts of the oldest are dropped."""
+        self.epoch = epoch
         self.current = self.by_epoch.setdefault(epoch, Counter())
         for old in sorted(self.by_epoch)[:-MAX_EPOCHS]:
             del self.by_epoch[old]
--- a/maplestile/router/policy_attachment.py
+++ b/maplestile/router/policy_attachment.py
@@ -19,9 +19,9 @@
     policy.counters = components.counters
     policy.take = components.adopt_policy
     policy.calls = components.core.epochs
-    components.core.admits = policy.admits
+    components.core.intake.admits = policy.admits
     if policy.plan.trace:
-        components.core.sent = policy.sent
+        components.core.attempts.on_sent = policy.sent
 
 
 async def start_policy(components: Components, policy: "PolicyDriver", supervisor: TaskSupervisor) -> None:
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -117,11 +117,11 @@
             settings,
             components.config.seed,
             components.counters,
-            components.core.probe,
+            components.core.control.check_health,
         )
         components.peers = peers
-        components.core.may_probe = peers.may_probe
-        components.core.probed = peers.probed
+        components.core.control.may_check = peers.may_probe
+        components.core.control.on_checked = peers.probed
         peers.listed(components.endpoints.entries)
         self.supervisor.start(peers.run)
 
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -16,8 +16,12 @@
 from maplestile.dispatch.fleet import Fleet
 from maplestile.dispatch.state import Attempt, Call, Copy, FunctionEntry, Window, Worker, Zone
 from maplestile.dispatch.tiers import FunctionTiers
-from maplestile.requests.core import ControlRequest, Core, InFlightAttempt, PendingRequest
+from maplestile.requests.attempts import AttemptTable
+from maplestile.requests.control_requests import ControlRequests
+from maplestile.requests.core import ControlRequest, InFlightAttempt, PendingRequest
 from maplestile.requests.pool import Connection, Message, Pool, Runner
+from maplestile.requests.request_intake import RequestIntake
+from maplestile.requests.request_table import RequestTable
 from maplestile.tools.explore.connections import Link
 from maplestile.tools.explore.scenario import START
 from maplestile.tools.explore.simulation import Simulation
@@ -25,30 +29,10 @@
 FAR_US = 20_000_000  # what is older, or further off, is told as this: longer than any rule of a case looks
 # Parts that are told elsewhere, or that no decision reads.
 SKIP = {
-    Core: {
-        "settings",
-        "limits",
-        "seed",
-        "pool",
-        "clock",
-        "alarm",
-        "counters",
-        "answers",
-        "dispatcher",
-        "move",
-        "may_probe",
-        "probed",
-        "admits",
-        "sent",
-        "epochs",
-        "decided",
-        "timers",
-        "ticks",
-        "number",
-        "armed",
-        "events",
-        "acting",
-    },
+    RequestTable: {"_tick_us", "answers"},
+    AttemptTable: {"_counters"},
+    ControlRequests: {"_counters", "limits"},
+    RequestIntake: {"_counters", "limits"},
     Context: {"settings", "actions", "classes", "random", "salt", "timers", "last_token", "now_us"},
     Fleet: {"index", "draining"},
     FunctionTiers: {"kind_memory_mb", "by_age"},
@@ -77,7 +61,10 @@
         """The digest of the whole state."""
         world = self.world
         told = (
-            self.fields(world.core, Core),
+            self.fields(world.core.requests, RequestTable),
+            self.fields(world.core.attempts, AttemptTable),
+            self.fields(world.core.control, ControlRequests),
+            self.fields(world.core.intake, RequestIntake),
             self.dispatcher(world.core.dispatcher),
             self.fields(world.pool, Pool),
             [self.link(link) for link in world.links if link.open],
@@ -203,9 +190,9 @@
                 return None
             if isinstance(cell, Attempt) and cell.result is not None:
                 return None
-        if name.startswith("Core.submit") and cells.get("call") not in core.open:
+        if name.startswith("RequestIntake.submit") and cells.get("call") not in core.open:
             return None
-        if name.startswith("Core._send") and cells.get("attempt") not in core.flights:
+        if name.startswith("AttemptTable.send") and cells.get("attempt") not in core.flights:
             return None
         if name.startswith("ControlRequests._start") and cells.get("tag") not in core.control_requests:
             return None
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -127,7 +127,7 @@
         self.core = components.core(
             settings, limits, scenario.SEED, self.pool, lambda: self.now, self._alarm, self.counters
         )
-        self.core.dispatcher = components.module(scenario.settings(), scenario.SEED)
+        self.core.decisions.dispatcher = components.module(scenario.settings(), scenario.SEED)
         self.core.dispatcher.context.random = scenario.DeterministicRandom()
         self.pool.core = self.core
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -17,22 +17,29 @@
 from maplestile.wire.runner import Answer
 
 
+def replace_method(part: object, name: str, method: Callable[..., object]) -> None:
+    """Put a fault into one part of a dispatcher, or of a core."""
+    assert callable(getattr(part, name))
+    setattr(part, name, method)
+
+
 class AnswersTwice(Core):
-    def _finish(self, call: int, outcome: Outcome) -> None:  # the popping left out
+    def __init__(self, *parts: Any) -> None:
+        super().__init__(*parts)
+        self.sound_finish = self.requests.finish
+        replace_method(self.requests, "finish", self.finish)
+
+    def finish(self, call: int, outcome: Outcome) -> None:  # the popping left out
         owed = self.open.get(call)
-        super()._finish(call, outcome)
+        self.sound_finish(call, outcome)
         if owed is not None and outcome.ran:
             self.open[call] = owed
 
 
 class KeepsFailuresBack(Core):
-    def _fail(self, call: int) -> None: ...
-
-
-def replace_method(part: object, name: str, method: Callable[..., object]) -> None:
-    """Put a fault into one part of a dispatcher."""
-    assert callable(getattr(part, name))
-    setattr(part, name, method)
+    def __init__(self, *parts: Any) -> None:
+        super().__init__(*parts)
+        replace_method(self.requests, "fail", lambda call: None)
 
 
 class SendsAnythingAgain(Dispatcher):
@@ -118,11 +125,13 @@
         owed = self.open.get(call)
         super().withdraw(call)
         if owed is not None:
-            self.open_bytes += owed.request.bytes()
+            self.requests.open_bytes += owed.request.bytes()
 
 
 class EndsNothing(Core):
-    def _end_all(self) -> None: ...  # calls from before the stop keep their whole time
+    def __init__(self, *parts: Any) -> None:
+        super().__init__(*parts)
+        replace_method(self.intake, "end_all", lambda: None)  # calls from before the stop keep their time
 
 
 class WritesForTheGone(SimulatedPool):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,7 +14,7 @@
 
 
 class Rig:
-    """A pool that records what it is asked for, and a clock that is moved by hand."""
+    """A pool that records what is requested of it, and a clock that is moved by hand."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.now = START
@@ -142,7 +142,7 @@
 
 def test_process_that_ends_soon_answers_all_it_takes_before_and_refuses_what_comes_too_late() -> None:
     rig = Rig(Limits(handover=HandoverLimits(min_budget_us=250_000)))
-    rig.core.leave_us = START + 1_000_000
+    rig.core.intake.leave_us = START + 1_000_000
     rig.submit(budget_us=5_000_000)
     rig.submit(budget_us=500_000)
     assert len(rig.sent) == 2
