--- a/maplestile/requests/connection_table.py
+++ b/maplestile/requests/connection_table.py
@@ -1,27 +1,38 @@
 """The connections of a pool: which one carries the next line, and when one is opened or closed."""
 
-from typing import TYPE_CHECKING
+from collections import Counter
+from collections.abc import Callable
 
 from maplestile.dispatch.api import Result
 from maplestile.requests.connections import Connection, Runner
+from maplestile.requests.idle_timeout import IdleTimeout
 from maplestile.requests.states import ConnectionState
-
-if TYPE_CHECKING:
-    from maplestile.requests.pool import Pool
+from maplestile.wire.limits import RunnerLimits
 
 
 class ConnectionTable:
     """All connections of a pool that are not closed, in the order in which they were opened."""
 
-    __slots__ = ("_pool", "connections")
-
-    def __init__(self, pool: "Pool") -> None:
-        self._pool = pool
+    def __init__(
+        self,
+        limits: RunnerLimits,
+        idle_timeout: IdleTimeout,
+        dial: Callable[[Connection], None],
+        close: Callable[[Connection, Result], None],
+        clock: Callable[[], int],
+        counters: Counter[str],
+    ) -> None:
+        self.limits = limits
+        self._idle_timeout = idle_timeout
+        self._dial = dial
+        self._close = close
+        self._clock = clock
+        self._counters = counters
         self.connections: dict[Connection, None] = {}
 
     def select(self, runner: Runner, tag: str) -> Connection | None:
         """Return the connection for a line to the runner, opened if need be; None if there is no room."""
-        most = self._pool.limits.streams
+        most = self.limits.streams
         # A second copy of the answer that rejected a tag would pass for the answer to its next attempt.
         free = [
             connection
@@ -45,32 +56,31 @@
         """Close what carries nothing, and where a time is given has carried nothing since then."""
         for connection in list(runner.connections):
             if not connection.streams() and (since_us is None or connection.used_us <= since_us):
-                self._pool.close(connection, Result.RESET)
+                self._close(connection, Result.RESET)
 
     def close_unverified(self, runner: Runner) -> None:
         """Close what was silent for too long and carries nothing any more."""
         for connection in list(runner.connections):
             if connection.state is ConnectionState.UNVERIFIED and not connection.streams():
-                self._pool.close(connection, Result.RESET)
+                self._close(connection, Result.RESET)
 
     def over_limit(self) -> bool:
         """Return whether there are too many: another process may share the descriptors now."""
-        return len(self.connections) > self._pool.limits.connections
+        return len(self.connections) > self.limits.connections
 
     def _is_stale(self, connection: Connection) -> bool:
-        idle_us = self._pool.clock() - connection.used_us
-        return idle_us >= self._pool.idle_timeout.timeout_us
+        idle_us = self._clock() - connection.used_us
+        return idle_us >= self._idle_timeout.timeout_us
 
     def _open(self, runner: Runner) -> Connection | None:
-        pool = self._pool
-        if len(self.connections) >= pool.limits.connections and not self._make_room():
+        if len(self.connections) >= self.limits.connections and not self._make_room():
             return None
-        now = pool.clock()
+        now = self._clock()
         connection = Connection(runner, now, now)
         runner.connections.append(connection)
         self.connections[connection] = None
-        pool.counters["runners.connections"] += 1
-        pool.dial(connection)
+        self._counters["runners.connections"] += 1
+        self._dial(connection)
         return connection
 
     def _make_room(self) -> bool:
@@ -83,8 +93,8 @@
         oldest = min(idle, key=_last_use, default=None)
         if oldest is None:
             return False
-        self._pool.counters["runners.idle_evicted"] += 1
-        self._pool.close(oldest, Result.RESET)
+        self._counters["runners.idle_evicted"] += 1
+        self._close(oldest, Result.RESET)
         return True
 
 
--- a/maplestile/requests/line_writer.py
+++ b/maplestile/requests/line_writer.py
@@ -4,25 +4,36 @@
 no more: then it ends as never sent.
 """
 
-from typing import TYPE_CHECKING
+from collections import Counter
+from collections.abc import Callable
 
 from maplestile.dispatch.api import Result
 from maplestile.requests.connections import Connection, ControlTag, Message, Socket
+from maplestile.requests.line_ends import LineEnds
 from maplestile.requests.records import Presence
-from maplestile.requests.states import AttemptState
+from maplestile.requests.states import AttemptState, Transition
 from maplestile.wire import runner as wire
 
-if TYPE_CHECKING:
-    from maplestile.requests.pool import Pool
-
 
 class LineWriter:
     """Writes the lines that are queued before the connections of a pool."""
 
-    __slots__ = ("_pool",)
-
-    def __init__(self, pool: "Pool") -> None:
-        self._pool = pool
+    def __init__(
+        self,
+        ends: LineEnds,
+        flush_soon: Callable[[Connection], None],
+        move: Transition,
+        clock: Callable[[], int],
+        counters: Counter[str],
+    ) -> None:
+        self._ends = ends
+        self._flush_soon = flush_soon
+        self._move = move
+        self._clock = clock
+        self._counters = counters
+        self.calls_written = 0  # attempts written whole
+        # Whether input may lie unread for so long that clients in it have left a while ago.
+        self.input_is_old: Callable[[], bool] = _never
 
     def write(self, connection: Connection, message: Message) -> None:
         """Queue a line, and write what the socket takes."""
@@ -45,16 +56,16 @@
                 continue
             del connection.queue[postponed]
             if presence is Presence.GONE:
-                self._pool.counters["runners.client_disconnected"] += 1
-                self._pool.ends.end_unsent(message, Result.SUPERSEDED)
+                self._counters["runners.client_disconnected"] += 1
+                self._ends.end_unsent(message, Result.SUPERSEDED)
             elif self._is_stale(connection, message):
-                self._pool.counters["runners.stale"] += 1
-                self._pool.ends.end_unsent(message, Result.SUPERSEDED)
+                self._counters["runners.stale"] += 1
+                self._ends.end_unsent(message, Result.SUPERSEDED)
             else:
                 self._write_line(socket, connection, message)
         if postponed and not connection.closed():
-            self._pool.counters["runners.postponed"] += 1
-            self._pool.flush_soon(connection)
+            self._counters["runners.postponed"] += 1
+            self._flush_soon(connection)
 
     def drained(self, connection: Connection) -> None:
         """Go on: the system has taken the rest of what was written in part."""
@@ -68,9 +79,9 @@
 
         What has been read of the client in time has been reported to the core already.
         """
-        if message.attempt is None or not self._pool.input_is_old():
+        if message.attempt is None or not self.input_is_old():
             return Presence.WAITING
-        return self._pool.core.presence(message.attempt)
+        return self._ends.core.presence(message.attempt)
 
     def _is_stale(self, connection: Connection, message: Message) -> bool:
         """Return whether a rule has come to bar the line since it was decided.
@@ -78,26 +89,25 @@
         Its runner drains (rule 3), its key may be deduplicated no more (rule 1), or its own deadline has
         passed.
         """
-        now = self._pool.clock()
+        now = self._clock()
         forgotten = 0 < message.until_us <= now
         overdue = message.request is not None and message.due_us <= now
         return message.fresh and (forgotten or overdue or not connection.runner.takes_new)
 
     def _write_line(self, socket: Socket, connection: Connection, message: Message) -> None:
         """Write one line; what of it the system does not take at once is the connection's `partial`."""
-        pool = self._pool
         if not connection.open and not connection.control_tags:
-            connection.idle_us = pool.clock() - connection.used_us
+            connection.idle_us = self._clock() - connection.used_us
         if message.attempt is not None:
             connection.open[message.tag] = message.attempt
         elif message.tag:
             tag = ControlTag(message.control_number, message.is_health_check)
             connection.control_tags[message.tag] = tag
-        pool.move(message, AttemptState.PARTIALLY_WRITTEN)
+        self._move(message, AttemptState.PARTIALLY_WRITTEN)
         if message.request is not None:
-            message.line = wire.call(message.request, message.due_us - pool.clock())
+            message.line = wire.call(message.request, message.due_us - self._clock())
         whole = socket.write(message.line)
-        connection.used_us = message.written_us = pool.clock()
+        connection.used_us = message.written_us = self._clock()
         if whole:
             self._written(message)
         else:
@@ -106,7 +116,11 @@
     def _written(self, message: Message) -> None:
         """Take note that the system has all of a line."""
         if message.attempt is not None:
-            self._pool.calls_written += 1
+            self.calls_written += 1
         # Any other state: it was cancelled, or answered, before its last byte.
         if message.state is AttemptState.PARTIALLY_WRITTEN:
-            self._pool.move(message, AttemptState.WRITTEN)
+            self._move(message, AttemptState.WRITTEN)
+
+
+def _never() -> bool:
+    return False
--- a/maplestile/requests/runner_directory.py
+++ b/maplestile/requests/runner_directory.py
@@ -1,23 +1,20 @@
 """The runners that a pool knows, kept up to date with the endpoint list."""
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
 from maplestile.common.address import Address
 from maplestile.dispatch.api import Result, WorkerEntry, WorkerState
-from maplestile.requests.connections import Runner
+from maplestile.requests.connection_table import ConnectionTable
+from maplestile.requests.connections import Connection, Runner
 from maplestile.requests.endpoint_list import EndpointList
 
-if TYPE_CHECKING:
-    from maplestile.requests.pool import Pool
-
 
 class RunnerDirectory:
     """The runners by uid: those that are listed, and those that still have connections."""
 
-    __slots__ = ("_pool", "runners")
-
-    def __init__(self, pool: "Pool") -> None:
-        self._pool = pool
+    def __init__(self, table: ConnectionTable, close: Callable[[Connection, Result], None]) -> None:
+        self._table = table
+        self._close = close
         self.runners: dict[str, Runner] = {}
 
     def update(self, endpoints: EndpointList) -> None:
@@ -28,7 +25,7 @@
             runner = self.runners[uid]
             runner.listed = False
             runner.takes_new = False
-            self._pool.table.close_unused(runner)
+            self._table.close_unused(runner)
             self.forget_if_gone(runner)
 
     def forget_if_gone(self, runner: Runner) -> None:
@@ -54,4 +51,4 @@
         """Close connections to a process that is no more: nobody would ever answer there."""
         for connection in list(runner.connections):
             if moved or connection.opened_us < runner.started_us:
-                self._pool.close(connection, Result.RESET)
+                self._close(connection, Result.RESET)
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -45,21 +45,11 @@
         self.endpoints = config.fleet
         self.selector = selector
         self.counters: Counter[str] = Counter()
-        self.runners = RunnerPool(self.limits.runners, clock, self.counters)
-        self.core = Core(
-            config.settings,
-            self.limits,
-            config.seed,
-            self.runners,
-            clock,
-            self._schedule_tick,
-            self.counters,
-        )
+        self.runners = self._runner_pool()
+        self.core = self._core()
         self.runners.core = self.core
-        self.runners.starved = self.descriptors_exhausted
-        self.runners.input_is_old = selector.input_is_old
         self.started_us = clock()
-        self.stopping = asyncio.Event()  # the process was asked to stop
+        self.stopping = asyncio.Event()  # set when the process is to stop
         self.listening = False
         self.process_count = 1  # processes that share the budgets
         self.platform: PlatformFront | None = None
@@ -117,6 +107,24 @@
         if self.invoke is not None and config.operator is not None:
             self.invoke.api.adopt(config.operator)
 
+    def _runner_pool(self) -> RunnerPool:
+        runners = RunnerPool(self.limits.runners, clock, self.counters)
+        runners.starved = self.descriptors_exhausted
+        runners.writer.input_is_old = self.selector.input_is_old
+        return runners
+
+    def _core(self) -> Core:
+        config = self.config
+        return Core(
+            config.settings,
+            self.limits,
+            config.seed,
+            self.runners,
+            clock,
+            self._schedule_tick,
+            self.counters,
+        )
+
     def _apply_limits(self) -> None:
         self.limits = self.config.limits.shared(self.process_count)
         self.core.limits = self.limits
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -232,7 +232,7 @@
 
         core = Core(settings, limits, 7, pool, clock, alarm, counters)
         pool.core = core
-        pool.input_is_old = selector.input_is_old
+        pool.writer.input_is_old = selector.input_is_old
         endpoints = EndpointList()
         entry = api.WorkerEntry("s-0", "east", "std", 2, api.WorkerState.RUNNING, 4.0, 0)
         endpoints.apply_whole(1, [(entry, ("127.0.0.1", worker.port))])
@@ -253,23 +253,23 @@
         return [line["bytes"] for line in call_lines(worker)], counters
 
     def test_cancel_that_is_not_read_yet(self) -> None:
-        begun, counters = self.play(
+        started, counters = self.play(
             lambda client, id_: discard(client.send("interrupt", {"id": id_}, id_=id_))
         )
-        self.assertEqual((begun, counters["clients.interrupts"]), ([], 1))
+        self.assertEqual((started, counters["clients.interrupts"]), ([], 1))
         self.assertGreater(counters["runners.postponed"], 0)
 
     def test_close_that_is_not_read_yet(self) -> None:
-        begun, counters = self.play(lambda client, _: client.close())
-        self.assertEqual((begun, counters["requests.client_disconnected"]), ([], 1))
+        started, counters = self.play(lambda client, _: client.close())
+        self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
     def test_end_of_its_side_that_is_not_read_yet(self) -> None:
-        begun, counters = self.play(lambda client, _: client.socket.shutdown(socket.SHUT_WR))
-        self.assertEqual((begun, counters["requests.client_disconnected"]), ([], 1))
+        started, counters = self.play(lambda client, _: client.socket.shutdown(socket.SHUT_WR))
+        self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
     def test_client_that_waits_is_served_after_the_loop_was_away(self) -> None:
-        begun, _ = self.play(lambda client, _: None)
-        self.assertEqual(begun, ["YWJj"])
+        started, _ = self.play(lambda client, _: None)
+        self.assertEqual(started, ["YWJj"])
 
 
 def discard(_: object) -> None:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -8,13 +8,13 @@
 import unittest.mock
 from collections import Counter
 from dataclasses import replace
-from typing import Any, cast
+from typing import Any
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import Result
 from maplestile.net.receive_timestamps import TimestampingSelector
 from maplestile.net.runners import RunnerPool
-from maplestile.requests.core import AttemptId, Core
+from maplestile.requests.core import AttemptId, Presence
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire.limits import RunnerLimits
 from maplestile.wire.messages import Request
@@ -35,6 +35,11 @@
     def attempt_ended(self, attempt: AttemptId, result: Result, *_: Any) -> None:
         self.ended[attempt] = result
 
+    def presence(self, attempt: AttemptId) -> Presence:
+        return Presence.WAITING
+
+    def order_ended(self, tag: int, result: Result, copies: int = 0) -> None: ...
+
     def probe_ended(self, tag: int, result: Result, *_: Any) -> None:
         self.health_checks_ended[tag] = result
 
@@ -48,7 +53,7 @@
         self.counters = Counter[str]()
         limits = RunnerLimits(streams=2, idle_timeout_us=5_000_000, line_pause_us=20_000)
         self.pool = RunnerPool(limits, lambda: self.now, self.counters)
-        self.pool.core = cast(Core, self.core)
+        self.pool.core = self.core
         self.list()
 
     def list(
@@ -124,9 +129,8 @@
         self.send(1, b"abc")
         await self.until(1)
         self.now += 1_000_000
-        self.send(
-            2, b"die"
-        )  # the first one after an idle time: it meets the reset of a connection long dropped
+        # The first one after an idle time: it meets the reset of a connection long dropped.
+        self.send(2, b"die")
         await self.until(2)
         self.assertEqual(self.pool.idle_timeout.timeout_us, 800_000)
         self.worker = Worker()
