--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -1,6 +1,5 @@
 """Attempts in flight: sent to workers as the dispatcher decides, timed, and reported to it when they end."""
 
-from collections import Counter
 from collections.abc import Callable
 
 from maplestile.dispatch import api
@@ -9,7 +8,7 @@
 from maplestile.requests.policy_epochs import EpochCounts
 from maplestile.requests.records import AttemptId, InFlightAttempt, Pool
 from maplestile.requests.request_table import RequestTable
-from maplestile.requests.timers import TimerQueue
+from maplestile.requests.runtime import Runtime
 from maplestile.wire.messages import Outcome, Report, Verdict
 
 
@@ -22,17 +21,15 @@
         decisions: DecisionLoop,
         pool: Pool,
         epochs: EpochCounts,
-        timers: TimerQueue,
-        clock: Callable[[], int],
-        counters: Counter[str],
+        runtime: Runtime,
     ) -> None:
         self._requests = requests
         self._decisions = decisions
         self._pool = pool
         self._epochs = epochs
-        self._timers = timers
-        self._clock = clock
-        self._counters = counters
+        self._timers = runtime.timers
+        self._clock = runtime.clock
+        self._counters = runtime.counters
         self.flights: dict[AttemptId, InFlightAttempt] = {}
         # Where a fleet agrees on the policy: takes note of each attempt with the epoch that decided on it.
         self.on_sent: Callable[[AttemptId, int], None] | None = None
--- a/maplestile/requests/control_requests.py
+++ b/maplestile/requests/control_requests.py
@@ -1,6 +1,5 @@
 """Load requests, unloads and health checks: numbered, timed, and reported to the dispatcher when they end."""
 
-from collections import Counter
 from collections.abc import Callable
 
 from maplestile.dispatch import api
@@ -8,7 +7,7 @@
 from maplestile.requests.decision_loop import DecisionLoop
 from maplestile.requests.number_sequence import NumberSequence
 from maplestile.requests.records import ControlRequest, Pool
-from maplestile.requests.timers import TimerQueue
+from maplestile.requests.runtime import Runtime
 from maplestile.wire.limits import ControlRequestLimits
 from maplestile.wire.messages import Report
 
@@ -22,16 +21,14 @@
         pool: Pool,
         numbers: NumberSequence,
         limits: ControlRequestLimits,
-        timers: TimerQueue,
-        clock: Callable[[], int],
-        counters: Counter[str],
+        runtime: Runtime,
     ) -> None:
         self._decisions = decisions
         self._pool = pool
         self._numbers = numbers
-        self._timers = timers
-        self._clock = clock
-        self._counters = counters
+        self._timers = runtime.timers
+        self._clock = runtime.clock
+        self._counters = runtime.counters
         self.limits = limits
         self.open: dict[int, ControlRequest] = {}  # by tag
         # Where routers know each other: whether a health check of the dispatcher's goes out from here, and
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -28,6 +28,7 @@
 )
 from maplestile.requests.request_intake import RequestIntake
 from maplestile.requests.request_table import RequestTable
+from maplestile.requests.runtime import Runtime
 from maplestile.requests.timers import Callback, TimerQueue
 from maplestile.wire.limits import Limits
 from maplestile.wire.messages import Outcome, Report, Request, Verdict
@@ -58,28 +59,17 @@
         self.numbers = NumberSequence()
         self.epoch_counts = EpochCounts(settings.epoch)
         self.schedule = timers = TimerQueue(settings.tick_us, clock, alarm)
+        runtime = Runtime(clock, timers, counters)
         # The queue's own methods, for those who set timers and those who drive them.
         self.at = timers.at
         self.tick = timers.run_due
         self.catch_up = timers.catch_up
         self.decisions = DecisionLoop(Dispatcher(settings, seed), clock)
         self.requests = RequestTable(settings.tick_us, clock, counters)
-        self.attempts = AttemptTable(
-            self.requests, self.decisions, pool, self.epoch_counts, timers, clock, counters
-        )
-        self.control = ControlRequests(
-            self.decisions, pool, self.numbers, limits.control_requests, timers, clock, counters
-        )
+        self.attempts = AttemptTable(self.requests, self.decisions, pool, self.epoch_counts, runtime)
+        self.control = ControlRequests(self.decisions, pool, self.numbers, limits.control_requests, runtime)
         self.intake = RequestIntake(
-            self.requests,
-            self.attempts,
-            self.decisions,
-            self.numbers,
-            self.epoch_counts,
-            limits,
-            timers,
-            clock,
-            counters,
+            self.requests, self.attempts, self.decisions, self.numbers, self.epoch_counts, limits, runtime
         )
         self.decisions.handlers = self._action_handlers()
 
--- a/maplestile/requests/request_intake.py
+++ b/maplestile/requests/request_intake.py
@@ -1,6 +1,5 @@
 """Requests as the fronts pass them in: admitted or rejected, given up by their clients, and ended in time."""
 
-from collections import Counter
 from collections.abc import Callable
 
 from maplestile.dispatch import api
@@ -10,7 +9,7 @@
 from maplestile.requests.policy_epochs import EpochCounts
 from maplestile.requests.records import PendingRequest, Presence
 from maplestile.requests.request_table import RequestTable
-from maplestile.requests.timers import TimerQueue
+from maplestile.requests.runtime import Runtime
 from maplestile.wire.limits import Limits
 from maplestile.wire.messages import Outcome, Request
 
@@ -26,18 +25,16 @@
         numbers: NumberSequence,
         epochs: EpochCounts,
         limits: Limits,
-        timers: TimerQueue,
-        clock: Callable[[], int],
-        counters: Counter[str],
+        runtime: Runtime,
     ) -> None:
         self._requests = requests
         self._attempts = attempts
         self._decisions = decisions
         self._numbers = numbers
         self._epochs = epochs
-        self._timers = timers
-        self._clock = clock
-        self._counters = counters
+        self._timers = runtime.timers
+        self._clock = runtime.clock
+        self._counters = runtime.counters
         self.limits = limits
         # Where a fleet agrees on the policy: whether new calls are taken now.
         self.admits: Callable[[], bool] | None = None
@@ -102,7 +99,7 @@
             self._end(call)
 
     def _sheds(self, lag_us: int) -> bool:
-        """Tell whether nothing can be taken now, by the load, the policy, or the end of the process."""
+        """Return whether nothing can be taken now, by the load, the policy, or the end of the process."""
         requests, limits = self._requests, self.limits.requests
         full = len(requests.open) > limits.open_requests or requests.open_bytes > limits.open_bytes
         # Guards memory against a flood, and the open requests against a loop that lags ever more.
