--- a/maplestile/net/client_table.py
+++ b/maplestile/net/client_table.py
@@ -67,11 +67,8 @@
         in use: by rank, and within one rank by the last activity.
         """
         now_us = self.clock()
-
-        def rank(client: Client) -> EvictionRank:
-            return self._eviction_rank(client, now_us)
-
-        return sorted((client for client in self.clients if not client.calls), key=rank)
+        candidates = (client for client in self.clients if not client.calls)
+        return sorted(candidates, key=lambda client: self._eviction_rank(client, now_us))
 
     def _eviction_rank(self, client: Client, now_us: int) -> EvictionRank:
         if client.write_closed:
--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -17,7 +17,7 @@
 
 
 class QuerySocket(asyncio.DatagramProtocol):
-    """Hands each reply to the query that waits under its id; late ones are dropped."""
+    """Passes each reply to the query that waits under its id; late ones are dropped."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.waiting: dict[int, asyncio.Future[dns.Reply]] = {}
@@ -97,16 +97,10 @@
         and drains are announced in it. Hosts that are not found in time stay absent.
         """
         slots = asyncio.Semaphore(MAX_HOST_QUERIES)
-
-        async def add_host(name: str, kind: int) -> None:
-            async with slots:
-                found = await self._query_with_retries(name, kind)
-            received = found.hosts.get(name.lower(), dns.Host())
-            host = reply.hosts.setdefault(name.lower(), dns.Host())
-            host.address = host.address or received.address
-            host.texts = host.texts or received.texts
-
-        queries = [asyncio.ensure_future(add_host(*lacking)) for lacking in reply.lacking(targets)]
+        queries = [
+            asyncio.ensure_future(self._add_host(reply, slots, name, kind))
+            for name, kind in reply.lacking(targets)
+        ]
         if not queries:
             return
         try:
@@ -116,6 +110,15 @@
                 query.cancel()
             await asyncio.gather(*queries, return_exceptions=True)
 
+    async def _add_host(self, reply: dns.Reply, slots: asyncio.Semaphore, name: str, kind: int) -> None:
+        """Query one kind of records of a host, within the slots, and add them to the reply."""
+        async with slots:
+            found = await self._query_with_retries(name, kind)
+        received = found.hosts.get(name.lower(), dns.Host())
+        host = reply.hosts.setdefault(name.lower(), dns.Host())
+        host.address = host.address or received.address
+        host.texts = host.texts or received.texts
+
     async def _query_with_retries(self, name: str, kind: int) -> dns.Reply:
         for _ in range(HOST_TRIES - 1):
             try:
--- a/maplestile/net/http.py
+++ b/maplestile/net/http.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 ACCEPT_QUEUE = 512
 # At the end of a drain:
-INCOMPLETE_REQUEST_S = 0.5  # for a request that was begun to be complete
+INCOMPLETE_REQUEST_S = 0.5  # for a request that has started to be complete
 QUIET_S = 0.1  # for what crosses the close
 POLL_S = 0.01
 
--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -4,6 +4,7 @@
 import logging
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 
 import h11
 
@@ -23,7 +24,7 @@
 
 
 class TooSlow(Exception):
-    """A request that was begun and is not complete in its time."""
+    """A request that has started and is not complete in its time."""
 
 
 class ClientLeft(Exception):
@@ -56,7 +57,7 @@
 
 
 class HttpConnection:
-    """Reads requests, hands each to the application, and writes the answer."""
+    """Reads requests, passes each to the application, and writes the answer."""
 
     def __init__(self, front: FrontState, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.front = front
@@ -65,7 +66,7 @@
         self.protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.write_closed = False  # this side of the connection has ended
         self._pipelined_bytes = 0  # that came before the answer to the request at hand
-        self._due_s: float | None = None  # when the request that was begun has to be complete
+        self._due_s: float | None = None  # when the request that has started has to be complete
 
     async def run(self) -> None:
         """Serve until either side closes. Raises ClientLeft, OSError or TimeoutError."""
@@ -159,12 +160,7 @@
     async def _answer(self, request: HttpRequest) -> Response:
         """Wait for the answer. Raises ClientLeft where the client closes first, and cancels the request."""
         answer: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
-
-        def respond(response: Response) -> None:
-            if not answer.done():
-                answer.set_result(response)
-
-        cancel = self.front.app.handle(request, respond)
+        cancel = self.front.app.handle(request, partial(_set_result, answer))
         try:
             while not answer.done():
                 await self._read_ahead(answer)
@@ -220,3 +216,9 @@
         self.writer.write(data)
         async with asyncio.timeout(WRITE_TIMEOUT_S):
             await self.writer.drain()
+
+
+def _set_result(answer: asyncio.Future[Response], response: Response) -> None:
+    """Set the result of a future; a second one, or one after a cancellation, goes nowhere."""
+    if not answer.done():
+        answer.set_result(response)
--- a/maplestile/net/listen.py
+++ b/maplestile/net/listen.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 Reader = Callable[[], asyncio.StreamReader]
-Serve = Callable[[Any, asyncio.StreamWriter], Awaitable[None]]  # handed what `Reader` made
+Serve = Callable[[Any, asyncio.StreamWriter], Awaitable[None]]  # called with what `Reader` made
 RETRY_S = 0.01  # until a connection is accepted for which there was no file descriptor
 
 
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -1,10 +1,11 @@
-"""The platform's front: clients' JSON-RPC connections, each request handed to the core."""
+"""The platform's front: clients' JSON-RPC connections, each request passed to the core."""
 
 import asyncio
 import contextlib
 import logging
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 
 from maplestile.common.waiting import wait_until_set
 from maplestile.dispatch.api import Settings
@@ -61,19 +62,10 @@
 
     async def start(self, host: str, port: int, shared: bool) -> Listener:
         """Accept clients; another process may listen to a `shared` address, too. Raises OSError."""
-        limits = self.limits
-
-        def new_reader() -> ClientReader:
-            return ClientReader(limits.clients.read_bytes, self.timestamps)
-
+        limits = self.limits.listeners
+        new_reader = partial(ClientReader, self.limits.clients.read_bytes, self.timestamps)
         return await listen(
-            host,
-            port,
-            self._serve,
-            new_reader,
-            limits.listeners.accept_burst,
-            limits.listeners.accept_queue,
-            shared,
+            host, port, self._serve, new_reader, limits.accept_burst, limits.accept_queue, shared
         )
 
     def adopt(self, settings: Settings) -> None:
@@ -184,9 +176,8 @@
                 client.message_reads += count == 1
                 self.requests.handle(client, view, received_us)
                 self.core.catch_up()
-                if (
-                    count % self.table.limits.clients.batch_messages == 0
-                ):  # a flood must not keep the others waiting
+                # A flood must not keep the others waiting.
+                if count % self.table.limits.clients.batch_messages == 0:
                     await asyncio.sleep(0)
                     if client.writer.is_closing():
                         return
--- a/maplestile/net/receive_timestamps.py
+++ b/maplestile/net/receive_timestamps.py
@@ -50,7 +50,7 @@
         return found
 
     def _note(self, busy_s: float, overslept_s: float, may_wait: bool, waited: bool) -> None:
-        """Note what the select that has just returned tells of the age of its events."""
+        """Note what the select that has just returned shows of the age of its events."""
         now_us = self.clock()
         if busy_s > AWAY_S or overslept_s > AWAY_S:
             self._was_away = True
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -2,6 +2,7 @@
 
 import logging
 from collections.abc import Callable
+from functools import partial
 
 from maplestile.net.answer_writer import AnswerWriter
 from maplestile.net.client import Client
@@ -14,7 +15,7 @@
 
 
 class RequestHandler:
-    """Hands each call to the core, and its answer to the client that sent it."""
+    """Passes each call to the core, and its answer to the client that sent it."""
 
     def __init__(
         self, core: Core, answers: AnswerWriter, closing: GracefulClose, ready: Callable[[], bool]
@@ -54,13 +55,13 @@
         client.calls.clear()
 
     def client_gone(self, client: Client) -> None:
-        """Tell the core at once that nobody waits for what is open on this connection."""
+        """Notify the core at once that nobody waits for what is open on this connection."""
         if not client.writer.is_closing():
             for number in list(client.calls.values()):
                 self.core.client_gone(number)
 
     def _call(self, client: Client, call: jsonrpc.Call, received_us: int) -> None:
-        if call.id in client.calls:  # an answer could not be told from the other's
+        if call.id in client.calls:  # the two answers would look alike
             raise jsonrpc.RpcError(jsonrpc.INVALID_REQUEST, "an id that is open already")
         if len(client.calls) >= self.table.limits.clients.streams:
             raise jsonrpc.RpcError(jsonrpc.REFUSED, "too many open requests on one connection", call.id)
@@ -70,20 +71,20 @@
             return
         client.calls[call.id] = 0
         client.tags[call.request.tag] = call.id
-
-        def answer(outcome: Outcome) -> None:
-            if client.calls.pop(call.id, None) is None:
-                return
-            client.tags.pop(call.request.tag, None)
-            self.answers.write(client, jsonrpc.answer(call.id, outcome))
-            if not client.calls:
-                client.all_answered.set()
-            self.closing.note_activity(client)
-
+        answer = partial(self._answer, client, call)
         number = self.core.submit(call.request, received_us, answer, client.presence)
         if call.id in client.calls:
             client.calls[call.id] = number
 
+    def _answer(self, client: Client, call: jsonrpc.Call, outcome: Outcome) -> None:
+        if client.calls.pop(call.id, None) is None:
+            return
+        client.tags.pop(call.request.tag, None)
+        self.answers.write(client, jsonrpc.answer(call.id, outcome))
+        if not client.calls:
+            client.all_answered.set()
+        self.closing.note_activity(client)
+
     def _interrupt(self, client: Client, message: jsonrpc.Interrupt) -> None:
         """Cancel one call, by its id or its tag; it gets no answer."""
         id_ = message.id if message.id is not None else client.tags.get(message.txn or "")
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -116,7 +116,7 @@
     async def _read(self, reader: asyncio.StreamReader, lines: wire.LineFramer) -> bytes:
         if not lines.rest:
             return await reader.read(self.limits.read_bytes)
-        # A line that was begun comes soon, or never: its writer stopped short, and all behind it waits.
+        # A line that has started comes soon, or never: its writer stopped short, and all behind it waits.
         try:
             most = self.limits.read_bytes
             return await reads.within(self.limits.line_pause_us / 1e6, lambda: reader.read(most))
--- a/maplestile/requests/connections.py
+++ b/maplestile/requests/connections.py
@@ -32,8 +32,8 @@
 class Message:
     """One line to a runner. `fresh` marks what may not go to a runner that drains: all but a CANCEL.
 
-    A call's line is made when it is written, from `request` and `due_us`: it tells the runner how long the
-    client still waits, and it may have waited for its connection since it was decided.
+    A call's line is made when it is written, from `request` and `due_us`: the runner is to know how
+    long the client still waits, and it may have waited for its connection since it was decided.
     """
 
     line: bytes
--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -56,7 +56,7 @@
     ) -> bool:
         """Apply a whole list; false if it is out of date: a late reply must not bring back the dead.
 
-        With `anew` the numbers have begun again, or the list at hand lacked something.
+        With `anew` the numbers have started again, or the list at hand lacked something.
         """
         if not anew and (version == self.version or self.behind(version)):
             return False
@@ -87,7 +87,7 @@
         )
 
     def event(self, kind: api.ListKind = api.ListKind.FULL) -> api.WorkerListReceived:
-        """Return the event that hands the list to the decisions."""
+        """Return the event by which the decisions get the list."""
         return api.WorkerListReceived(kind, self.version, self.shown())
 
     def _apply_update(self, update: Mapping[str, Any]) -> None:
--- a/maplestile/requests/idle_timeout.py
+++ b/maplestile/requests/idle_timeout.py
@@ -41,9 +41,8 @@
 
     def relax(self, now_us: int, limits: RunnerLimits) -> None:
         """Double the timeout after a time without a break, up to that of the settings."""
-        if (
-            now_us - self.changed_us > limits.learned_idle_recovery_us
-        ):  # what dropped connections may have passed
+        # What dropped connections may have passed.
+        if now_us - self.changed_us > limits.learned_idle_recovery_us:
             self.timeout_us = min(2 * self.timeout_us, limits.idle_timeout_us)
             self.changed_us = now_us
 
--- a/maplestile/requests/records.py
+++ b/maplestile/requests/records.py
@@ -39,13 +39,13 @@
         ...
 
     def cancel(self, attempt: AttemptId) -> None:
-        """Forget the attempt, and tell its worker if it may have begun there."""
+        """Forget the attempt, and notify its worker if it may have started there."""
         ...
 
     def withhold(self, attempt: AttemptId) -> bool:
-        """Keep the attempt from beginning: true if not a byte of it was out, and it is forgotten.
+        """Keep the attempt from starting: true if not a byte of it was out, and it is forgotten.
 
-        One that has begun goes on, but by no other connection.
+        One that has started goes on, but by no other connection.
         """
         ...
 
--- a/maplestile/requests/states.py
+++ b/maplestile/requests/states.py
@@ -44,9 +44,8 @@
 
     OPENING = "opening"
     UP = "up"
-    UNVERIFIED = (
-        "unverified"  # silent for longer than its requests could wait: carries nothing new until heard
-    )
+    # Silent for longer than its requests could wait: it carries nothing new until it is heard.
+    UNVERIFIED = "unverified"
     CLOSED = "closed"
 
 
--- a/maplestile/requests/timers.py
+++ b/maplestile/requests/timers.py
@@ -1,4 +1,4 @@
-"""Timers by ticks, with one alarm for the earliest tick; the driver's clock and alarm are handed in."""
+"""Timers by ticks, with one alarm for the earliest tick; the clock and the alarm are the driver's."""
 
 import heapq
 from collections import deque
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -53,7 +53,7 @@
         log.info("%s stops; %s is owed", components.name, rest)
 
     def _announce(self) -> None:
-        """Tell each component that the process drains."""
+        """Notify each component that the process drains."""
         components = self.components
         if components.platform is not None:
             components.core.leave(self.end_us)  # what is pending then would never be answered
@@ -112,7 +112,7 @@
     def _has_uncollected_results(self) -> bool:
         """Return whether callers of deferred calls may still come for their results.
 
-        No other process has them; callers come when `Retry-After` tells them to, so they are awaited for a
+        No other process has them; callers come when `Retry-After` lets them, so they are awaited for a
         limited time after the last open call.
         """
         components = self.components
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -5,6 +5,7 @@
 """
 
 import logging
+from typing import TYPE_CHECKING
 
 from maplestile.common.address import parse_address
 from maplestile.net.listen import Listener
@@ -12,6 +13,9 @@
 from maplestile.router.components import Components, InvokeFront
 from maplestile.router.readiness import Readiness
 
+if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
+    from maplestile.operation.service import OperatorService
+
 log = logging.getLogger("maplestile")
 
 
@@ -36,26 +40,29 @@
         return None
     from maplestile.net.http import HttpFront
     from maplestile.operation.api import OperatorApi
-    from maplestile.operation.service import OperatorService
 
     _load_shared_state(components)
-    cordons = components.cordons
-    assert cordons is not None
-    service = OperatorService(
+    api = OperatorApi(_operator_service(components, readiness), components.limits)
+    http = HttpFront("operator", api, components.counters, components.received_us)
+    listener = await http.start(*config.operation)
+    _log_listener(components, "operator", listener)
+    return listener
+
+
+def _operator_service(components: Components, readiness: Readiness) -> "OperatorService":
+    from maplestile.operation.service import OperatorService
+
+    assert components.cordons is not None
+    return OperatorService(
         components.core,
         components.endpoints,
-        cordons,
+        components.cordons,
         lambda: components.runners.calls_written,
         readiness.missing,
         lambda: None if components.peers is None else components.peers.members(),
         lambda: {} if components.peers is None else components.peers.metrics(),
         components.policy,
     )
-    api = OperatorApi(service, components.limits)
-    http = HttpFront("operator", api, components.counters, components.received_us)
-    listener = await http.start(*config.operation)
-    _log_listener(components, "operator", listener)
-    return listener
 
 
 def _load_shared_state(components: Components) -> None:
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -9,6 +9,7 @@
 import time
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from maplestile import __version__
@@ -175,11 +176,7 @@
 
     def _adopt(self, announcement: PolicyAnnouncement, reply: Callable[[dict[str, Any]], None]) -> None:
         """On record first, off the loop, since a disk may take its time; then in force."""
-
-        def finish(fault: BaseException | None) -> None:
-            self._finish_adoption(announcement, fault)
-            reply(self.view())
-
+        finish = partial(self._finish_adoption, announcement, reply)
         try:
             self.configuration.build_with(announcement.epoch, announcement.document)
         except ConfigError as fault:
@@ -189,7 +186,12 @@
         record = AdoptedPolicy(announcement.epoch, announcement.document)
         self.elsewhere(lambda: store.write(self.plan.folder, record), finish)
 
-    def _finish_adoption(self, announcement: PolicyAnnouncement, fault: BaseException | None) -> None:
+    def _finish_adoption(
+        self,
+        announcement: PolicyAnnouncement,
+        reply: Callable[[dict[str, Any]], None],
+        fault: BaseException | None,
+    ) -> None:
         self.writing = False
         try:
             if fault is not None:
@@ -201,6 +203,7 @@
         else:
             self._put_in_force(announcement, config)
         self._log_status()
+        reply(self.view())
 
     def _put_in_force(self, announcement: PolicyAnnouncement, config: Config) -> None:
         self.document = announcement.document
--- a/maplestile/router/policy_messages.py
+++ b/maplestile/router/policy_messages.py
@@ -1,4 +1,4 @@
-"""What an agent and its router tell each other of the policy, with the codec of the operators' front.
+"""What an agent and its router send each other about the policy, with the codec of the operators' front.
 
 An announcement is `{"epoch", "fenced_us", "checking"}`, with `"document"` if it comes along; a check is
 `{"change", "document"}`. Both are answered by JSON objects, too.
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -20,7 +20,7 @@
         return components.listening and bool(components.endpoints.entries) and not leaving
 
     def missing(self) -> str:
-        """Return why this process cannot serve, in words for operators; empty if it can."""
+        """Return why this process cannot serve, as text for operators; empty if it can."""
         components = self.components
         if components.stopping.is_set():
             return "it was asked to stop"
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -12,7 +12,7 @@
 
 
 class HandoverMonitor:
-    """Follows the other process of an upgrade, and tells it when this one can serve."""
+    """Follows the other process of an upgrade, and notifies it when this one can serve."""
 
     def __init__(self, components: Components, readiness: Readiness, handover: Handover) -> None:
         self.components = components
