--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -12,7 +12,7 @@
 SERVICE_US = 100 * MS
 SECOND_US = 1_000 * MS
 BEGIN_US = 1_000_000 * MS  # where a `Driver`'s clock begins
-WARM_UP_US = 4 * SECOND_US  # calls before the cold worker is told
+WARM_UP_US = 4 * SECOND_US  # calls before the cold worker is listed
 
 
 @dataclass(frozen=True)
@@ -33,14 +33,14 @@
 
     def budget(self, since_us: int) -> float:
         """The most calls that may come in the fall time that ends `since_us` after the worker's start."""
-        told = self.settings()
-        risen = min(1.0, max(0, since_us - told.overload_window_us) / told.slow_start_us)
-        share = told.slow_start_share + (1 - told.slow_start_share) * risen
+        chosen = self.settings()
+        risen = min(1.0, max(0, since_us - chosen.overload_window_us) / chosen.slow_start_us)
+        share = chosen.slow_start_share + (1 - chosen.slow_start_share) * risen
         calls = (
-            told.overload_multiple
+            chosen.overload_multiple
             * share
             * (self.calls_per_s / self.load)
-            * told.overload_window_us
+            * chosen.overload_window_us
             / SECOND_US
         )
         slack = 3 * math.sqrt(calls) + 3 if calls < 30 else 2 * math.sqrt(calls) + 2
@@ -64,7 +64,7 @@
 
 def play_router(scene: Scene, number: int, hot: str) -> list[int]:
     """When one router sends or requests something at the cold worker, in microseconds after that started."""
-    random, told = Random(f"{scene.seed}/{number}"), scene.settings()
+    random, chosen = Random(f"{scene.seed}/{number}"), scene.settings()
     rate = scene.calls_per_s * scene.workers / scene.routers
     end_us = BEGIN_US + WARM_UP_US + scene.cold_for_us
     slow_start_us = BEGIN_US + WARM_UP_US
@@ -75,7 +75,7 @@
     while (at_s := at_s + random.expovariate(rate)) * SECOND_US < WARM_UP_US + scene.cold_for_us:
         steps.append((BEGIN_US + int(at_s * SECOND_US), next(order), "call", 0, ""))
     heapq.heapify(steps)
-    driver, found = Driver(told, warm(scene), scene.seed * 1_000 + number), list[int]()
+    driver, found = Driver(chosen, warm(scene), scene.seed * 1_000 + number), list[int]()
     before, began = 0, False
 
     def note() -> None:
@@ -106,7 +106,7 @@
             began = True
         elif kind == "restart":
             workers = [*warm(scene), entry("cold", started_us=slow_start_us)]
-            driver = Driver(told, workers, scene.seed * 1_000 - number)
+            driver = Driver(chosen, workers, scene.seed * 1_000 - number)
             driver.now, before = at_us, 0
             steps = [step for step in steps if step[2] == "call"]
             heapq.heapify(steps)
@@ -123,11 +123,11 @@
 
 def most_over_budget(scene: Scene) -> tuple[float, int, int]:
     """The greatest part of the budget that any span of the fall time takes, with the calls in it and when."""
-    hot, told = hot_function(scene), scene.settings()
+    hot, chosen = hot_function(scene), scene.settings()
     sent = sorted(at for number in range(scene.routers) for at in play_router(scene, number, hot))
     worst, first = (0.0, 0, 0), 0
     for last, at in enumerate(sent):
-        while sent[first] <= at - told.overload_window_us:
+        while sent[first] <= at - chosen.overload_window_us:
             first += 1
         count = last - first + 1
         worst = max(worst, (count / scene.budget(at), count, at))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -238,7 +238,7 @@
         return persistent
 
     def held_call(self) -> Client:
-        """One that is open till the process ends, so that at no time before nothing is owed."""
+        """One that is open till the process ends, so that at no time before nothing is pending."""
         client = Client(self.port)
         client.call("test-submit", b"hang:", limit_ms=15_000)
         self.addCleanup(client.close)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -54,8 +54,8 @@
     async def answer(self, reader: asyncio.StreamReader) -> dict[str, object]:
         async with asyncio.timeout(20):
             head = await reader.readuntil(b"\r\n\r\n")
-            told: dict[str, object] = json.loads(await reader.readexactly(int(head.split(b":")[1])))
-            return told
+            answer: dict[str, object] = json.loads(await reader.readexactly(int(head.split(b":")[1])))
+            return answer
 
     async def closed(self, reader: asyncio.StreamReader) -> bool:
         async with asyncio.timeout(20):
@@ -96,7 +96,7 @@
             self.assertEqual((await self.answer(reader))["result"], {"ready": self.ready})
 
     async def fill(self) -> list[asyncio.StreamWriter]:
-        """Take the front to its cap with connections that are owed an answer each."""
+        """Take the front to its cap with connections that each wait for an answer."""
         writers = list[asyncio.StreamWriter]()
         for _ in range(CLIENT_LIMITS.connections):
             _, writer = await self.connect()
@@ -157,7 +157,7 @@
             while len(self.front.clients) < 2:
                 await asyncio.sleep(0.005)
         self.rig.now += CLIENT_LIMITS.silent_us + 1
-        self.assertTrue(self.front.evict_idle())  # the one that never asked, and has had its time
+        self.assertTrue(self.front.evict_idle())  # the one that never sent a request, and has had its time
         late_writer.write(framed(b'{"id":3,"method":"check"}'))
         self.assertEqual((await self.answer(late))["id"], 3)
 
@@ -283,7 +283,7 @@
         self.assertEqual((len(self.rig.core.open), self.counters["clients.idle_evicted"]), (1, 1))
 
     async def test_newcomer_is_not_the_one_to_make_room_for_the_next(self) -> None:
-        """Where all others asked and stay, the newcomer is the only one that has not asked yet."""
+        """Where all others sent requests and stay, the newcomer is the only one that has not yet."""
         stayed, stayed_writer = await self.connect()
         stayed_writer.write(framed(b'{"id":1,"method":"check"}'))
         await self.answer(stayed)
@@ -423,7 +423,7 @@
             self.front.close_gracefully(0)
             self.rig.core.attempt_ended(self.rig.sent[0], Result.OK, b"abc")
             self.assertEqual((await self.answer(reader))["id"], 1)
-            self.assertTrue(self.front.has_open_connections())  # a message has begun
+            self.assertTrue(self.front.has_open_connections())  # a message has started
             self.front.close_all()
         self.assertTrue(await self.closed(reader))
         writer.write(b"9\r\n\r\n")  # crosses the end, and is read away
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -24,7 +24,7 @@
     about those in `mute`."""
 
     def __init__(self, together: int) -> None:
-        self.together, self.mute, self.asked = together, set[bytes](), Counter[bytes]()
+        self.together, self.mute, self.queries = together, set[bytes](), Counter[bytes]()
         self.waiting: list[tuple[bytes, tuple[str, int]]] = []
         self.serial, self.listed, self.draining, self.polls = 7, WORKERS, set[int](), 0
         self.foreign, self.spoilt = False, set[bytes]()
@@ -34,7 +34,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         name, kind = data[12:-4], int.from_bytes(data[-4:-2])
-        self.asked[name] += 1
+        self.queries[name] += 1
         if kind == dns.SRV:
             self.polls += 1
             if self.foreign:
@@ -53,9 +53,9 @@
                     texts = b"\x08kind=std\x06cell=2\x09started=0"
                     if query[12:-4] in self.spoilt:
                         texts = texts.replace(b"cell=2", b"cell=x")
-                    told = bytes([10, 0, 0, 1]), texts
+                    contents = bytes([10, 0, 0, 1]), texts
                     kind = int.from_bytes(query[-4:-2])
-                    self.reply(query, peer, 1, 0, record(b"\xc0\x0c", kind, told[kind != dns.A]))
+                    self.reply(query, peer, 1, 0, record(b"\xc0\x0c", kind, contents[kind != dns.A]))
                 self.waiting.clear()
 
     def reply(self, query: bytes, peer: tuple[str, int], answers: int, authority: int, data: bytes) -> None:
@@ -82,19 +82,19 @@
         self.addCleanup(polling.cancel)
         return server, fleet, counters
 
-    async def test_hosts_that_one_answer_does_not_hold_are_asked_for_together(self) -> None:
+    async def test_hosts_that_one_answer_does_not_hold_are_queried_together(self) -> None:
         _, fleet, _ = await self.start(8, 60_000_000)  # one by one, the first would wait for a minute
         async with asyncio.timeout(30):
             while len(fleet.entries) < WORKERS:
                 await asyncio.sleep(0.005)
         self.assertEqual(fleet.version, 7)
 
-    async def test_host_that_never_resolves_keeps_back_nothing_else_and_is_asked_for_again(self) -> None:
+    async def test_host_that_never_resolves_keeps_back_nothing_else_and_is_queried_again(self) -> None:
         server, fleet, counters = await self.start(1, 100_000)
         mute = name_bytes("s-33.east.hosts")
         server.mute = {mute}
         async with asyncio.timeout(30):
-            while server.asked[mute] < 4 * HOST_TRIES:  # its two records, in two rounds
+            while server.queries[mute] < 4 * HOST_TRIES:  # its two records, in two rounds
                 await asyncio.sleep(0.005)
         self.assertEqual((fleet.version, len(fleet.entries), counters["names.lists"]), (7, WORKERS - 1, 1))
         self.assertNotIn("s-33", fleet.entries)
@@ -106,7 +106,7 @@
         async with asyncio.timeout(30):
             while fleet.version < 8:
                 await asyncio.sleep(0.005)
-        # What was known of it holds, and its drain is told by the list itself.
+        # What was known of it holds, and the list itself shows its drain.
         self.assertEqual(len(fleet.entries), WORKERS)
         drained = {uid for uid, e in fleet.entries.items() if e.state is WorkerState.DRAINING}
         self.assertEqual(drained, {"s-12", "s-33"})
@@ -135,8 +135,8 @@
             while fleet.version != 1:
                 await asyncio.sleep(0.005)
             server.serial, server.draining = 2**32 - 1, set()
-            asked = server.polls
-            while server.polls < asked + 4:
+            polls_before = server.polls
+            while server.polls < polls_before + 4:
                 await asyncio.sleep(0.005)
         self.assertEqual((fleet.version, fleet.entries["s-3"].state), (1, WorkerState.DRAINING))
 
@@ -213,8 +213,8 @@
             while not fleet.entries or self.names.client.transport is None:
                 await asyncio.sleep(0.005)
             self.names.client.transport.abort()
-            asked = counters["names.queries"]
+            queries_before = counters["names.queries"]
             self.names.heard = False
             while not self.names.heard:
                 await asyncio.sleep(0.005)
-        self.assertGreater(counters["names.queries"], asked)
+        self.assertGreater(counters["names.queries"], queries_before)
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -26,9 +26,9 @@
         assert late is not None
         self.assertEqual(late["id"], slow)
         self.assertNotEqual(late["error"]["code"], -32050)  # it may have run, so it is not refused
-        told = next(call for worker in self.workers for call in worker.ran if call["bytes"] == "YWJj")
-        self.assertEqual((told["head"]["class"], told["head"]["key"]), ("review", ITEM))
-        self.assertEqual(told["head"]["once"], "5c0f")
+        received = next(call for worker in self.workers for call in worker.ran if call["bytes"] == "YWJj")
+        self.assertEqual((received["head"]["class"], received["head"]["key"]), ("review", ITEM))
+        self.assertEqual(received["head"]["once"], "5c0f")
         eventually(lambda: [m for w in self.workers for m in w.lines if m["kind"] == "CANCEL"], "a CANCEL")
 
     def test_malformed_input_gets_an_error_or_a_close_and_the_program_goes_on(self) -> None:
@@ -59,7 +59,7 @@
         resource.prlimit(self.program.process.pid, resource.RLIMIT_NOFILE, (256, 256))
         stays = Client(port)
         stays.served("review", b"abc")
-        late = stays.call("test-submit", b"hang:", limit_ms=4_000)  # it is owed an answer all the while
+        late = stays.call("test-submit", b"hang:", limit_ms=4_000)  # its answer is pending all the while
         silent = [Client(port) for _ in range(300)]
         other = Client(port)
         other.served("review", b"abc")
@@ -75,8 +75,8 @@
 
     def test_flood_on_one_connection_ends_it_and_spares_the_others(self) -> None:
         flood = Client(self.program.port("platform"))
-        told = b'{"id":1,"method":"nobody"}'
-        flood.socket.sendall(2_000 * (b"Content-Length: %d\r\n\r\n%b" % (len(told), told)))
+        body = b'{"id":1,"method":"nobody"}'
+        flood.socket.sendall(2_000 * (b"Content-Length: %d\r\n\r\n%b" % (len(body), body)))
         self.client.call("review", b"abc")
         self.assertIn("result", self.client.read() or {})
         answers = 0
@@ -98,7 +98,7 @@
         self.assertEqual(counters["requests.withdrawn"], 1)
         self.assertGreater(counters["loop.longest_us"], 0)
 
-    def test_lost_and_cut_replies_are_asked_for_again_and_a_gone_worker_gets_nothing(self) -> None:
+    def test_lost_and_cut_replies_are_queried_again_and_a_gone_worker_gets_nothing(self) -> None:
         self.names.workers = [("s-1", self.workers[1].port, 0), ("s-0", self.workers[0].port, 1)]
         self.names.faults = ["lost", "cut", "lost"]
         self.names.serial = 2
@@ -114,19 +114,19 @@
         moved = whole.replace(f"127.0.0.1:{self.names.port}", f"127.0.0.1:{other.port}")
         late = self.client.call("test-submit", b"hang:", limit_ms=2_000)
         for bad in (moved[:-9], "[]", moved.replace("granularityUs", "odd"), moved.replace('"Ready"', "7")):
-            told = self.program.reload(lambda _, bad=bad: bad)  # type: ignore[misc]
-            self.assertEqual((told["ok"], told["taken"]), (False, []))
+            report = self.program.reload(lambda _, bad=bad: bad)  # type: ignore[misc]
+            self.assertEqual((report["ok"], report["taken"]), (False, []))
         self.assertFalse(other.queries)
         # Another customer's file, or one of settings that only a restart takes: nothing of it is taken.
         others = moved.replace('"attemptsCap": 5', '"attemptsCap": 4'), moved.replace('"review"', '"exam"')
         for place, changed in zip(("max_attempts", "classes"), others, strict=True):
-            told = self.program.reload(lambda _, new=changed: new)  # type: ignore[misc]
-            self.assertEqual((told["ok"], told["taken"]), (False, []))
-            self.assertEqual(told["restart"], [f"settings.{place}"])
-            self.assertIn(f"settings.{place}", told["fault"])
+            report = self.program.reload(lambda _, new=changed: new)  # type: ignore[misc]
+            self.assertEqual((report["ok"], report["taken"]), (False, []))
+            self.assertEqual(report["restart"], [f"settings.{place}"])
+            self.assertIn(f"settings.{place}", report["fault"])
         self.assertFalse(other.queries)
-        told = self.program.reload(lambda _: moved)
-        self.assertEqual((told["ok"], told["taken"], told["restart"]), (True, ["dns"], []))
+        report = self.program.reload(lambda _: moved)
+        self.assertEqual((report["ok"], report["taken"], report["restart"]), (True, ["dns"], []))
         eventually(lambda: self.program.counters().get("names.lists"), "the list of the new name server")
         before = self.names.queries
         eventually(lambda: other.queries > 8, "two seconds of queries")
