--- a/maplestile/requests/control_requests.py
+++ b/maplestile/requests/control_requests.py
@@ -40,7 +40,7 @@
         """Have a worker load copies of a function."""
         tag = self._start(action.worker, action.function, self.limits.load_timeout_us, self.load_ended)
         self._counters["load_requests.sent"] += 1
-        self._pool.order(tag, action.worker, action.function, action.copies)
+        self._pool.load(tag, action.worker, action.function, action.copies)
 
     def request_unload(self, action: api.RequestUnload) -> None:
         """Have a worker drop a function; nothing reports the end of that."""
@@ -58,7 +58,7 @@
         """Send one health check, whoever wants it."""
         tag = self._start(worker, "", self.limits.health_check_timeout_us, self.health_check_ended)
         self._counters["health_checks.sent"] += 1
-        self._pool.probe(tag, worker)
+        self._pool.check_health(tag, worker)
 
     def load_ended(self, tag: int, result: Result, copies: int = 0) -> None:
         """Report the end of a load request; a second one, or one after the timeout, goes nowhere."""
@@ -90,7 +90,7 @@
 
     def _time_out(self, tag: int, ended: Callable[[int, Result], None]) -> None:
         if tag in self.open:
-            self._pool.forget(tag)
+            self._pool.forget_control_request(tag)
             ended(tag, Result.TIMEOUT)
 
 
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -208,11 +208,11 @@
         """Take the end of an attempt; a second one, or one after a timeout or a cancel, is only counted."""
         self.attempts.end(attempt, result, body, queued_ahead, report)
 
-    def order_ended(self, tag: int, result: Result, copies: int = 0) -> None:
+    def load_ended(self, tag: int, result: Result, copies: int = 0) -> None:
         """Take the end of a load request; `copies` is how many the worker has loaded."""
         self.control.load_ended(tag, result, copies)
 
-    def probe_ended(self, tag: int, result: Result, report: Report = ()) -> None:
+    def health_check_ended(self, tag: int, result: Result, report: Report = ()) -> None:
         """Take the end of a health check."""
         self.control.health_check_ended(tag, result, report)
 
--- a/maplestile/requests/line_ends.py
+++ b/maplestile/requests/line_ends.py
@@ -29,11 +29,11 @@
         """Take the end of an attempt."""
         ...
 
-    def order_ended(self, tag: int, result: Result, copies: int = 0) -> None:
+    def load_ended(self, tag: int, result: Result, copies: int = 0) -> None:
         """Take the end of a load request; `copies` is how many the worker has loaded."""
         ...
 
-    def probe_ended(self, tag: int, result: Result, report: Report = ()) -> None:
+    def health_check_ended(self, tag: int, result: Result, report: Report = ()) -> None:
         """Take the end of a health check."""
         ...
 
@@ -71,9 +71,9 @@
         elif control is None:
             self._counters["runners.late"] += 1
         elif control.is_health_check:
-            self.core.probe_ended(control.number, answer.result, answer.report)
+            self.core.health_check_ended(control.number, answer.result, answer.report)
         else:
-            self.core.order_ended(control.number, answer.result, answer.copies)
+            self.core.load_ended(control.number, answer.result, answer.copies)
 
     def end_lost(self, attempt: AttemptId, result: Result) -> None:
         """Report an attempt whose connection has ended, and which may have run."""
@@ -87,12 +87,12 @@
             self.where.pop(message.attempt, None)
             self.core.attempt_ended(message.attempt, result)
         elif message.is_health_check:
-            self.core.probe_ended(message.control_number, result)
+            self.core.health_check_ended(message.control_number, result)
         elif message.control_number:
             full = result is Result.SUPERSEDED
-            self.core.order_ended(message.control_number, Result.FULL if full else result)
+            self.core.load_ended(message.control_number, Result.FULL if full else result)
 
     def end_control(self, number: int, is_health_check: bool, result: Result) -> None:
         """Report a health check or a load request that has no answer."""
-        ended = self.core.probe_ended if is_health_check else self.core.order_ended
+        ended = self.core.health_check_ended if is_health_check else self.core.load_ended
         ended(number, result)
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -137,25 +137,25 @@
         connection.queue.remove(message)
         return True
 
-    def order(self, tag: int, worker: str, function: str, copies: int) -> None:
+    def load(self, tag: int, worker: str, function: str, copies: int) -> None:
         """Have the runner load that many copies of the function."""
         name = f"load-{tag}"
         message = Message(wire.load(name, function, copies), True, None, name, tag)
         if not self.sender.put(worker, message):
-            self.core.order_ended(tag, Result.CONNECT_FAILED)
+            self.core.load_ended(tag, Result.CONNECT_FAILED)
 
     def unload(self, worker: str, function: str) -> None:
         """Have the runner drop its copies of the function; no end is reported."""
         self.sender.put(worker, Message(wire.unload(function), True))
 
-    def probe(self, tag: int, worker: str) -> None:
+    def check_health(self, tag: int, worker: str) -> None:
         """Send a health check."""
         name = f"probe-{tag}"
         message = Message(wire.stats(name), True, None, name, tag, is_health_check=True)
         if not self.sender.put(worker, message):
-            self.core.probe_ended(tag, Result.CONNECT_FAILED)
+            self.core.health_check_ended(tag, Result.CONNECT_FAILED)
 
-    def forget(self, tag: int) -> None:
+    def forget_control_request(self, tag: int) -> None:
         """Report no end of that control request any more."""
         for connection in self.table.connections:
             for name in (f"load-{tag}", f"probe-{tag}"):
--- a/maplestile/requests/records.py
+++ b/maplestile/requests/records.py
@@ -27,8 +27,8 @@
 class Pool(Protocol):
     """What the core needs of the workers' side.
 
-    Ends come back through the core's methods `attempt_ended`, `order_ended` and `probe_ended`. A tag is the
-    number that the core has given a control request.
+    Ends come back through the core's methods `attempt_ended`, `load_ended` and `health_check_ended`. A tag is
+    the number that the core has given a control request.
     """
 
     def send(self, attempt: AttemptId, worker: str, request: Request, wait_us: int, until_us: int) -> None:
@@ -49,7 +49,7 @@
         """
         ...
 
-    def order(self, tag: int, worker: str, function: str, copies: int) -> None:
+    def load(self, tag: int, worker: str, function: str, copies: int) -> None:
         """Have the worker load that many copies of the function."""
         ...
 
@@ -57,11 +57,11 @@
         """Have the worker drop its copies of the function; no end is reported."""
         ...
 
-    def probe(self, tag: int, worker: str) -> None:
+    def check_health(self, tag: int, worker: str) -> None:
         """Send a health check."""
         ...
 
-    def forget(self, tag: int) -> None:
+    def forget_control_request(self, tag: int) -> None:
         """Report no end of that control request any more."""
         ...
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -38,9 +38,9 @@
     def presence(self, attempt: AttemptId) -> Presence:
         return Presence.WAITING
 
-    def order_ended(self, tag: int, result: Result, copies: int = 0) -> None: ...
+    def load_ended(self, tag: int, result: Result, copies: int = 0) -> None: ...
 
-    def probe_ended(self, tag: int, result: Result, *_: Any) -> None:
+    def health_check_ended(self, tag: int, result: Result, *_: Any) -> None:
         self.health_checks_ended[tag] = result
 
 
@@ -103,7 +103,7 @@
 
     async def test_send_that_waits_for_its_connection_goes_stale_when_its_runner_is_suspended(self) -> None:
         self.send(1, b"x")
-        self.pool.probe(7, "s-0")
+        self.pool.check_health(7, "s-0")
         self.endpoints.suspended = frozenset({"s-0"})
         self.pool.update(self.endpoints)
         await self.until(1)
