--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -9,7 +9,7 @@
 from maplestile.common.address import Address
 from maplestile.net import reads
 from maplestile.wire import dns
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import NameServerLimits
 
 HOST_TRIES = 4
 MAX_HOST_QUERIES = 16  # at once
@@ -17,7 +17,7 @@
 
 
 class QuerySocket(asyncio.DatagramProtocol):
-    """Hands each reply to the query that waits under its id; late ones are dropped."""
+    """Passes each reply to the query that waits under its id; late ones are dropped."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.waiting: dict[int, asyncio.Future[dns.Reply]] = {}
@@ -43,7 +43,7 @@
     """Sends queries to one name server."""
 
     def __init__(
-        self, server: Address, limits: Limits, counters: Counter[str], starved: Callable[[], object]
+        self, server: Address, limits: NameServerLimits, counters: Counter[str], starved: Callable[[], object]
     ) -> None:
         self.server = server
         self.limits = limits
@@ -66,7 +66,7 @@
             if fault.errno in reads.NO_DESCRIPTOR:
                 self.starved()
             raise
-        reads.limit_read_size(self.transport, self.limits.names_read_bytes)
+        reads.limit_read_size(self.transport, self.limits.read_bytes)
 
     def close(self) -> None:
         """Close the socket."""
@@ -82,7 +82,7 @@
         self.counters["names.queries"] += 1
         try:
             self.transport.sendto(dns.query(id_, name, kind))
-            async with asyncio.timeout(self.limits.names_timeout_us / 1e6):
+            async with asyncio.timeout(self.limits.timeout_us / 1e6):
                 reply = await future
             if reply.question not in (None, (name.lower(), kind)):
                 raise dns.DnsError(f"an answer to another question: {reply.question}")
@@ -97,25 +97,28 @@
         and drains are announced in it. Hosts that are not found in time stay absent.
         """
         slots = asyncio.Semaphore(MAX_HOST_QUERIES)
-
-        async def add_host(name: str, kind: int) -> None:
-            async with slots:
-                found = await self._query_with_retries(name, kind)
-            received = found.hosts.get(name.lower(), dns.Host())
-            host = reply.hosts.setdefault(name.lower(), dns.Host())
-            host.address = host.address or received.address
-            host.texts = host.texts or received.texts
-
-        queries = [asyncio.ensure_future(add_host(*lacking)) for lacking in reply.lacking(targets)]
+        queries = [
+            asyncio.ensure_future(self._add_host(reply, slots, name, kind))
+            for name, kind in reply.lacking(targets)
+        ]
         if not queries:
             return
         try:
-            await asyncio.wait(queries, timeout=self.limits.names_complete_us / 1e6)
+            await asyncio.wait(queries, timeout=self.limits.complete_us / 1e6)
         finally:
             for query in queries:
                 query.cancel()
             await asyncio.gather(*queries, return_exceptions=True)
 
+    async def _add_host(self, reply: dns.Reply, slots: asyncio.Semaphore, name: str, kind: int) -> None:
+        """Query one kind of records of a host, within the slots, and add them to the reply."""
+        async with slots:
+            found = await self._query_with_retries(name, kind)
+        received = found.hosts.get(name.lower(), dns.Host())
+        host = reply.hosts.setdefault(name.lower(), dns.Host())
+        host.address = host.address or received.address
+        host.texts = host.texts or received.texts
+
     async def _query_with_retries(self, name: str, kind: int) -> dns.Reply:
         for _ in range(HOST_TRIES - 1):
             try:
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -1,10 +1,11 @@
-"""The platform's front: clients' JSON-RPC connections, each request handed to the core."""
+"""The platform's front: clients' JSON-RPC connections, each request passed to the core."""
 
 import asyncio
 import contextlib
 import logging
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 
 from maplestile.common.waiting import wait_until_set
 from maplestile.dispatch.api import Settings
@@ -61,11 +62,8 @@
 
     async def start(self, host: str, port: int, shared: bool) -> Listener:
         """Accept clients; another process may listen to a `shared` address, too. Raises OSError."""
-        limits = self.limits
-
-        def new_reader() -> ClientReader:
-            return ClientReader(limits.client_read_bytes, self.timestamps)
-
+        limits = self.limits.listeners
+        new_reader = partial(ClientReader, self.limits.clients.read_bytes, self.timestamps)
         return await listen(
             host, port, self._serve, new_reader, limits.accept_burst, limits.accept_queue, shared
         )
@@ -119,9 +117,9 @@
 
     def _open(self, reader: ClientReader, writer: asyncio.StreamWriter) -> Client:
         limits = self.limits
-        reads.limit_read_size(writer.transport, limits.client_read_bytes)
+        reads.limit_read_size(writer.transport, limits.clients.read_bytes)
         now_us = self.core.clock()
-        client = Client(reader, writer, jsonrpc.Framer(limits), now_us, last_active_us=now_us)
+        client = Client(reader, writer, jsonrpc.Framer(limits.messages), now_us, last_active_us=now_us)
         self.clients[client] = None
         reader.on_end = lambda: self.requests.client_gone(client)
         self.counters["clients.connections"] += 1
@@ -141,7 +139,7 @@
         self.table.flushing[client] = None
         try:
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(self.limits.client_close_us / 1e6):
+                async with asyncio.timeout(self.limits.clients.close_us / 1e6):
                     await client.writer.wait_closed()
         finally:
             client.writer.transport.abort()
@@ -157,8 +155,8 @@
             return
         # What still comes is read and dropped: unread, it would reset the connection under its answers.
         client.write_closed = True
-        max_bytes = self.limits.client_read_bytes
-        linger_s = self.limits.client_linger_us / 1e6
+        max_bytes = self.limits.clients.read_bytes
+        linger_s = self.limits.clients.linger_us / 1e6
         await reads.end_and_discard(client.writer, lambda: client.reader.take(max_bytes), linger_s)
 
     async def _read_all(self, client: Client) -> None:
@@ -178,9 +176,8 @@
                 client.message_reads += count == 1
                 self.requests.handle(client, view, received_us)
                 self.core.catch_up()
-                if (
-                    count % self.table.limits.client_batch_messages == 0
-                ):  # a flood must not keep the others waiting
+                # A flood must not keep the others waiting.
+                if count % self.table.limits.clients.batch_messages == 0:
                     await asyncio.sleep(0)
                     if client.writer.is_closing():
                         return
@@ -194,7 +191,7 @@
 
     async def _read(self, client: Client) -> bytes:
         """Return the next input, empty at its end. Raises FramingError if no message is complete in time."""
-        max_bytes = self.table.limits.client_read_bytes
+        max_bytes = self.table.limits.clients.read_bytes
         if client.message_reads and not client.framer.rest:  # idle between requests, for as long as it likes
             data = await client.reader.take(max_bytes)
             client.message_since_us = self.core.clock()
@@ -202,7 +199,7 @@
         # Connections that send nothing, or half a message, must not keep their descriptors for ever. One with
         # a pending answer stays open anyway, and what it sends meanwhile must not go unread.
         while True:
-            left_us = client.message_since_us + self.table.limits.client_message_us - self.core.clock()
+            left_us = client.message_since_us + self.table.limits.clients.message_us - self.core.clock()
             try:
                 return await reads.within(left_us / 1e6, lambda: client.reader.take(max_bytes))
             except TimeoutError:
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -2,6 +2,7 @@
 
 import logging
 from collections.abc import Callable
+from functools import partial
 
 from maplestile.net.answer_writer import AnswerWriter
 from maplestile.net.client import Client
@@ -14,7 +15,7 @@
 
 
 class RequestHandler:
-    """Hands each call to the core, and its answer to the client that sent it."""
+    """Passes each call to the core, and its answer to the client that sent it."""
 
     def __init__(
         self, core: Core, answers: AnswerWriter, closing: GracefulClose, ready: Callable[[], bool]
@@ -31,7 +32,7 @@
         """Handle one message. Raises FramingError after too many that are of no use."""
         limits = self.table.limits
         try:
-            message = jsonrpc.parse(view, limits, self.known)
+            message = jsonrpc.parse(view, limits.messages, self.known)
             match message:
                 case jsonrpc.Call():
                     self._call(client, message, received_us)
@@ -44,7 +45,7 @@
             log.warning("client: %s; answered with an error", fault)
             self.answers.write(client, jsonrpc.error(fault.id, fault.code, str(fault)))
             client.bad_messages += 1
-            if client.bad_messages > limits.client_faults:
+            if client.bad_messages > limits.clients.bad_messages:
                 raise jsonrpc.FramingError("too many messages that cannot be used") from None
 
     def cancel_all(self, client: Client) -> None:
@@ -54,15 +55,15 @@
         client.calls.clear()
 
     def client_gone(self, client: Client) -> None:
-        """Tell the core at once that nobody waits for what is open on this connection."""
+        """Notify the core at once that nobody waits for what is open on this connection."""
         if not client.writer.is_closing():
             for number in list(client.calls.values()):
                 self.core.client_gone(number)
 
     def _call(self, client: Client, call: jsonrpc.Call, received_us: int) -> None:
-        if call.id in client.calls:  # an answer could not be told from the other's
+        if call.id in client.calls:  # the two answers would look alike
             raise jsonrpc.RpcError(jsonrpc.INVALID_REQUEST, "an id that is open already")
-        if len(client.calls) >= self.table.limits.client_streams:
+        if len(client.calls) >= self.table.limits.clients.streams:
             raise jsonrpc.RpcError(jsonrpc.REFUSED, "too many open requests on one connection", call.id)
         if client.reader.ended:  # nobody waits any more for what would start now
             self.counters["clients.disconnected_before"] += 1
@@ -70,20 +71,20 @@
             return
         client.calls[call.id] = 0
         client.tags[call.request.tag] = call.id
-
-        def answer(outcome: Outcome) -> None:
-            if client.calls.pop(call.id, None) is None:
-                return
-            client.tags.pop(call.request.tag, None)
-            self.answers.write(client, jsonrpc.answer(call.id, outcome))
-            if not client.calls:
-                client.all_answered.set()
-            self.closing.note_activity(client)
-
+        answer = partial(self._answer, client, call)
         number = self.core.submit(call.request, received_us, answer, client.presence)
         if call.id in client.calls:
             client.calls[call.id] = number
 
+    def _answer(self, client: Client, call: jsonrpc.Call, outcome: Outcome) -> None:
+        if client.calls.pop(call.id, None) is None:
+            return
+        client.tags.pop(call.request.tag, None)
+        self.answers.write(client, jsonrpc.answer(call.id, outcome))
+        if not client.calls:
+            client.all_answered.set()
+        self.closing.note_activity(client)
+
     def _interrupt(self, client: Client, message: jsonrpc.Interrupt) -> None:
         """Cancel one call, by its id or its tag; it gets no answer."""
         id_ = message.id if message.id is not None else client.tags.get(message.txn or "")
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -20,7 +20,7 @@
         return components.listening and bool(components.endpoints.entries) and not leaving
 
     def missing(self) -> str:
-        """Return why this process cannot serve, in words for operators; empty if it can."""
+        """Return why this process cannot serve, as text for operators; empty if it can."""
         components = self.components
         if components.stopping.is_set():
             return "it was asked to stop"
@@ -40,6 +40,6 @@
         """
         if not self._list_was_current:
             waited_us = clock() - self.components.started_us
-            waited_enough = waited_us >= self.components.limits.names_wait_us
+            waited_enough = waited_us >= self.components.limits.names.start_wait_us
             self._list_was_current = self.discovery.has_answered or waited_enough
         return self._list_was_current
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -12,7 +12,7 @@
 
 
 class HandoverMonitor:
-    """Follows the other process of an upgrade, and tells it when this one can serve."""
+    """Follows the other process of an upgrade, and notifies it when this one can serve."""
 
     def __init__(self, components: Components, readiness: Readiness, handover: Handover) -> None:
         self.components = components
@@ -34,7 +34,7 @@
         """Observe the other process again and again, until cancelled."""
         while True:
             self.observe()
-            await asyncio.sleep(self.components.limits.handover_poll_us / 1e6)
+            await asyncio.sleep(self.components.limits.handover.poll_us / 1e6)
 
     def observe(self) -> None:
         """Look once at the other process and at the cordons that it stored."""
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -123,11 +123,11 @@
         """Create the components under test and connect them with each other."""
         settings = scenario.settings()
         limits = scenario.limits()
-        self.pool = components.pool(self, limits)
+        self.pool = components.pool(self, limits.runners)
         self.core = components.core(
             settings, limits, scenario.SEED, self.pool, lambda: self.now, self._alarm, self.counters
         )
-        self.core.dispatcher = components.module(scenario.settings(), scenario.SEED)
+        self.core.decisions.dispatcher = components.module(scenario.settings(), scenario.SEED)
         self.core.dispatcher.context.random = scenario.DeterministicRandom()
         self.pool.core = self.core
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -23,7 +23,7 @@
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.pool import Connection, Socket
 from maplestile.router.process import clock
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import Limits, RunnerLimits
 from maplestile.wire.settings import settings_from
 from tests.standins import Client, NameServer, Program, Worker, eventually, node, params
 from tests.test_endings import HoldingWorker, call_lines
@@ -195,7 +195,7 @@
 class HoldingRunnerPool(RunnerPool):
     """Connections that have come up are reported to the pool when the test says so."""
 
-    def __init__(self, limits: Limits, counters: Counter[str]) -> None:
+    def __init__(self, limits: RunnerLimits, counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
         self.ready: list[tuple[Connection, Socket]] = []
 
@@ -225,14 +225,14 @@
         limits = Limits()
         loop = asyncio.get_running_loop()
         settings = settings_from(params())
-        pool = HoldingRunnerPool(limits, counters)
+        pool = HoldingRunnerPool(limits.runners, counters)
 
         def alarm(due_us: int) -> None:
             loop.call_later(max(0.0, (due_us - clock()) / 1e6), core.tick)
 
         core = Core(settings, limits, 7, pool, clock, alarm, counters)
         pool.core = core
-        pool.input_is_old = selector.input_is_old
+        pool.writer.input_is_old = selector.input_is_old
         endpoints = EndpointList()
         entry = api.WorkerEntry("s-0", "east", "std", 2, api.WorkerState.RUNNING, 4.0, 0)
         endpoints.apply_whole(1, [(entry, ("127.0.0.1", worker.port))])
@@ -253,23 +253,23 @@
         return [line["bytes"] for line in call_lines(worker)], counters
 
     def test_cancel_that_is_not_read_yet(self) -> None:
-        begun, counters = self.play(
+        started, counters = self.play(
             lambda client, id_: discard(client.send("interrupt", {"id": id_}, id_=id_))
         )
-        self.assertEqual((begun, counters["clients.interrupts"]), ([], 1))
+        self.assertEqual((started, counters["clients.interrupts"]), ([], 1))
         self.assertGreater(counters["runners.postponed"], 0)
 
     def test_close_that_is_not_read_yet(self) -> None:
-        begun, counters = self.play(lambda client, _: client.close())
-        self.assertEqual((begun, counters["requests.client_disconnected"]), ([], 1))
+        started, counters = self.play(lambda client, _: client.close())
+        self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
     def test_end_of_its_side_that_is_not_read_yet(self) -> None:
-        begun, counters = self.play(lambda client, _: client.socket.shutdown(socket.SHUT_WR))
-        self.assertEqual((begun, counters["requests.client_disconnected"]), ([], 1))
+        started, counters = self.play(lambda client, _: client.socket.shutdown(socket.SHUT_WR))
+        self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
     def test_client_that_waits_is_served_after_the_loop_was_away(self) -> None:
-        begun, _ = self.play(lambda client, _: None)
-        self.assertEqual(begun, ["YWJj"])
+        started, _ = self.play(lambda client, _: None)
+        self.assertEqual(started, ["YWJj"])
 
 
 def discard(_: object) -> None:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -8,15 +8,15 @@
 import unittest.mock
 from collections import Counter
 from dataclasses import replace
-from typing import Any, cast
+from typing import Any
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import Result
 from maplestile.net.receive_timestamps import TimestampingSelector
 from maplestile.net.runners import RunnerPool
-from maplestile.requests.core import AttemptId, Core
+from maplestile.requests.core import AttemptId, Presence
 from maplestile.requests.endpoint_list import EndpointList
-from maplestile.wire.limits import Limits
+from maplestile.wire.limits import RunnerLimits
 from maplestile.wire.messages import Request
 from tests.standins import Worker
 
@@ -35,7 +35,12 @@
     def attempt_ended(self, attempt: AttemptId, result: Result, *_: Any) -> None:
         self.ended[attempt] = result
 
-    def probe_ended(self, tag: int, result: Result, *_: Any) -> None:
+    def presence(self, attempt: AttemptId) -> Presence:
+        return Presence.WAITING
+
+    def load_ended(self, tag: int, result: Result, copies: int = 0) -> None: ...
+
+    def health_check_ended(self, tag: int, result: Result, *_: Any) -> None:
         self.health_checks_ended[tag] = result
 
 
@@ -46,9 +51,9 @@
         self.worker = Worker()
         self.endpoints = EndpointList()
         self.counters = Counter[str]()
-        limits = Limits(runner_streams=2, runner_idle_us=5_000_000, runner_line_us=20_000)
+        limits = RunnerLimits(streams=2, idle_timeout_us=5_000_000, line_pause_us=20_000)
         self.pool = RunnerPool(limits, lambda: self.now, self.counters)
-        self.pool.core = cast(Core, self.core)
+        self.pool.core = self.core
         self.list()
 
     def list(
@@ -98,7 +103,7 @@
 
     async def test_send_that_waits_for_its_connection_goes_stale_when_its_runner_is_suspended(self) -> None:
         self.send(1, b"x")
-        self.pool.probe(7, "s-0")
+        self.pool.check_health(7, "s-0")
         self.endpoints.suspended = frozenset({"s-0"})
         self.pool.update(self.endpoints)
         await self.until(1)
@@ -124,9 +129,8 @@
         self.send(1, b"abc")
         await self.until(1)
         self.now += 1_000_000
-        self.send(
-            2, b"die"
-        )  # the first one after an idle time: it meets the reset of a connection long dropped
+        # The first one after an idle time: it meets the reset of a connection long dropped.
+        self.send(2, b"die")
         await self.until(2)
         self.assertEqual(self.pool.idle_timeout.timeout_us, 800_000)
         self.worker = Worker()
@@ -155,7 +159,7 @@
 
     async def test_idle_connections_make_room_for_another_runner_at_the_cap(self) -> None:
         """A fleet of more runners than descriptors: each call to a further one counted as refused there."""
-        self.pool.limits = replace(self.pool.limits, runner_connections=2)
+        self.pool.limits = replace(self.pool.limits, connections=2)
         workers = [Worker() for _ in range(4)]
         entries = [
             (
@@ -244,7 +248,7 @@
             while not self.worker.ran:
                 await asyncio.sleep(0.005)
         (connection,) = self.pool.runners["s-0"].connections
-        self.pool.limits = replace(self.pool.limits, runner_stall_us=60_000_000)
+        self.pool.limits = replace(self.pool.limits, stall_us=60_000_000)
         self.worker.pause.clear()  # reads nothing, so what comes stays in the buffers
         big = Request("t2", "f", "review", 5_000_000, body=b"error:" + bytes(30_000_000))
         self.pool.send((2, 0), "s-0", big, 5_000_000)
@@ -257,7 +261,7 @@
 
     async def test_line_that_a_runner_does_not_take_goes_nowhere_else_and_ends_its_connection(self) -> None:
         """It would come too late for the deadline that it tells; another connection would be filled, too."""
-        self.pool.limits = replace(self.pool.limits, runner_streams=8)
+        self.pool.limits = replace(self.pool.limits, streams=8)
         self.send(1, b"hang:")
         async with asyncio.timeout(20):
             while not self.worker.ran:
