--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -28,7 +28,7 @@
 class AdmissionController:
     """Learns how many answers come late, and refuses calls by that."""
 
-    def __init__(self, context: Context, load_rate: LoadRate) -> None:
+    def __init__(self, context: Context, *, load_rate: LoadRate) -> None:
         self.context = context
         self.load_rate = load_rate
         self.late_ratio = 0.0
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -4,24 +4,24 @@
 from maplestile.dispatch.admission import AdmissionController
 from maplestile.dispatch.api import Idempotency, Result
 from maplestile.dispatch.context import Context
+from maplestile.dispatch.copy_records import CopyRecords
 from maplestile.dispatch.estimates import expected_service_us
-from maplestile.dispatch.fleet import Fleet
-from maplestile.dispatch.loads import LoadsUnderWay
-from maplestile.dispatch.outliers import OutlierDetector, is_silent_since
 from maplestile.dispatch.placement import Placement
 from maplestile.dispatch.retry import RetryPolicy
 from maplestile.dispatch.state import Attempt, Call, CallTable, FunctionEntry, Worker
-from maplestile.dispatch.warm_copies import WarmCopies
-from maplestile.dispatch.zone_failure import ZoneFailureDetector
-
-RETRY_WAIT_LEAST_US = (
-    16_000  # until held calls are tried again, whatever the tick: polling costs the processor
-)
-RETRY_WAIT_SERVICE_TIMES = 0.2  # the same in service times, where that is longer
-RETRY_WAIT_LOAD_TIMES = 0.01  # and in load times
-SILENT_SERVICE_TIMES = 3.0  # expected times without an answer from which an attempt is silent
-UNKNOWN_FUNCTION_ERRORS = 3  # of a function that was never served: its name is wrong, and no worker's fault
+from maplestile.dispatch.worker_health import WorkerHealth
+
+# Until held calls are tried again: the longest of the three. Shorter waits cost the processor more than
+# they bring, whatever the tick of the timers.
+RETRY_WAIT_LEAST_US = 16_000
+RETRY_WAIT_SERVICE_TIMES = 0.2
+RETRY_WAIT_LOAD_TIMES = 0.01
+OVERDUE_SERVICE_TIMES = 3.0  # expected service times without an answer from which an attempt is overdue
+# Errors of a function that was never served, from which no call of it is retried: its name is wrong, which
+# is no worker's fault.
+UNKNOWN_FUNCTION_ERRORS = 3
 RETRY_AFTER_US = 1_000_000  # for a refused client: at once it would meet the same overload
+HEDGED_ATTEMPTS_MOST = 2  # attempts of one call that are in flight together
 
 
 class CallRouter:
@@ -30,25 +30,20 @@
     def __init__(
         self,
         context: Context,
-        fleet: Fleet,
+        *,
         table: CallTable,
-        loads: LoadsUnderWay,
-        warm_copies: WarmCopies,
+        copy_records: CopyRecords,
         placement: Placement,
         retry: RetryPolicy,
-        outliers: OutlierDetector,
-        zones: ZoneFailureDetector,
+        health: WorkerHealth,
         admission: AdmissionController,
     ) -> None:
         self.context = context
-        self.fleet = fleet
         self.table = table
-        self.loads = loads
-        self.warm_copies = warm_copies
+        self.copy_records = copy_records
         self.placement = placement
         self.retry = retry
-        self.outliers = outliers
-        self.zones = zones
+        self.health = health
         self.admission = admission
 
     # Placing and holding.
@@ -64,15 +59,20 @@
             self.send(call, worker)
 
     def hold(self, call: Call) -> None:
-        """Let the call wait for a worker, unless that brings none or comes too late."""
+        """Let the call wait for a worker; it is given up where none may ever take it.
+
+        A call past its latency objective is given up too if its client may try again: the place goes to a
+        call that can still be in time.
+        """
         entry = call.entry
         entry.waiting[call.id] = call
-        late = self.admission.is_late(call) and self.admission.may_refuse(call)
-        if late or not any(self.retry.may_repeat(call, w) for w in self.fleet.workers.values()):
+        too_late = self.admission.is_late(call) and self.admission.may_refuse(call)
+        if too_late or not self.retry.may_repeat_anywhere(call):
             self.finish(call)
         elif self.context.now_us >= entry.next_retry_us:  # one timer a function, however many calls wait
             service_us = RETRY_WAIT_SERVICE_TIMES * entry.service_us
-            wait_us = int(max(RETRY_WAIT_LEAST_US, service_us, RETRY_WAIT_LOAD_TIMES * entry.load_us))
+            load_us = RETRY_WAIT_LOAD_TIMES * entry.load_us
+            wait_us = int(max(RETRY_WAIT_LEAST_US, service_us, load_us))
             entry.next_retry_us = self.context.now_us + wait_us
             self.context.set_timer(wait_us, lambda: self.wake(entry))
 
@@ -91,17 +91,13 @@
         context = self.context
         now_us = context.now_us
         entry = call.entry
-        copy = entry.copy(worker)
-        needs_load = not self.warm_copies.is_warm(entry, worker)
-        loads_now = needs_load and call.settings.loads_on_miss and not copy.load_started_us
-        if loads_now and not self.warm_copies.is_inferred_warm(entry, worker):
-            self.loads.begin(entry, worker, requested=False)
-        dedup_until_us = call.dedup_until_us()
+        needs_load = self.copy_records.record_send(call, worker)
+        dedup_until_us = call.dedup_until_us()  # of the attempts before this one
         attempt = Attempt(len(call.attempts), worker, now_us, needs_load)
         call.attempts.append(attempt)
         self.table.attempts[call.id, attempt.number] = (call, attempt)
         entry.waiting.pop(call.id, None)
-        copy.busy += 1
+        entry.copy(worker).busy += 1
         entry.busy += 1
         worker.busy += 1
         worker.sends.add(now_us, entry.service_us)
@@ -110,19 +106,23 @@
         context.actions.append(
             api.SendAttempt(call.id, name, timeout_us, call.settings.epoch, dedup_until_us)
         )
-        patience_us = SILENT_SERVICE_TIMES * expected_service_us(call) + (entry.load_us if needs_load else 0)
-        if (
-            now_us + patience_us < call.due_us
-        ):  # else over by then: a timer would only keep the call in memory
-            context.set_timer(patience_us, lambda: self.on_silent(call, attempt))
+        load_us = entry.load_us if needs_load else 0
+        overdue_us = OVERDUE_SERVICE_TIMES * expected_service_us(call) + load_us
+        # A call that ends before needs no timer: it would only keep the call in memory.
+        if now_us + overdue_us < call.due_us:
+            context.set_timer(overdue_us, lambda: self.on_overdue(call, attempt))
 
     # Retries and hedged attempts.
 
     def retry_after(self, call: Call, result: Result) -> None:
-        """No attempt is in flight any more: one more, out of the retry budget, or the final answer."""
-        unsafe = call.kind.idempotency is Idempotency.NOT_IDEMPOTENT
-        unknown = call.entry.errors_before_success >= UNKNOWN_FUNCTION_ERRORS
-        if unsafe and call.ran() or unknown or call.client_gone:
+        """No attempt is in flight any more: one more, out of the retry budget, or the final answer.
+
+        A call that is not idempotent is never sent again once an attempt of it may have run. A miss costs
+        no budget: the call waits for the copy.
+        """
+        unsafe = call.kind.idempotency is Idempotency.NOT_IDEMPOTENT and bool(call.possibly_run())
+        unknown_function = call.entry.errors_before_success >= UNKNOWN_FUNCTION_ERRORS
+        if unsafe or unknown_function or call.client_disconnected:
             self.finish(call)
         elif result is Result.MISS or not self.retry.has_budget():
             self.hold(call)
@@ -130,17 +130,18 @@
             self.retry.take_from_budget()
             self.route(call)
 
-    def on_silent(self, call: Call, attempt: Attempt) -> None:
-        """No answer in several expected times: the worker hangs or is slow; hedge or move the call."""
+    def on_overdue(self, call: Call, attempt: Attempt) -> None:
+        """No answer in several expected times: the worker hangs or is slow; hedge or move the call.
+
+        The call is moved, by cancelling the attempt, only off a silent worker and where hedging is not
+        allowed. The budget is taken from also where no worker may take the hedged attempt.
+        """
         if attempt.result is not None or not call.open or call.streaming:
             return
-        silent = is_silent_since(attempt, call.group)
-        if silent:
-            self.outliers.record_failure(call, attempt.worker)
-            self.zones.record_silence(attempt)
+        silent = self.health.record_overdue(call, attempt)
         if not self.retry.has_budget() or call.kind.idempotency is Idempotency.NOT_IDEMPOTENT:
             return
-        if call.settings.may_hedge and len(call.outstanding()) < 2:
+        if call.settings.may_hedge and len(call.outstanding()) < HEDGED_ATTEMPTS_MOST:
             self.retry.take_from_budget()
             self._hedge(call)
         elif call.settings.may_cancel and silent and not call.settings.may_hedge:
@@ -155,12 +156,15 @@
 
     def abandon(self, call: Call) -> None:
         """Its client has disconnected: nothing more begins; what is in flight may end, and is its answer."""
-        call.client_gone = True
+        call.client_disconnected = True
         if not call.outstanding():
             self.finish(call)
 
     def finish(self, call: Call) -> None:
-        """Give the call up, with its final answer at once; a call whose answer streams goes on."""
+        """Give the call up, with its final answer at once; a call whose answer streams goes on.
+
+        The client is invited to try again where a repeat is harmless, and gets an error otherwise.
+        """
         if not call.open or call.streaming:
             return
         objective_us = call.arrived_us + call.kind.latency_objective_us
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: hands each event to the part that decides about it, and returns the actions.
+"""The dispatcher: passes each event to the part that decides about it, and returns the actions.
 
 It reads no clock, file or socket: the time comes with each event, and timers are actions. Equal events with
-an equal seed give equal actions.
+an equal seed give equal actions; the order in which the parts draw random numbers is part of that.
 """
 
 from random import Random
@@ -11,6 +11,7 @@
 from maplestile.dispatch.api import ListKind, Result
 from maplestile.dispatch.call_router import CallRouter
 from maplestile.dispatch.context import Context
+from maplestile.dispatch.copy_records import CopyRecords
 from maplestile.dispatch.estimates import ServiceTimeEstimates
 from maplestile.dispatch.fleet import Fleet
 from maplestile.dispatch.hashing import digest
@@ -28,83 +29,27 @@
 from maplestile.dispatch.state import Attempt, Call, CallTable, Worker
 from maplestile.dispatch.tiers import FunctionTiers
 from maplestile.dispatch.warm_copies import WarmCopies
+from maplestile.dispatch.worker_health import WorkerHealth
 from maplestile.dispatch.zone_failure import ZoneFailureDetector
 
-SWEEPS_PER_KEEP_ALIVE = 20  # periodic work, and polls of the endpoint list
+SWEEPS_PER_KEEP_ALIVE = 20  # how often periodic work is done, and the endpoint list polled, in one keep-alive
 
 
 class Dispatcher:
     """All decisions of one router."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        context = Context(settings, Random(seed), digest(str(seed)))
-        self.context = context
-        self.table = CallTable()
-        self.fleet = Fleet(context)
-        self.zones = ZoneFailureDetector(context, self.fleet)
-        self.load_rate = LoadRate(context)
-        self.loads = LoadsUnderWay(context)
-        self.tiers = FunctionTiers(context, self.fleet, self.load_rate, self.loads)
-        self.estimates = ServiceTimeEstimates()
-        self.outliers = OutlierDetector(context)
-        self.warm_copies = WarmCopies(context, self.fleet, self.load_rate)
-        self.admission = AdmissionController(context, self.load_rate)
-        self.retry = RetryPolicy(context, self.fleet)
-        self.slow_start = SlowStart(context, self.fleet, self.load_rate)
-        self.load_requests = LoadRequests(context, self.fleet, self.tiers, self.loads, self.slow_start)
-        self.keep_warm = KeepWarm(context, self.fleet, self.tiers, self.warm_copies, self.load_requests)
-        self.gate = SendGate(
-            context, self.fleet, self.load_rate, self.warm_copies, self.retry, self.slow_start
-        )
-        self.placement = Placement(
-            context,
-            self.fleet,
-            self.table,
-            self.load_rate,
-            self.warm_copies,
-            self.load_requests,
-            self.outliers,
-            self.gate,
-        )
-        self.router = CallRouter(
-            context,
-            self.fleet,
-            self.table,
-            self.loads,
-            self.warm_copies,
-            self.placement,
-            self.retry,
-            self.outliers,
-            self.zones,
-            self.admission,
-        )
-        self.intake = CallIntake(
-            context,
-            self.table,
-            self.tiers,
-            self.estimates,
-            self.load_requests,
-            self.retry,
-            self.admission,
-            self.router,
-        )
-        self.outcomes = OutcomeRecorder(
-            context,
-            self.fleet,
-            self.table,
-            self.tiers,
-            self.loads,
-            self.estimates,
-            self.warm_copies,
-            self.load_requests,
-            self.outliers,
-            self.zones,
-            self.admission,
-            self.router,
-        )
+        self.context = Context(settings, Random(seed), salt=digest(str(seed)))
+        self._make_records()
+        self._make_worker_rules()
+        self._make_load_rules()
+        self._make_call_rules()
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Decide about one event; returns the actions to take, in their order."""
+        """Decide about one event; returns the actions to take, in their order.
+
+        The first event also starts the periodic work, whose timer then sets itself again.
+        """
         context = self.context
         context.now_us = now_us
         actions = context.actions = []
@@ -130,14 +75,103 @@
         return actions
 
     def adopt(self, settings: api.Settings) -> None:
-        """Use another policy's settings from now on; calls in hand keep those that they came under."""
+        """Use another policy's settings from now on; pending calls keep those that they came under."""
         self.context.adopt(settings)
         self.load_requests.adopt(settings)
         self.fleet.adopt(settings)
 
     def avoids(self, worker: Worker) -> bool:
         """Calls avoid the worker by choice: it is ejected, takes no connection, or its zone is lost."""
-        return self.outliers.is_ejected(worker) or self.zones.is_lost(worker.entry.zone)
+        return self.health.avoids(worker)
+
+    def _make_records(self) -> None:
+        """The records of workers, calls, functions and loads, and what is estimated from them."""
+        context = self.context
+        self.table = CallTable()
+        self.fleet = Fleet(context)
+        self.load_rate = LoadRate(context)
+        self.loads = LoadsUnderWay(context)
+        self.estimates = ServiceTimeEstimates()
+        self.tiers = FunctionTiers(context, fleet=self.fleet, load_rate=self.load_rate, loads=self.loads)
+        self.warm_copies = WarmCopies(context, fleet=self.fleet, load_rate=self.load_rate)
+
+    def _make_worker_rules(self) -> None:
+        """Which workers may get work: outliers, lost zones, slow start, repeats, and the gate of sends."""
+        context = self.context
+        self.outliers = OutlierDetector(context)
+        self.zones = ZoneFailureDetector(context, fleet=self.fleet)
+        self.health = WorkerHealth(outliers=self.outliers, zones=self.zones)
+        self.slow_start = SlowStart(context, fleet=self.fleet, load_rate=self.load_rate)
+        self.retry = RetryPolicy(context, fleet=self.fleet)
+        self.gate = SendGate(
+            context,
+            fleet=self.fleet,
+            load_rate=self.load_rate,
+            warm_copies=self.warm_copies,
+            retry=self.retry,
+            slow_start=self.slow_start,
+        )
+
+    def _make_load_rules(self) -> None:
+        """Which copies are loaded and kept warm."""
+        context = self.context
+        self.load_requests = LoadRequests(
+            context, fleet=self.fleet, tiers=self.tiers, loads=self.loads, slow_start=self.slow_start
+        )
+        self.keep_warm = KeepWarm(
+            context,
+            fleet=self.fleet,
+            tiers=self.tiers,
+            warm_copies=self.warm_copies,
+            load_requests=self.load_requests,
+        )
+        self.copy_records = CopyRecords(
+            context, loads=self.loads, warm_copies=self.warm_copies, load_requests=self.load_requests
+        )
+
+    def _make_call_rules(self) -> None:
+        """How a call goes from its arrival to its final answer."""
+        context = self.context
+        self.admission = AdmissionController(context, load_rate=self.load_rate)
+        self.placement = Placement(
+            context,
+            fleet=self.fleet,
+            table=self.table,
+            load_rate=self.load_rate,
+            warm_copies=self.warm_copies,
+            load_requests=self.load_requests,
+            outliers=self.outliers,
+            gate=self.gate,
+        )
+        self.router = CallRouter(
+            context,
+            table=self.table,
+            copy_records=self.copy_records,
+            placement=self.placement,
+            retry=self.retry,
+            health=self.health,
+            admission=self.admission,
+        )
+        self.intake = CallIntake(
+            context,
+            table=self.table,
+            tiers=self.tiers,
+            estimates=self.estimates,
+            load_requests=self.load_requests,
+            retry=self.retry,
+            admission=self.admission,
+            router=self.router,
+        )
+        self.outcomes = OutcomeRecorder(
+            fleet=self.fleet,
+            table=self.table,
+            tiers=self.tiers,
+            estimates=self.estimates,
+            copy_records=self.copy_records,
+            health=self.health,
+            admission=self.admission,
+            router=self.router,
+        )
 
     def _on_list(self, event: api.WorkerListReceived) -> None:
         context = self.context
@@ -147,8 +181,8 @@
         if event.kind is ListKind.FAILED:
             return
         for worker in self.fleet.take_list(event):
-            self.zones.record_answer(worker.entry.zone)  # one that has come up there is a sign of life
-        self.loads.forget_gone_workers(self.fleet.workers)
+            self.zones.record_answer(worker.entry.zone)  # a worker that starts shows that the zone is alive
+        self.loads.forget_unlisted_workers(self.fleet.workers)
         self.fleet.update_ranking()
 
     def _on_health_check_ended(self, event: api.HealthCheckEnded) -> None:
@@ -185,10 +219,10 @@
 
     @property
     def calls(self) -> dict[int, Call]:
-        """The calls in hand."""
+        """The pending calls by their number."""
         return self.table.calls
 
     @property
     def attempts(self) -> dict[tuple[int, int], tuple[Call, Attempt]]:
-        """The attempts in flight."""
+        """The attempts in flight, by the numbers of their call and of the attempt."""
         return self.table.attempts
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -56,7 +56,7 @@
         changed = entry.preferred.seen != self.index.version
         self.index.refresh(entry.preferred, max(count, entry.replica_count))
         if changed:
-            entry.forget_gone_workers(self.workers)
+            entry.forget_unlisted_workers(self.workers)
         for replica in entry.ranking[: entry.replica_count] if changed and before else []:
             if replica not in before:
                 entry.copy(replica).replica_since_us = self.ranked_us
--- a/maplestile/dispatch/intake.py
+++ b/maplestile/dispatch/intake.py
@@ -17,6 +17,7 @@
     def __init__(
         self,
         context: Context,
+        *,
         table: CallTable,
         tiers: FunctionTiers,
         estimates: ServiceTimeEstimates,
--- a/maplestile/dispatch/keep_warm.py
+++ b/maplestile/dispatch/keep_warm.py
@@ -16,6 +16,7 @@
     def __init__(
         self,
         context: Context,
+        *,
         fleet: Fleet,
         tiers: FunctionTiers,
         warm_copies: WarmCopies,
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -21,6 +21,7 @@
     def __init__(
         self,
         context: Context,
+        *,
         fleet: Fleet,
         tiers: FunctionTiers,
         loads: LoadsUnderWay,
--- a/maplestile/dispatch/loads.py
+++ b/maplestile/dispatch/loads.py
@@ -39,6 +39,6 @@
         for copy in copies:
             self.loads.pop(copy, None)
 
-    def forget_gone_workers(self, workers: dict[str, Worker]) -> None:
+    def forget_unlisted_workers(self, workers: dict[str, Worker]) -> None:
         """Keep the loads at workers that are still listed."""
         self.loads = {c: w for c, w in self.loads.items() if workers.get(w.entry.worker) is w}
--- a/maplestile/dispatch/placement.py
+++ b/maplestile/dispatch/placement.py
@@ -29,6 +29,7 @@
     def __init__(
         self,
         context: Context,
+        *,
         fleet: Fleet,
         table: CallTable,
         load_rate: LoadRate,
--- a/maplestile/dispatch/retry.py
+++ b/maplestile/dispatch/retry.py
@@ -13,7 +13,7 @@
 class RetryPolicy:
     """The gate of repeats, and the budget of further attempts."""
 
-    def __init__(self, context: Context, fleet: Fleet) -> None:
+    def __init__(self, context: Context, *, fleet: Fleet) -> None:
         self.context = context
         self.fleet = fleet
         self.budget = RETRY_BUDGET_MOST
@@ -32,7 +32,7 @@
 
     def may_repeat(self, call: Call, worker: Worker) -> bool:
         """Whether a call that may have gone out before may ever go to the worker."""
-        ran = call.ran()
+        ran = call.possibly_run()
         results = [
             attempt.result
             for attempt in call.attempts
@@ -47,6 +47,10 @@
             or self.deduplicates(call, ran, worker.entry)
         )
 
+    def may_repeat_anywhere(self, call: Call) -> bool:
+        """Whether the call may ever go to any worker of the list."""
+        return any(self.may_repeat(call, worker) for worker in self.fleet.workers.values())
+
     def deduplicates(self, call: Call, ran: list[Attempt], target: WorkerEntry) -> bool:
         """Whether repeats of a keyed call are dropped at the worker, and are still remembered there."""
         scope = call.kind.deduplication_scope
--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -20,6 +20,7 @@
     def __init__(
         self,
         context: Context,
+        *,
         fleet: Fleet,
         load_rate: LoadRate,
         warm_copies: WarmCopies,
@@ -36,7 +37,7 @@
     def may_send(self, call: Call, worker: Worker) -> bool:
         """Whether an attempt, be it the first, a retry or a hedged one, may begin at the worker now."""
         now_us = self.context.now_us
-        if call.over(now_us) or not self.fleet.is_running(worker):
+        if not call.takes_attempts(now_us) or not self.fleet.is_running(worker):
             return False
         entry = call.entry
         backoffs = worker.backoff_until_us
--- a/maplestile/dispatch/slow_start.py
+++ b/maplestile/dispatch/slow_start.py
@@ -13,7 +13,7 @@
 class SlowStart:
     """The budget of a cold worker, kept by each dispatcher for its part."""
 
-    def __init__(self, context: Context, fleet: Fleet, load_rate: LoadRate) -> None:
+    def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate) -> None:
         self.context = context
         self.fleet = fleet
         self.load_rate = load_rate
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -127,7 +127,7 @@
         """The first workers of its ranking, as of the last refresh."""
         return self.preferred.workers
 
-    def forget_gone_workers(self, workers: Mapping[str, Worker]) -> None:
+    def forget_unlisted_workers(self, workers: Mapping[str, Worker]) -> None:
         """Keep no reference to workers that are no longer listed."""
         self.workers_with_copies = [
             worker for worker in self.workers_with_copies if workers.get(worker.entry.worker) is worker
@@ -178,19 +178,19 @@
     attempts: list[Attempt] = field(default_factory=list)
     open: bool = True
     streaming: bool = False
-    client_gone: bool = False
+    client_disconnected: bool = False
 
-    def over(self, now_us: int) -> bool:
-        """No attempt may begin any more."""
-        return self.streaming or self.client_gone or now_us >= self.due_us
+    def takes_attempts(self, now_us: int) -> bool:
+        """A further attempt may begin: none does once an answer streams or nobody waits for one."""
+        return not (self.streaming or self.client_disconnected or now_us >= self.due_us)
 
-    def ran(self) -> list[Attempt]:
-        """The attempts that may have run."""
+    def possibly_run(self) -> list[Attempt]:
+        """The attempts that may have run, those in flight included, in the order of their sending."""
         return [attempt for attempt in self.attempts if attempt.result not in NEVER_RAN]
 
     def dedup_until_us(self) -> int:
         """Until when workers surely drop repeats of a keyed call that may have run; 0 for any other."""
-        ran = self.ran() if self.kind.idempotency is Idempotency.WITH_KEY else []
+        ran = self.possibly_run() if self.kind.idempotency is Idempotency.WITH_KEY else []
         return ran[0].sent_us + self.kind.deduplication_window_us if ran else 0
 
     def outstanding(self) -> list[Attempt]:
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -22,7 +22,7 @@
 class FunctionTiers:
     """The functions known by name, and the tier of each."""
 
-    def __init__(self, context: Context, fleet: Fleet, load_rate: LoadRate, loads: LoadsUnderWay) -> None:
+    def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate, loads: LoadsUnderWay) -> None:
         self.context = context
         self.fleet = fleet
         self.load_rate = load_rate
--- a/maplestile/dispatch/warm_copies.py
+++ b/maplestile/dispatch/warm_copies.py
@@ -12,7 +12,7 @@
 class WarmCopies:
     """What is known and inferred of copies."""
 
-    def __init__(self, context: Context, fleet: Fleet, load_rate: LoadRate) -> None:
+    def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate) -> None:
         self.context = context
         self.fleet = fleet
         self.load_rate = load_rate
--- a/maplestile/dispatch/zone_failure.py
+++ b/maplestile/dispatch/zone_failure.py
@@ -12,7 +12,7 @@
 class ZoneFailureDetector:
     """Guards calls against a zone lost as a whole: worker by worker it would cost a call each."""
 
-    def __init__(self, context: Context, fleet: Fleet) -> None:
+    def __init__(self, context: Context, *, fleet: Fleet) -> None:
         self.context = context
         self.fleet = fleet
         self.zones: dict[str, Zone] = {}
