--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -1,4 +1,4 @@
-"""The calls in hand: placing them, holding them, sending, retrying and hedging, and their final answer."""
+"""The pending calls: placing them, holding them, sending, retrying and hedging, and their final answer."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -8,11 +8,11 @@
 from maplestile.dispatch.state import FunctionEntry, Window, Worker
 from maplestile.dispatch.tiers import FunctionTiers
 
-LOADS_SHARE_OF_CAPACITY = (
-    0.06  # of the caching lists' capacity: loads that all dispatchers may have under way
-)
-LOADS_PER_WORKER = 4  # and at most so many for each worker
-LOADS_LEAST = 2  # for each dispatcher, however small its part
+# The cap of loads under way, for all dispatchers together: a part of the copies that the caching lists have
+# room for, with at most so many for each worker, and at least one for each.
+LOADS_SHARE_OF_CAPACITY = 0.06
+LOADS_PER_WORKER = 4
+LOADS_LEAST = 2  # loads that each dispatcher may have under way, however small its part of the cap
 
 
 class LoadRequests:
@@ -42,11 +42,11 @@
         self.requests.span_us = settings.load_request_window_us + 1  # requests count at the edge, too
 
     def may_start_load(self) -> bool:
-        """Own loads under way stay under this dispatcher's part of the fleet, in workers or in copies."""
+        """One more load keeps the own loads under way within this dispatcher's part of the cap."""
         workers = len(self.fleet.workers)
         by_capacity = int(LOADS_SHARE_OF_CAPACITY * self.tiers.capacity)
-        loads = max(workers, min(by_capacity, LOADS_PER_WORKER * workers))
-        return len(self.loads) < max(LOADS_LEAST, loads // max(1, self.context.settings.router_count))
+        fleet_cap = max(workers, min(by_capacity, LOADS_PER_WORKER * workers))
+        return len(self.loads) < max(LOADS_LEAST, fleet_cap // max(1, self.context.settings.router_count))
 
     def request_load(self, entry: FunctionEntry, worker: Worker) -> bool:
         """Request a load of one copy, if the gate admits it; returns whether it did."""
--- a/maplestile/dispatch/placement.py
+++ b/maplestile/dispatch/placement.py
@@ -13,14 +13,16 @@
 from maplestile.dispatch.state import Call, CallTable, FunctionEntry, Worker
 from maplestile.dispatch.warm_copies import WarmCopies
 
-PRIOR_CALLS = 15.0  # own calls of other functions assumed besides, when its share of the work is estimated
-REPLICA_WORK_SHARE = 0.33  # of a mean worker's work: a function's most at one replica
-REPLICA_UTILIZATION = 0.5  # of a replica's lanes that the fleet's calls of the function may fill
-CANDIDATES_MOST = 8  # workers looked at, when none of the drawn replicas can take the call
+# A function's share of the own work is estimated as if so many calls of other functions had come besides,
+# so that the first calls after a start do not make each function the whole load.
+PRIOR_CALLS = 15.0
+REPLICA_WORK_SHARE = 0.33  # part of a mean worker's work that one function brings a replica, at most
+REPLICA_UTILIZATION = 0.5  # part of a replica's lanes that the fleet's calls of the function may fill
+CANDIDATES_MOST = 8  # workers looked at where none of the drawn replicas can take the call
 OVERFLOW_WORKERS = 2  # workers looked at past the replicas
 DRAWN_REPLICAS = 3  # replicas drawn for a call, by weight and with repetition
-FAIR_SHARE_FACTOR = 2.0  # own calls at one worker, in the mean over the fleet
-QUEUED_CALLS_PER_LANE = 2.0  # own calls at a copy, the running ones included, up to which a call queues there
+FAIR_SHARE_FACTOR = 2.0  # own calls in flight at one worker, at most, in multiples of the fleet's mean
+QUEUED_CALLS_PER_LANE = 2.0  # own calls at a copy, the running ones included, from which none queues there
 
 
 class Placement:
@@ -48,40 +50,44 @@
         self.gate = gate
 
     def replica_count(self, entry: FunctionEntry) -> int:
-        """The function's replicas, by its share of the own calls but the present one.
+        """How many replicas the function needs, by its share of the own calls but the present one.
 
-        At scale no single dispatcher fills the lanes, so all of them together are reckoned with.
+        The more of two counts, rounded: that by which no replica gets more than a part of a mean worker's
+        work, and that by which the fleet's calls of the function fill a part of the lanes of its copies. At
+        scale no single dispatcher fills the lanes, so all of them together are reckoned with.
         """
-        own = max(0.0, entry.decayed_work - entry.service_us)
-        share = own / (self.load_rate.decayed_work + PRIOR_CALLS * entry.service_us)
+        own_work = max(0.0, entry.decayed_work - entry.service_us)
+        share = own_work / (self.load_rate.decayed_work + PRIOR_CALLS * entry.service_us)
         fleet_work = self.context.settings.router_count * self.load_rate.rate()
         by_lanes = share * (fleet_work / (REPLICA_UTILIZATION * entry.lanes))
         by_work = share * len(self.fleet.index) / REPLICA_WORK_SHARE
         return min(len(self.fleet.index), round(max(1.0, by_work, by_lanes)))
 
     def choose(self, call: Call) -> Worker | None:
-        """The worker for the call's next attempt; None where it has to wait."""
-        random = self.context.random
+        """The worker for the call's next attempt; None where it has to wait.
+
+        In this order: the function's home if its copy is idle there; the least busy of the candidates with a
+        warm copy; a copy that is loading or will be loaded; a place behind other calls. Only workers that the
+        send gate admits are chosen.
+        """
         entry = call.entry
         home = self.fleet.workers.get(entry.home)
         count = self.replica_count(entry)
         ranked = self.fleet.ranked(entry, count + max(count, OVERFLOW_WORKERS))
         near = ranked[: count + OVERFLOW_WORKERS]
         if count > CANDIDATES_MOST:
-            near = random.sample(near, CANDIDATES_MOST)  # all replicas of a hot function cost too much
-        # As replicas are added a part of the homes moves there: all first calls went to the first replica.
-        grown = random.random() * count > entry.replica_count
-        keeps_home = home is not None and not grown and home in ranked[: 2 * count - 1]
-        if home is not None and keeps_home and not entry.copy(home).busy and self.fits(call, home):
-            return home
-        entry.replica_count = max(count, keeps_home * entry.replica_count)
+            # To look at all replicas of a hot function would cost too much.
+            near = self.context.random.sample(near, CANDIDATES_MOST)
+        kept_home = self._kept_home(entry, home, ranked, count)
+        if kept_home is not None and not entry.copy(kept_home).busy and self.fits(call, kept_home):
+            return kept_home
+        entry.replica_count = count if kept_home is None else max(count, entry.replica_count)
         # A retry draws as well, without use of it, so that each choice takes equally many draws.
         drawn = self._drawn_replicas(call, ranked[:count])
-        if call.attempts:
-            drawn = near
-        if home is not None and keeps_home:
-            drawn = [*drawn, home]
-        fitting = self._fitting(call, drawn, near)
+        candidates = near if call.attempts else drawn
+        if kept_home is not None:
+            candidates = [*candidates, kept_home]
+        fitting = self._fitting(call, candidates, near)
         is_warm = self.warm_copies.is_warm if call.attempts else self.warm_copies.is_inferred_warm
         warm = [worker for worker in fitting if is_warm(entry, worker)]
         if warm:
@@ -89,7 +95,11 @@
         return self._load_or_queue(call, fitting, near)
 
     def fits(self, call: Call, worker: Worker) -> bool:
-        """The worker can run the call at once, and may get it."""
+        """The worker can run the call at once, and may get it.
+
+        It has a free lane, no more than its fair share of the own calls, is healthy, and the send gate
+        admits the call.
+        """
         entry = call.entry
         lanes = entry.lanes
         copy = entry.copy(worker)
@@ -103,6 +113,19 @@
             and self.gate.may_send(call, worker)
         )
 
+    def _kept_home(
+        self, entry: FunctionEntry, home: Worker | None, ranked: list[Worker], count: int
+    ) -> Worker | None:
+        """The function's home, unless it is far down the ranking now, or is given up for a new replica.
+
+        All first calls of a function go to its first replica. So where it has grown from `m` to `n` replicas,
+        a home is given up with the probability `1 - m / n`, in one draw that is always taken.
+        """
+        moves = self.context.random.random() * count > entry.replica_count
+        if home is None or moves or home not in ranked[: 2 * count - 1]:
+            return None
+        return home
+
     def _drawn_replicas(self, call: Call, replicas: list[Worker]) -> list[Worker]:
         """A few of the replicas, of the own zone where it has any."""
         if not replicas:
@@ -126,20 +149,28 @@
         loading = next((worker for worker in queues if worker in fitting), None)
         if loading is not None:
             return loading
-        settled = self.context.now_us >= entry.load_started_us + entry.load_us
-        if fitting and self.load_requests.may_start_load() and settled:
+        if fitting and self._may_load(entry):
             loadable = next((worker for worker in fitting if self._loads_on_call(call, worker)), None)
             # A turn at a busy copy comes sooner than a load ends; the load then is for the calls after this.
             if loadable is not None and not (queues and self.outliers.is_healthy(call, queues[0])):
                 return loadable
-            any(
-                self.load_requests.request_load(entry, worker) for worker in fitting
-            )  # until one is requested
+            self._request_one_load(entry, fitting)
         if queues:
             return queues[0]
         # Where all near are unhealthy the fault is elsewhere, and their scores must not strand the call.
         return usable[0] if usable and not self.outliers.is_healthy(call, usable[0]) else None
 
+    def _may_load(self, entry: FunctionEntry) -> bool:
+        """The cap of loads has room, and the function's last load has had its time."""
+        load_is_due = self.context.now_us >= entry.load_started_us + entry.load_us
+        return self.load_requests.may_start_load() and load_is_due
+
+    def _request_one_load(self, entry: FunctionEntry, workers: list[Worker]) -> None:
+        """Request a load at the first worker for which the gate of load requests admits one."""
+        for worker in workers:
+            if self.load_requests.request_load(entry, worker):
+                return
+
     def _queues(self, entry: FunctionEntry, usable: list[Worker]) -> list[Worker]:
         """Where the call can wait for a copy: loaded or loading, without too many calls in front."""
         queues = [
--- a/maplestile/dispatch/settings.py
+++ b/maplestile/dispatch/settings.py
@@ -29,9 +29,7 @@
     deadline_us: int  # from the arrival of a call
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    deduplication_window_us: (
-        int  # repeats of a key are dropped for so long from its first attempt that may run
-    )
+    deduplication_window_us: int  # how long repeats of a key are dropped, from its first attempt that may run
     late_priority_weight: float = 0.0  # of an answer after the objective, where one in time has the weight 1
 
 
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -1,4 +1,7 @@
-"""The plain records that a dispatcher keeps; they hold what was observed and decide nothing."""
+"""The plain records that a dispatcher keeps; they hold what was observed and decide nothing.
+
+Times are in microseconds on the clock of the events; 0 stands for never, unless a field says otherwise.
+"""
 
 from collections import deque
 from collections.abc import Mapping
@@ -15,7 +18,10 @@
 
 
 class Window:
-    """A sliding window: the amounts added within the last `span_us`, and their total."""
+    """A sliding window: the amounts added within the last `span_us`, and their total.
+
+    An amount that was added exactly `span_us` ago no longer counts.
+    """
 
     __slots__ = ("amounts", "span_us", "sum")
 
@@ -34,41 +40,43 @@
         """The sum of what was added in the window that ends now; older amounts are dropped."""
         while self.amounts and self.amounts[0][0] <= now_us - self.span_us:
             self.sum -= self.amounts.popleft()[1]
-        return self.sum if self.amounts else 0.0
+        return self.sum if self.amounts else 0.0  # exact once empty: the sum keeps rounding errors
 
 
 @dataclass(slots=True, eq=False)
 class Copy:
-    """What is known of one function's copies at one worker, and the own calls there."""
+    """What is known of one function's copies at one worker, and this dispatcher's own calls there."""
 
-    count: int = 0
+    count: int = 0  # copies last known to be loaded
     busy: int = 0  # own calls in flight
     last_used_us: int = 0
     load_started_us: int = 0  # 0 where no load is under way
     load_requested: bool = False  # that load was requested, and not brought about by a call
-    missing_since_us: int = 0  # when the worker last answered that it has none; 0 since it had one
-    replica_since_us: int = 0  # since when it is one of the replicas, if a change of the list made it one
+    missing_since_us: int = 0  # when the worker last answered that it has no copy; 0 once it has one again
+    replica_since_us: int = 0  # when a change of the list made the worker a replica; 0 if none did
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One process of a worker; symptoms are recorded by group of calls: a fault may hit one alone.
+    """One process of a worker, with the symptoms of faults that it has shown.
 
-    The group "" is that of all calls.
+    Symptoms are recorded by the group of calls that met them, since a fault may hit one group alone. The
+    group "" stands for all calls.
     """
 
     entry: WorkerEntry
     sends: Window  # service time sent there, in microseconds
-    salt: int
+    salt: int  # hash of its name, by which functions rank it
     busy: int = 0  # own calls in flight
-    last_reset_us: int = 0
+    last_reset_us: int = 0  # when a broken connection was last counted against it
     memory_exhausted_until_us: int = 0  # until then it gets no call that needs a load
     latency_log_ratio: float = 0.0  # running mean of log(answer time / expected time)
-    copies: dict[str, Copy] = field(default_factory=dict)
+    copies: dict[str, Copy] = field(default_factory=dict)  # by function
+    # By group of calls:
     failure_scores: dict[str, tuple[float, int]] = field(default_factory=dict)  # score, and as of when
     last_answer_us: dict[str, int] = field(default_factory=dict)
     backoff_until_us: dict[str, int] = field(default_factory=dict)
-    backoff_doublings: dict[str, int] = field(default_factory=dict)
+    backoff_doublings: dict[str, int] = field(default_factory=dict)  # without an answer in between
 
 
 @dataclass(slots=True, eq=False)
@@ -88,34 +96,36 @@
 
     name: str
     last_answer_us: int = 0
-    lost: bool = False
-    next_probe_us: int = 0  # while lost
-    silent_workers: set[str] = field(default_factory=set)
+    lost: bool = False  # calls avoid its workers
+    next_probe_us: int = 0  # when a worker is checked next, while the zone is lost
+    silent_workers: set[str] = field(default_factory=set)  # names of those without an answer since
 
 
 @dataclass(slots=True, eq=False)
 class FunctionEntry:
     """One function: its tier, the gap between its calls, its work, its home and its preferred workers."""
 
-    function: str
-    salt: int
-    service_us: float  # mean service time
-    load_us: float  # mean time to load a copy
-    tier: int = UNLISTED  # its tier
-    home: str = ""  # the worker that served it last, and gets its next call if it can
+    function: str  # its name
+    salt: int  # hash of its name, by which it ranks workers
+    service_us: float  # running mean of the service time
+    load_us: float  # running mean of the time to load a copy
+    tier: int = UNLISTED
+    home: str = ""  # the worker that served it last, and gets its next call if it can; "" for none
     gap_us: int = 0  # between its last two calls
     last_call_us: int = 0
-    decayed_work: float = 0.0  # own calls' service time, decayed
+    decayed_work: float = 0.0  # exponentially decayed sum of the own calls' service time, in microseconds
     busy: int = 0  # own calls in flight
-    settled: int = 0  # order of insertion into its tier
+    settled: int = 0  # number of its last insertion into a tier
     replica_count: int = 1
     next_retry_us: int = 0  # when the waiting calls are tried again
-    memory_mb: float = 0.0
+    memory_mb: float = 0.0  # of one copy; 0 if not known
     lanes: int = 1  # calls that one copy runs at a time
     load_started_us: int = 0  # of the last load anywhere; 0 once that has ended
-    ever_served: bool = False
-    errors_before_success: int = 0
-    waiting: dict[int, "Call"] = field(default_factory=dict)
+    ever_served: bool = False  # some call of it was answered well
+    errors_before_success: int = 0  # errors while it was not
+    waiting: dict[int, "Call"] = field(
+        default_factory=dict
+    )  # calls without a worker, in the order of their turn
     preferred: Ranking[Worker] = field(init=False)
     workers_with_copies: list[Worker] = field(default_factory=list)  # also workers that are no longer listed
 
@@ -148,9 +158,10 @@
         return self.tier != UNLISTED
 
     def aged(self) -> int:
-        """Its gap as the tiers compare it, up to what is the same for all functions.
+        """Its aged gap as the tiers compare it, without the part that is the same for all functions.
 
-        The paper ranks by `(gap + now - last call) / 2`; all functions age by the same `now`.
+        The paper ranks by `(gap + now - last call) / 2`; all functions age by the same `now`, so the order by
+        `gap - last call` is the same.
         """
         return self.gap_us - self.last_call_us
 
@@ -165,10 +176,10 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call in hand."""
+    """One pending call."""
 
     id: int
-    entry: FunctionEntry
+    entry: FunctionEntry  # of the function that is called
     kind: CallClass
     group: str  # its class and tenant: some faults hit one group and spare the others
     arrived_us: int
@@ -176,8 +187,8 @@
     settings: Settings  # those of the policy that it came under: no later policy changes them
     hinted_us: int = 0  # the client's hint of its service time; 0 where none came
     attempts: list[Attempt] = field(default_factory=list)
-    open: bool = True
-    streaming: bool = False
+    open: bool = True  # its final answer is still to be given
+    streaming: bool = False  # its answer has begun to go out
     client_disconnected: bool = False
 
     def takes_attempts(self, now_us: int) -> bool:
@@ -189,7 +200,10 @@
         return [attempt for attempt in self.attempts if attempt.result not in NEVER_RAN]
 
     def dedup_until_us(self) -> int:
-        """Until when workers surely drop repeats of a keyed call that may have run; 0 for any other."""
+        """Until when workers surely drop repeats of the call; 0 without a key, or if it cannot have run yet.
+
+        The deduplication window starts with the first attempt that may have run.
+        """
         ran = self.possibly_run() if self.kind.idempotency is Idempotency.WITH_KEY else []
         return ran[0].sent_us + self.kind.deduplication_window_us if ran else 0
 
@@ -199,7 +213,7 @@
 
 
 class CallTable:
-    """The calls in hand and their attempts in flight."""
+    """The pending calls and their attempts in flight."""
 
     def __init__(self) -> None:
         self.calls: dict[int, Call] = {}
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -14,9 +14,9 @@
 from maplestile.dispatch.state import CACHING, MULTIPLE, SINGLE, FunctionEntry
 
 CACHING_MEMORY_SHARE = 0.5  # of the fleet's memory, for all caching lists; the rest is for working copies
-SINGLE_TIER_FACTOR = (
-    4  # functions in the single list for each in the caching list: a second call meets its first
-)
+# Functions in the single list, at most, for each that the caching list has room for: enough that a rare
+# function is still listed at its second call, which gives its first gap.
+SINGLE_TIER_FACTOR = 4
 
 
 class FunctionTiers:
