--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -16,13 +16,16 @@
 REFUSAL_LATE_RATIO = 0.25  # share of late answers from which calls are refused
 REFUSAL_GAIN = 2.0  # probability of a refusal for each part of the late ratio above that
 REFUSAL_PROBABILITY_MOST = 0.6
-LATE_RATIO_TIME_CONSTANT_US = 3_000_000  # of work, over which the late ratio is learned
+LATE_RATIO_TIME_CONSTANT_US = 3_000_000  # over which the late ratio is learned
 LATE_RATIO_STEP_MOST = 0.1  # weight of one sample, at most
-KEPT_LATE_PRIORITY_WEIGHT = 0.25  # of a late answer, from which no call is given up early
-ANSWER_MARGIN_TICKS = 2  # least time before the end of a call's budget at which its last answer goes out
-ANSWER_MARGIN_MOST_US = 120_000  # that time for a long budget: busy processes are late
-ANSWER_MARGIN_SHARE = 10  # one part in so many of the budget, for shorter ones
-FULL_MARGIN_BUDGET_US = 1_000_000  # for shorter budgets the part shrinks: their end is worth more
+KEPT_LATE_PRIORITY_WEIGHT = 0.25  # priority weight of a late answer, from which no call is given up early
+# The answer margin: how long before the end of a call's budget its final answer goes out at the latest, since
+# busy processes are late. One part in `ANSWER_MARGIN_SHARE` of the budget, within the two bounds; for budgets
+# under `FULL_MARGIN_BUDGET_US` the part shrinks with the budget, since their end is worth more.
+ANSWER_MARGIN_TICKS = 2
+ANSWER_MARGIN_MOST_US = 120_000
+ANSWER_MARGIN_SHARE = 10
+FULL_MARGIN_BUDGET_US = 1_000_000
 
 
 class AdmissionController:
@@ -38,15 +41,16 @@
         budget_us = event.budget_us
         if self._gives_up_late_calls(kind):
             budget_us = min(budget_us, kind.latency_objective_us)
-        share = min(1.0, budget_us / FULL_MARGIN_BUDGET_US)
-        margin_us = min(ANSWER_MARGIN_MOST_US, int(share * budget_us) // ANSWER_MARGIN_SHARE)
+        shrinking = min(1.0, budget_us / FULL_MARGIN_BUDGET_US)
+        margin_us = min(ANSWER_MARGIN_MOST_US, int(shrinking * budget_us) // ANSWER_MARGIN_SHARE)
         margin_us = max(ANSWER_MARGIN_TICKS * self.context.settings.tick_us, margin_us)
         return self.context.now_us + max(0, budget_us - margin_us)
 
     def refuses(self, repeat: bool) -> bool:
-        """Whether to refuse an arriving call, by one draw; repeats are refused twice as often.
+        """Whether to refuse an arriving call, by one draw that is always taken.
 
-        In overload, after the loss of a zone and in storms of repeats fewer answers in time beat all late.
+        Repeats are refused twice as often. In overload, after the loss of a zone and in storms of repeats a
+        few answers in time are worth more than all of them late.
         """
         excess = REFUSAL_GAIN * (self.late_ratio - REFUSAL_LATE_RATIO)
         probability = min(REFUSAL_PROBABILITY_MOST, excess) * (1 + repeat)
--- a/maplestile/dispatch/outliers.py
+++ b/maplestile/dispatch/outliers.py
@@ -12,12 +12,14 @@
 ALL_GROUPS_FACTOR = 0.5  # part of a step that counts against the worker for all groups
 EJECTION_SCORE = 0.45  # score from which calls avoid a worker
 SCORE_HALF_LIFE_KEEP_ALIVES = 0.7  # keep-alives in which a score halves; calls then try the worker again
-RESET_COALESCING_TICKS = 2  # ticks in which all ends of one broken connection count as one
-SLOW_WORKER_LOG_RATIO = 1.1  # log of the times over the fleet's median from which a worker is slow
+RESET_COALESCING_TICKS = 2  # ticks of the timer in which all ends of one broken connection count as one
+# A worker is slow from this natural logarithm on: its answer times over the expected ones, relative to the
+# fleet's median of that ratio; e**1.1 is three times as long.
+SLOW_WORKER_LOG_RATIO = 1.1
 CONNECT_BACKOFF_US = 1_000_000  # first backoff at a worker that takes no connection
 FULL_BACKOFF_SERVICE_TIMES = 0.5  # first backoff after a full answer, in service times
-BACKOFF_DOUBLINGS_MOST = 5  # each further backoff doubles the one before, so often
-MEMORY_EXHAUSTED_LOAD_TIMES = 0.2  # pause of loads at a worker without room for one, in load times
+BACKOFF_DOUBLINGS_MOST = 5  # how often a further backoff doubles the one before: 32 times the first, at most
+MEMORY_EXHAUSTED_LOAD_TIMES = 0.2  # pause of loads at a worker without memory for one, in load times
 
 ALL_GROUPS = ""
 
@@ -35,7 +37,7 @@
         entry = call.entry
         result = event.result
         if result is Result.FULL and attempt.needs_load:
-            # No memory for one more load there: that bars loads, and no call of a loaded copy.
+            # No memory for one more load there: that keeps loads away, and no call of a loaded copy.
             pause_us = int(MEMORY_EXHAUSTED_LOAD_TIMES * entry.load_us)
             worker.memory_exhausted_until_us = self.context.now_us + pause_us
             entry.home = ""
@@ -43,7 +45,7 @@
             self.back_off(worker, call.group, FULL_BACKOFF_SERVICE_TIMES * entry.service_us)
             entry.home = ""
         elif result is Result.ERROR and not entry.ever_served:
-            entry.errors_before_success += 1  # it may be no function's name, and blames no worker
+            entry.errors_before_success += 1  # the name may be no function's: no fault of the worker
         elif result in FAILURES and event.warmth is not Warmth.LOAD_FAILED:
             self.record_failure(call, worker)
             if result is Result.CONNECT_FAILED:
@@ -64,9 +66,12 @@
             call.entry.home = ""
 
     def back_off(self, worker: Worker, group: str, first_us: float) -> None:
-        """Send the group nothing for a while, twice as long at each time without an answer between."""
+        """Send the group nothing for a while, twice as long each time until an answer resets it.
+
+        While it is backed off nothing is added, since all that one connection carried counts as one symptom.
+        """
         if self.context.now_us < worker.backoff_until_us.get(group, 0):
-            return  # all that one connection carried counts as one
+            return
         doublings = min(BACKOFF_DOUBLINGS_MOST, worker.backoff_doublings.get(group, -1) + 1)
         worker.backoff_doublings[group] = doublings
         worker.backoff_until_us[group] = self.context.now_us + int(first_us * 2**doublings)
@@ -82,8 +87,10 @@
             return False
         if not worker.failure_scores:
             return True
-        score = max(self.failure_score(worker, group) for group in (call.group, ALL_GROUPS))
-        return score < EJECTION_SCORE
+        return (
+            self.failure_score(worker, call.group) < EJECTION_SCORE
+            and self.failure_score(worker, ALL_GROUPS) < EJECTION_SCORE
+        )
 
     def is_ejected(self, worker: Worker) -> bool:
         """All calls avoid the worker: by its score, or since it takes no connection."""
--- a/maplestile/dispatch/ranking.py
+++ b/maplestile/dispatch/ranking.py
@@ -27,7 +27,7 @@
 GUESS_GROWTH = 4  # of the bound, for each further pass
 MAX_WEIGHT_GROUPS = 16  # distinct weights up to which a pass uses the packed hashes
 CHANGE_COST = 4  # a change costs about as much as a pass's look at so many workers; more are not kept
-MIN_WEIGHT = 1e-6
+MIN_WEIGHT = 1e-6  # guards the division of a hash by a weight of 0
 REMOVED_WEIGHT = 0.0  # stands for a worker that may no longer be ranked
 HASH_RANGE = 1 << HASH_BITS
 ROUNDING = 1 - 1e-9  # lowers a bound that is a product of floats, so that it is never too high
@@ -143,7 +143,8 @@
         if len(ranking.workers) < wanted:
             self._rebuild(ranking, wanted)
         else:
-            ranking.cut(2 * (2 * wanted + SPARE_WORKERS))
+            rebuilt_size = 2 * wanted + SPARE_WORKERS
+            ranking.cut(2 * rebuilt_size)  # insertions may double it before that
 
     def _apply_changes(self, ranking: Ranking[W], missed: int) -> None:
         """Apply the last `missed` changes."""
--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -11,7 +11,9 @@
 from maplestile.dispatch.state import Call, FunctionEntry, Worker
 from maplestile.dispatch.warm_copies import WarmCopies
 
-OTHER_WORK_CALLS = 5.0  # own work assumed besides a function's, in its calls, where a cold worker is met
+# Own work of other functions, in calls of the function, assumed besides when the least sent to a worker in
+# its slow start is reckoned: the first calls after a start do not make one function the whole load.
+OTHER_WORK_CALLS = 5.0
 
 
 class SendGate:
@@ -35,30 +37,35 @@
         self.slow_start = slow_start
 
     def may_send(self, call: Call, worker: Worker) -> bool:
-        """Whether an attempt, be it the first, a retry or a hedged one, may begin at the worker now."""
+        """Whether an attempt, be it the first, a retry or a hedged one, may begin at the worker now.
+
+        No other rule may send a call past this one: not to a draining worker, nor during a backoff, nor
+        again where a repeat could do harm.
+        """
         now_us = self.context.now_us
         if not call.takes_attempts(now_us) or not self.fleet.is_running(worker):
             return False
         entry = call.entry
         backoffs = worker.backoff_until_us
-        # Evaluated only so far as needed: reading a copy's record creates it.
-        has_memory = (
-            now_us >= worker.memory_exhausted_until_us
-            or self.warm_copies.is_warm(entry, worker)
-            or entry.copy(worker).load_started_us
-        )
+        has_memory = self._has_memory(entry, worker)
         if now_us < max(backoffs.get(call.group, 0), backoffs.get(ALL_GROUPS, 0)) or not has_memory:
             return False
         if call.attempts:
-            hedges = call.outstanding() and not call.settings.may_hedge
-            if hedges or not self.retry.may_repeat(call, worker):
+            hedges_unduly = call.outstanding() and not call.settings.may_hedge
+            if hedges_unduly or not self.retry.may_repeat(call, worker):
                 return False
-            work_us = math.inf
+            work_us = math.inf  # never to a worker in its slow start
         else:
             work_us = entry.service_us
         least = self._least_calls(entry, worker)
         return self.slow_start.slow_start_allows(worker, call.settings, work_us, least)
 
+    def _has_memory(self, entry: FunctionEntry, worker: Worker) -> bool:
+        """The worker need not load a copy, or has not lately been without the memory for one."""
+        if self.context.now_us >= worker.memory_exhausted_until_us:
+            return True  # first, since reading a copy's record below creates it
+        return self.warm_copies.is_warm(entry, worker) or entry.copy(worker).load_started_us > 0
+
     def _least_calls(self, entry: FunctionEntry, worker: Worker) -> float:
         """Calls that each dispatcher may send to a cold worker, however few it sends there usually.
 
--- a/maplestile/dispatch/slow_start.py
+++ b/maplestile/dispatch/slow_start.py
@@ -7,7 +7,9 @@
 from maplestile.dispatch.load_rate import LoadRate
 from maplestile.dispatch.state import Worker
 
-SLOW_START_SAFETY = 0.45  # of the rule's limit that the fleet's sends to a cold worker may fill on the mean
+# Part of the overload limit that the sends of all dispatchers to a worker in its slow start may fill on the
+# mean: the rest is for the chance in when they come.
+SLOW_START_SAFETY = 0.45
 
 
 class SlowStart:
@@ -27,13 +29,13 @@
         """
         context = self.context
         warming_us = max(0, context.now_us - worker.entry.started_us)
-        risen = warming_us / max(1, settings.slow_start_us)  # evenly, at the slowest
+        risen = warming_us / max(1, settings.slow_start_us)  # the capacity rises evenly, at the slowest
         if not worker.entry.started_us or risen >= 1:
             return True
-        share = settings.slow_start_share + (1 - settings.slow_start_share) * risen
-        part = SLOW_START_SAFETY * settings.overload_multiple * share
-        usual_us = self.load_rate.rate() * settings.overload_window_us
-        usual_us = usual_us * worker.entry.weight / self.fleet.total_weight
+        capacity_share = settings.slow_start_share + (1 - settings.slow_start_share) * risen
+        part = SLOW_START_SAFETY * settings.overload_multiple * capacity_share
+        window_work_us = self.load_rate.rate() * settings.overload_window_us
+        usual_us = window_work_us * worker.entry.weight / self.fleet.total_weight
         window = (context.now_us + context.salt) // max(1, settings.overload_window_us)
         drawn = unit_hash(context.salt ^ worker.salt, digest(str(window)))
         sent_us = worker.sends.total(context.now_us)
