--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -47,7 +47,7 @@
             return False
         entry = call.entry
         backoffs = worker.backoff_until_us
-        has_memory = self._has_memory(entry, worker)
+        has_memory = now_us >= worker.memory_exhausted_until_us or self._needs_no_load(entry, worker)
         if now_us < max(backoffs.get(call.group, 0), backoffs.get(ALL_GROUPS, 0)) or not has_memory:
             return False
         if call.attempts:
@@ -60,10 +60,8 @@
         least = self._least_calls(entry, worker)
         return self.slow_start.slow_start_allows(worker, call.settings, work_us, least)
 
-    def _has_memory(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """The worker need not load a copy, or has not lately been without the memory for one."""
-        if self.context.now_us >= worker.memory_exhausted_until_us:
-            return True  # first, since reading a copy's record below creates it
+    def _needs_no_load(self, entry: FunctionEntry, worker: Worker) -> bool:
+        """A copy is loaded there or being loaded. To ask this creates the copy's record."""
         return self.warm_copies.is_warm(entry, worker) or entry.copy(worker).load_started_us > 0
 
     def _least_calls(self, entry: FunctionEntry, worker: Worker) -> float:
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -5,6 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 
 from maplestile.invoke import problems
 from maplestile.invoke.invocation_request import (
@@ -35,7 +36,7 @@
 POLL_US = 1_000_000  # when to look again at a deferred call that is still pending
 
 Respond = Callable[[Response], None]
-CallOff = Callable[[], None]  # called if the caller leaves before its response
+CallOff = Callable[[], None]  # called if the caller leaves before its response came
 
 
 class InvokeApi:
@@ -98,17 +99,17 @@
     def handle(self, request: HttpRequest, respond: Respond) -> CallOff:
         """Answer one request by `respond`, once, now or later."""
         self.counters["invoke.requests"] += 1
-
-        def respond_counted(response: Response) -> None:
-            self.counters[f"invoke.status.{response.status}"] += 1
-            respond(response)
-
+        respond_counted = partial(self._respond_counted, respond)
         try:
             return self._route(request, respond_counted)
-        except RequestRejected as refused:
-            respond_counted(refused.response)
+        except RequestRejected as rejection:
+            respond_counted(rejection.response)
             return nothing
 
+    def _respond_counted(self, respond: Respond, response: Response) -> None:
+        self.counters[f"invoke.status.{response.status}"] += 1
+        respond(response)
+
     def _route(self, request: HttpRequest, respond: Respond) -> CallOff:
         path = request.path.partition("?")[0]
         if match := INVOCATIONS.fullmatch(path):
@@ -147,19 +148,20 @@
         """Run a call that nobody can ask for again: without a key, and not deferred."""
         tenant = invocation.tenant
         self.in_flight[tenant] += 1
-
-        def answer(outcome: Outcome) -> None:
+        request = core_request(invocation, self.operator)
+        finish = partial(self._finish_unrecorded, tenant, respond)
+        call = self.core.submit(request, invocation.received_us, finish)
+        return partial(self._withdraw_unrecorded, tenant, call)
+
+    def _finish_unrecorded(self, tenant: str, respond: Respond, outcome: Outcome) -> None:
+        self.in_flight[tenant] -= 1
+        respond(problems.of(outcome))
+
+    def _withdraw_unrecorded(self, tenant: str, call: int) -> None:
+        """The caller has left: cancel its call, unless that has ended already."""
+        if call in self.core.open:
             self.in_flight[tenant] -= 1
-            respond(problems.of(outcome))
-
-        call = self.core.submit(core_request(invocation, self.operator), invocation.received_us, answer)
-
-        def withdraw() -> None:
-            if call in self.core.open:
-                self.in_flight[tenant] -= 1
-                self.core.withdraw(call)
-
-        return withdraw
+            self.core.withdraw(call)
 
     def _start(self, invocation: InvocationRequest) -> InvocationRecord:
         """Run a call under a new record."""
@@ -178,15 +180,15 @@
 
     def _submit(self, request: Request, record: InvocationRecord, received_us: int) -> None:
         self.in_flight[request.tenant] += 1
-
-        def answer(outcome: Outcome) -> None:
-            self.in_flight[request.tenant] -= 1
-            if record.abandoned and not record.waiting and not outcome.ran:
-                self.store.drop(record)  # nothing ran, and nobody got an answer: the key may be used again
-            else:
-                self.store.finish(record, problems.of(outcome))
-
-        record.call = self.core.submit(request, received_us, answer)
+        finish = partial(self._finish_recorded, request.tenant, record)
+        record.call = self.core.submit(request, received_us, finish)
+
+    def _finish_recorded(self, tenant: str, record: InvocationRecord, outcome: Outcome) -> None:
+        self.in_flight[tenant] -= 1
+        if record.abandoned and not record.waiting and not outcome.ran:
+            self.store.drop(record)  # nothing ran, and nobody got an answer: the key may be used again
+        else:
+            self.store.finish(record, problems.of(outcome))
 
     def _stop_waiting(self, record: InvocationRecord, respond: Respond) -> None:
         """Take note that a caller under a key has left.
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -6,7 +6,7 @@
 
 import tomllib
 from collections.abc import Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, fields
 from pathlib import Path
 from typing import Any
 
@@ -75,16 +75,8 @@
 
     def end(self) -> None:
         """Raise OperatorError where a field is not known."""
-        for table in (
-            self.invoke,
-            self.limits,
-            self.rules,
-            self.platform,
-            self.names,
-            self.operation,
-            self.peers,
-        ):
-            table.end()
+        for single in fields(self):
+            getattr(self, single.name).end()
 
 
 def load(path: Path) -> OperatorSettings:
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -27,7 +27,7 @@
     answer: Response | None = None
     delivered: bool = False
     deferred: bool = False  # its answer is collected later, by whoever knows the id
-    abandoned: bool = False  # every caller that waited for it has gone
+    abandoned: bool = False  # every caller that waited for it has left
     waiting: list[Callable[[Response], None]] = field(default_factory=list)
 
 
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -53,10 +53,10 @@
         for runner in runners:
             self._known.pop(runner, None)
             self._known[runner] = None
-        while (
-            len(self._known) > self._limits.max_known_runners
-        ):  # bounds memory: runners come and go for good
-            del self._known[next(iter(self._known))]
+        # Bounds memory, since runners come and go for good.
+        while len(self._known) > self._limits.max_known_runners:
+            oldest = next(iter(self._known))
+            del self._known[oldest]
 
     def suspend(self, runner: str) -> bool:
         """Cordon a runner, and return false for one that was never listed.
