--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -9,6 +9,7 @@
 from maplestile.common.toml_table import ConfigError
 from maplestile.operation import metrics as exposition
 from maplestile.operation.policy import PolicyOperations
+from maplestile.operation.runner_view import RunnerView
 from maplestile.wire.http import (
     Bounds,
     HttpRequest,
@@ -54,8 +55,8 @@
         """Return this instance's view of membership; None where membership is off."""
         ...
 
-    def runners(self) -> list[dict[str, Any]]:
-        """Return the runners listed: id, whether cordoned or avoided, and the attempts in flight there."""
+    def runners(self) -> list[RunnerView]:
+        """Return the runners listed."""
         ...
 
     def suspend(self, runner: str) -> bool:
@@ -92,8 +93,8 @@
         """Answer one request by `respond`, once; there is nothing to call off if the caller leaves first."""
         try:
             self._route(request, respond)
-        except RequestRejected as refused:
-            respond(refused.response)
+        except RequestRejected as rejection:
+            respond(rejection.response)
         return nothing
 
     def _route(self, request: HttpRequest, respond: Respond) -> None:
@@ -122,7 +123,7 @@
         return _json_response(members)
 
     def _runners(self) -> Response:
-        return _json_response({"runners": self.router.runners()})
+        return _json_response({"runners": [runner.as_json() for runner in self.router.runners()]})
 
     def _runner_action(self, path: str, request: HttpRequest) -> Response:
         match = RUNNER_ACTION.fullmatch(path)
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -8,6 +8,7 @@
 from maplestile.operation.cordons import Cordons
 from maplestile.operation.metrics import MetricsReport
 from maplestile.operation.policy import PolicyOperations
+from maplestile.operation.runner_view import RunnerView
 from maplestile.requests.core import Core
 from maplestile.requests.endpoint_list import EndpointList
 
@@ -48,17 +49,17 @@
         """Return this instance's view of membership; None where membership is off."""
         return self.membership_view()
 
-    def runners(self) -> list[dict[str, Any]]:
+    def runners(self) -> list[RunnerView]:
         """Return the runners listed, sorted by id."""
         in_flight = Counter(attempt.worker for attempt in self.core.flights.values())
         avoided = self.core.avoided()
         return [
-            {
-                "id": runner,
-                "suspended": runner in self.cordons.cordoned,
-                "avoided": runner in avoided,
-                "inflight": in_flight[runner],
-            }
+            RunnerView(
+                id=runner,
+                suspended=runner in self.cordons.cordoned,
+                avoided=runner in avoided,
+                inflight=in_flight[runner],
+            )
             for runner in sorted(self.endpoints.entries)
         ]
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -14,6 +14,7 @@
 from maplestile.operation.cordons import Cordons
 from maplestile.operation.handover import Handover, Stage
 from maplestile.operation.policy import PolicyOperations
+from maplestile.operation.runner_view import RunnerView
 from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire.http import HttpRequest, Response
@@ -49,8 +50,8 @@
     def members(self) -> dict[str, Any] | None:
         return None
 
-    def runners(self) -> list[dict[str, Any]]:
-        return [{"id": "s-0", "suspended": False, "avoided": False, "inflight": 2}]
+    def runners(self) -> list[RunnerView]:
+        return [RunnerView(id="s-0", suspended=False, avoided=False, inflight=2)]
 
     def suspend(self, runner: str) -> bool:
         self.calls.append(f"out {runner}")
@@ -78,6 +79,11 @@
         answer = self.ask("GET", "/v1/readyz")
         self.assertEqual((answer.status, b"no runner is listed" in answer.body), (503, True))
 
+    def test_runners_are_shown_as_json_in_a_fixed_order(self) -> None:
+        answer = self.ask("GET", "/v1/runners")
+        shown = b'{"runners": [{"id": "s-0", "suspended": false, "avoided": false, "inflight": 2}]}'
+        self.assertEqual((answer.status, answer.body), (200, shown))
+
     def test_runners_are_named_percent_decoded_and_unknown_ones_get_a_no(self) -> None:
         statuses = [
             self.ask("PUT", f"/v1/runners/{name}/{do}").status
