--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -50,6 +50,9 @@
     return api.WorkerEntry(worker, zone, "k", 0, state, 1.0, started_us)
 
 
+WORKERS = [entry(f"w{i}") for i in range(4)]
+
+
 def fleet(*entries: api.WorkerEntry, kind: api.ListKind = api.ListKind.CACHED) -> api.WorkerListReceived:
     return api.WorkerListReceived(kind, 1, entries)
 
@@ -111,3 +114,12 @@
 
 def finals(actions: list[api.Action]) -> list[api.Action]:
     return [a for a in actions if isinstance(a, api.RejectCall | api.FailCall)]
+
+
+def served(d: Driver, call: int, function: str, holders: tuple[str, ...] = ()) -> str:
+    """One call from arrival to its good answer; returns the worker."""
+    done = d.give(arrival(call, function)) + d.answer_asks(holders)
+    worker = sends(done)[0].worker
+    d.run(100 * MS)
+    d.give(ended(call, 0, worker, api.Result.OK))
+    return worker
