--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
-    told: dict[str, object] = {
+    defaults: dict[str, object] = {
         "classes": CLASSES,
         "router_count": 2,
         "zone": "z0",
@@ -41,7 +41,7 @@
         "overload_multiple": 2.0,
         "overload_window_us": 2_000 * MS,
     }
-    return api.Settings(**(told | changes))  # type: ignore[arg-type]
+    return api.Settings(**(defaults | changes))  # type: ignore[arg-type]
 
 
 def entry(
@@ -74,8 +74,9 @@
 class Driver:
     """Feeds one dispatcher and fires its timers when they are due."""
 
-    def __init__(self, told: api.Settings, workers: list[api.WorkerEntry], seed: int = 1) -> None:
-        self.dispatcher, self.now = Dispatcher(told, seed), 1_000_000 * MS
+    def __init__(self, chosen: api.Settings, workers: list[api.WorkerEntry], seed: int = 1) -> None:
+        self.dispatcher = Dispatcher(chosen, seed)
+        self.now = 1_000_000 * MS
         self.timers: list[tuple[int, int]] = []
         self.log: list[tuple[int, api.Action]] = []
         self.give(fleet(*workers))
@@ -88,23 +89,15 @@
 
     def run(self, duration_us: int) -> list[api.Action]:
         """Let time pass; returns what the timers brought about."""
-        end, done = self.now + duration_us, list[api.Action]()
-        while due := [t for t in self.timers if t[0] <= end]:
+        end_us = self.now + duration_us
+        done = list[api.Action]()
+        while due := [timer for timer in self.timers if timer[0] <= end_us]:
             timer = min(due)
             self.timers.remove(timer)
-            self.now = max(self.now, timer[0])
-            done += self.give(api.TimerFired(timer[1]))
-        self.now = end
-        return done
-
-    def answer_asks(self, holders: tuple[str, ...] = ()) -> list[api.Action]:
-        """Answer every ask that has been given so far and not been answered yet."""
-        asks = [a for _, a in self.log if isinstance(a, api.RequestLoad) and a.copies == 0]
-        self.log = [(t, a) for t, a in self.log if not (isinstance(a, api.RequestLoad) and a.copies == 0)]
-        done = list[api.Action]()
-        for ask in asks:
-            copies = int(ask.worker in holders)
-            done += self.give(api.LoadRequestEnded(ask.worker, ask.function, api.Result.OK, MS, copies))
+            due_us, token = timer
+            self.now = max(self.now, due_us)
+            done += self.give(api.TimerFired(token))
+        self.now = end_us
         return done
 
 
@@ -116,10 +109,9 @@
     return [a for a in actions if isinstance(a, api.RejectCall | api.FailCall)]
 
 
-def served(d: Driver, call: int, function: str, holders: tuple[str, ...] = ()) -> str:
+def served(driver: Driver, call: int, function: str) -> str:
     """One call from arrival to its good answer; returns the worker."""
-    done = d.give(arrival(call, function)) + d.answer_asks(holders)
-    worker = sends(done)[0].worker
-    d.run(100 * MS)
-    d.give(ended(call, 0, worker, api.Result.OK))
+    worker = sends(driver.give(arrival(call, function)))[0].worker
+    driver.run(100 * MS)
+    driver.give(ended(call, 0, worker, api.Result.OK))
     return worker
--- a/tests/test_decide_loads.py
+++ b/tests/test_decide_loads.py
@@ -7,85 +7,85 @@
 
 
 def test_function_in_the_caching_tier_gets_a_keep_warm_request_and_others_none() -> None:
-    d = Driver(settings(router_count=1), WORKERS)
+    driver = Driver(settings(router_count=1), WORKERS)
     for call in range(3):
-        home = served(d, call, "hot")
-    served(d, 10, "once")
-    held = [a for a in d.run(9_000 * MS) if isinstance(a, api.RequestLoad)]
+        home = served(driver, call, "hot")
+    served(driver, 10, "once")
+    held = [a for a in driver.run(9_000 * MS) if isinstance(a, api.RequestLoad)]
     assert held == [api.RequestLoad(home, "hot", 1)]
 
 
 def test_load_requests_stay_in_the_budget() -> None:
-    d = Driver(settings(load_requests_free=2, load_requests_per_call=0.0, loads_on_miss=False), WORKERS)
+    driver = Driver(settings(load_requests_free=2, load_requests_per_call=0.0, loads_on_miss=False), WORKERS)
     for call in range(40):
-        for send in sends(d.give(arrival(call, f"f{call % 5}"))):
-            d.give(ended(call, 0, send.worker, api.Result.MISS, MS))
-    d.run(3_000 * MS)
-    assert sum(isinstance(a, api.RequestLoad) and a.copies > 0 for _, a in d.log) == 2
+        for send in sends(driver.give(arrival(call, f"f{call % 5}"))):
+            driver.give(ended(call, 0, send.worker, api.Result.MISS, MS))
+    driver.run(3_000 * MS)
+    assert sum(isinstance(a, api.RequestLoad) and a.copies > 0 for _, a in driver.log) == 2
 
 
 def test_miss_is_answered_by_a_load_request_and_the_call_waits_for_it() -> None:
-    d = Driver(settings(loads_on_miss=False), WORKERS)
-    home = served(d, 1, "f")
-    d.give(arrival(2, "f"))
-    done = d.give(ended(2, 0, home, api.Result.MISS, MS))
+    driver = Driver(settings(loads_on_miss=False), WORKERS)
+    home = served(driver, 1, "f")
+    driver.give(arrival(2, "f"))
+    done = driver.give(ended(2, 0, home, api.Result.MISS, MS))
     assert [a for a in done if isinstance(a, api.RequestLoad)] == [api.RequestLoad(home, "f", 1)]
-    assert sends(d.run(100 * MS))[0].worker == home
+    assert sends(driver.run(100 * MS))[0].worker == home
 
 
 def test_one_that_has_just_started_holds_no_first_calls_for_loads_that_others_have_made() -> None:
-    d = Driver(settings(), WORKERS)
+    driver = Driver(settings(), WORKERS)
     for call in range(6):
-        d.give(arrival(call, f"f{call}"))
-    sent = sends([a for _, a in d.log])
-    assert len(sent) > 2 and not d.dispatcher.loads.loads  # two loads are the cap here
+        driver.give(arrival(call, f"f{call}"))
+    sent = sends([a for _, a in driver.log])
+    assert len(sent) > 2 and not driver.dispatcher.loads.loads  # two loads are the cap here
     for send in sent:
-        d.give(ended(send.call, 0, send.worker, api.Result.OK))
-    d.run(30_000 * MS)  # from then on it knows what it has seen, and a new name's copy must be loaded
-    d.give(arrival(50, "new"))
-    assert len(d.dispatcher.loads) == 1
+        driver.give(ended(send.call, 0, send.worker, api.Result.OK))
+    driver.run(30_000 * MS)  # from then on it knows what it has seen, and a new name's copy must be loaded
+    driver.give(arrival(50, "new"))
+    assert len(driver.dispatcher.loads) == 1
 
 
 def test_drain_of_a_home_has_the_copy_loaded_at_the_next_replica_before_a_call_comes() -> None:
-    d = Driver(settings(), WORKERS)
+    driver = Driver(settings(), WORKERS)
     for call in range(4):
-        home = served(d, call, "f")
-    d.log.clear()
-    d.give(fleet(entry(home, api.WorkerState.DRAINING), kind=api.ListKind.DELTA))
-    d.run(1_000 * MS)
-    (order,) = [a for _, a in d.log if isinstance(a, api.RequestLoad)]
-    assert (
-        order == api.RequestLoad(d.dispatcher.tiers.functions["f"].ranking[0].entry.worker, "f", 1)
-        and order.worker != home
-    )
+        home = served(driver, call, "f")
+    driver.log.clear()
+    driver.give(fleet(entry(home, api.WorkerState.DRAINING), kind=api.ListKind.DELTA))
+    driver.run(1_000 * MS)
+    (order,) = [a for _, a in driver.log if isinstance(a, api.RequestLoad)]
+    replica = driver.dispatcher.tiers.functions["f"].ranking[0].entry.worker
+    assert order == api.RequestLoad(replica, "f", 1) and replica != home
 
 
 def test_copies_are_inferred_at_replicas_alone_and_not_before_others_can_have_loaded_them() -> None:
-    d = Driver(settings(router_count=9), [*WORKERS, entry("w4")])
+    driver = Driver(settings(router_count=9), [*WORKERS, entry("w4")])
     for call in range(40):
-        served(d, call, "f")
-    dispatcher, function = d.dispatcher, d.dispatcher.tiers.functions["f"]
+        served(driver, call, "f")
+    dispatcher, function = driver.dispatcher, driver.dispatcher.tiers.functions["f"]
     dispatcher.load_rate.first_call_us -= 60_000 * MS
     function.replica_count, function.home = 1, ""
     copies = dispatcher.warm_copies
     unknown = [w for w in function.ranking[1:] if not copies.is_warm(function, w)]
     assert unknown and not any(copies.is_inferred_warm(function, w) for w in unknown)
-    d.give(fleet(replace(function.ranking[0].entry, state=api.WorkerState.GONE), kind=api.ListKind.DELTA))
+    gone = replace(function.ranking[0].entry, state=api.WorkerState.GONE)
+    driver.give(fleet(gone, kind=api.ListKind.DELTA))
     replica = dispatcher.fleet.ranked(function)[0]
     replica.copies.clear()
-    function.copy(replica).replica_since_us = d.now
+    function.copy(replica).replica_since_us = driver.now
     assert not copies.is_inferred_warm(function, replica)
-    d.now += 5_000 * MS
-    dispatcher.handle(d.now, api.CallExpired(0))
+    driver.now += 5_000 * MS
+    dispatcher.handle(driver.now, api.CallExpired(0))
     assert copies.is_inferred_warm(function, replica)
 
 
 def test_call_waits_at_a_busy_copy_while_the_next_one_loads() -> None:
-    d = Driver(settings(), WORKERS)
-    home = served(d, 1, "f")
-    d.run(500 * MS)
-    assert [s.worker for call in (2, 3) for s in sends(d.give(arrival(call, "f")))] == [home] * 2  # all lanes
-    done = d.give(arrival(4, "f"))
+    driver = Driver(settings(), WORKERS)
+    home = served(driver, 1, "f")
+    driver.run(500 * MS)
+    workers = [send.worker for call in (2, 3) for send in sends(driver.give(arrival(call, "f")))]
+    assert workers == [home] * 2  # all lanes
+    done = driver.give(arrival(4, "f"))
     assert [s.worker for s in sends(done)] == [home]
     (order,) = [a for a in done if isinstance(a, api.RequestLoad)]
     assert order.worker != home and order.copies == 1
@@ -93,36 +93,36 @@
 
 def test_few_large_workers_may_load_many_functions_at_once() -> None:
     """On days with six workers of a thousand copies each a cap of two loads held most calls back."""
-    d = Driver(settings(router_count=3, kind_memory_mb=(("k", 400_000.0),)), WORKERS)
+    large = Driver(settings(router_count=3, kind_memory_mb=(("k", 400_000.0),)), WORKERS)
     small = Driver(settings(router_count=3), WORKERS)
-    for each in (d, small):  # long since started
-        served(each, 100, "old")
-        each.run(30_000 * MS)
-        each.log.clear()
+    for driver in (large, small):  # long since started
+        served(driver, 100, "old")
+        driver.run(30_000 * MS)
+        driver.log.clear()
     for call in range(10):
-        d.give(arrival(call, f"f{call}"))
-    assert len(sends([a for _, a in d.log])) == 5  # of four loads a worker, a third
+        large.give(arrival(call, f"f{call}"))
+    assert len(sends([a for _, a in large.log])) == 5  # of four loads a worker, a third
     for call in range(10):
         small.give(arrival(call, f"f{call}"))
     assert len(sends([a for _, a in small.log])) == 2
 
 
-def test_full_answer_to_a_call_that_needs_a_load_bars_that_function_there_and_no_other() -> None:
-    """4,052 of 4,052 full answers on a day of large workers came to loads, and barred the whole class."""
-    d = Driver(settings(), WORKERS[:1])
-    d.give(arrival(1, "warm"))
-    d.give(ended(1, 0, "w0", api.Result.OK))
-    d.give(arrival(2, "cold"))
-    d.give(ended(2, 0, "w0", api.Result.FULL, 4 * MS))
-    assert len(sends(d.give(arrival(3, "warm")))) == 1
-    assert not sends(d.give(arrival(4, "cold")))
+def test_full_answer_to_a_call_that_needs_a_load_excludes_that_function_there_and_no_other() -> None:
+    """4,052 of 4,052 full answers on a day of large workers came to loads, and excluded the whole class."""
+    driver = Driver(settings(), WORKERS[:1])
+    driver.give(arrival(1, "warm"))
+    driver.give(ended(1, 0, "w0", api.Result.OK))
+    driver.give(arrival(2, "cold"))
+    driver.give(ended(2, 0, "w0", api.Result.FULL, 4 * MS))
+    assert len(sends(driver.give(arrival(3, "warm")))) == 1
+    assert not sends(driver.give(arrival(4, "cold")))
 
 
 def test_worker_without_room_for_a_load_is_spared_further_loads_and_no_call_of_what_stands() -> None:
-    d = Driver(settings(router_count=1), WORKERS[:1])
-    home = served(d, 1, "stands")
-    (send,) = sends(d.give(arrival(2, "a")))
-    d.give(ended(2, 0, send.worker, api.Result.FULL, MS))
-    assert not sends(d.give(arrival(3, "b")))  # any function's load would meet the same queue
-    assert [s.worker for s in sends(d.give(arrival(4, "stands")))] == [home]
-    assert {s.call for s in sends(d.run(500 * MS))} >= {2}  # and is tried again soon
+    driver = Driver(settings(router_count=1), WORKERS[:1])
+    home = served(driver, 1, "stands")
+    (send,) = sends(driver.give(arrival(2, "a")))
+    driver.give(ended(2, 0, send.worker, api.Result.FULL, MS))
+    assert not sends(driver.give(arrival(3, "b")))  # any function's load would meet the same queue
+    assert [s.worker for s in sends(driver.give(arrival(4, "stands")))] == [home]
+    assert {s.call for s in sends(driver.run(500 * MS))} >= {2}  # and is tried again soon
--- a/tests/test_decide_tiers.py
+++ b/tests/test_decide_tiers.py
@@ -6,137 +6,136 @@
 
 
 def test_functions_rise_one_tier_a_call_and_caching_demands_a_better_gap() -> None:
-    d = Driver(settings(), WORKERS)
+    driver = Driver(settings(), WORKERS)
     places = []
     for call in range(3):
-        served(d, call, "f")
-        places.append(d.dispatcher.tiers.functions["f"].tier)
+        served(driver, call, "f")
+        places.append(driver.dispatcher.tiers.functions["f"].tier)
     assert places == [SINGLE, MULTIPLE, CACHING]
     for call in range(10, 13):
-        d.run(5_000 * MS)
-        served(d, call * 10, "f")
-        served(d, call * 10 + 1, "f")
-        served(d, call, "rare")
-    assert (
-        d.dispatcher.tiers.functions["rare"].tier == MULTIPLE
-    )  # its gap is worse than that of f, aged as it is
-    d.run(9_000 * MS)
-    served(d, 201, "rare")
-    served(d, 202, "rare")
-    assert d.dispatcher.tiers.functions["rare"].tier == CACHING  # f has been idle for longer than the new gap
+        driver.run(5_000 * MS)
+        served(driver, call * 10, "f")
+        served(driver, call * 10 + 1, "f")
+        served(driver, call, "rare")
+    # Its gap is worse than that of f, aged as it is.
+    assert driver.dispatcher.tiers.functions["rare"].tier == MULTIPLE
+    driver.run(9_000 * MS)
+    served(driver, 201, "rare")
+    served(driver, 202, "rare")
+    # By now f has been idle for longer than the new gap.
+    assert driver.dispatcher.tiers.functions["rare"].tier == CACHING
 
 
 def test_full_tiers_evict_their_worst_one_tier_down() -> None:
-    d = Driver(settings(kind_memory_mb=(("k", 400.0),)), WORKERS)  # room for two functions
+    driver = Driver(settings(kind_memory_mb=(("k", 400.0),)), WORKERS)  # room for two functions
     for n, function in enumerate(("a", "b", "c", "d", "e")):
-        served(d, 100 + n, function)
+        served(driver, 100 + n, function)
     for n in range(12):
-        served(d, 200 + n, "abcde"[n % 5])
-    tiers = d.dispatcher.tiers.tiers
-    assert d.dispatcher.tiers.capacity == 2
+        served(driver, 200 + n, "abcde"[n % 5])
+    tiers = driver.dispatcher.tiers.tiers
+    assert driver.dispatcher.tiers.capacity == 2
     assert len(tiers[CACHING]) <= 2 and len(tiers[MULTIPLE]) <= 2
     assert sum(len(tier) for tier in tiers) == 5
 
 
 def test_backlog_of_a_stall_makes_no_near_zero_gap() -> None:
-    d = Driver(settings(), WORKERS)
-    served(d, 1, "rare")
-    d.run(8_000 * MS)
+    driver = Driver(settings(), WORKERS)
+    served(driver, 1, "rare")
+    driver.run(8_000 * MS)
     for call in (2, 3, 4):  # delivered at once after a stall
-        d.give(arrival(call, "rare"))
-    assert d.dispatcher.tiers.functions["rare"].gap_us >= 8_000 * MS
+        driver.give(arrival(call, "rare"))
+    assert driver.dispatcher.tiers.functions["rare"].gap_us >= 8_000 * MS
 
 
 def test_home_is_who_served_and_unknown_functions_share_a_ranking_without_the_seed() -> None:
     firsts = {served(Driver(settings(), WORKERS, seed), 1, "f") for seed in range(5)}
     assert len(firsts) == 1
-    d = Driver(settings(), WORKERS)
-    top = sends(d.give(arrival(1, "f")))[0].worker
-    other = sends(d.give(ended(1, 0, top, api.Result.FULL)))[0].worker
-    d.run(100 * MS)
-    d.give(ended(1, 1, other, api.Result.OK))
-    assert d.dispatcher.tiers.functions["f"].home == other != top
+    driver = Driver(settings(), WORKERS)
+    top = sends(driver.give(arrival(1, "f")))[0].worker
+    other = sends(driver.give(ended(1, 0, top, api.Result.FULL)))[0].worker
+    driver.run(100 * MS)
+    driver.give(ended(1, 1, other, api.Result.OK))
+    assert driver.dispatcher.tiers.functions["f"].home == other != top
 
 
 def test_own_calls_at_the_lanes_and_full_move_on_along_the_ranking() -> None:
-    d = Driver(settings(router_count=1), WORKERS[:2])
-    home = served(d, 1, "f")
-    first = [sends(d.give(arrival(call, "f")))[0].worker for call in (2, 3)]
+    driver = Driver(settings(router_count=1), WORKERS[:2])
+    home = served(driver, 1, "f")
+    first = [sends(driver.give(arrival(call, "f")))[0].worker for call in (2, 3)]
     assert first[0] == home
-    (order,) = [
-        a for a in d.give(arrival(4, "f")) if isinstance(a, api.RequestLoad)
-    ]  # it waits for a turn here
+    done = driver.give(arrival(4, "f"))  # it waits for a turn here
+    (order,) = [action for action in done if isinstance(action, api.RequestLoad)]
     assert order.worker != home
-    d.give(api.LoadRequestEnded(order.worker, "f", api.Result.OK, 500 * MS, 1))
-    crowd = [s.worker for call in (5, 6) for s in sends(d.give(arrival(call, "f")))]
+    driver.give(api.LoadRequestEnded(order.worker, "f", api.Result.OK, 500 * MS, 1))
+    crowd = [s.worker for call in (5, 6) for s in sends(driver.give(arrival(call, "f")))]
     assert crowd == [order.worker] * 2
-    moved = sends(d.give(ended(2, 0, home, api.Result.FULL)) + d.run(40 * MS))
+    moved = sends(driver.give(ended(2, 0, home, api.Result.FULL)) + driver.run(40 * MS))
     assert all(s.worker != home for s in moved if s.call == 2)
 
 
 def test_function_with_a_large_share_of_the_work_gets_more_replicas() -> None:
-    told = settings(router_count=300)
-    d = Driver(told, [entry(f"w{i}") for i in range(60)])
+    chosen = settings(router_count=300)
+    driver = Driver(chosen, [entry(f"w{i}") for i in range(60)])
     used = {"hot": set[str](), "rare": set[str]()}
     for call in range(120):
-        d.run(300 * MS)
+        driver.run(300 * MS)
         function = "hot" if call % 2 else f"rare-{call}"
-        for send in sends(d.give(arrival(call, function))):
+        for send in sends(driver.give(arrival(call, function))):
             used["hot" if call % 2 else "rare"].add(send.worker)
-            d.give(ended(call, 0, send.worker, api.Result.OK, 900 * MS if call % 8 == 1 else 100 * MS))
+            driver.give(ended(call, 0, send.worker, api.Result.OK, 900 * MS if call % 8 == 1 else 100 * MS))
     assert len(used["hot"]) >= 10  # drawn among many replicas, and slow answers moved it
-    assert d.dispatcher.placement.replica_count(d.dispatcher.tiers.functions["rare-118"]) == 1
+    assert driver.dispatcher.placement.replica_count(driver.dispatcher.tiers.functions["rare-118"]) == 1
 
 
 def test_functions_that_are_forgotten_leave_nothing_at_the_workers() -> None:
-    d = Driver(settings(), WORKERS)
+    driver = Driver(settings(), WORKERS)
     for call in range(2_000):
-        served(d, call, f"f{call}")
-    kept = len(d.dispatcher.tiers.functions)
-    assert kept < 500 and len(d.dispatcher.calls) == 0
-    assert sum(len(w.copies) for w in d.dispatcher.workers.values()) <= kept * len(WORKERS)
-    assert len(d.dispatcher.loads) <= kept
+        served(driver, call, f"f{call}")
+    kept = len(driver.dispatcher.tiers.functions)
+    assert kept < 500 and len(driver.dispatcher.calls) == 0
+    assert sum(len(w.copies) for w in driver.dispatcher.workers.values()) <= kept * len(WORKERS)
+    assert len(driver.dispatcher.loads) <= kept
 
 
 def test_rankings_are_not_recomputed_for_each_call_or_outcome() -> None:
     """Work is counted: 90 workers, 300 functions; a call looks at its replicas only."""
-    d = Driver(settings(router_count=300), [entry(f"w{i}") for i in range(90)])
+    driver = Driver(settings(router_count=300), [entry(f"w{i}") for i in range(90)])
     for call in range(300):
-        d.give(arrival(call, f"f{call}"))
+        driver.give(arrival(call, f"f{call}"))
     visited = 0
-    plain = d.dispatcher.gate.may_send
+    plain = driver.dispatcher.gate.may_send
 
     def counted(call: Call, worker: Worker) -> bool:
         nonlocal visited
         visited += 1
         return plain(call, worker)
 
-    d.dispatcher.gate.may_send = counted  # type: ignore[method-assign]
+    driver.dispatcher.gate.may_send = counted  # type: ignore[method-assign]
     for call in range(300, 600):
-        done = sends(d.give(arrival(call, f"f{call % 300}")))
+        done = sends(driver.give(arrival(call, f"f{call % 300}")))
         for send in done:
-            d.give(ended(send.call, 0, send.worker, api.Result.OK))
+            driver.give(ended(send.call, 0, send.worker, api.Result.OK))
     assert visited <= 300 * 12
 
 
 def test_bounced_call_of_a_hot_function_looks_at_few_of_its_replicas() -> None:
     """A burst that bounced off full workers once scanned all replicas at each attempt (hunt day h5ddff9)."""
-    d = Driver(settings(router_count=300), [entry(f"w{i}") for i in range(90)])
+    driver = Driver(settings(router_count=300), [entry(f"w{i}") for i in range(90)])
     for call in range(40):
-        d.run(100 * MS)
-        for send in sends(d.give(arrival(call, "hot"))):
-            d.give(ended(call, 0, send.worker, api.Result.OK))
-    assert d.dispatcher.placement.replica_count(d.dispatcher.tiers.functions["hot"]) > 40
+        driver.run(100 * MS)
+        for send in sends(driver.give(arrival(call, "hot"))):
+            driver.give(ended(call, 0, send.worker, api.Result.OK))
+    assert driver.dispatcher.placement.replica_count(driver.dispatcher.tiers.functions["hot"]) > 40
     visited = 0
-    plain = d.dispatcher.gate.may_send
+    plain = driver.dispatcher.gate.may_send
 
     def counted(call: Call, worker: Worker) -> bool:
         nonlocal visited
         visited += 1
         return plain(call, worker)
 
-    d.dispatcher.gate.may_send = counted  # type: ignore[method-assign]
+    driver.dispatcher.gate.may_send = counted  # type: ignore[method-assign]
     for call in range(100, 120):
-        for send in sends(d.give(arrival(call, "hot"))):
-            d.give(ended(call, 0, send.worker, api.Result.FULL, MS))
+        for send in sends(driver.give(arrival(call, "hot"))):
+            driver.give(ended(call, 0, send.worker, api.Result.FULL, MS))
     assert visited <= 20 * 60
