--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from tests.decision_trace import EVENTS, EVENTS_PER_CHUNK, FIXTURE, SEEDS, VARIANTS, replayed
+from tests.decision_trace import EVENTS, EVENTS_PER_CHUNK, FIXTURE, SEEDS, replayed
+from tests.trace_variants import VARIANTS
 
 RECORDED: list[dict[str, Any]] = json.loads(FIXTURE.read_text())
 ACTIONS = {"AFTER", "CALL_OUT", "ENSURE", "TURN_AWAY", "FINISH_ERROR", "RECALL", "HEALTH_CHECK", "LOG"}
