--- a/maplestile/dispatch/retry.py
+++ b/maplestile/dispatch/retry.py
@@ -31,7 +31,7 @@
         self.budget -= 1.0
 
     def may_repeat(self, call: Call, worker: Worker) -> bool:
-        """Whether a call that may have gone out before may ever go to the worker."""
+        """Whether a call that may have been sent before may ever go to the worker."""
         ran = call.possibly_run()
         results = [
             attempt.result
--- a/tests/left_processes.py
+++ b/tests/left_processes.py
@@ -1,6 +1,6 @@
 """A test that leaves processes behind fails by its name, and they are ended.
 
-They are found by a variable of the environment, which a process hands on to those it starts, so that one
+They are found by a variable of the environment, which a process passes on to those it starts, so that one
 whose parent has ended is found as well; and among the descendants of the test process, for those that were
 started with another environment."""
 
@@ -15,7 +15,7 @@
 import pytest
 
 MARKER = "MAPLESTILE_TEST"
-GRACE_S = 2.0  # for processes that were killed to be gone
+GRACE_S = 2.0  # for processes that were killed to have ended
 LOOK_S = 0.02
 PROC = Path("/proc")
 
@@ -81,9 +81,9 @@
     else:
         os.environ[MARKER] = outer
     if left := _left_after_grace(mark, before):
-        told = "; ".join(f"pid {pid}: {_command(pid)}" for pid in sorted(left))
+        processes = "; ".join(f"pid {pid}: {_command(pid)}" for pid in sorted(left))
         while left:  # one that is ended may just have started another
             _end(left)
             time.sleep(LOOK_S)
             left = _left(mark, before)
-        pytest.fail(f"processes were left behind: {told}", pytrace=False)
+        pytest.fail(f"processes were left behind: {processes}", pytrace=False)
--- a/tests/router_group.py
+++ b/tests/router_group.py
@@ -141,7 +141,7 @@
         return self.programs[number].counters().get(name, 0)
 
     def deaths(self, numbers: list[int]) -> list[int]:
-        """How many members each of these has declared dead, or was told so and believed it."""
+        """How many members each of these has declared dead, or has taken for dead by gossip."""
         return [self.counter(number, "peers.events.confirm") for number in numbers]
 
     def stop(self, number: int) -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what stands round the program, and the program's process."""
+"""Stand-ins for the program's surroundings (workers, a name server, clients), and the program's process."""
 
 import base64
 import contextlib
@@ -33,7 +33,10 @@
 
 
 class Worker:
-    """Runs what the body says: echo it backwards, fail, hang, die, send raw bytes. `ran` lists the calls."""
+    """Runs what the command before the first colon of the body says: fail, hang, die, send raw bytes.
+
+    Any other body is sent back in reverse. `ran` lists the calls that were run, `lines` every message.
+    """
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -60,37 +63,37 @@
                 self.pause.wait()
                 if not line.endswith(b"\n"):
                     return  # cut off
-                told = json.loads(line)
-                self.lines.append(told)
-                answer = self._answer(told)
+                message = json.loads(line)
+                self.lines.append(message)
+                answer = self._answer(message)
                 if isinstance(answer, bytes):
                     peer.sendall(answer)
                 elif answer is not None:
-                    peer.sendall(json.dumps(answer | {"call": told["call"]}).encode() + b"\n")
+                    peer.sendall(json.dumps(answer | {"call": message["call"]}).encode() + b"\n")
         except OSError:
             return
 
-    def _answer(self, told: dict[str, Any]) -> dict[str, Any] | bytes | None:
-        if told["kind"] == "LOAD":
-            return {"kind": "200", "head": {"units": str(max(1, told["head"]["units"]))}}
-        if told["kind"] == "STATS":
+    def _answer(self, message: dict[str, Any]) -> dict[str, Any] | bytes | None:
+        if message["kind"] == "LOAD":
+            return {"kind": "200", "head": {"units": str(max(1, message["head"]["units"]))}}
+        if message["kind"] == "STATS":
             return {"kind": "200"}
-        if told["kind"] != "CALL":
+        if message["kind"] != "CALL":
             return None
-        body = base64.b64decode(told["bytes"])
-        word = body.split(b":")[0]
-        if word == b"full":
+        body = base64.b64decode(message["bytes"])
+        command = body.split(b":")[0]
+        if command == b"full":
             return {"kind": "503"}
-        self.ran.append(told)
-        if word == b"raw":
-            return body[4:].replace(b"TAG", told["call"].encode())
-        if word == b"die":
+        self.ran.append(message)
+        if command == b"raw":
+            return body[4:].replace(b"TAG", message["call"].encode())
+        if command == b"die":
             self.die()
-        if word in (b"die", b"hang"):
+        if command in (b"die", b"hang"):
             return None
-        if word == b"long":
+        if command == b"long":
             body = 230_000 * b"x"
-        if word == b"error":
+        if command == b"error":
             return {"kind": 500}
         return {"kind": 200, "head": {"ahead": "1"}, "bytes": base64.b64encode(body[::-1]).decode()}
 
@@ -182,8 +185,8 @@
     def counters(self) -> dict[str, int]:
         self.log.clear()
         self.process.send_signal(signal.SIGUSR1)
-        told: dict[str, int] = json.loads(self.find(r'^(\{"counters".*)'))["counters"]
-        return told
+        counters: dict[str, int] = json.loads(self.find(r'^(\{"counters".*)'))["counters"]
+        return counters
 
     def stop(self) -> int:
         self.process.terminate()
@@ -194,8 +197,8 @@
         self.log.clear()
         self.file.write_text(change(self.file.read_text()))
         self.process.send_signal(signal.SIGHUP)
-        told: dict[str, Any] = json.loads(self.find(r'^(\{"reload".*)'))["reload"]
-        return told
+        report: dict[str, Any] = json.loads(self.find(r'^(\{"reload".*)'))["reload"]
+        return report
 
     def kill(self) -> None:
         self.process.kill()
@@ -228,22 +231,25 @@
 
     @contextlib.contextmanager
     def together(self) -> Iterator[None]:
-        """What is sent within goes out in one piece at its end: the system hands it over whole or not at all,
-        so that the program never takes some of it and ends the connection before the rest."""
+        """What is sent within goes out in one piece at its end.
+
+        The system delivers it as a whole or not at all, so that the program never takes a part of it and ends
+        the connection before the rest.
+        """
         self.holding = True
         yield
         self.holding = False
         self.flush()
 
     def call(self, class_name: str, body: bytes, limit_ms: int = 10_000, **params: Any) -> int:
-        told = {
+        defaults = {
             "txn": os.urandom(8).hex(),
             "limit": limit_ms,
             "item": ITEM,
             "info": "memory_mb:100;lanes:4",
             "blob": base64.b64encode(body).decode(),
         }
-        return self.send(class_name, told | params)
+        return self.send(class_name, defaults | params)
 
     def served(self, class_name: str, body: bytes, **params: Any) -> dict[str, Any]:
         """The answer of a call that is served: one refused, as for lag on a busy machine, comes again."""
@@ -263,8 +269,8 @@
             size = int(line.partition(b":")[2])
         if size is None:
             return None
-        told: dict[str, Any] = json.loads(self.file.read(size))
-        return told
+        answer: dict[str, Any] = json.loads(self.file.read(size))
+        return answer
 
     def close(self) -> None:
         self.file.close()
@@ -337,7 +343,7 @@
     }
     file = Path(tempfile.mkdtemp()) / "config.json"
     file.write_text(json.dumps(config))
-    told = {"TMPDIR": folder, "NODE_OPERATOR": "127.0.0.1:0"} if folder else {}
-    program = Program(NODE_CONFIG=str(file), **told)
+    environment = {"TMPDIR": folder, "NODE_OPERATOR": "127.0.0.1:0"} if folder else {}
+    program = Program(NODE_CONFIG=str(file), **environment)
     program.file = file
     return program
--- a/tests/test_decide_loads.py
+++ b/tests/test_decide_loads.py
@@ -68,8 +68,8 @@
     copies = dispatcher.warm_copies
     unknown = [w for w in function.ranking[1:] if not copies.is_warm(function, w)]
     assert unknown and not any(copies.is_inferred_warm(function, w) for w in unknown)
-    gone = replace(function.ranking[0].entry, state=api.WorkerState.GONE)
-    driver.give(fleet(gone, kind=api.ListKind.DELTA))
+    removed = replace(function.ranking[0].entry, state=api.WorkerState.GONE)
+    driver.give(fleet(removed, kind=api.ListKind.DELTA))
     replica = dispatcher.fleet.ranked(function)[0]
     replica.copies.clear()
     function.copy(replica).replica_since_us = driver.now
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail: they are passed over and told, and nothing else is."""
+"""Tests that are known to fail: they are passed over and printed, and nothing else is."""
 
 import subprocess
 import sys
@@ -23,9 +23,9 @@
 
 
 def test_known_red_is_passed_over_and_printed(tmp_path: Path) -> None:
-    code, told = played(tmp_path, [RED])
-    assert code == 0 and "1 passed, 1 xfailed" in told
-    assert "known red: test_a.py::test_fails: it is broken (Issue nine)" in told
+    code, output = played(tmp_path, [RED])
+    assert code == 0 and "1 passed, 1 xfailed" in output
+    assert "known red: test_a.py::test_fails: it is broken (Issue nine)" in output
 
 
 @pytest.mark.parametrize(
@@ -40,5 +40,5 @@
     ],
 )
 def test_all_else_is_red(tmp_path: Path, lines: list[str], why: str) -> None:
-    code, told = played(tmp_path, lines)
-    assert code != 0 and why in told
+    code, output = played(tmp_path, lines)
+    assert code != 0 and why in output
--- a/tests/test_left_processes.py
+++ b/tests/test_left_processes.py
@@ -46,13 +46,13 @@
 
 @pytest.mark.parametrize("test", [CHILD, BARE_CHILD, ORPHAN], ids=["child", "bare child", "orphan"])
 def test_process_that_is_left_behind_is_red_by_name_and_ended(tmp_path: Path, test: str) -> None:
-    code, told, pid = played(tmp_path, test)
-    assert code == 1 and "2 passed, 1 error" in told and "ERROR test_a.py::test_leaves" in told
-    assert f"processes were left behind: pid {pid}: " in told
+    code, output, pid = played(tmp_path, test)
+    assert code == 1 and "2 passed, 1 error" in output and "ERROR test_a.py::test_leaves" in output
+    assert f"processes were left behind: pid {pid}: " in output
     assert not runs(pid)
 
 
 def test_process_that_its_test_ends_is_none_that_is_left_behind(tmp_path: Path) -> None:
-    code, told, pid = played(tmp_path, ENDED)
-    assert code == 0 and "2 passed" in told
+    code, output, pid = played(tmp_path, ENDED)
+    assert code == 0 and "2 passed" in output
     assert not runs(pid)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -84,7 +84,7 @@
         shown = b'{"runners": [{"id": "s-0", "suspended": false, "avoided": false, "inflight": 2}]}'
         self.assertEqual((answer.status, answer.body), (200, shown))
 
-    def test_runners_are_named_percent_decoded_and_unknown_ones_get_a_no(self) -> None:
+    def test_runners_are_named_percent_decoded_and_unknown_ones_are_rejected(self) -> None:
         statuses = [
             self.ask("PUT", f"/v1/runners/{name}/{do}").status
             for name, do in (
@@ -234,7 +234,7 @@
         endpoints = EndpointList()
         target_of = [target("a", 1), target("b", 2)]
         endpoints.apply_known({"updates": [{"index": 1, "endpoints": {"all": True, "targets": target_of}}]})
-        endpoints.suspended = frozenset({"a", "gone"})
+        endpoints.suspended = frozenset({"a", "not-listed"})
         states = {e.worker: e.state for e in endpoints.event().entries}
         self.assertEqual(states, {"a": api.WorkerState.DRAINING, "b": api.WorkerState.RUNNING})
         self.assertEqual(endpoints.entries["a"].state, api.WorkerState.RUNNING)
@@ -251,13 +251,13 @@
         driver.give(fleet(entry("a"), kind=api.ListKind.FULL))
         self.assertEqual(sends(driver.give(arrival(2)))[0].worker, "a")
 
-    def test_what_the_decisions_leave_out_is_told(self) -> None:
+    def test_a_worker_that_the_decisions_leave_out_is_shown_as_avoided(self) -> None:
         driver = Driver(settings(), [entry("a"), entry("b")])
         dispatcher = driver.dispatcher
         (send,) = sends(driver.give(arrival(1)))
         driver.give(ended(1, 0, send.worker, api.Result.CONNECT_FAILED))
-        left = [name for name, worker in dispatcher.workers.items() if dispatcher.avoids(worker)]
-        self.assertEqual(left, [send.worker])
+        avoided = [name for name, worker in dispatcher.workers.items() if dispatcher.avoids(worker)]
+        self.assertEqual(avoided, [send.worker])
 
 
 class HandoverTest(unittest.TestCase):
@@ -303,7 +303,7 @@
         first.look()
         self.assertEqual((second.stage, first.successor_ready), (Stage.TAKING, False))
 
-    def test_nobody_hands_over_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
+    def test_no_process_yields_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
         first, _ = self.process()
         second, _ = self.process()
         second.ready()
--- a/tests/test_process_invoke.py
+++ b/tests/test_process_invoke.py
@@ -41,10 +41,12 @@
 
     def ask(self, method: str, path: str, body: bytes = b"", **headers: str) -> Answer:
         link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=20)
-        told = {"Maplestile-Tenant": "shapla-tutors"} | {k.replace("_", "-"): v for k, v in headers.items()}
-        link.request(method, path, body, told)
+        sent = {"Maplestile-Tenant": "shapla-tutors"}
+        sent |= {name.replace("_", "-"): value for name, value in headers.items()}
+        link.request(method, path, body, sent)
         answer = link.getresponse()
-        found = answer.status, answer.read(), {k.lower(): v for k, v in answer.getheaders()}
+        received = {name.lower(): value for name, value in answer.getheaders()}
+        found = answer.status, answer.read(), received
         link.close()
         return found
 
@@ -72,7 +74,7 @@
             """200 a second, the stop after 300 of them, and 50 more once the process has ended.
 
             Where this process stood still, the calls of that time are not made at once: so many at a time
-            would meet the load tool's bound and the front's, neither of which is asked about here.
+            would meet the load tool's bound and the front's, neither of which this test is about.
             """
             since_end = 0
             due_s = 0.0
@@ -138,12 +140,13 @@
                 self.assertEqual(self.final(headers["location"]), answer)
                 continue
             client.call(class_name, body, item=function, team="shapla-tutors", unique="u")
-            told = client.read() or {}
+            platform_answer = client.read() or {}
             plain = self.post(function, body)
             deferred = self.post(function, body, Prefer="respond-async")
             self.assertEqual(deferred[0], 202)
             later = self.final(deferred[2]["location"])
-            self.assertEqual((plain[0], later[0], "result" in told), (status, status, status == 200), body)
+            served = "result" in platform_answer
+            self.assertEqual((plain[0], later[0], served), (status, status, status == 200), body)
             self.assertEqual(plain[1], later[1])
             if status == 200:
                 self.assertEqual(plain[1], body[::-1])
@@ -151,7 +154,7 @@
 
     def test_deferred_result_not_collected_by_its_deadline_is_reported_as_failed(self) -> None:
         headers = {"Prefer": "respond-async", "Maplestile_Deadline_Ms": "300"}
-        code, _, told = self.post("score-bangla", b"abc", **headers)
+        code, _, accepted = self.post("score-bangla", b"abc", **headers)
         self.assertEqual(code, 202)
         eventually(lambda: self.program.counters().get("answers.served"), "the result")
 
@@ -159,9 +162,9 @@
             return self.program.counters().get("invoke.lapsed") == 1
 
         eventually(lapsed, "the deadline")
-        code, body, _ = self.ask("GET", told["location"])
+        code, body, _ = self.ask("GET", accepted["location"])
         self.assertEqual((code, json.loads(body)["status"]), (504, 504))
-        self.assertEqual(self.ask("GET", told["location"])[1], body)
+        self.assertEqual(self.ask("GET", accepted["location"])[1], body)
 
     def test_connection_is_kept_for_one_call_after_the_other(self) -> None:
         link = http.client.HTTPConnection("127.0.0.1", self.port, timeout=20)
@@ -186,24 +189,24 @@
         for more in (b"Expect: 100-continue\r\n\r\n", b"\r\n" + b"x" * 100_000):
             self.assertTrue(self.raw(head + more).recv(100).startswith(b"HTTP/1.1 413 "))
 
-    def test_idle_connection_makes_room_for_one_that_asks(self) -> None:
+    def test_idle_connection_makes_room_for_one_with_a_request(self) -> None:
         self.program.reload(lambda text: text.replace("[limits]", "[limits]\nconnections = 2", 1))
         silent = self.raw(b"")
         eventually(lambda: self.program.counters().get("invoke.connections") == 1, "the silent one")
-        asked = self.raw(b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nHost: h\r\nContent-Le")
+        partial = self.raw(b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nHost: h\r\nContent-Le")
         eventually(lambda: self.program.counters().get("invoke.connections") == 2, "the slow one")
         self.assertEqual(self.post("score-bangla", b"abc")[:2], (200, b"cba"))
-        self.assertEqual(silent.recv(1), b"")  # and the one that has begun to ask may end it
-        asked.sendall(b"ngth: 3\r\nMaplestile-Tenant: shapla-tutors\r\n\r\nabc")
-        self.assertTrue(asked.recv(100).startswith(b"HTTP/1.1 200 "))
+        self.assertEqual(silent.recv(1), b"")  # and the one that has sent a part may send the rest
+        partial.sendall(b"ngth: 3\r\nMaplestile-Tenant: shapla-tutors\r\n\r\nabc")
+        self.assertTrue(partial.recv(100).startswith(b"HTTP/1.1 200 "))
 
-    def test_nothing_begins_for_a_client_that_left_and_its_key_is_free_again(self) -> None:
+    def test_no_attempt_starts_for_a_client_that_left_and_its_key_is_free_again(self) -> None:
         for worker in self.workers:
             worker.pause.clear()  # the attempt is out, and not answered
         for n, key in enumerate((b"", b"Idempotency-Key: k1\r\n"), 1):
             head = b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nHost: h\r\n" + key
-            told = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 6\r\n\r\nfull:%d" % n
-            link = self.raw(head + told)
+            rest = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 6\r\n\r\nfull:%d" % n
+            link = self.raw(head + rest)
             sent = {n}
             eventually(lambda: {self.program.counters().get("attempts.sent")} == sent, "the attempt")  # noqa: B023
             link.close()
@@ -214,9 +217,9 @@
         time.sleep(0.5)
         counters = self.program.counters()
         self.assertEqual(counters["attempts.sent"], 2)
-        asked = [line["bytes"] for worker in self.workers for line in worker.lines if line["kind"] == "CALL"]
-        self.assertEqual(len(asked), 2)
-        # Nothing ran under the key, and nobody was told anything: it may be used for this call, or another.
+        calls = [line["bytes"] for worker in self.workers for line in worker.lines if line["kind"] == "CALL"]
+        self.assertEqual(len(calls), 2)
+        # Nothing ran under the key, and nobody got an answer: it may be used for this call, or another.
         answer = self.post("score-bangla", b"abc", Idempotency_Key="k1")
         self.assertEqual(answer[:2], (200, b"cba"))
 
@@ -224,10 +227,10 @@
         for worker in self.workers:
             worker.pause.clear()
         head = b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k2\r\n"
-        told = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 3\r\n\r\nabc"
-        first = self.raw(head + told)
+        rest = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 3\r\n\r\nabc"
+        first = self.raw(head + rest)
         eventually(lambda: self.program.counters().get("attempts.sent"), "the attempt")
-        second = self.raw(head + told)
+        second = self.raw(head + rest)
         eventually(lambda: self.program.counters().get("invoke.requests") == 2, "the second")
         first.close()
         time.sleep(0.3)
@@ -236,7 +239,7 @@
         self.assertTrue(second.recv(100).startswith(b"HTTP/1.1 200 "))
         self.assertEqual(self.runs(b"abc"), 1)
 
-    def test_mistakes_are_told_as_problems(self) -> None:
+    def test_mistakes_are_answered_with_problem_details(self) -> None:
         for answer, status in (
             (self.post("nobody", b""), 404),
             (self.post("score-bangla", b"", Maplestile_Tenant="x"), 400),
@@ -251,13 +254,13 @@
             self.assertEqual(json.loads(answer[1])["status"], status)
 
     def test_cancel_ends_a_pending_call_and_its_answer_stays(self) -> None:
-        told = self.post("keep-result", b"hang:2", Prefer="respond-async")[2]
+        accepted = self.post("keep-result", b"hang:2", Prefer="respond-async")[2]
         eventually(lambda: self.runs(b"hang:2"), "the call")
-        code, _, headers = self.ask("GET", told["location"])
+        code, _, headers = self.ask("GET", accepted["location"])
         self.assertEqual((code, "retry-after" in headers), (202, True))
-        self.assertEqual(self.ask("DELETE", told["location"])[0], 204)
-        self.assertEqual(self.ask("GET", told["location"])[0], 410)
-        self.assertEqual(self.ask("DELETE", told["location"])[0], 204)
+        self.assertEqual(self.ask("DELETE", accepted["location"])[0], 204)
+        self.assertEqual(self.ask("GET", accepted["location"])[0], 410)
+        self.assertEqual(self.ask("DELETE", accepted["location"])[0], 204)
         self.assertEqual(self.program.stop(), 0)
 
     def test_reload_takes_functions_workers_and_limits_and_names_what_needs_a_restart(self) -> None:
@@ -265,20 +268,21 @@
         function = '[[function]]\nname = "new-cards"\nclass = "review"\nmemory_mb = 100\n'
         worker = f'[[worker]]\nid = "w3"\naddress = "127.0.0.1:{self.workers[0].port}"\nkind = "quad-std"\n'
         added = f"{function}{worker}[[kind]]"
-        told = self.program.reload(lambda text: text.replace("[[kind]]", added).replace("9.7", "9.6"))
-        self.assertEqual((told["ok"], told["taken"]), (False, []))  # half a file would be a mixture of two
-        self.assertEqual(told["restart"], ["settings.keep_alive_us"])
+        report = self.program.reload(lambda text: text.replace("[[kind]]", added).replace("9.7", "9.6"))
+        # Nothing is taken: half a file would be a mixture of two.
+        self.assertEqual((report["ok"], report["taken"]), (False, []))
+        self.assertEqual(report["restart"], ["settings.keep_alive_us"])
         self.assertEqual(self.post("new-cards", b"abc")[0], 404)
-        told = self.program.reload(lambda text: text.replace("9.6", "9.7"))
-        self.assertEqual((told["taken"], told["restart"]), (["known", "invoke"], []))
+        report = self.program.reload(lambda text: text.replace("9.6", "9.7"))
+        self.assertEqual((report["taken"], report["restart"]), (["known", "invoke"], []))
         self.assertEqual(self.post("new-cards", b"abc")[:2], (200, b"cba"))
-        told = self.program.reload(lambda text: text.replace('"new-cards"', "5"))
-        self.assertIn("function[3].name", told["fault"])
+        report = self.program.reload(lambda text: text.replace('"new-cards"', "5"))
+        self.assertIn("function[3].name", report["fault"])
         self.assertEqual(self.post("new-cards", b"abc")[:2], (200, b"cba"))
-        told = self.program.reload(
+        report = self.program.reload(
             lambda text: text.replace("name = 5", 'name = "f"').replace("bytes = 16384", "bytes = 2")
         )
-        self.assertEqual((told["taken"], self.post("score-bangla", b"abc")[0]), (["invoke"], 413))
+        self.assertEqual((report["taken"], self.post("score-bangla", b"abc")[0]), (["invoke"], 413))
 
 
 class InvokeAloneTest(InvokeBase):
@@ -289,13 +293,13 @@
         return before + rest[rest.index("[operation]") :]
 
     def test_drain_ends_though_callers_never_stop(self) -> None:
-        """New callers come all the time, so that at no time nothing is owed. Who connects between the last
+        """New callers come all the time, so that some call is always pending. Who connects between the last
         accept and the close of the listener is reset by the system (`test_listen.py`), at most once each; all
         others are answered or find a clean close, and the program took in no request but the answered."""
         statuses, faults, ends = set[int](), list[str](), Counter[str]()
         lock = threading.Lock()
 
-        def ask() -> None:
+        def keep_calling() -> None:
             was_reset = False
             while True:
                 try:
@@ -316,7 +320,7 @@
                 with lock:
                     ends[end] += 1
 
-        callers = [threading.Thread(target=ask, daemon=True) for _ in range(6)]
+        callers = [threading.Thread(target=keep_calling, daemon=True) for _ in range(6)]
         for caller in callers:
             caller.start()
             time.sleep(0.08)
@@ -326,20 +330,20 @@
             caller.join(20)
         self.assertEqual((self.program.process.wait(20), faults), (0, []))
         self.assertLessEqual(statuses, {503, 504})
-        told = json.loads(self.program.find(r'^(\{"counters".*)'))["counters"]
-        self.assertEqual(told["invoke.connections"], ends["answered"] + ends["closed"], ends)
-        self.assertEqual(told["invoke.requests"], ends["answered"], ends)
+        counters = json.loads(self.program.find(r'^(\{"counters".*)'))["counters"]
+        self.assertEqual(counters["invoke.connections"], ends["answered"] + ends["closed"], ends)
+        self.assertEqual(counters["invoke.requests"], ends["answered"], ends)
 
     def test_half_a_request_keeps_no_process_and_finds_a_clean_close(self) -> None:
         half = socket.create_connection(("127.0.0.1", self.port), timeout=20)
         half.sendall(b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nContent-Le")
         self.addCleanup(half.close)
         self.assertEqual(self.post("score-bangla", b"abc")[0], 200)  # the half one has been read
-        began = time.monotonic()
+        start_s = time.monotonic()
         self.program.process.terminate()
         self.assertEqual(half.recv(100), b"")
         self.assertEqual(self.program.process.wait(20), 0)
-        self.assertLess(time.monotonic() - began, 4.0)  # and not the 10 s that a request may take
+        self.assertLess(time.monotonic() - start_s, 4.0)  # and not the 10 s that a request may take
 
     def deferred(self) -> str:
         """A call that is open, and ends 1.2 s after SIGTERM."""
@@ -353,7 +357,7 @@
             worker.pause.set()
         return headers["location"]
 
-    def test_deferred_result_of_a_drain_waits_for_a_caller_that_comes_when_it_was_told_to(self) -> None:
+    def test_deferred_result_of_a_drain_waits_for_a_caller_that_keeps_to_retry_after(self) -> None:
         location = self.deferred()
         time.sleep(1.0)  # Retry-After
         self.assertEqual(self.ask("GET", location)[:2], (200, b"cba"))
@@ -361,6 +365,6 @@
 
     def test_deferred_result_that_nobody_collects_keeps_no_process(self) -> None:
         self.deferred()
-        began = time.monotonic()
+        start_s = time.monotonic()
         self.assertEqual(self.program.process.wait(20), 0)
-        self.assertLess(time.monotonic() - began, 4.5)  # and not until its deadline
+        self.assertLess(time.monotonic() - start_s, 4.5)  # and not until its deadline
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -34,18 +34,26 @@
 
 
 def figures(program: Program) -> dict[str, int]:
-    told = ask(program, "/v1/metrics")[1].splitlines()
-    return {name: int(value) for name, value in (s.split() for s in told if not s.startswith("#"))}
+    lines = ask(program, "/v1/metrics")[1].splitlines()
+    samples = (line.split() for line in lines if not line.startswith("#"))
+    return {name: int(value) for name, value in samples}
 
 
 class Caller(threading.Thread):
-    """A client that keeps calling on one connection, some at a time, until told to stop. A connection that
-    ends with nothing open on it is replaced; requests that crossed that end are counted."""
+    """A client that keeps calling on one connection, some at a time, until `done` is set.
+
+    A connection that ends with nothing open on it is replaced; requests that crossed that end are counted.
+    """
 
     def __init__(self, port: int, class_name: str) -> None:
         super().__init__(daemon=True)
-        self.port, self.class_name, self.done = port, class_name, threading.Event()
-        self.asked, self.served, self.crossed, self.faults = 0, 0, 0, list[str]()
+        self.port = port
+        self.class_name = class_name
+        self.done = threading.Event()
+        self.rounds = 0
+        self.served = 0
+        self.crossed = 0
+        self.faults = list[str]()
 
     def run(self) -> None:
         client = Client(self.port)
@@ -56,8 +64,8 @@
                 # may answer the first, find the connection quiet and rightly end it before the others come.
                 with client.together():
                     for n in range(3):
-                        body = b"%d %d" % (self.asked, n)
-                        once = f"{id(self)}-{self.asked}-{n}"
+                        body = b"%d %d" % (self.rounds, n)
+                        once = f"{id(self)}-{self.rounds}-{n}"
                         bodies[client.call(self.class_name, body, unique=once)] = body
                 while bodies:
                     answer = client.read()
@@ -72,7 +80,7 @@
             except OSError as fault:
                 self.faults.append(repr(fault))
                 return
-            self.asked += 1
+            self.rounds += 1
             if bodies:
                 self.crossed += len(bodies)
                 if len(bodies) < 3:
@@ -125,14 +133,14 @@
         leaving.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         leaving.close()  # with a reset: one that ends its own side alone may still wait for its answer
         eventually(lambda: figures(self.program)["svc_inflight"] == 0, "its end")
-        told = figures(self.program)
+        shown = figures(self.program)
         self.assertGreaterEqual(seen["busy", "review"], 1)
         for name in ("success", "busy", "failure"):
             for class_name in ("review", "deck-make", "test-submit"):
-                self.assertEqual(told[f'svc_{name}_total{{tier="{class_name}"}}'], seen[name, class_name])
+                self.assertEqual(shown[f'svc_{name}_total{{tier="{class_name}"}}'], seen[name, class_name])
         written = [line for worker in self.workers for line in worker.lines if line["kind"] == "CALL"]
-        self.assertEqual(told["svc_backend_calls_total"], len(written))
-        self.assertEqual((told["svc_hosts_listed"], told["svc_hosts_down"]), (2, 0))
+        self.assertEqual(shown["svc_backend_calls_total"], len(written))
+        self.assertEqual((shown["svc_hosts_listed"], shown["svc_hosts_down"]), (2, 0))
 
     def test_suspended_runner_gets_nothing_until_it_is_put_back_and_all_out_is_refused(self) -> None:
         self.until_ready(self.program)
@@ -154,11 +162,11 @@
         self.assertEqual(len(self.workers[0].lines), before)
         self.assertEqual(figures(self.program)["svc_hosts_down"], 1)
         put(self.program, "s-1", "suspend")
-        began = time.monotonic()
+        start_s = time.monotonic()
         for _ in range(5):
             client.call("review", b"x")
             self.assertGreater((client.read() or {})["error"]["data"]["later"], 0)
-        self.assertLess(time.monotonic() - began, 3.0)  # not held until an aim of four seconds
+        self.assertLess(time.monotonic() - start_s, 3.0)  # not held until an aim of four seconds
         self.assertEqual(put(self.program, "s-0", "resume"), 204)
         calls(5)
         self.assertGreater(len(self.workers[0].lines), before)
@@ -179,7 +187,7 @@
             self.assertEqual(program.process.wait(PATIENCE_S), 0)
             program.find("(hands over)")
             late.find("(n0: alone)")
-            self.assertEqual(figures(late)["svc_hosts_down"], 1)  # the ban holds
+            self.assertEqual(figures(late)["svc_hosts_down"], 1)  # the cordon holds
             program = late
         served = sum(caller.served for caller in callers)
         eventually(lambda: sum(caller.served for caller in callers) > served + 50, "service by the last one")
@@ -190,12 +198,12 @@
         ran = Counter(call["head"]["once"] for worker in self.workers for call in worker.ran)
         self.assertEqual([once for once, count in ran.items() if count > 1], [])
 
-    def test_a_ban_told_to_either_process_holds_at_both(self) -> None:
+    def test_a_cordon_set_at_either_process_holds_at_both(self) -> None:
         self.until_ready(self.program)
         late = self.start(self.program.port("platform"))
         self.until_ready(late)
         self.assertEqual(put(late, "s-0", "suspend"), 204)
-        eventually(lambda: figures(self.program)["svc_hosts_down"] == 1, "the ban at the first")
+        eventually(lambda: figures(self.program)["svc_hosts_down"] == 1, "the cordon at the first")
         self.assertEqual(put(self.program, "s-0", "resume"), 204)
         eventually(lambda: figures(late)["svc_hosts_down"] == 0, "its end at the second")
 
@@ -249,7 +257,7 @@
         other = Client(port)
         other.served("review", b"abc")
         other.close()
-        self.assertEqual((client.read() or {})["id"], late_id)  # what it owed it gave
+        self.assertEqual((client.read() or {})["id"], late_id)  # the pending call was answered
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
 
     def test_a_slow_reader_of_long_answers_gets_them_whole_and_holds_up_nobody(self) -> None:
@@ -259,18 +267,18 @@
         self.addCleanup(slow.close)
         for n in range(8):
             blob = base64.b64encode(b"long:").decode()
-            told = {"txn": f"{n:016x}", "limit": 10_000, "item": ITEM, "blob": blob}
-            text = json.dumps({"jsonrpc": "2.0", "id": n + 1, "method": "review", "params": told}).encode()
+            params = {"txn": f"{n:016x}", "limit": 10_000, "item": ITEM, "blob": blob}
+            text = json.dumps({"jsonrpc": "2.0", "id": n + 1, "method": "review", "params": params}).encode()
             slow.sendall(b"Content-Length: %d\r\n\r\n%b" % (len(text), text))
 
         def ended() -> bool:
-            told = figures(self.program)
-            return sum(told[f'svc_{name}_total{{tier="review"}}'] for name in ("success", "busy")) == 8
+            counts = figures(self.program)
+            return sum(counts[f'svc_{name}_total{{tier="review"}}'] for name in ("success", "busy")) == 8
 
         eventually(ended, "the answers")
         client = self.client()
         client.served("review", b"abc")
-        self.program.process.terminate()  # what is owed goes out before the end
+        self.program.process.terminate()  # what is pending goes out before the end
         file, sizes = slow.makefile("rb"), list[int]()
         for _ in range(8):
             size = int(file.readline().split(b":")[1])
@@ -294,17 +302,17 @@
         self.addCleanup(agent.stop)  # before that: it ends its instances, which a kill would leave behind
         at = ["--agent", "127.0.0.1:" + agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")]
 
-        def command(*words: str) -> tuple[int, str]:
-            with contextlib.redirect_stdout(io.StringIO()) as told:
-                return main([*words, *at]), told.getvalue()
+        def command(*arguments: str) -> tuple[int, str]:
+            with contextlib.redirect_stdout(io.StringIO()) as output:
+                return main([*arguments, *at]), output.getvalue()
 
         self.assertEqual(command("ready", "n0"), (0, "n0\tyes\tready\n"))
-        code, told = command("ready")
-        self.assertEqual((code, told.splitlines()[1]), (1, "bare\tno\tit has no operators' front"))
+        code, output = command("ready")
+        self.assertEqual((code, output.splitlines()[1]), (1, "bare\tno\tit has no operators' front"))
         self.assertEqual(command("suspend", "s-0", "n0")[0], 0)
-        code, told = command("figures", "n0")
-        self.assertEqual((code, "svc_hosts_down 1" in told.splitlines()), (0, True))
-        code, told = command("suspend", "s/9", "n0")
-        self.assertEqual((code, told), (1, "n0\tno\tno runner 's/9' was ever listed\n"))
+        code, output = command("figures", "n0")
+        self.assertEqual((code, "svc_hosts_down 1" in output.splitlines()), (0, True))
+        code, output = command("suspend", "s/9", "n0")
+        self.assertEqual((code, output), (1, "n0\tno\tno runner 's/9' was ever listed\n"))
         self.assertEqual(command("resume", "s-0", "n0")[0], 0)
         self.assertEqual(figures(self.program)["svc_hosts_down"], 0)
--- a/tests/test_process_peers.py
+++ b/tests/test_process_peers.py
@@ -9,7 +9,7 @@
 
 ROUTERS = 5
 ALL = list(range(ROUTERS))
-# A round of probes (1 s), the longest suspicion (4.8 s), and the word going round.
+# A round of probes (1 s), the longest suspicion (4.8 s), and the gossip of it.
 DETECT_S = 8.0
 
 
@@ -21,11 +21,11 @@
     def test_a_killed_router_is_declared_dead_by_every_other_and_its_duties_move(self) -> None:
         routers = self.routers
         eventually(lambda: self.duties(ALL) == ["w1", "w2"], "each runner probed by one router")
-        began = time.monotonic()
+        start_s = time.monotonic()
         routers.programs[3].kill()
         others = [0, 1, 2, 4]
         eventually(lambda: routers.all_see(others, "r3", "dead"), "r3 dead at all others")
-        self.assertLess(time.monotonic() - began, DETECT_S)
+        self.assertLess(time.monotonic() - start_s, DETECT_S)
         self.assertFalse(any(routers.view(number)["isolated"] for number in others))
         eventually(lambda: self.duties(others) == ["w1", "w2"], "its share taken over")
 
@@ -100,8 +100,8 @@
         routers, small, large = self.routers, [0, 1], [2, 3, 4]
         routers.relay.begin(split=[{**FOREVER, "sides": [small, large]}])
         eventually(lambda: all(routers.view(n)["isolated"] for n in small), "the two call themselves cut off")
-        gone = ("r0", "r1")
-        eventually(lambda: all(routers.all_see(large, name, "dead") for name in gone), "the two let go")
+        cut_off = ("r0", "r1")
+        eventually(lambda: all(routers.all_see(large, name, "dead") for name in cut_off), "the two dead")
         self.assertFalse(any(routers.view(n)["isolated"] for n in large))
         self.assertIn("svc_peers_isolated 1", routers.ask(0, "/v1/metrics").splitlines())
         self.assertIn("svc_peers_isolated 0", routers.ask(3, "/v1/metrics").splitlines())
@@ -110,23 +110,24 @@
         eventually(lambda: all(self.duties(side) == ["w1", "w2"] for side in sides), "each side's own owners")
         self.assertGreater(sum(routers.view(n)["watch"]["overlap"] for n in ALL), 0)
         routers.relay.ask("heal")
-        began = time.monotonic()
+        start_s = time.monotonic()
         routers.until_whole()
-        # A dead member is tried every 5 periods by each: 1 s, and the word goes round in a few periods more.
-        self.assertLess(time.monotonic() - began, DETECT_S)
+        # A dead member is tried every 5 periods by each: 1 s, and the gossip of it takes a few periods more.
+        self.assertLess(time.monotonic() - start_s, DETECT_S)
         eventually(lambda: self.duties(ALL) == ["w1", "w2"], "one owner of each runner again")
         # Nobody declared a member of its own side dead, before or after the healing.
-        events = [(n, told["member"]) for n in ALL for told in self.events(n) if told["event"] == "confirm"]
+        confirmed = [(n, event) for n in ALL for event in self.events(n) if event["event"] == "confirm"]
+        events = [(n, event["member"]) for n, event in confirmed]
         self.assertGreater(len(events), 0)
         same = [(n, m) for n, m in events if (n in small) == (int(m[1:]) in small)]
         self.assertEqual(same, [])
-        self.assertTrue(any(told["event"] == "healed" for told in self.events(0)))
+        self.assertTrue(any(event["event"] == "healed" for event in self.events(0)))
 
     def test_what_its_owner_finds_silent_is_known_to_all(self) -> None:
         self.routers.workers[0].die()
         eventually(lambda: all(self.routers.view(n)["watch"]["silent"] == ["w1"] for n in ALL), "the finding")
 
-    # What the routers told.
+    # What the routers report.
 
     def duties(self, numbers: list[int]) -> list[str]:
         """The runners that these routers probe; one that two of them own stands twice."""
@@ -134,7 +135,7 @@
 
     def events(self, number: int) -> list[dict[str, str]]:
         lines = [line for line in self.routers.programs[number].log if line.startswith("{")]
-        return [told for told in map(json.loads, lines) if "event" in told]
+        return [event for event in map(json.loads, lines) if "event" in event]
 
 
 if __name__ == "__main__":
--- a/tests/trace_environment.py
+++ b/tests/trace_environment.py
@@ -222,14 +222,16 @@
         self.after(event.elapsed_us, lambda: self.answer(event, machine))
 
     def ending(self, action: api.SendAttempt, number: int, outcome: AttemptOutcome) -> api.AttemptEnded:
+        call_ended = outcome.result is api.Result.OK
+        if outcome.result is api.Result.ERROR:
+            call_ended = self.chance(0.1)
         return api.AttemptEnded(
             call=action.call,
             attempt=number,
             worker=action.worker,
             result=outcome.result,
             elapsed_us=outcome.elapsed_us,
-            call_ended=outcome.result is api.Result.OK
-            or (outcome.result is api.Result.ERROR and self.chance(0.1)),
+            call_ended=call_ended,
             warmth=outcome.warmth,
             queued_ahead=0,
             report=(),
