--- a/maplestile/dispatch/recency.py
+++ b/maplestile/dispatch/recency.py
@@ -26,6 +26,9 @@
 
 
 E = TypeVar("E", bound=AgedEntry)
+# The age (negative, so that the greatest comes first), the number of the insertion, the number of the
+# element, which no two share, and the entry.
+HeapElement = tuple[int, int, int, E]
 
 
 class AgeOrder(Generic[E]):
@@ -33,9 +36,7 @@
 
     def __init__(self, tier: int) -> None:
         self.tier = tier  # the number of the list
-        # The age (negative, so that the greatest comes first), the number of the insertion, the number of the
-        # element, and the entry.
-        self.heap: list[tuple[int, int, int, E]] = []
+        self.heap: list[HeapElement[E]] = []
         self._rebuild_size = MIN_REBUILD_SIZE
         self._numbers = count()
 
@@ -57,11 +58,11 @@
         return self.heap[0][3] if self.heap else None
 
     def _rebuild(self) -> None:
-        """Remove all stale elements, which bounds the memory where nobody asks for the first for long."""
+        """Remove all stale elements, which bounds the memory where the oldest is not looked up for long."""
         self.heap = [element for element in self.heap if self._is_current(element)]
         heapq.heapify(self.heap)
         self._rebuild_size = STALE_FACTOR * len(self.heap) + MIN_REBUILD_SIZE
 
-    def _is_current(self, element: tuple[int, int, int, E]) -> bool:
+    def _is_current(self, element: HeapElement[E]) -> bool:
         negative_age, settled, _, entry = element
         return entry.tier == self.tier and entry.settled == settled and entry.aged() == -negative_age
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -123,9 +123,7 @@
     load_started_us: int = 0  # of the last load anywhere; 0 once that has ended
     ever_served: bool = False  # some call of it was answered well
     errors_before_success: int = 0  # errors while it was not
-    waiting: dict[int, "Call"] = field(
-        default_factory=dict
-    )  # calls without a worker, in the order of their turn
+    waiting: dict[int, "Call"] = field(default_factory=dict)  # without a worker, in the order of their turn
     preferred: Ranking[Worker] = field(init=False)
     workers_with_copies: list[Worker] = field(default_factory=list)  # also workers that are no longer listed
 
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -34,6 +34,7 @@
 INVOCATION = re.compile(r"/v1/invocations/([0-9a-f]+)")
 RECORD_ID_BYTES = 16
 POLL_US = 1_000_000  # when to look again at a deferred call that is still pending
+CANCELLED_STATUS = 410  # Gone: the answer of a call that its client has cancelled
 
 Respond = Callable[[Response], None]
 CallOff = Callable[[], None]  # called if the caller leaves before its response came
@@ -145,7 +146,7 @@
         return lambda: self._stop_waiting(record, respond)
 
     def _invoke_unrecorded(self, invocation: InvocationRequest, respond: Respond) -> CallOff:
-        """Run a call that nobody can ask for again: without a key, and not deferred."""
+        """Run a call whose answer nobody can collect later: without a key, and not deferred."""
         tenant = invocation.tenant
         self.in_flight[tenant] += 1
         request = core_request(invocation, self.operator)
@@ -169,10 +170,10 @@
             self.counters["invoke.store_full"] += 1
             raise RequestRejected(problem(503, "the store of invocations is full", retry_after(POLL_US)))
         record = InvocationRecord(
-            secrets.token_hex(RECORD_ID_BYTES),
-            invocation.scope,
-            invocation.fingerprint(),
-            invocation.received_us + invocation.budget_us,
+            id=secrets.token_hex(RECORD_ID_BYTES),
+            scope=invocation.scope,
+            fingerprint=invocation.fingerprint(),
+            deadline_us=invocation.received_us + invocation.budget_us,
         )
         self.store.add(record)
         self._submit(core_request(invocation, self.operator), record, invocation.received_us)
@@ -229,8 +230,8 @@
             self.core.withdraw(record.call)
             if call is not None:
                 self.in_flight[call.request.tenant] -= 1
-            self.store.finish(record, problem(410, "cancelled by its client"))
-        elif record.answer.status != 410:
+            self.store.finish(record, problem(CANCELLED_STATUS, "cancelled by its client"))
+        elif record.answer.status != CANCELLED_STATUS:
             raise RequestRejected(problem(409, "the invocation has ended already"))
         return Response(204)
 
--- a/maplestile/invoke/invocation_request.py
+++ b/maplestile/invoke/invocation_request.py
@@ -6,7 +6,7 @@
 
 from maplestile.invoke.operator_file import OperatorSettings
 from maplestile.invoke.operator_tables import FunctionSettings
-from maplestile.invoke.store import DeduplicationScope
+from maplestile.invoke.store import KeyScope
 from maplestile.wire.http import HttpRequest, RequestRejected, problem
 from maplestile.wire.messages import Request
 
@@ -39,7 +39,7 @@
     received_us: int
 
     @property
-    def scope(self) -> DeduplicationScope | None:
+    def scope(self) -> KeyScope | None:
         """Within what a repeat of the key is the same invocation; None without a key."""
         return (self.function.name, self.tenant, self.key) if self.key else None
 
@@ -60,14 +60,14 @@
     if class_name not in operator.deadlines_us:
         raise RequestRejected(problem(400, f"{CLASS}: no class '{class_name}'"))
     return InvocationRequest(
-        function,
-        class_name,
-        _tenant(request, operator),
-        _key(request),
-        _budget_us(request, operator, class_name),
-        _wants_deferred(request),
-        request.body,
-        request.received_us,
+        function=function,
+        class_name=class_name,
+        tenant=_tenant(request, operator),
+        key=_key(request),
+        budget_us=_budget_us(request, operator, class_name),
+        deferred=_wants_deferred(request),
+        body=request.body,
+        received_us=request.received_us,
     )
 
 
@@ -77,26 +77,23 @@
     if not key and invocation.class_name in operator.keyed:
         key = secrets.token_hex(GENERATED_KEY_BYTES)
     return Request(
-        secrets.token_hex(CALL_ID_BYTES),
-        invocation.function.name,
-        invocation.class_name,
-        invocation.budget_us,
-        invocation.function.memory_mb,
-        invocation.function.lanes,
-        0,
-        invocation.tenant,
-        False,
-        key,
-        invocation.body,
+        tag=secrets.token_hex(CALL_ID_BYTES),
+        function=invocation.function.name,
+        class_name=invocation.class_name,
+        budget_us=invocation.budget_us,
+        memory_mb=invocation.function.memory_mb,
+        lanes=invocation.function.lanes,
+        tenant=invocation.tenant,
+        key=key,
+        body=invocation.body,
     )
 
 
 def _tenant(request: HttpRequest, operator: OperatorSettings) -> str:
     tenant = request.headers.get(TENANT, "")
     if operator.tenants and tenant not in operator.tenants:
-        raise RequestRejected(
-            problem(400, f"{TENANT}: " + (f"no tenant '{tenant}'" if tenant else "is missing"))
-        )
+        detail = f"no tenant '{tenant}'" if tenant else "is missing"
+        raise RequestRejected(problem(400, f"{TENANT}: {detail}"))
     return tenant
 
 
@@ -111,8 +108,8 @@
     text = request.headers.get(DEADLINE)
     if text is None:
         return min(operator.deadlines_us[class_name], operator.deadline_most_us)
-    digits = text.isascii() and text.isdigit() and len(text) <= MAX_DEADLINE_DIGITS
-    if not digits or int(text) == 0:
+    is_number = text.isascii() and text.isdigit() and len(text) <= MAX_DEADLINE_DIGITS
+    if not is_number or int(text) == 0:
         raise RequestRejected(problem(400, f"{DEADLINE}: must be a whole number of milliseconds, 1 or more"))
     budget_us = int(text) * 1000
     if budget_us > operator.deadline_most_us:
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -90,11 +90,11 @@
         _worker(table, kind_names) for table in _unique(root.tables("worker", needed=False), "id")
     )
     return ArrayTables(
-        classes,
-        {function.name: function for function in functions},
-        {tenant.name: tenant for tenant in tenants},
-        kinds,
-        workers,
+        classes=classes,
+        functions={function.name: function for function in functions},
+        tenants={tenant.name: tenant for tenant in tenants},
+        kinds=kinds,
+        workers=workers,
     )
 
 
@@ -128,10 +128,10 @@
 
 def _function(table: TomlTable, class_names: tuple[str, ...]) -> FunctionSettings:
     function = FunctionSettings(
-        table.text("name"),
-        table.choice("class", class_names),
-        table.number("memory_mb", least=0.1),
-        table.whole("lanes", 1, least=1),
+        name=table.text("name"),
+        class_name=table.choice("class", class_names),
+        memory_mb=table.number("memory_mb", least=0.1),
+        lanes=table.whole("lanes", 1, least=1),
     )
     table.end()
     return function
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -11,7 +11,8 @@
 
 from maplestile.wire.http import Response, problem
 
-DeduplicationScope = tuple[str, str, str]  # function, tenant, idempotency key
+# Within what a repeat of an idempotency key is the same invocation: function, tenant and key.
+KeyScope = tuple[str, str, str]
 Timer = Callable[[int, Callable[[], object]], None]  # calls back at a time in microseconds
 
 
@@ -20,7 +21,7 @@
     """One invocation and its answer."""
 
     id: str
-    scope: DeduplicationScope | None
+    scope: KeyScope | None  # None without an idempotency key
     fingerprint: bytes  # of the request, to tell a repeat from another call under the same key
     deadline_us: int
     call: int = 0  # the core's number of the call
@@ -32,13 +33,13 @@
 
 
 class InvocationStore:
-    """The records by id and by deduplication scope."""
+    """The records by id and by the scope of their keys."""
 
     def __init__(self, max_records: int, keep_us: int, call_at: Timer, counters: Counter[str]) -> None:
         self.max_records = max_records
         self.keep_us = keep_us  # after a record's deadline
         self.records: dict[str, InvocationRecord] = {}
-        self.by_scope: dict[DeduplicationScope, InvocationRecord] = {}
+        self.by_scope: dict[KeyScope, InvocationRecord] = {}
         self._call_at = call_at
         self._counters = counters
 
