--- a/maplestile/membership/failure_detector.py
+++ b/maplestile/membership/failure_detector.py
@@ -16,6 +16,10 @@
 from maplestile.membership.probe_order import ProbeOrder
 from maplestile.membership.update_merger import UpdateMerger
 
+# In fifths of the ack timeout: early enough that the nack reaches the requester before its probe ends.
+NACK_ACK_FIFTHS = 4
+RELAYED_PING_ACK_TIMES = 2  # after so many ack timeouts nobody waits for the outcome of a relayed ping
+
 
 @dataclass(slots=True)
 class Probe:
@@ -50,6 +54,7 @@
 
     def __init__(
         self,
+        *,
         members: MemberList,
         sender: MessageSender,
         probe_order: ProbeOrder,
@@ -166,8 +171,9 @@
             return
         ping = self._sender.new_message(MessageKind.PING, message.target)
         ack_us = self._tuning.ack_us * self._health.multiplier
-        nack_due_us = now_us + ack_us * 4 // 5  # early enough to reach the requester before its probe ends
-        relayed = RelayedPing(message.reply_to, message.seq, nack_due_us, now_us + ack_us * 2)
+        nack_due_us = now_us + ack_us * NACK_ACK_FIFTHS // 5
+        expires_us = now_us + ack_us * RELAYED_PING_ACK_TIMES
+        relayed = RelayedPing(message.reply_to, message.seq, nack_due_us, expires_us)
         self._relayed[ping.seq] = relayed
         if len(self._relayed) > self._tuning.members_max:  # bounds memory under a flood of requests
             del self._relayed[min(self._relayed)]
--- a/maplestile/membership/member_list.py
+++ b/maplestile/membership/member_list.py
@@ -19,9 +19,7 @@
     incarnation: int
     status: Status
     since_us: int
-    suspected_by: set[str] = field(
-        default_factory=set
-    )  # members that reported a suspicion of this incarnation
+    suspected_by: set[str] = field(default_factory=set)  # who reported a suspicion of this incarnation
     reported_dead: bool = False  # another declared this incarnation dead while it is only suspected here
 
     @property
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -61,10 +61,20 @@
         probe_order = ProbeOrder(self.member_list, draws)
         self._probe_order = probe_order
         self._merger = UpdateMerger(
-            self.member_list, self._sender, probe_order, self._local_health, self._log
+            members=self.member_list,
+            sender=self._sender,
+            probe_order=probe_order,
+            health=self._local_health,
+            log=self._log,
         )
         self._detector = FailureDetector(
-            self.member_list, self._sender, probe_order, self._merger, self._local_health, self._log, now_us
+            members=self.member_list,
+            sender=self._sender,
+            probe_order=probe_order,
+            merger=self._merger,
+            health=self._local_health,
+            log=self._log,
+            now_us=now_us,
         )
         self._suspicions = SuspicionTimers(self.member_list, self._merger, tuning)
         self._gossip_timer = GossipTimer(self._sender, self._merger, self._local_health, now_us)
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -23,6 +23,7 @@
 
     def __init__(
         self,
+        *,
         members: MemberList,
         sender: MessageSender,
         probe_order: ProbeOrder,
