--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -17,6 +17,7 @@
 from maplestile.dispatch.dispatcher import Dispatcher
 from maplestile.wire.simulator_codec import action_line
 from tests.trace_environment import Environment
+from tests.trace_episodes import Episodes
 from tests.trace_variants import VARIANTS
 
 FIXTURE = Path(__file__).parent / "recorded" / "decisions.json"
@@ -94,7 +95,8 @@
 
 def replayed(variant: str, seed: int, events: int = EVENTS) -> Recording:
     dispatcher = RecordedDispatcher(VARIANTS[variant], seed)
-    Environment(VARIANTS[variant], seed, dispatcher.handle).run(events)
+    environment = Environment(VARIANTS[variant], seed, dispatcher.handle)
+    environment.run(events, Episodes(environment).start_one)
     return dispatcher.digest.finished()
 
 
--- a/tests/trace_environment.py
+++ b/tests/trace_environment.py
@@ -93,13 +93,13 @@
         self.popularity = [1 / (rank + 1) ** 2 + 1 / 1_500 for rank in range(FUNCTIONS)]
         self.machines = {machine.entry.worker: machine for machine in map(machine_of, range(WORKERS))}
 
-    def run(self, events: int) -> None:
-        """Play so many events."""
+    def run(self, events: int, start_episode: Callable[[], None]) -> None:
+        """Play so many events; the first episode starts after `EPISODE_GAP_US`."""
         self.give(api.WorkerListReceived(api.ListKind.FAILED, 0, ()))
         self.give(api.WorkerListReceived(api.ListKind.FULL, 1, ()))
         self.after(MS, self.arrive)
         self.after(UNLISTED_US, lambda: self.give(self.whole_list(api.ListKind.FULL)))
-        self.after(EPISODE_GAP_US, self.episode)
+        self.after(EPISODE_GAP_US, start_episode)
         while self.events < events:
             self.now_us, _, step = heapq.heappop(self.queue)
             step()
@@ -346,110 +346,10 @@
         elapsed_us = 3 * MS if answers else 400 * MS
         self.give_after(elapsed_us, api.HealthCheckEnded(action.worker, result, elapsed_us, ()))
 
-    # Episodes: faults and changes of the fleet.
+    # The worker list.
 
     def whole_list(self, kind: api.ListKind) -> api.WorkerListReceived:
         self.list_version += 1
         entries = [machine.entry for machine in self.machines.values()]
         listed = tuple(entry for entry in entries if entry.state is not api.WorkerState.GONE)
         return api.WorkerListReceived(kind, self.list_version, listed)
-
-    def announce(self, machine: Machine, state: api.WorkerState, started_us: int) -> None:
-        machine.entry = replace(machine.entry, state=state, started_us=started_us)
-        self.list_version += 1
-        self.give(api.WorkerListReceived(api.ListKind.DELTA, self.list_version, (machine.entry,)))
-
-    def episode(self) -> None:
-        self.after(self.around(EPISODE_GAP_US), self.episode)
-        machine = self.random.choice(list(self.machines.values()))
-        episodes: tuple[tuple[int, Callable[[], None]], ...] = (
-            (20, lambda: self.drain(machine)),
-            (20, lambda: self.crash(machine)),
-            (15, lambda: self.hang(machine)),
-            (15, lambda: self.slow(machine)),
-            (15, lambda: self.fail(machine)),
-            (6, lambda: self.lose_zones(1)),
-            (2, lambda: self.lose_zones(ZONES)),
-            (10, self.list_again),
-            (6, self.overload),
-            (6, self.change_policy),
-            (4, lambda: self.give(api.PeerMessage(1, b"hello"))),
-            (10, lambda: self.break_connection(machine)),
-        )
-        weights = [weight for weight, _ in episodes]
-        self.random.choices([start for _, start in episodes], weights)[0]()
-
-    def drain(self, machine: Machine) -> None:
-        if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
-            return
-        self.announce(machine, api.WorkerState.DRAINING, machine.entry.started_us)
-        self.after(self.around(1_500 * MS), lambda: self.end_process(machine))
-
-    def end_process(self, machine: Machine) -> None:
-        machine.down = True
-        machine.loaded.clear()
-        self.announce(machine, api.WorkerState.GONE, machine.entry.started_us)
-        self.after(self.around(2_000 * MS), lambda: self.come_up(machine))
-
-    def come_up(self, machine: Machine) -> None:
-        machine.down = False
-        machine.hangs_until_us = machine.slow_until_us = machine.fails_until_us = 0
-        self.announce(machine, api.WorkerState.RUNNING, self.now_us)
-
-    def crash(self, machine: Machine) -> None:
-        if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
-            return
-        machine.down = True
-        machine.loaded.clear()
-        self.break_connection(machine)
-        if self.chance(0.5):  # else it is back before it is missed
-            self.after(self.around(300 * MS), lambda: self.end_process(machine))
-        else:
-            self.after(self.around(4_000 * MS), lambda: self.come_up(machine))
-
-    def break_connection(self, machine: Machine) -> None:
-        """All that the connection carries ends at once, by a reset."""
-        name = machine.entry.worker
-        for attempt, event in list(self.pending.items()):
-            if event.worker == name and self.pending.pop(attempt, None) is not None:
-                self.give(replace(event, result=api.Result.RESET, call_ended=False, elapsed_us=50 * MS))
-
-    def hang(self, machine: Machine) -> None:
-        machine.hangs_until_us = self.now_us + self.around(4_000 * MS)
-
-    def slow(self, machine: Machine) -> None:
-        machine.slow_until_us = self.now_us + self.around(5_000 * MS)
-
-    def fail(self, machine: Machine) -> None:
-        machine.fails_until_us = self.now_us + self.around(5_000 * MS)
-        machine.failing_class = self.random.choice(CLASSES).name
-
-    def lose_zones(self, count: int) -> None:
-        lost = [f"zone-{number}" for number in self.random.sample(range(ZONES), count)]
-        for machine in self.machines.values():
-            if machine.entry.zone in lost:
-                machine.hangs_until_us = self.now_us + 5_000 * MS
-
-    def list_again(self) -> None:
-        kind = self.random.choice((api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED))
-        failed = kind is api.ListKind.FAILED
-        self.give(api.WorkerListReceived(kind, 0, ()) if failed else self.whole_list(kind))
-
-    def overload(self) -> None:
-        self.overload_until_us = self.now_us + 3_000 * MS
-
-    def change_policy(self) -> None:
-        longer = self.settings.epoch % 2 == 0
-        factor = 2 if longer else 1
-        classes = tuple(
-            replace(call_class, latency_objective_us=call_class.latency_objective_us * factor)
-            for call_class in CLASSES
-        )
-        self.settings = replace(
-            self.settings,
-            classes=classes,
-            overload_window_us=(1_000 if longer else 2_000) * MS,
-            max_attempts=5 if longer else 3,
-            epoch=self.settings.epoch + 1,
-        )
-        self.give(api.PolicyChanged(self.settings))
