--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -47,20 +47,29 @@
         self.load_rate.record_call(entry)
         if not self.tiers[CACHING]:  # sized only while empty, so that no function is put out by a new size
             self._update_capacity()
-        if not entry.listed() or not (entry.tier == CACHING or self.promote(entry, entry.tier + 1)):
-            self.insert(entry, max(SINGLE, entry.tier))
+        if not entry.listed():
+            self.insert(entry, SINGLE)
+        elif entry.tier != CACHING and not self.promote(entry, entry.tier + 1):
+            self.insert(entry, entry.tier)  # at the end of its tier, since it was called last
         elif entry.tier == CACHING:
             self.by_age[CACHING].update(entry)
 
     def promote(self, entry: FunctionEntry, tier: int) -> bool:
-        """Move the function up to a tier, where its aged gap is shorter than the longest there."""
+        """Move the function to a tier, if it fits there; returns whether it did.
+
+        It fits where its aged gap is shorter than the longest there; the multiple list takes any while it has
+        room. A full list gives up the function of the longest gap: from caching to multiple if it fits there,
+        else to single.
+        """
         full = len(self.tiers[tier]) >= self.capacity
         worst = self.by_age[tier].oldest() if full or tier == CACHING else None
         if worst is not None and entry.aged() >= worst.aged():
             return False
         self.insert(entry, tier)
-        if full and worst is not None and not (tier == CACHING and self.promote(worst, MULTIPLE)):
-            self.insert(worst, SINGLE)
+        if full and worst is not None:
+            moves_down_one = tier == CACHING and self.promote(worst, MULTIPLE)
+            if not moves_down_one:
+                self.insert(worst, SINGLE)
         return True
 
     def insert(self, entry: FunctionEntry, tier: int) -> None:
@@ -82,6 +91,7 @@
         self.loads.forget(entry.drop_copies())
 
     def _update_capacity(self) -> None:
+        """Size the lists by how many copies of the mean known memory fit into their share of the fleet."""
         workers = self.fleet.workers.values()
         fleet_mb = sum(self.kind_memory_mb.get(worker.entry.kind, 0.0) for worker in workers)
         known_mb = [entry.memory_mb for entry in self.functions.values() if entry.memory_mb > 0]
