--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -5,6 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 
 from maplestile.invoke import problems
 from maplestile.invoke.invocation_request import (
@@ -33,9 +34,10 @@
 INVOCATION = re.compile(r"/v1/invocations/([0-9a-f]+)")
 RECORD_ID_BYTES = 16
 POLL_US = 1_000_000  # when to look again at a deferred call that is still pending
+CANCELLED_STATUS = 410  # Gone: the answer of a call that its client has cancelled
 
 Respond = Callable[[Response], None]
-CallOff = Callable[[], None]  # called if the caller leaves before its response
+CallOff = Callable[[], None]  # called if the caller leaves before its response came
 
 
 class InvokeApi:
@@ -98,17 +100,17 @@
     def handle(self, request: HttpRequest, respond: Respond) -> CallOff:
         """Answer one request by `respond`, once, now or later."""
         self.counters["invoke.requests"] += 1
-
-        def respond_counted(response: Response) -> None:
-            self.counters[f"invoke.status.{response.status}"] += 1
-            respond(response)
-
+        respond_counted = partial(self._respond_counted, respond)
         try:
             return self._route(request, respond_counted)
-        except RequestRejected as refused:
-            respond_counted(refused.response)
+        except RequestRejected as rejection:
+            respond_counted(rejection.response)
             return nothing
 
+    def _respond_counted(self, respond: Respond, response: Response) -> None:
+        self.counters[f"invoke.status.{response.status}"] += 1
+        respond(response)
+
     def _route(self, request: HttpRequest, respond: Respond) -> CallOff:
         path = request.path.partition("?")[0]
         if match := INVOCATIONS.fullmatch(path):
@@ -144,22 +146,23 @@
         return lambda: self._stop_waiting(record, respond)
 
     def _invoke_unrecorded(self, invocation: InvocationRequest, respond: Respond) -> CallOff:
-        """Run a call that nobody can ask for again: without a key, and not deferred."""
+        """Run a call whose answer nobody can collect later: without a key, and not deferred."""
         tenant = invocation.tenant
         self.in_flight[tenant] += 1
-
-        def answer(outcome: Outcome) -> None:
+        request = core_request(invocation, self.operator)
+        finish = partial(self._finish_unrecorded, tenant, respond)
+        call = self.core.submit(request, invocation.received_us, finish)
+        return partial(self._withdraw_unrecorded, tenant, call)
+
+    def _finish_unrecorded(self, tenant: str, respond: Respond, outcome: Outcome) -> None:
+        self.in_flight[tenant] -= 1
+        respond(problems.of(outcome))
+
+    def _withdraw_unrecorded(self, tenant: str, call: int) -> None:
+        """The caller has left: cancel its call, unless that has ended already."""
+        if call in self.core.open:
             self.in_flight[tenant] -= 1
-            respond(problems.of(outcome))
-
-        call = self.core.submit(core_request(invocation, self.operator), invocation.received_us, answer)
-
-        def withdraw() -> None:
-            if call in self.core.open:
-                self.in_flight[tenant] -= 1
-                self.core.withdraw(call)
-
-        return withdraw
+            self.core.withdraw(call)
 
     def _start(self, invocation: InvocationRequest) -> InvocationRecord:
         """Run a call under a new record."""
@@ -167,10 +170,10 @@
             self.counters["invoke.store_full"] += 1
             raise RequestRejected(problem(503, "the store of invocations is full", retry_after(POLL_US)))
         record = InvocationRecord(
-            secrets.token_hex(RECORD_ID_BYTES),
-            invocation.scope,
-            invocation.fingerprint(),
-            invocation.received_us + invocation.budget_us,
+            id=secrets.token_hex(RECORD_ID_BYTES),
+            scope=invocation.scope,
+            fingerprint=invocation.fingerprint(),
+            deadline_us=invocation.received_us + invocation.budget_us,
         )
         self.store.add(record)
         self._submit(core_request(invocation, self.operator), record, invocation.received_us)
@@ -178,15 +181,15 @@
 
     def _submit(self, request: Request, record: InvocationRecord, received_us: int) -> None:
         self.in_flight[request.tenant] += 1
+        finish = partial(self._finish_recorded, request.tenant, record)
+        record.call = self.core.submit(request, received_us, finish)
 
-        def answer(outcome: Outcome) -> None:
-            self.in_flight[request.tenant] -= 1
-            if record.abandoned and not record.waiting and not outcome.ran:
-                self.store.drop(record)  # nothing ran, and nobody got an answer: the key may be used again
-            else:
-                self.store.finish(record, problems.of(outcome))
-
-        record.call = self.core.submit(request, received_us, answer)
+    def _finish_recorded(self, tenant: str, record: InvocationRecord, outcome: Outcome) -> None:
+        self.in_flight[tenant] -= 1
+        if record.abandoned and not record.waiting and not outcome.ran:
+            self.store.drop(record)  # nothing ran, and nobody got an answer: the key may be used again
+        else:
+            self.store.finish(record, problems.of(outcome))
 
     def _stop_waiting(self, record: InvocationRecord, respond: Respond) -> None:
         """Take note that a caller under a key has left.
@@ -227,8 +230,8 @@
             self.core.withdraw(record.call)
             if call is not None:
                 self.in_flight[call.request.tenant] -= 1
-            self.store.finish(record, problem(410, "cancelled by its client"))
-        elif record.answer.status != 410:
+            self.store.finish(record, problem(CANCELLED_STATUS, "cancelled by its client"))
+        elif record.answer.status != CANCELLED_STATUS:
             raise RequestRejected(problem(409, "the invocation has ended already"))
         return Response(204)
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -14,6 +14,7 @@
 from maplestile.operation.cordons import Cordons
 from maplestile.operation.handover import Handover, Stage
 from maplestile.operation.policy import PolicyOperations
+from maplestile.operation.runner_view import RunnerView
 from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire.http import HttpRequest, Response
@@ -49,8 +50,8 @@
     def members(self) -> dict[str, Any] | None:
         return None
 
-    def runners(self) -> list[dict[str, Any]]:
-        return [{"id": "s-0", "suspended": False, "avoided": False, "inflight": 2}]
+    def runners(self) -> list[RunnerView]:
+        return [RunnerView(id="s-0", suspended=False, avoided=False, inflight=2)]
 
     def suspend(self, runner: str) -> bool:
         self.calls.append(f"out {runner}")
@@ -78,7 +79,12 @@
         answer = self.ask("GET", "/v1/readyz")
         self.assertEqual((answer.status, b"no runner is listed" in answer.body), (503, True))
 
-    def test_runners_are_named_percent_decoded_and_unknown_ones_get_a_no(self) -> None:
+    def test_runners_are_shown_as_json_in_a_fixed_order(self) -> None:
+        answer = self.ask("GET", "/v1/runners")
+        shown = b'{"runners": [{"id": "s-0", "suspended": false, "avoided": false, "inflight": 2}]}'
+        self.assertEqual((answer.status, answer.body), (200, shown))
+
+    def test_runners_are_named_percent_decoded_and_unknown_ones_are_rejected(self) -> None:
         statuses = [
             self.ask("PUT", f"/v1/runners/{name}/{do}").status
             for name, do in (
@@ -230,7 +236,7 @@
         endpoints = EndpointList()
         target_of = [target("a", 1), target("b", 2)]
         endpoints.apply_known({"updates": [{"index": 1, "endpoints": {"all": True, "targets": target_of}}]})
-        endpoints.suspended = frozenset({"a", "gone"})
+        endpoints.suspended = frozenset({"a", "not-listed"})
         states = {e.worker: e.state for e in endpoints.event().entries}
         self.assertEqual(states, {"a": api.WorkerState.DRAINING, "b": api.WorkerState.RUNNING})
         self.assertEqual(endpoints.entries["a"].state, api.WorkerState.RUNNING)
@@ -247,13 +253,13 @@
         driver.give(fleet(entry("a"), kind=api.ListKind.FULL))
         self.assertEqual(sends(driver.give(arrival(2)))[0].worker, "a")
 
-    def test_what_the_decisions_leave_out_is_told(self) -> None:
+    def test_a_worker_that_the_decisions_leave_out_is_shown_as_avoided(self) -> None:
         driver = Driver(settings(), [entry("a"), entry("b")])
         dispatcher = driver.dispatcher
         (send,) = sends(driver.give(arrival(1)))
         driver.give(ended(1, 0, send.worker, api.Result.CONNECT_FAILED))
-        left = [name for name, worker in dispatcher.workers.items() if dispatcher.avoids(worker)]
-        self.assertEqual(left, [send.worker])
+        avoided = [name for name, worker in dispatcher.workers.items() if dispatcher.avoids(worker)]
+        self.assertEqual(avoided, [send.worker])
 
 
 class HandoverTest(unittest.TestCase):
@@ -299,7 +305,7 @@
         first.look()
         self.assertEqual((second.stage, first.successor_ready), (Stage.TAKING, False))
 
-    def test_nobody_hands_over_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
+    def test_no_process_yields_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
         first, _ = self.process()
         second, _ = self.process()
         second.ready()
