--- a/maplestile/agent/command_server.py
+++ b/maplestile/agent/command_server.py
@@ -15,13 +15,14 @@
 from urllib.parse import quote
 
 from maplestile.agent.command_client import ASK_S
+from maplestile.agent.errors import CommandError
 from maplestile.agent.instance import Instance
 from maplestile.agent.router_client import RESUME_PATH, SUSPEND_PATH
 from maplestile.operation.api import MEMBERS, METRICS, READY
 
 log = logging.getLogger("maplestile.agent")
 LINE_BYTES = 65_536
-Reply = dict[str, Any]
+Reply = dict[str, Any]  # a JSON object, as it goes to the client
 Answer = TypeVar("Answer")
 
 # By command: method and path at the operators' front of each chosen instance.
@@ -34,10 +35,6 @@
 }
 
 
-class CommandError(Exception):
-    """A command that is refused, with the reason for whoever sent it."""
-
-
 @dataclass(slots=True, frozen=True)
 class AgentCommand:
     """A command line, decoded."""
@@ -76,15 +73,18 @@
     """The agent's control plane as its command server reaches it."""
 
     async def rollout(self, operation: str, command: Any) -> Reply:
-        """An operator's command about rollouts."""
+        """The reply to an operator's command about rollouts. Raises CommandError."""
         ...
 
     async def policy(self, operation: str, command: Any) -> Reply:
-        """An operator's command about the fleet's policy."""
+        """The reply to an operator's command about the fleet's policy. Raises CommandError."""
         ...
 
     async def replicated_log(self, command: object) -> Reply:
-        """For an agent that is no voter: the agreed state, and the reply to its command, if it gives one."""
+        """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
+
+        Raises CommandError.
+        """
         ...
 
 
@@ -149,16 +149,20 @@
     # Processes.
 
     async def _status(self, command: AgentCommand) -> Reply:
-        return {"instances": {name: one.process.status() for name, one in command.instances.items()}}
+        return {
+            "instances": {
+                name: instance.process.status().encoded() for name, instance in command.instances.items()
+            }
+        }
 
     async def _stop(self, command: AgentCommand) -> Reply:
-        await asyncio.gather(*(one.process.stop() for one in command.instances.values()))
+        await asyncio.gather(*(instance.process.stop() for instance in command.instances.values()))
         if not command.names_instances:
             self.stop_agent()
         return await self._status(command)
 
     async def _restart(self, command: AgentCommand) -> Reply:
-        await asyncio.gather(*(one.process.restart() for one in command.instances.values()))
+        await asyncio.gather(*(instance.process.restart() for instance in command.instances.values()))
         return await self._status(command)
 
     async def _counters(self, command: AgentCommand) -> Reply:
@@ -196,6 +200,6 @@
         return self.control
 
 
-async def _of_each(command: AgentCommand, ask: Callable[[Instance], Awaitable[Answer]]) -> dict[str, Answer]:
-    answers = await asyncio.gather(*(ask(instance) for instance in command.instances.values()))
+async def _of_each(command: AgentCommand, call: Callable[[Instance], Awaitable[Answer]]) -> dict[str, Answer]:
+    answers = await asyncio.gather(*(call(instance) for instance in command.instances.values()))
     return dict(zip(command.instances, answers, strict=True))
--- a/maplestile/agent/control_plane.py
+++ b/maplestile/agent/control_plane.py
@@ -53,13 +53,16 @@
             policies.cancel()
 
     async def rollout(self, operation: str, command: Any) -> dict[str, Any]:
-        """An operator's command about rollouts."""
+        """The reply to an operator's command about rollouts. Raises CommandError."""
         return await self.rollouts.execute(operation, command)
 
     async def policy(self, operation: str, command: Any) -> dict[str, Any]:
-        """An operator's command about the fleet's policy."""
+        """The reply to an operator's command about the fleet's policy. Raises CommandError."""
         return await self.policies.execute(operation, command)
 
     async def replicated_log(self, command: object) -> dict[str, Any]:
-        """For an agent that is no voter: the agreed state, and the reply to its command, if it gives one."""
+        """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
+
+        Raises CommandError.
+        """
         return await self.rollouts.serve_log(command)
--- a/maplestile/agent/instance.py
+++ b/maplestile/agent/instance.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from maplestile.agent.router_client import ANSWER_S, OperatorReply, RouterClient
+from maplestile.agent.router_client import ANSWER_S, ListedRunner, OperatorReply, RouterClient
 from maplestile.agent.supervised_process import SupervisedProcess
 from maplestile.control.commands import HealthReport
 
@@ -51,7 +51,7 @@
 
 
 class RouterApi(Protocol):
-    """What a controller asks of a router's operators' front."""
+    """The calls that a controller makes at a router's operators' front."""
 
     async def operate(
         self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_S
@@ -71,8 +71,8 @@
         """Members dead or left in its view, and runners found silent; empty where it has no view."""
         ...
 
-    async def runners(self) -> dict[str, tuple[bool, int]] | None:
-        """The runners it lists: whether suspended, and the attempts in flight; None if it does not answer."""
+    async def runners(self) -> dict[str, ListedRunner] | None:
+        """The runners that it lists, by their ids; None if it does not answer."""
         ...
 
     async def suspend(self, runner: str, out: bool) -> bool:
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -14,10 +14,11 @@
 from collections.abc import Mapping
 from typing import Any
 
+from maplestile.agent.errors import CommandError
 from maplestile.agent.instance import RouterHandle
 from maplestile.agent.policy_leader import PolicyLeader
 from maplestile.agent.policy_router import REPEAT_INTERVAL_S, Announcement, Fence, RouterPolicy
-from maplestile.agent.replicated_log import ReplicatedLog
+from maplestile.agent.replicated_log import ReplicatedLog, submit_for_operator
 from maplestile.agent.tasks import is_idle
 from maplestile.common import logs
 from maplestile.control.commands import EncodedCommand, ReadPolicy, SubmitVerdict
@@ -170,20 +171,13 @@
     # Operators' commands.
 
     async def execute(self, operation: str, command: EncodedCommand) -> dict[str, Any]:
-        """`status`, `propose` or `rollback`; `{"error": reason}` where it is not agreed on."""
+        """The reply to `status`, `propose` or `rollback`. Raises CommandError where it is not agreed on."""
         if operation == "status":
             return {"policy": self._status()}
         if operation not in ("propose", "rollback"):
-            return {"error": f"policy: no command '{operation}'"}
-        try:
-            # Undecoded, so that the log answers a damaged one as any that does not fit.
-            reply = await self.replicated_log.submit(
-                {**command, "do": f"policy {operation}", "agent": self.settings.name}
-            )
-        except LogError as error:
-            return {"error": str(error)}
-        if not reply["ok"]:
-            return {"error": reply["reason"]}
+            raise CommandError(f"policy: no command '{operation}'")
+        name = f"policy {operation}"
+        reply = await submit_for_operator(self.replicated_log, self.settings.name, name, command)
         self.events.info(f"operator {operation}", change=reply["change"], base=reply["base"])
         return {"policy": reply}
 
@@ -192,11 +186,13 @@
         reported = self.replicated_log.router_status
         instances: dict[str, dict[str, Any]] = {}
         for name, agent in sorted(self.replicated_log.control.instances.items()):
-            heard_s, routers = reported.get(agent, (None, {}))
-            instances[name] = {"agent": agent, "heard_s": heard_s, **routers.get(name, {})}
+            status = reported.get(agent)
+            age_s = None if status is None else status.age_s
+            report = {} if status is None else status.routers.get(name, {})
+            instances[name] = {"agent": agent, "heard_s": age_s, **report}
         return {
             "agreed": self.agreed.encoded(),
             "instances": instances,
             "ready": self.replicated_log.ready(),
-            "raft": self.replicated_log.status(),
+            "raft": self.replicated_log.status().encoded(),
         }
--- a/maplestile/agent/policy_leader.py
+++ b/maplestile/agent/policy_leader.py
@@ -30,12 +30,12 @@
     def look(self) -> None:
         """Submit the planner's next command, one at a time."""
         status = self.replicated_log.status()
-        if not status["leading"]:
+        if not status.leading:
             self.planner = None
             return
-        if self.planner is None or status["term"] != self.term:
+        if self.planner is None or status.term != self.term:
             self.planner = PolicyPlanner()
-            self.term = status["term"]
+            self.term = status.term
         if not is_idle(self.deciding):
             return
         control = self.replicated_log.control
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -4,10 +4,12 @@
 import logging
 from collections import Counter
 from collections.abc import Mapping
-from typing import Any, Protocol
+from typing import Protocol
 
+from maplestile.agent.errors import CommandError
 from maplestile.control.commands import Command, EncodedCommand, EncodedReply, name_of
 from maplestile.control.errors import LogError
+from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus, VoterStatus
 from maplestile.control.state import ControlState
 
 log = logging.getLogger("maplestile.control")
@@ -23,21 +25,21 @@
         ...
 
     @property
-    def heartbeats(self) -> Mapping[str, tuple[int, dict[str, Any]]]:
-        """The last heartbeat of each agent in its wire form, and how many have come from it."""
+    def heartbeats(self) -> Mapping[str, ReceivedHeartbeat]:
+        """The last heartbeat of each agent."""
         ...
 
     @property
-    def router_status(self) -> Mapping[str, tuple[float, dict[str, Any]]]:
-        """Of each agent: how many seconds ago it was heard, and what its routers say of their policy."""
+    def router_status(self) -> Mapping[str, RouterStatus]:
+        """The last report of each agent on its routers' policy."""
         ...
 
     def ready(self) -> bool:
         """Whether the state is up to date, and a leader is known."""
         ...
 
-    def status(self) -> dict[str, Any]:
-        """The voter as operators see it: its state, the leader's name, and Raft's term and index."""
+    def status(self) -> VoterStatus:
+        """The voter as operators see it."""
         ...
 
     async def run(self) -> None:
@@ -49,6 +51,23 @@
         ...
 
 
+async def submit_for_operator(
+    replicated_log: ReplicatedLog, agent: str, name: str, command: EncodedCommand
+) -> EncodedReply:
+    """Submit an operator's command under its name in the log, for this agent; the reply of one applied.
+
+    The command goes on undecoded, so that the log answers a damaged one as any that does not fit. Raises
+    CommandError where it is refused, or not agreed on.
+    """
+    try:
+        reply = await replicated_log.submit({**command, "do": name, "agent": agent})
+    except LogError as error:
+        raise CommandError(str(error)) from None
+    if not reply["ok"]:
+        raise CommandError(reply["reason"])
+    return reply
+
+
 class LogClient:
     """Submits the rollout commands of one agent, and logs what becomes of them."""
 
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -9,14 +9,16 @@
 from collections.abc import Mapping
 from typing import Any
 
+from maplestile.agent.errors import CommandError
 from maplestile.agent.health_reporter import HealthReporter
 from maplestile.agent.instance import ProcessHandle, RouterHandle
-from maplestile.agent.replicated_log import LogClient, ReplicatedLog
+from maplestile.agent.replicated_log import LogClient, ReplicatedLog, submit_for_operator
 from maplestile.agent.rollout_leader import RolloutLeader
 from maplestile.agent.rollout_steps import LeaseSteps
 from maplestile.common import logs
 from maplestile.control.commands import EncodedCommand, Register
 from maplestile.control.errors import LogError
+from maplestile.control.log_view import LogAnswer
 from maplestile.control.rollout import ACTIVE
 from maplestile.control.settings import ControlSettings
 
@@ -98,32 +100,27 @@
     # Commands.
 
     async def serve_log(self, command: object) -> dict[str, Any]:
-        """For an agent that is no voter: the agreed state, and the reply to its command, if it gives one."""
-        answer: dict[str, Any] = {"ready": self.replicated_log.ready()}
+        """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
+
+        Raises CommandError where its command is not agreed on.
+        """
+        ready = self.replicated_log.ready()  # before the command is submitted
+        reply = None
         try:
             if isinstance(command, dict):
-                answer["reply"] = await self.replicated_log.submit(command)
+                reply = await self.replicated_log.submit(command)
         except LogError as error:
-            return {"error": str(error)}
-        answer["state"] = self.replicated_log.control.encoded()
-        answer["told"] = dict(self.replicated_log.router_status)
-        return {"control": answer}
+            raise CommandError(str(error)) from None
+        answer = LogAnswer(ready, self.replicated_log.control, self.replicated_log.router_status, reply)
+        return {"control": answer.encoded()}
 
     async def execute(self, operation: str, command: EncodedCommand) -> dict[str, Any]:
-        """`status`, or a command of an operator's; `{"error": reason}` where it is not agreed on."""
+        """The reply to `status` or an operator's command. Raises CommandError where it is not agreed on."""
         if operation == "status":
             return {"rollout": self._status()}
         if operation == "start" and command.get("budget") is None:
             command = {**command, "budget": self.settings.budget}
-        try:
-            # Undecoded, so that the log answers a damaged one as any that does not fit.
-            reply = await self.replicated_log.submit(
-                {**command, "do": operation, "agent": self.settings.name}
-            )
-        except LogError as error:
-            return {"error": str(error)}
-        if not reply["ok"]:
-            return {"error": reply["reason"]}
+        reply = await submit_for_operator(self.replicated_log, self.settings.name, operation, command)
         content = {key: value for key, value in reply.items() if key != "ok"}
         self.events.info(f"operator {operation}", **content)
         return {"rollout": reply}
@@ -131,7 +128,7 @@
     def _status(self) -> dict[str, Any]:
         return {
             **self.replicated_log.control.encoded(),
-            "raft": self.replicated_log.status(),
+            "raft": self.replicated_log.status().encoded(),
             "ready": self.replicated_log.ready(),
             "counters": dict(self.counters),
         }
--- a/maplestile/agent/rollout_leader.py
+++ b/maplestile/agent/rollout_leader.py
@@ -6,7 +6,7 @@
 
 from maplestile.agent.replicated_log import LogClient
 from maplestile.common import logs
-from maplestile.control.commands import GrantLease, HaltRollout, HealthReport, encode
+from maplestile.control.commands import GrantLease, HaltRollout, encode
 from maplestile.control.rollout_planner import RolloutPlanner
 from maplestile.control.settings import ControlSettings
 
@@ -29,12 +29,12 @@
         """Hand new heartbeats to the planner, and submit its next command."""
         replicated_log = self.log_client.replicated_log
         status = replicated_log.status()
-        if not status["leading"]:
+        if not status.leading:
             self.planner = None
             return
         now_us = time.monotonic_ns() // 1000
-        if self.planner is None or status["term"] != self.term:
-            self.planner = self._take_lead(status["term"], now_us)
+        if self.planner is None or status.term != self.term:
+            self.planner = self._take_lead(status.term, now_us)
         self._hear(self.planner, now_us)
         if self.deciding is not None and not self.deciding.done():
             return
@@ -51,15 +51,15 @@
     def _take_lead(self, term: int, now_us: int) -> RolloutPlanner:
         self.term = term
         heartbeats = self.log_client.replicated_log.heartbeats
-        self.heard = {agent: number for agent, (number, _) in heartbeats.items()}  # those are old
+        self.heard = {agent: heartbeat.number for agent, heartbeat in heartbeats.items()}  # those are old
         self.events.info("leads", term=term, voter=self.settings.name)
         return RolloutPlanner(self.settings.rules, now_us)
 
     def _hear(self, planner: RolloutPlanner, now_us: int) -> None:
-        for agent, (number, reports) in self.log_client.replicated_log.heartbeats.items():
-            if number != self.heard.get(agent):
-                self.heard[agent] = number
-                planner.hear({name: HealthReport(*report) for name, report in reports.items()}, now_us)
+        for agent, heartbeat in self.log_client.replicated_log.heartbeats.items():
+            if heartbeat.number != self.heard.get(agent):
+                self.heard[agent] = heartbeat.number
+                planner.hear(heartbeat.reports, now_us)
 
     async def _submit(self, command: GrantLease | HaltRollout) -> None:
         reply = await self.log_client.submit(command)
--- a/maplestile/agent/rollout_steps.py
+++ b/maplestile/agent/rollout_steps.py
@@ -179,16 +179,16 @@
         return is_done
 
     async def _set_used_by(self, router: RouterHandle, runner: str, used: bool) -> bool:
-        listed = await router.client.runners()
-        if listed is None:
+        runners = await router.client.runners()
+        if runners is None:
             return False
-        if runner not in listed:
+        if runner not in runners:
             return True
-        is_suspended, in_flight = listed[runner]
-        if is_suspended == used:
+        listed = runners[runner]
+        if listed.suspended == used:
             # Just suspended: what is in flight there is looked at the next time.
             return await router.client.suspend(runner, not used) and used
-        return used or not in_flight
+        return used or not listed.in_flight
 
     async def _renew(self, lease: Lease) -> None:
         """The runner's process, which no router uses now."""
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -42,6 +42,14 @@
         return reply
 
 
+@dataclass(slots=True, frozen=True)
+class ListedRunner:
+    """A runner as a router lists it."""
+
+    suspended: bool
+    in_flight: int  # attempts
+
+
 class InstanceProcess(Protocol):
     """What the client has to know of the process behind the front."""
 
@@ -99,14 +107,14 @@
         except (ValueError, KeyError, TypeError):
             return set()
 
-    async def runners(self) -> dict[str, tuple[bool, int]] | None:
-        """The runners it lists: whether suspended, and the attempts in flight; None if it does not answer."""
+    async def runners(self) -> dict[str, ListedRunner] | None:
+        """The runners that it lists, by their ids; None if it does not answer."""
         reply = await self.operate("GET", RUNNERS)
         if not reply.ok:
             return None
         try:
             listed = json.loads(reply.text)["runners"]
-            return {runner["id"]: (runner["suspended"], runner["inflight"]) for runner in listed}
+            return {runner["id"]: ListedRunner(runner["suspended"], runner["inflight"]) for runner in listed}
         except (ValueError, KeyError, TypeError):
             return None
 
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -5,6 +5,7 @@
 import signal
 import time
 from collections.abc import Callable
+from dataclasses import asdict, dataclass
 from enum import Enum
 from typing import Any
 
@@ -24,10 +25,25 @@
 
     NEW = "new"
     RUNNING = "running"
-    WAITING = "waiting"  # for its next start, after an end that nobody asked for
+    WAITING = "waiting"  # for its next start, after an unexpected end
     STOPPED = "stopped"
 
 
+@dataclass(slots=True, frozen=True)
+class ProcessStatus:
+    """The status of an instance, as operators see it."""
+
+    state: ProcessState
+    pid: int | None  # None while no process runs
+    starts: int  # how often it was started or adopted
+    for_s: float  # in this state
+    last_exit: str
+
+    def encoded(self) -> dict[str, Any]:
+        """The wire form, an entry of the reply to `status`."""
+        return {**asdict(self), "state": self.state.value}
+
+
 class SupervisedProcess:
     """The process of one instance, over all its starts.
 
@@ -155,15 +171,15 @@
         """Have a router read its file again; its report, or None where it gives none in time."""
         return await self._signal_answer(signal.SIGHUP, "reload") if self.settings.is_router else None
 
-    def status(self) -> dict[str, Any]:
-        """The status line of the instance, as JSON."""
-        return {
-            "state": self.state.value,
-            "pid": self.process.pid if self.process else None,
-            "starts": self.starts,
-            "for_s": round(time.time() - self.changed_at_s, 1),
-            "last_exit": self.last_exit,
-        }
+    def status(self) -> ProcessStatus:
+        """The status of the instance now."""
+        return ProcessStatus(
+            state=self.state,
+            pid=self.process.pid if self.process else None,
+            starts=self.starts,
+            for_s=round(time.time() - self.changed_at_s, 1),
+            last_exit=self.last_exit,
+        )
 
     def _release(self) -> None:
         self.wanted.clear()
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -9,6 +9,7 @@
 import time
 from collections import Counter
 from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from pysyncobj import FAIL_REASON, SyncObj, SyncObjConf, replicated  # type: ignore[import-untyped]
@@ -29,6 +30,7 @@
 )
 from maplestile.control.errors import CommandNotTaken, LogError, OutcomeUnknown
 from maplestile.control.log_storage import check
+from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus, VoterStatus
 from maplestile.control.settings import ControlSettings, Voter
 from maplestile.control.state import ControlState
 
@@ -55,15 +57,22 @@
 heartbeat."""
 
 
+@dataclass(slots=True, frozen=True)
+class StampedStatus:
+    """What an agent has reported on its routers' policy, and when it came by this machine's clock."""
+
+    received_s: float  # monotonic
+    routers: Mapping[str, Any]  # by instance
+
+
 class Replica(SyncObj):  # type: ignore[misc]  # the library has no types
     """What the log's entries are applied to, on every voter alike."""
 
     def __init__(self, own_node: TCPNode, other_nodes: list[TCPNode], conf: SyncObjConf) -> None:
         # See docs/ROADMAP.md: the snapshot lacks these.
         self.control = ControlState()
-        self.heartbeats: dict[str, tuple[int, dict[str, Any]]] = {}  # each agent's last, and its number
-        # When, by this machine's clock, each agent last reported on its routers' policy, and what.
-        self.router_status: dict[str, tuple[float, dict[str, Any]]] = {}
+        self.heartbeats: dict[str, ReceivedHeartbeat] = {}  # by agent
+        self.router_status: dict[str, StampedStatus] = {}  # by agent
         super().__init__(own_node, other_nodes, conf)
 
     @replicated  # type: ignore[untyped-decorator]  # the library has no types
@@ -74,11 +83,12 @@
         except CommandRejected as refusal:
             return encode_reply(Rejected(str(refusal)))
         if isinstance(decoded, Heartbeat):  # no part of what is agreed
-            number, _ = self.heartbeats.get(decoded.agent, (0, {}))
-            self.heartbeats[decoded.agent] = (number + 1, command["words"])
+            last = self.heartbeats.get(decoded.agent)
+            number = 1 if last is None else last.number + 1
+            self.heartbeats[decoded.agent] = ReceivedHeartbeat(number, decoded.reports)
             return encode_reply(Accepted())
         if isinstance(decoded, ReadPolicy) and decoded.router_status is not None:  # nor is this
-            self.router_status[decoded.agent] = (time.monotonic(), dict(decoded.router_status))
+            self.router_status[decoded.agent] = StampedStatus(time.monotonic(), dict(decoded.router_status))
         return encode_reply(self.control.apply(decoded))
 
 
@@ -139,36 +149,36 @@
         return control
 
     @property
-    def heartbeats(self) -> Mapping[str, tuple[int, dict[str, Any]]]:
-        """The last heartbeat of each agent in its wire form, and how many have come from it."""
-        heartbeats: dict[str, tuple[int, dict[str, Any]]] = self.replica.heartbeats
+    def heartbeats(self) -> Mapping[str, ReceivedHeartbeat]:
+        """The last heartbeat of each agent."""
+        heartbeats: dict[str, ReceivedHeartbeat] = self.replica.heartbeats
         return heartbeats
 
     @property
-    def router_status(self) -> Mapping[str, tuple[float, dict[str, Any]]]:
-        """Of each agent: how many seconds ago it reported on its routers' policy, and what."""
+    def router_status(self) -> Mapping[str, RouterStatus]:
+        """The last report of each agent on its routers' policy."""
         now_s = time.monotonic()
         return {
-            agent: (round(max(0.0, now_s - at_s), 1), status)
-            for agent, (at_s, status) in self.replica.router_status.items()
+            agent: RouterStatus(round(max(0.0, now_s - status.received_s), 1), status.routers)
+            for agent, status in self.replica.router_status.items()
         }
 
     def ready(self) -> bool:
         """The replica holds what was agreed up to its start, and a leader is known."""
         return bool(self.replica.isReady())
 
-    def status(self) -> dict[str, Any]:
-        """The voter as operators see it: its state, the leader's name, and Raft's term and index."""
+    def status(self) -> VoterStatus:
+        """The voter as operators see it."""
         status = self.replica.getStatus()
         leader_address = str(status["leader"])
         leaders = (voter.name for voter in self.settings.voters if voter.address == leader_address)
-        return {
-            "voter": self.settings.name,
-            "leading": status["state"] == LEADER_STATE,
-            "leader": next(leaders, None),
-            "term": status["raft_term"],
-            "index": status["commit_idx"],
-        }
+        return VoterStatus(
+            voter=self.settings.name,
+            leading=status["state"] == LEADER_STATE,
+            leader=next(leaders, None),
+            term=status["raft_term"],
+            index=status["commit_idx"],
+        )
 
     async def run(self) -> None:
         """Take part in the consensus until cancelled."""
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -13,6 +13,13 @@
 from maplestile.common.address import Address
 from maplestile.control.commands import Command, EncodedCommand, EncodedReply, as_encoded
 from maplestile.control.errors import LogError
+from maplestile.control.log_view import (
+    NO_VOTER_STATUS,
+    ReceivedHeartbeat,
+    RouterStatus,
+    VoterStatus,
+    decode_router_status,
+)
 from maplestile.control.settings import ControlSettings
 from maplestile.control.state import ControlState
 
@@ -32,17 +39,17 @@
         self.client = client
         self.counters = counters
         self.control = ControlState()
-        self.heartbeats: Mapping[str, tuple[int, dict[str, Any]]] = {}  # only a leader needs the heartbeats
-        self.router_status: Mapping[str, tuple[float, dict[str, Any]]] = {}
+        self.heartbeats: Mapping[str, ReceivedHeartbeat] = {}  # only a leader needs them
+        self.router_status: Mapping[str, RouterStatus] = {}  # by agent
         self.current = False
 
     def ready(self) -> bool:
         """Whether the last answer came from a voter that is ready."""
         return self.current
 
-    def status(self) -> dict[str, Any]:
-        """As of a voter: this is none, and never leads."""
-        return {"voter": None, "leading": False, "leader": None, "term": 0, "index": 0}
+    def status(self) -> VoterStatus:
+        """The status of an agent that is no voter, and never leads."""
+        return NO_VOTER_STATUS
 
     async def run(self) -> None:
         """Poll the agreed state until cancelled."""
@@ -76,6 +83,5 @@
         control: dict[str, Any] = answer["control"]
         self.control = ControlState.decode(control["state"])
         self.current = bool(control["ready"])
-        reported = control.get("told", {})
-        self.router_status = {agent: (age_s, status) for agent, (age_s, status, *_) in reported.items()}
+        self.router_status = decode_router_status(control.get("told", {}))
         return control
--- a/tests/agent_doubles.py
+++ b/tests/agent_doubles.py
@@ -10,9 +10,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from maplestile.agent.router_client import OperatorReply
-from maplestile.control.commands import Command, EncodedCommand, EncodedReply, as_encoded
+from maplestile.agent.router_client import ListedRunner, OperatorReply
+from maplestile.control.commands import Command, EncodedCommand, EncodedReply, Heartbeat, as_encoded, decode
 from maplestile.control.errors import LogError
+from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus, VoterStatus
 from maplestile.control.rollout_planner import HealthReport
 from maplestile.control.state import ControlState
 from tests.control_script import SCRIPT
@@ -32,18 +33,19 @@
 
     def __init__(self, control: ControlState) -> None:
         self.control = control
-        self.heartbeats: dict[str, tuple[int, dict[str, Any]]] = {}
-        self.router_status: dict[str, tuple[float, dict[str, Any]]] = {
-            "a0": (1.5, {"r0": {"epoch": 2, "standing": "current"}})
+        self.heartbeats: dict[str, ReceivedHeartbeat] = {}
+        self.router_status: dict[str, RouterStatus] = {
+            "a0": RouterStatus(1.5, {"r0": {"epoch": 2, "standing": "current"}})
         }
         self.submitted: list[dict[str, Any]] = []
-        self.leads, self.fault = False, ""
+        self.leads = False
+        self.fault = ""
 
     def ready(self) -> bool:
         return True
 
-    def status(self) -> dict[str, Any]:
-        return {"voter": "a0", "leading": self.leads, "leader": "a0", "term": 3, "index": 9}
+    def status(self) -> VoterStatus:
+        return VoterStatus(voter="a0", leading=self.leads, leader="a0", term=3, index=9)
 
     async def run(self) -> None:
         await asyncio.Event().wait()
@@ -56,9 +58,11 @@
     def _apply(self, command: EncodedCommand) -> EncodedReply:
         if command not in self.submitted:
             self.submitted.append(json.loads(json.dumps(command)))
-        if command["do"] == "word":
-            number, _ = self.heartbeats.get(command["agent"], (0, {}))
-            self.heartbeats[command["agent"]] = number + 1, command["words"]
+        decoded = decode(command) if command["do"] == "word" else None
+        if isinstance(decoded, Heartbeat):
+            last = self.heartbeats.get(decoded.agent)
+            number = 1 if last is None else last.number + 1
+            self.heartbeats[decoded.agent] = ReceivedHeartbeat(number, decoded.reports)
             return {"ok": True}
         return self.control.apply_encoded(command)
 
@@ -169,8 +173,8 @@
     async def lost_members(self) -> set[str]:
         return set()
 
-    async def runners(self) -> dict[str, tuple[bool, int]] | None:
-        return {runner: (out, 0) for runner, out in self.suspended.items()}
+    async def runners(self) -> dict[str, ListedRunner] | None:
+        return {runner: ListedRunner(out, 0) for runner, out in self.suspended.items()}
 
     async def suspend(self, runner: str, out: bool) -> bool:
         self.suspended[runner] = out
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -15,7 +15,9 @@
 from maplestile.agent.supervisor import ask
 from maplestile.common import durable_file as durable
 from maplestile.common.errors import CommandRejected
+from maplestile.control.commands import HealthReport
 from maplestile.control.log_storage import check
+from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus
 from maplestile.control.policy import store
 from maplestile.control.policy.document import AdoptedPolicy, document_of
 from maplestile.control.raft_log import LogError
@@ -25,9 +27,11 @@
 from maplestile.operation.state_folder import FileCordonStore
 from tests import record_control as record
 from tests.agent_doubles import ScriptedAgent, without_ports
-from tests.control_script import DOCUMENT, SCRIPT, TOLD, WORDS
+from tests.control_script import DOCUMENT, SCRIPT, TOLD
 from tests.recordings import RECORDED, agent_plan
 
+HEALTH_REPORTS = {"r0": HealthReport(True, 5, 1), "r1": HealthReport(False, 0, 0)}  # those of WORDS
+
 
 def content(name: str) -> bytes:
     return (RECORDED / name).read_bytes()
@@ -107,7 +111,7 @@
     def test_a_voter_started_on_the_recorded_folder_has_the_recorded_state(self) -> None:
         raft = asyncio.run(record.run_voter(self.plan, []))
         self.assertEqual(raft.control.encoded(), json.loads(content("state.json")))
-        self.assertEqual(dict(raft.heartbeats), {"a0": (1, WORDS["words"])})
+        self.assertEqual(dict(raft.heartbeats), {"a0": ReceivedHeartbeat(1, HEALTH_REPORTS)})
 
     def test_a_voter_started_on_recorded_records_alone_has_the_recorded_state(self) -> None:
         shutil.rmtree(self.folder)
@@ -124,7 +128,7 @@
             expected.apply_encoded(command)
         self.assertEqual(raft.control.encoded(), expected.encoded())
         self.assertEqual(
-            {agent: told for agent, (_, told) in raft.router_status.items()}, {"a0": TOLD["told"]}
+            {agent: status.routers for agent, status in raft.router_status.items()}, {"a0": TOLD["told"]}
         )
 
     def test_a_damaged_heartbeat_is_answered_and_leaves_the_last_one(self) -> None:
@@ -134,7 +138,7 @@
             {"do": "word", "agent": "a0", "words": [1]},
         ]
         raft = asyncio.run(record.run_voter(self.plan, damaged))
-        self.assertEqual(dict(raft.heartbeats), {"a0": (1, WORDS["words"])})
+        self.assertEqual(dict(raft.heartbeats), {"a0": ReceivedHeartbeat(1, HEALTH_REPORTS)})
         self.assertEqual(raft.counters["control.commands"], len(damaged))
 
     def test_the_recorded_journal_holds_the_script(self) -> None:
@@ -234,7 +238,9 @@
             asked = await self.ask(answer)
             self.assertEqual(asked.control.encoded(), control["state"])
             self.assertEqual(self.reply, control["reply"])
-            self.assertEqual(asked.router_status, {"a0": (1.5, {"r0": {"epoch": 2, "standing": "current"}})})
+            self.assertEqual(
+                asked.router_status, {"a0": RouterStatus(1.5, {"r0": {"epoch": 2, "standing": "current"}})}
+            )
             self.assertTrue(asked.ready())
         self.assertEqual(answered, 2)
 
