--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -12,6 +12,7 @@
 from maplestile.agent.errors import CommandError
 from maplestile.agent.health_reporter import HealthReporter
 from maplestile.agent.instance import ProcessHandle, RouterHandle
+from maplestile.agent.process_steps import StepContext
 from maplestile.agent.replicated_log import LogClient, ReplicatedLog, submit_for_operator
 from maplestile.agent.rollout_leader import RolloutLeader
 from maplestile.agent.rollout_steps import LeaseSteps
@@ -45,7 +46,7 @@
         self.counters = counters
         self.events = logs.events("control")
         self.log_client = LogClient(replicated_log, counters)
-        self.steps = LeaseSteps(settings.name, self.log_client, routers, others)
+        self.steps = LeaseSteps(StepContext(settings.name, self.log_client, routers, others))
         self.health = HealthReporter(settings.name, replicated_log, routers, others)
         self.leader = RolloutLeader(settings, self.log_client)
         self.registered = False
