--- a/maplestile/agent/control_plane.py
+++ b/maplestile/agent/control_plane.py
@@ -41,7 +41,7 @@
             else:  # a runner's process, where a router lists a runner by that name
                 others[name] = instance.process
         rollouts = RolloutController(settings, replicated_log, routers, others, counters)
-        policies = PolicyController(settings, replicated_log, routers, counters)
+        policies = PolicyController(settings, replicated_log, routers)
         return cls(rollouts, policies)
 
     async def run(self) -> None:
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -10,7 +10,6 @@
 import contextlib
 import logging
 import time
-from collections import Counter
 from collections.abc import Mapping
 from typing import Any
 
@@ -40,12 +39,10 @@
         settings: ControlSettings,
         replicated_log: ReplicatedLog,
         routers: Mapping[str, RouterHandle],
-        counters: Counter[str],
     ) -> None:
         self.settings = settings
         self.replicated_log = replicated_log
         self.routers = routers
-        self.counters = counters
         self.events = logs.events("policy")
         self.router_policies: dict[str, RouterPolicy] = {}
         self.leader = PolicyLeader(settings.name, replicated_log)
@@ -107,7 +104,7 @@
     # What is committed, to the routers.
 
     def _start_read(self, running: list[RouterPolicy], change: Change | None) -> None:
-        following = [policy for policy in running if not policy.off]
+        following = [policy for policy in running if not policy.has_own_policy]
         interval_s = READ_INTERVAL_S if change is None else READ_INTERVAL_CHECKING_S
         if following and time.monotonic() - self.read_s >= interval_s and is_idle(self.reading):
             self.read_s = time.monotonic()
@@ -117,7 +114,11 @@
         """Have a read agreed on that names those of the routers that answer, and fence these by it."""
         requested_us = time.monotonic_ns() // 1000
         answering = {policy.name: policy for policy in policies if policy.answers}
-        reports = {name: policy.reported for name, policy in self.router_policies.items() if policy.reported}
+        reports = {
+            name: policy.report.content
+            for name, policy in self.router_policies.items()
+            if policy.report is not None
+        }
         command = ReadPolicy(agent=self.settings.name, instances=tuple(answering), router_status=reports)
         with contextlib.suppress(LogError):  # counted there; its routers hear nothing new meanwhile
             reply = await self.replicated_log.submit(command)
@@ -126,7 +127,7 @@
                     answering[name].fence = Fence(int(reply["epoch"]), requested_us)
 
     def _start_announcement(self, policy: RouterPolicy, change: Change | None) -> None:
-        if policy.off or not is_idle(policy.announcing):
+        if policy.has_own_policy or not is_idle(policy.announcing):
             return
         announcement = policy.next_announcement(self.agreed.epoch.number, change)
         if announcement is not None:
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -4,14 +4,15 @@
 import json
 import logging
 import time
-from dataclasses import dataclass, field
+from collections.abc import Mapping
+from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Any
 
 from maplestile.agent.instance import RouterHandle
 from maplestile.agent.router_client import OperatorReply
 from maplestile.common import logs
-from maplestile.control.policy.agreed import AgreedPolicies, Change
+from maplestile.control.policy.agreed import AgreedPolicies, Change, Epoch
 from maplestile.operation.api import POLICY, POLICY_CHECK
 
 log = logging.getLogger("maplestile.policy")
@@ -40,6 +41,25 @@
     checking: int  # the number of the change that is being checked; 0 for none
 
 
+@dataclass(slots=True, frozen=True)
+class PolicyReport:
+    """A router's answer to an announcement: how its policy stands."""
+
+    epoch: int  # that it decides by
+    lacks_document: bool  # of the announced epoch
+    content: Mapping[str, Any]  # the whole answer, as operators see it
+
+    @classmethod
+    def decode(cls, text: str) -> "PolicyReport | None":
+        """The report of a router's JSON; None where its epoch is no number.
+
+        Raises KeyError, TypeError or ValueError for anything else that is no report.
+        """
+        content: dict[str, Any] = json.loads(text)
+        epoch = content["epoch"]
+        return cls(epoch, bool(content.get("fetch")), content) if type(epoch) is int else None
+
+
 @dataclass(slots=True)
 class RouterPolicy:
     """What is known of one process of a router; a process started anew begins with nothing known."""
@@ -48,12 +68,12 @@
     router: RouterHandle
     starts: int
     answers: bool = True  # until it does not
-    off: bool = False  # its policy is its own
+    has_own_policy: bool = False  # its file has no [policy], so it is sent none
     fence: Fence = Fence()
     epoch: int = UNKNOWN_EPOCH  # by its own last report
     sent: Announcement | None = None
     sent_s: float = 0.0
-    reported: dict[str, Any] = field(default_factory=dict)  # its last report
+    report: PolicyReport | None = None  # its last
     checked_change: int = 0  # the change whose verdict has been agreed on
     announcing: asyncio.Task[None] | None = None
     checking: asyncio.Task[None] | None = None
@@ -72,42 +92,43 @@
         self.sent = announcement
         self.sent_s = time.monotonic()
         epoch = agreed.kept_epoch(announcement.epoch) or agreed.epoch
-        content: dict[str, Any] = {
-            "epoch": epoch.number,
-            "fenced_us": announcement.fenced_us,
-            "checking": announcement.checking,
-        }
-        document = {"document": epoch.document}
-        report = await self._put(content if self.epoch == epoch.number else content | document)
-        if report is not None and report.get("fetch"):
-            report = await self._put(content | document)
+        report = await self._put(announcement, epoch, with_document=self.epoch != epoch.number)
+        if report is not None and report.lacks_document:
+            report = await self._put(announcement, epoch, with_document=True)
         if report is None:
             self.epoch = UNKNOWN_EPOCH
             return False
-        took_epoch: bool = report["epoch"] == epoch.number != self.epoch
-        self.epoch = report["epoch"]
-        self.reported = report
+        took_epoch = report.epoch == epoch.number != self.epoch
+        self.epoch = report.epoch
+        self.report = report
         if took_epoch:
             logs.events("policy").info("told", instance=self.name, epoch=epoch.number)
         return took_epoch
 
-    async def _put(self, content: dict[str, Any]) -> dict[str, Any] | None:
-        """The router's report; None where it gives none, or one of no use."""
+    async def _put(
+        self, announcement: Announcement, epoch: Epoch, *, with_document: bool
+    ) -> PolicyReport | None:
+        """Send an epoch; the router's report, None where it gives none, or one of no use."""
+        content = {
+            "epoch": epoch.number,
+            "fenced_us": announcement.fenced_us,
+            "checking": announcement.checking,
+            **({"document": epoch.document} if with_document else {}),
+        }
         reply = await self.router.client.operate(
             "PUT", POLICY, json.dumps(content).encode(), ANSWER_TIMEOUT_S
         )
         self.answers = reply.status is not None
         if _has_no_policy(reply):
-            self.off = True
-            self.reported = {}
+            self.has_own_policy = True
+            self.report = None
             log.info("policy: %s: %s", self.name, NO_POLICY)
             return None
         if not reply.ok:
             log.warning("policy: %s does not take its word: %s", self.name, reply.text)
             return None
         try:
-            report: dict[str, Any] = json.loads(reply.text)
-            return report if type(report["epoch"]) is int else None
+            return PolicyReport.decode(reply.text)
         except (ValueError, KeyError, TypeError) as fault:
             log.warning("policy: %s gives an answer of no use: %s", self.name, fault)
             return None
--- a/tests/record_agent_commands.py
+++ b/tests/record_agent_commands.py
@@ -107,7 +107,7 @@
             ]
             routers = {"r0": supervisor.instances["r0"]}
             rollouts = RolloutController(control, replicated_log, routers, {}, Counter())
-            policies = PolicyController(control, replicated_log, routers, Counter())
+            policies = PolicyController(control, replicated_log, routers)
             supervisor.command_server.enable_control(ControlPlane(rollouts, policies))
             replies = [await exchange(port, line) for line in lines]
             replicated_log.fault = "no leader within 5 s: it was not taken"
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -65,7 +65,7 @@
     replicated_log, router = RecordingLog(ControlState()), recording_router()
     replicated_log.control.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
     replicated_log.leads = True
-    controller = PolicyController(plan, replicated_log, {"r0": router}, Counter())
+    controller = PolicyController(plan, replicated_log, {"r0": router})
     known = controller.router_policies["r0"] = RouterPolicy("r0", router, 1)
     await controller.read([known])
     await controller.announce(known, Announcement(0, 500, 0))
