--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -1,6 +1,7 @@
 """Decoding the fields of a command's wire form.
 
-Each function raises KeyError, TypeError or ValueError, and CommandRejected for a document that is no policy.
+Each public function is named for the type that it decodes to, and raises KeyError, TypeError or ValueError
+for a field that is missing or of no use, and CommandRejected for a document that is no policy.
 
 The numbers and agents that say what a sender believes are decoded as they are: a value of another type equals
 none of the agreed state's, so it is refused with the same text as an outdated one.
@@ -45,7 +46,7 @@
 
 
 def register(encoded: Mapping[str, Any]) -> types.Register:
-    """Decode the command of this name."""
+    """Decode the fields of a `register` command."""
     runners = None
     agent = _name(encoded["agent"])
     instances = tuple(_name(name) for name in encoded["instances"])
@@ -56,14 +57,14 @@
 
 
 def heartbeat(encoded: Mapping[str, Any]) -> types.Heartbeat:
-    """Decode the command of this name."""
-    words = _table(encoded["words"], "words")
-    reports = {name: types.HealthReport(*report) for name, report in words.items()}
+    """Decode the fields of a `word` command."""
+    encoded_reports = _table(encoded["words"], "words")
+    reports = {name: types.HealthReport(*report) for name, report in encoded_reports.items()}
     return types.Heartbeat(agent=_name(encoded["agent"]), reports=reports)
 
 
 def start_rollout(encoded: Mapping[str, Any]) -> types.StartRollout:
-    """Decode the command of this name."""
+    """Decode the fields of a `start` command."""
     return types.StartRollout(
         action=str(encoded["action"]),
         budget=encoded["budget"],
@@ -74,24 +75,24 @@
 
 
 def halt_rollout(encoded: Mapping[str, Any]) -> types.HaltRollout:
-    """Decode the command of this name."""
+    """Decode the fields of a `halt` command."""
     reason = str(encoded.get("reason") or "")
     return types.HaltRollout(rollout=encoded.get("rollout"), reason=reason, agent=encoded.get("agent"))
 
 
 def resume_rollout(encoded: Mapping[str, Any]) -> types.ResumeRollout:
-    """Decode the command of this name."""
+    """Decode the fields of a `resume` command."""
     return types.ResumeRollout(rollout=encoded.get("rollout"), agent=encoded.get("agent"))
 
 
 def undo_rollout(encoded: Mapping[str, Any]) -> types.UndoRollout:
-    """Decode the command of this name."""
+    """Decode the fields of an `undo` command."""
     reason = str(encoded.get("reason") or "")
     return types.UndoRollout(rollout=encoded.get("rollout"), reason=reason, agent=encoded.get("agent"))
 
 
 def release_lease(encoded: Mapping[str, Any]) -> types.ReleaseLease:
-    """Decode the command of this name."""
+    """Decode the fields of a `release` command."""
     lease = encoded.get("lease")
     if lease is None and "lease" in encoded:
         lease = types.NO_LEASE  # it names a lease, though none that there is
@@ -99,7 +100,7 @@
 
 
 def grant_lease(encoded: Mapping[str, Any]) -> types.GrantLease:
-    """Decode the command of this name."""
+    """Decode the fields of a `grant` command."""
     return types.GrantLease(
         rollout=encoded.get("rollout"),
         instance=str(encoded["instance"]),
@@ -116,22 +117,22 @@
 
 
 def begin_step(encoded: Mapping[str, Any]) -> types.BeginStep:
-    """Decode the command of this name."""
+    """Decode the fields of a `begin` command."""
     return types.BeginStep(**_holder(encoded))
 
 
 def finish_step(encoded: Mapping[str, Any]) -> types.FinishStep:
-    """Decode the command of this name."""
+    """Decode the fields of a `back` command."""
     return types.FinishStep(**_holder(encoded))
 
 
 def confirm_drained(encoded: Mapping[str, Any]) -> types.ConfirmDrained:
-    """Decode the command of this name."""
+    """Decode the fields of an `out` command."""
     return types.ConfirmDrained(**_holder(encoded))
 
 
 def report_part(encoded: Mapping[str, Any]) -> types.ReportPart:
-    """Decode the command of this name."""
+    """Decode the fields of a `part` command."""
     return types.ReportPart(
         instance=str(encoded["instance"]),
         agent=str(encoded["agent"]),
@@ -141,12 +142,12 @@
 
 
 def confirm_renewed(encoded: Mapping[str, Any]) -> types.ConfirmRenewed:
-    """Decode the command of this name."""
+    """Decode the fields of a `renewed` command."""
     return types.ConfirmRenewed(**_holder(encoded))
 
 
 def propose_policy(encoded: Mapping[str, Any]) -> types.ProposePolicy:
-    """Decode the command of this name."""
+    """Decode the fields of a `policy propose` command."""
     try:
         document = document_of(encoded["document"])
     except PolicyError as error:
@@ -155,14 +156,14 @@
 
 
 def roll_back_policy(encoded: Mapping[str, Any]) -> types.RollBackPolicy:
-    """Decode the command of this name."""
+    """Decode the fields of a `policy rollback` command."""
     base = int(encoded["base"])
     to = encoded.get("to")
     return types.RollBackPolicy(base=base, to=None if to is None else int(to), agent=str(encoded["agent"]))
 
 
 def submit_verdict(encoded: Mapping[str, Any]) -> types.SubmitVerdict:
-    """Decode the command of this name."""
+    """Decode the fields of a `policy verdict` command."""
     return types.SubmitVerdict(
         change=encoded["change"],
         instance=str(encoded["instance"]),
@@ -172,7 +173,7 @@
 
 
 def commit_policy(encoded: Mapping[str, Any]) -> types.CommitPolicy:
-    """Decode the command of this name."""
+    """Decode the fields of a `policy commit` command."""
     return types.CommitPolicy(
         change=encoded["change"],
         absent=tuple(str(name) for name in encoded["absent"]),
@@ -181,14 +182,14 @@
 
 
 def abort_policy(encoded: Mapping[str, Any]) -> types.AbortPolicy:
-    """Decode the command of this name."""
+    """Decode the fields of a `policy abort` command."""
     return types.AbortPolicy(
         change=encoded["change"], reason=str(encoded["reason"]), agent=encoded.get("agent")
     )
 
 
 def read_policy(encoded: Mapping[str, Any]) -> types.ReadPolicy:
-    """Decode the command of this name.
+    """Decode the fields of a `policy read` command.
 
     Every release counts a read also where a name or the status in it is of no use; voters must go on to count
     alike, so these are left out and the rest is taken.
--- a/maplestile/control/commands/types.py
+++ b/maplestile/control/commands/types.py
@@ -12,10 +12,8 @@
 
 ROUTERS = "routers"
 RUNNERS = "runners"
-NO_LEASE = 0
-"""The number of no lease: they are counted from 1."""
-WIRE_KEY = "key"
-"""In a field's metadata: its key on the wire, where that is not its name."""
+NO_LEASE = 0  # the number of no lease: they are counted from 1
+WIRE_KEY = "key"  # in a field's metadata: its key on the wire, where that is not its name
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,8 +33,8 @@
     """Replace the list of the instances that an agent manages, and of the runners that its routers list."""
 
     instances: tuple[str, ...]
+    # Each runner, and whether the agent manages its process; None leaves the agent's list as it is.
     runners: Mapping[str, bool] | None = None
-    """Each runner, and whether the agent manages its process; None leaves the agent's list as it is."""
     agent: str
 
 
@@ -57,8 +55,7 @@
 
     action: str
     targets: tuple[str, ...]
-    budget: int | str
-    """A count, or a share such as "25%"."""
+    budget: int | str  # a count, or a share such as "25%"
     kind: str = ROUTERS
     agent: str | None = None
 
@@ -107,39 +104,39 @@
 
     rollout: int | None = None
     instance: str
-    down: tuple[str, ...]
-    """Instances that are out without a lease: they take up budget as well."""
-    after: int
-    """The last number given by the state that the leader decided on."""
+    down: tuple[str, ...]  # instances that are out without a lease: they take up budget as well
+    after: int  # the last number given by the state that the leader decided on
     term: int
     agent: str | None = None
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
-class BeginStep:
-    """Begin the step, before the instance is touched; by the holder of the lease."""
+class HolderCommand:
+    """A command by the holder of a lease, which names the lease that it believes to hold."""
 
     instance: str
     lease: int
-    agent: str
+    agent: str  # the holder
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
-class FinishStep:
-    """End the step and its lease: the instance serves again; by the holder."""
+class BeginStep(HolderCommand):
+    """Begin the step, before the instance is touched."""
 
-    instance: str
-    lease: int
-    agent: str
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class FinishStep(HolderCommand):
+    """End the step and its lease: the instance serves again."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
-class ConfirmDrained:
-    """End the step of a drain: the instance has nothing in flight and stays out; by the holder."""
+class ConfirmDrained(HolderCommand):
+    """End the step of a drain: the instance has nothing in flight and stays out."""
 
-    instance: str
-    lease: int
-    agent: str
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class ConfirmRenewed(HolderCommand):
+    """Report that a runner's process has been replaced, and routers may use it again."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
@@ -152,15 +149,6 @@
     agent: str
 
 
-@dataclass(slots=True, frozen=True, kw_only=True)
-class ConfirmRenewed:
-    """Report that a runner's process has been replaced, and routers may use it again; by the holder."""
-
-    instance: str
-    lease: int
-    agent: str
-
-
 # Commands about changes of the policy.
 
 
@@ -168,10 +156,8 @@
 class ProposePolicy:
     """Propose a document as the policy of the next epoch."""
 
-    document: Document | None
-    """None: the policy of each router's own file."""
-    base: int
-    """The epoch that the change was made on."""
+    document: Document | None  # None: the policy of each router's own file
+    base: int  # the epoch that the change was made on
     agent: str
 
 
@@ -191,8 +177,7 @@
     agent: str
     change: int
     instance: str
-    reason: str
-    """Why the router refuses it; "" where it accepts."""
+    reason: str  # why the router refuses it; "" where it accepts
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
@@ -200,8 +185,7 @@
     """Commit the change that has been checked; by the leader."""
 
     change: int
-    absent: tuple[str, ...]
-    """Instances without a verdict, which no read has named since the change was proposed."""
+    absent: tuple[str, ...]  # without a verdict, and named by no read since the change was proposed
     agent: str | None = None
 
 
@@ -220,8 +204,8 @@
 
     agent: str
     instances: tuple[str, ...]
+    # By instance, what each router says of its policy. It changes nothing of what is agreed.
     router_status: Mapping[str, Any] | None = field(default=None, metadata={WIRE_KEY: "told"})
-    """By instance, what each router says of its policy. It changes nothing of what is agreed."""
 
 
 RolloutCommand = (
--- a/maplestile/control/lease_transitions.py
+++ b/maplestile/control/lease_transitions.py
@@ -9,6 +9,7 @@
     ConfirmRenewed,
     FinishStep,
     GrantLease,
+    HolderCommand,
     LeaseChanged,
     ReleaseLease,
     ReportPart,
@@ -104,9 +105,7 @@
     return Accepted()
 
 
-def _held_lease(
-    fleet: FleetState, command: BeginStep | FinishStep | ConfirmDrained | ConfirmRenewed
-) -> Lease:
+def _held_lease(fleet: FleetState, command: HolderCommand) -> Lease:
     lease = fleet.leases.get(command.instance)
     if lease is None or lease.number != command.lease or lease.holder != command.agent:
         raise CommandRejected(f"{command.agent} holds no lease {command.lease} of '{command.instance}'")
--- a/maplestile/control/log_storage.py
+++ b/maplestile/control/log_storage.py
@@ -27,8 +27,8 @@
 END_OFFSET = 36  # in the head: where the records end
 SIZE = struct.Struct("<I")
 INDEX_AND_TERM = struct.Struct("<QQ")
+# Above any term that elections can reach: one each millisecond makes this many in 30 years.
 TERM_LIMIT = 1 << 40
-"""Above any term that elections can reach: one each millisecond makes this many in 30 years."""
 OWNER_FILE = "voter"
 OWNER_VERSION = 1
 READ_BYTES = 1 << 16
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -22,8 +22,8 @@
 LIMITS_TABLE = "limits"
 POLICY_TABLES = (RULES_TABLE, CLASS_TABLE, LIMITS_TABLE)
 POLICY_LIMITS = ("open_requests", "records", "record_s", "body_bytes", "deadline_most_s")
+# The most of a document: some hundred classes. The kept epochs of it go round with the agreed state.
 DOCUMENT_BYTES = 16_384
-"""The most of a document: some hundred classes. The kept epochs of it go round with the agreed state."""
 DIGEST_BYTES = 8
 
 Tables = dict[str, Any]
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -18,8 +18,7 @@
 
 from maplestile.control.policy.document import Document
 
-NO_EPOCH = -1
-"""The epoch of a router that has none on record."""
+NO_EPOCH = -1  # the epoch of a router that has none on record
 
 
 class PolicyStatus(Enum):
--- a/maplestile/control/policy/planner.py
+++ b/maplestile/control/policy/planner.py
@@ -12,10 +12,8 @@
 from maplestile.control.policy.agreed import AgreedPolicies
 
 US_PER_S = 1e6
-CHECK_US = 6_000_000
-"""A router that gives no verdict within this time has the change aborted."""
-ABSENT_US = 3_000_000
-"""A router that none of the six reads within this time has named is down or cut off."""
+CHECK_US = 6_000_000  # a router that gives no verdict within this time has the change aborted
+ABSENT_US = 3_000_000  # one that none of the six reads within this time has named is down or cut off
 
 
 @dataclass(slots=True)
--- a/maplestile/control/policy/transitions.py
+++ b/maplestile/control/policy/transitions.py
@@ -29,8 +29,7 @@
 
 REASON_CHARACTERS_MAX = 300
 
-Managers = Mapping[str, str]
-"""The agent that manages each instance."""
+Managers = Mapping[str, str]  # by instance: the agent that manages it
 
 
 # By operators.
@@ -161,6 +160,7 @@
     return change
 
 
+# The transition of each command about the policy.
 POLICY_TRANSITIONS: dict[type[Any], Callable[[AgreedPolicies, Any, Managers], Acceptance]] = {
     ProposePolicy: propose_policy,
     RollBackPolicy: roll_back_policy,
@@ -169,4 +169,3 @@
     AbortPolicy: abort_policy,
     ReadPolicy: read_policy,
 }
-"""The transition of each command about the policy."""
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -37,14 +37,16 @@
 __all__ = ["LogError", "RaftLog"]
 
 TICK_S = 0.01
+# For a command to be agreed on: an election takes up to 1.4 s, a lossy link more than one.
 ANSWER_TIMEOUT_S = 5.0
-"""For a command to be agreed on: an election takes up to 1.4 s, a lossy link more than one."""
 RETRY_INTERVAL_S = 0.1
 US_PER_S = 1e6
+# The library's reasons for which a command is surely not in the log: its queue was full, no leader was
+# known, another entry stands in its place.
 NOT_TAKEN = (FAIL_REASON.QUEUE_FULL, FAIL_REASON.MISSING_LEADER, FAIL_REASON.DISCARDED)
-"""The library's reasons for which a command is surely not in the log: its queue was full, no leader was
-known, another entry stands in its place."""
 LEADER_STATE = 2  # the library's number
+# What is agreed is rare and must be seen soon: a lost leader is replaced within 0.4 to 1.4 s of its last
+# heartbeat.
 RAFT_TIMES_S = {
     "raftMinTimeout": 0.5,
     "raftMaxTimeout": 1.4,
@@ -53,8 +55,6 @@
     "connectionRetryTime": 0.5,
     "leaderFallbackTimeout": 1.5,
 }
-"""What is agreed is rare and must be seen soon: a lost leader is replaced within 0.4 to 1.4 s of its last
-heartbeat."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -27,8 +27,8 @@
 
 POLL_INTERVAL_S = 0.2
 
+# Sends a command to another agent (address, name of the command, instances, further keys); its reply.
 AgentClient = Callable[..., Awaitable[dict[str, Any]]]
-"""Sends a line to another agent (address, name of the line, instances, more fields) and gives its answer."""
 
 
 class RemoteLog:
--- a/maplestile/control/rollout.py
+++ b/maplestile/control/rollout.py
@@ -29,12 +29,9 @@
 RESTART = "restart"
 DRAIN = "drain"
 REPLACE = "replace"
-ACTIONS = (RESTART, DRAIN, REPLACE)
-"""What an operator may roll out."""
-START = "start"
-"""The undo of a drain."""
-RESTORE = "restore"
-"""The undo of a replacement."""
+ACTIONS = (RESTART, DRAIN, REPLACE)  # what an operator may roll out
+START = "start"  # the undo of a drain
+RESTORE = "restore"  # the undo of a replacement
 UNDO_ACTIONS = (START, RESTORE)
 
 PART_UNTOUCHED = ""
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -25,8 +25,7 @@
 from maplestile.control.budget import budget_of
 from maplestile.control.rollout_planner import Rules
 
-VOTER_COUNTS = (1, 3, 5)
-"""How many voters there may be. One is for trying things out: it outlives no failure."""
+VOTER_COUNTS = (1, 3, 5)  # one is for trying things out: it outlives no failure
 INSTANCES_FOR_CHECK = 100  # any number does: only the form of a budget is checked here
 US_PER_S = 1e6
 
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -68,6 +68,7 @@
     "budget_of",
 ]
 
+# The transition of each command about instances, rollouts and leases.
 FLEET_TRANSITIONS: dict[type[Any], Callable[[FleetState, Any], Acceptance]] = {
     Register: register,
     StartRollout: rollouts.start_rollout,
@@ -82,7 +83,6 @@
     ReportPart: leases.report_part,
     ConfirmRenewed: leases.confirm_renewed,
 }
-"""The transition of each command about instances, rollouts and leases."""
 
 
 class ControlState(FleetState):
