--- a/maplestile/agent/command_server.py
+++ b/maplestile/agent/command_server.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol, TypeVar
 from urllib.parse import quote
 
-from maplestile.agent.command_client import ASK_S
+from maplestile.agent.command_client import COMMAND_TIMEOUT_S
 from maplestile.agent.errors import CommandError
 from maplestile.agent.instance import Instance
 from maplestile.agent.router_client import RESUME_PATH, SUSPEND_PATH
@@ -124,7 +124,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the one command of a connection, and close it."""
         try:
-            async with asyncio.timeout(ASK_S):
+            async with asyncio.timeout(COMMAND_TIMEOUT_S):
                 reply = await self._reply(await reader.readline())
                 writer.write(json.dumps(reply).encode() + b"\n")
                 await writer.drain()
--- a/maplestile/agent/instance.py
+++ b/maplestile/agent/instance.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from maplestile.agent.router_client import ANSWER_S, ListedRunner, OperatorReply, RouterClient
+from maplestile.agent.router_client import ANSWER_TIMEOUT_S, ListedRunner, OperatorReply, RouterClient
 from maplestile.agent.supervised_process import SupervisedProcess
 from maplestile.control.commands import HealthReport
 
@@ -42,11 +42,11 @@
         ...
 
     def renew(self) -> None:
-        """From its next start on by the agent's file as it is now. Raises OperatorError."""
+        """Use the agent's file as it is now, from the next start on. Raises OperatorError."""
         ...
 
     def restore(self) -> None:
-        """From its next start on by the settings before the last `renew`."""
+        """Use the settings before the last `renew`, from the next start on."""
         ...
 
 
@@ -54,7 +54,7 @@
     """The calls that a controller makes at a router's operators' front."""
 
     async def operate(
-        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_S
+        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_TIMEOUT_S
     ) -> OperatorReply:
         """Call its operators' front; faults are part of the reply."""
         ...
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -91,6 +91,7 @@
             self.events.info("committed", epoch=epoch.number, change=epoch.change)
 
     def _running_routers(self) -> list[RouterPolicy]:
+        """The routers that run; nothing is known yet of one whose process was started since the last look."""
         running = []
         for name, router in self.routers.items():
             if not router.process.running():
--- a/maplestile/agent/process_registry.py
+++ b/maplestile/agent/process_registry.py
@@ -73,4 +73,6 @@
 
 
 def _is_process(entry: object) -> bool:
-    return isinstance(entry, list) and len(entry) == 2 and all(type(number) is int for number in entry)
+    if not isinstance(entry, list) or len(entry) != len(ProcessId._fields):
+        return False
+    return all(type(number) is int for number in entry)
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -11,13 +11,13 @@
 from maplestile.agent.settings import InstanceSettings
 from maplestile.common.address import parse_address
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.rollout_planner import HealthReport
+from maplestile.control.commands import HealthReport
 from maplestile.invoke.operator_file import OperatorError
 from maplestile.invoke.operator_file import read as read_operator
 from maplestile.operation.api import MEMBERS, METRICS, READY, RUNNERS
 from maplestile.operation.client import CallError, call
 
-ANSWER_S = 3.0
+ANSWER_TIMEOUT_S = 3.0
 SUSPEND_PATH = RUNNERS + "/{}/suspend"
 RESUME_PATH = RUNNERS + "/{}/resume"
 CALLS_METRIC = "svc_{}_total{{"  # by class, so one line for each
@@ -70,7 +70,7 @@
         self.process = process
 
     async def operate(
-        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_S
+        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_TIMEOUT_S
     ) -> OperatorReply:
         """Call its operators' front; faults are part of the reply."""
         try:
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -233,13 +233,13 @@
         self.wanted.set()
 
     def renew(self) -> None:
-        """From its next start on by the agent's file as it is now. Raises OperatorError."""
+        """Use the agent's file as it is now, from the next start on. Raises OperatorError."""
         settings = self.reread(self.settings.name)
         self.previous_settings = self.settings
         self.settings = settings
 
     def restore(self) -> None:
-        """From its next start on by the settings before the last `renew`."""
+        """Use the settings before the last `renew`, from the next start on."""
         self.settings = self.previous_settings
 
 
--- a/maplestile/control/policy/agreed.py
+++ b/maplestile/control/policy/agreed.py
@@ -13,9 +13,8 @@
     Phase,
     decode_change,
     decode_epoch,
-    encode_change,
-    encode_epoch,
 )
+from maplestile.control.record_codec import encode_record
 
 __all__ = ["AgreedPolicies", "Change", "Epoch", "Phase"]
 
@@ -94,9 +93,9 @@
     def encoded(self) -> dict[str, Any]:
         """The wire form: everything, in JSON's types."""
         return {
-            "epochs": [encode_epoch(epoch) for epoch in self.epochs],
-            "change": None if self.change is None else encode_change(self.change),
-            "history": [encode_change(change) for change in self.history],
+            "epochs": [encode_record(epoch) for epoch in self.epochs],
+            "change": None if self.change is None else encode_record(self.change),
+            "history": [encode_record(change) for change in self.history],
             "number": self.number,
             "reads": self.reads,
             "members": dict(self.members),
--- a/maplestile/control/policy/change.py
+++ b/maplestile/control/policy/change.py
@@ -49,37 +49,11 @@
     rollback: int | None = None
 
 
-def encode_change(change: Change) -> dict[str, Any]:
-    """The wire form of a change."""
-    return {
-        "number": change.number,
-        "reads": change.reads,
-        "base": change.base,
-        "by": change.by,
-        "document": change.document,
-        "phase": change.phase.value,
-        "rollback": change.rollback,
-        "reason": change.reason,
-        "verdicts": dict(change.verdicts),
-        "absent": list(change.absent),
-    }
-
-
 def decode_change(encoded: Mapping[str, Any]) -> Change:
     """The change of a wire form. Raises KeyError, TypeError or ValueError; a foreign key is a TypeError."""
     return Change(**{**encoded, "phase": Phase(encoded["phase"])})
 
 
-def encode_epoch(epoch: Epoch) -> dict[str, Any]:
-    """The wire form of an epoch."""
-    return {
-        "number": epoch.number,
-        "document": epoch.document,
-        "change": epoch.change,
-        "rollback": epoch.rollback,
-    }
-
-
 def decode_epoch(encoded: Mapping[str, Any]) -> Epoch:
     """The epoch of a wire form. Raises TypeError, also for a foreign key."""
     return Epoch(**encoded)
--- a/maplestile/control/rollout.py
+++ b/maplestile/control/rollout.py
@@ -96,39 +96,11 @@
     kind: str = ROUTERS
 
 
-def encode_lease(lease: Lease) -> dict[str, Any]:
-    """The wire form of a lease."""
-    return {
-        "number": lease.number,
-        "instance": lease.instance,
-        "holder": lease.holder,
-        "action": lease.action,
-        "stage": lease.stage.value,
-        "term": lease.term,
-        "parts": None if lease.parts is None else dict(lease.parts),
-    }
-
-
 def decode_lease(encoded: Mapping[str, Any]) -> Lease:
     """The lease of a wire form. Raises KeyError, TypeError or ValueError; a foreign key is a TypeError."""
     return Lease(**{**encoded, "stage": Stage(encoded["stage"])})
 
 
-def encode_rollout(rollout: Rollout) -> dict[str, Any]:
-    """The wire form of a rollout."""
-    return {
-        "number": rollout.number,
-        "action": rollout.action,
-        "targets": list(rollout.targets),
-        "budget": rollout.budget,
-        "phase": rollout.phase.value,
-        "reason": rollout.reason,
-        "done": list(rollout.done),
-        "undone": list(rollout.undone),
-        "kind": rollout.kind,
-    }
-
-
 def decode_rollout(encoded: Mapping[str, Any]) -> Rollout:
     """The rollout of a wire form. Raises KeyError, TypeError or ValueError; a foreign key is a TypeError."""
     return Rollout(**{**encoded, "phase": Phase(encoded["phase"]), "targets": tuple(encoded["targets"])})
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -40,6 +40,7 @@
 from maplestile.control.fleet import FleetState, Step
 from maplestile.control.policy.agreed import AgreedPolicies
 from maplestile.control.policy.transitions import POLICY_TRANSITIONS
+from maplestile.control.record_codec import encode_record
 from maplestile.control.registration import register
 from maplestile.control.rollout import (
     ACTIONS,
@@ -51,8 +52,6 @@
     Stage,
     decode_lease,
     decode_rollout,
-    encode_lease,
-    encode_rollout,
 )
 
 __all__ = [
@@ -150,8 +149,8 @@
             "listed": {agent: list(names) for agent, names in self.listed.items()},
             "number": self.number,
             "worst_out": dict(self.worst_out),
-            "rollout": None if self.rollout is None else encode_rollout(self.rollout),
-            "history": [encode_rollout(rollout) for rollout in self.history],
-            "leases": [encode_lease(lease) for lease in self.leases.values()],
+            "rollout": None if self.rollout is None else encode_record(self.rollout),
+            "history": [encode_record(rollout) for rollout in self.history],
+            "leases": [encode_record(lease) for lease in self.leases.values()],
             "policy": self.policy.encoded(),
         }
