--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -50,17 +50,17 @@
         routers: int = AGENTS * EACH,
         policy: str = "",
         older: str = "",
-        roster: bool = False,
+        with_registry: bool = False,
     ) -> None:
         """With `toy` the runner w2 is a process of the first agent, else a stand-in of this one.
 
         `policy` are more lines of the routers' `[policy]`, which they have none of without; `older` is a
-        folder with another build of the program, which the last router runs. With `roster` agents have a
+        folder with another build of the program, which the last router runs. `with_registry` gives agents a
         folder, by which the next one adopts what the one before has left.
         """
         self.policy = policy
         self.older = older
-        self.roster = roster
+        self.with_registry = with_registry
         self.test = test
         self.folder = Path(tempfile.mkdtemp())
         self.workers = [Worker(), Worker()]
@@ -107,7 +107,7 @@
             folder=self.folder / f"a{number}",
             step_s=self.step_s,
         )
-        if self.roster:
+        if self.with_registry:
             text = text.replace("[control]", f'folder = "{self.folder / f"agent{number}"}"\n[control]')
         for other in range(AGENTS):
             address = f"127.0.0.1:{self.rafts[other]}"
@@ -129,7 +129,7 @@
         self.test.addCleanup(self._end, program)
         return program
 
-    def asker(self) -> tuple[Program, int]:
+    def start_non_voter(self) -> tuple[Program, int]:
         """A fourth agent, which has no vote, with a router of its own; and its port."""
         listen, invoke, operator, udp = free_ports(4)
         text = (self.folder / "r0.toml").read_text().replace('name = "r0"', 'name = "r6"')
@@ -138,7 +138,7 @@
         text = text.replace(str(self.folder / "policy0"), str(self.folder / "policy6"))
         (self.folder / "r6.toml").write_text(text.replace(self.relay.fronts[0], f"127.0.0.1:{udp}", 1))
         ask = ", ".join(f'"127.0.0.1:{port}"' for port in self.listens)
-        file = self.folder / "asker.toml"
+        file = self.folder / "non-voter.toml"
         head = f'[agent]\nlisten = "127.0.0.1:{listen}"\n[control]\nname = "a3"\nask = [{ask}]\n'
         file.write_text(head + '[[instance]]\nname = "r6"\nfile = "r6.toml"\nenv = { RELEASE = "one" }\n')
         program = Program("agent", str(file))
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -19,12 +19,12 @@
 from tests.fleet import AGENTS, free_ports
 from tests.standins import PATIENCE_S, ROOT, Program, eventually
 from tests.test_process_policy import PolicyFleet, PolicyTest
-from tests.test_process_rollout import Calls, Hung
+from tests.test_process_rollout import Calls, HangingCall
 
 
 class AdoptTest(PolicyTest):
     def made(self) -> PolicyFleet:
-        return PolicyFleet(self, roster=True)
+        return PolicyFleet(self, with_registry=True)
 
     def kill(self, number: int) -> None:
         """The agent alone: its routers are left behind."""
@@ -52,8 +52,9 @@
         self.assertEqual({name: self.fleet.pid(name) for name in mine}, pids)
         adopted = [line for line in self.fleet.agents[number].log if "adopted, pid" in line]
         self.assertEqual(len(adopted), len(mine))
-        told = self.fleet.command(number, "counters", mine[0])[0]["counters"][mine[0]]
-        self.assertGreater(told["requests.taken"], 0)  # its log is read, and what it answers is found there
+        counters = self.fleet.command(number, "counters", mine[0])[0]["counters"][mine[0]]
+        # Its log is read, and what it answers is found there.
+        self.assertGreater(counters["requests.taken"], 0)
         reply = self.fleet.command(number, "reload", mine[0])[0]["reload"][mine[0]]
         self.assertTrue(reply["ok"])
         self.check(calls)
@@ -67,10 +68,10 @@
     def test_a_step_that_an_agent_left_in_its_midst_is_taken_up_by_the_next(self) -> None:
         number, name = 0, "r0"
         pid = self.fleet.pid(name)
-        hung = Hung(self.fleet.invoke[0])
+        hung = HangingCall(self.fleet.invoke[0])
         eventually(lambda: any(worker.ran for worker in self.fleet.workers), "the call that hangs")
         self.assertEqual(self.fleet.run(1, "rollout", "start", "--budget", "1", name)[0], 0)
-        eventually(lambda: [told for _, told in self.fleet.events_of("begin")], "the step's begin")
+        eventually(lambda: [event for _, event in self.fleet.events_of("begin")], "the step's begin")
         time.sleep(0.3)
         self.kill(number)  # the router drains, and owes one answer yet
         self.again(number)
@@ -79,22 +80,22 @@
         self.assertNotEqual(self.fleet.pid(name), pid)
         eventually(lambda: self.fleet.status(1)["leases"] == [], "no lease")
         eventually(lambda: self.fleet.run(0, "ready", name)[0] == 0, "r0 ready")
-        self.assertEqual(len([told for _, told in self.fleet.events_of("back")]), 1)
+        self.assertEqual(len([event for _, event in self.fleet.events_of("back")]), 1)
 
     def test_a_step_granted_to_an_agent_that_dies_before_it_begins_is_taken_by_the_next(self) -> None:
         number = next(n for n in self.agents() if n != self.leader())
-        name, asked = self.fleet.of(number)[0], (number + 1) % AGENTS
+        name, peer = self.fleet.of(number)[0], (number + 1) % AGENTS
         pid = self.fleet.pid(name)
         self.fleet.agents[number].process.send_signal(signal.SIGSTOP)
-        self.agreed(self.fleet.run(asked, "rollout", "start", "--budget", "3", name))
-        eventually(lambda: [one["stage"] for one in self.fleet.status(asked)["leases"]] == ["granted"], "it")
+        self.agreed(self.fleet.run(peer, "rollout", "start", "--budget", "3", name))
+        eventually(lambda: [one["stage"] for one in self.fleet.status(peer)["leases"]] == ["granted"], "it")
         self.kill(number)
         self.assertEqual(self.fleet.events_of("begin"), [])
         self.again(number)
-        self.fleet.until_phase(asked, "done")
+        self.fleet.until_phase(peer, "done")
         self.assertNotEqual(self.fleet.pid(name), pid)
-        eventually(lambda: self.fleet.status(asked)["leases"] == [], "no lease")
-        steps = [told["event"] for _, told in self.fleet.events_of("begin", "drained", "back")]
+        eventually(lambda: self.fleet.status(peer)["leases"] == [], "no lease")
+        steps = [event["event"] for _, event in self.fleet.events_of("begin", "drained", "back")]
         self.assertEqual(steps, ["begin", "drained", "back"])
         self.assertLessEqual(self.fleet.worst_out(), 3)
 
@@ -103,11 +104,11 @@
         self.kill(0)
         self.again(0)
         eventually(lambda: self.fleet.run(0, "ready", "r0", "r1")[0] == 0, "the adopted routers")
-        Hung(self.fleet.invoke[0])
+        HangingCall(self.fleet.invoke[0])
         eventually(lambda: any(worker.ran for worker in self.fleet.workers), "the call that hangs")
         self.leader()
         self.agreed(self.fleet.run(1, "rollout", "start", "--budget", "1", "r0", "r1"))
-        eventually(lambda: [told for _, told in self.fleet.events_of("begin")], "the step's begin")
+        eventually(lambda: [event for _, event in self.fleet.events_of("begin")], "the step's begin")
         time.sleep(0.3)
         os.kill(pid, signal.SIGKILL)
         self.fleet.until_phase(1, "done")
@@ -132,9 +133,10 @@
         for n, port in enumerate(ports[:3]):
             text = text.replace(f"127.0.0.1:808{n}", f"127.0.0.1:{port}")
         (self.folder / "r.toml").write_text(text)
-        self.listen, self.roster = ports[3], self.folder / "kept" / "roster.json"
-        told = f'[agent]\nlisten = "127.0.0.1:{self.listen}"\nfolder = "{self.folder / "kept"}"\n'
-        (self.folder / "agent.toml").write_text(told + '[[instance]]\nname = "r"\nfile = "r.toml"\n')
+        self.listen = ports[3]
+        self.registry_file = self.folder / "kept" / "roster.json"
+        text = f'[agent]\nlisten = "127.0.0.1:{self.listen}"\nfolder = "{self.folder / "kept"}"\n'
+        (self.folder / "agent.toml").write_text(text + '[[instance]]\nname = "r"\nfile = "r.toml"\n')
         self.begin()
 
     def begin(self) -> None:
@@ -154,10 +156,10 @@
 
     def status(self) -> dict[str, Any]:
         try:
-            told = asyncio.run(ask(("127.0.0.1", self.listen), "status", []))
+            reply = asyncio.run(ask(("127.0.0.1", self.listen), "status", []))
         except OSError:
             return {"state": "", "pid": None}
-        found: dict[str, Any] = told["instances"]["r"]
+        found: dict[str, Any] = reply["instances"]["r"]
         return found
 
     def test_process_that_is_not_on_record_is_adopted_and_not_started_again(self) -> None:
@@ -167,9 +169,9 @@
             with self.subTest(content=content):
                 self.agent.process.kill()
                 self.agent.process.wait()
-                self.roster.unlink()
+                self.registry_file.unlink()
                 if content is not None:
-                    self.roster.write_bytes(content)
+                    self.registry_file.write_bytes(content)
                 self.begin()
                 self.agent.find("(adopted, pid)")
                 status = self.status()
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -48,12 +48,12 @@
 
     def told(self, number: int) -> dict[str, Any]:
         """The policy as this agent sees it; {} while it cannot tell."""
-        told: dict[str, Any] = self.command(number, "policy", "status")[0]
-        return told
+        status: dict[str, Any] = self.command(number, "policy", "status")[0]
+        return status
 
     def epochs(self, number: int) -> dict[str, Any]:
         """The epoch of every instance, by what this agent knows."""
-        return {name: told.get("epoch") for name, told in self.told(number).get("instances", {}).items()}
+        return {name: status.get("epoch") for name, status in self.told(number).get("instances", {}).items()}
 
     def all_at(self, number: int, epoch: int, names: list[str] | None = None) -> bool:
         epochs = self.epochs(number)
@@ -71,8 +71,8 @@
         for number, program in enumerate(self.agents):
             for line in [*list(program.log), *self.ended]:
                 match = re.match(r"(?:\[(\w+)\] )?(\{.*\"t_us\".*)", line)
-                if match is not None and (told := json.loads(match[2]))["event"] in names:
-                    found.append((match[1] or f"a{number}", told))
+                if match is not None and (event := json.loads(match[2]))["event"] in names:
+                    found.append((match[1] or f"a{number}", event))
         return sorted(found, key=lambda one: one[1]["t_us"])
 
     def figure(self, name: str, figure: str) -> float:
@@ -104,18 +104,18 @@
         committed = self.committed()
         self.assertEqual(sorted(committed), list(range(len(committed))))
         last: dict[str, int] = defaultdict(int)
-        for name, told in fleet.events_of("applied"):
-            self.assertIn(told["epoch"], committed, f"{name} applied what was never committed")
-            self.assertGreaterEqual(told["epoch"], last[name], f"{name} went back")
-            last[name] = told["epoch"]
+        for name, event in fleet.events_of("applied"):
+            self.assertIn(event["epoch"], committed, f"{name} applied what was never committed")
+            self.assertGreaterEqual(event["epoch"], last[name], f"{name} went back")
+            last[name] = event["epoch"]
         # By what was logged, not by what the logger believes: the epochs of one call's attempts.
         epochs: dict[tuple[str, int, int], set[int]] = defaultdict(set)
         lives: dict[str, int] = defaultdict(int)
-        for name, told in fleet.events_of("attempt", "current"):
-            if told["event"] == "current" and told["before"] == "waiting":
+        for name, event in fleet.events_of("attempt", "current"):
+            if event["event"] == "current" and event["before"] == "waiting":
                 lives[name] += 1  # perhaps another process, whose calls are numbered anew
-            elif told["event"] == "attempt":
-                epochs[name, lives[name], told["call"]].add(told["epoch"])
+            elif event["event"] == "attempt":
+                epochs[name, lives[name], event["call"]].add(event["epoch"])
         self.assertEqual([key for key, seen in epochs.items() if len(seen) > 1], [])
         mixed = [fleet.figure(name, "policy_mixed_calls_total") for name in fleet.names]
         self.assertLessEqual(max(mixed), 0, mixed)
@@ -127,15 +127,15 @@
     def committed(self) -> dict[int, int]:
         """Each epoch of the agreed log, and when the first agent had it."""
         found: dict[int, int] = {}
-        for _, told in self.fleet.events_of("committed"):
-            found.setdefault(told["epoch"], told["t_us"])
+        for _, event in self.fleet.events_of("committed"):
+            found.setdefault(event["epoch"], event["t_us"])
         return found
 
     def bound(self, names: list[str]) -> None:
         """Every one of these, live and connected, applied each committed epoch within the bound."""
         applied: dict[tuple[str, int], int] = {}
-        for name, told in self.fleet.events_of("applied"):
-            applied.setdefault((name, told["epoch"]), told["t_us"])
+        for name, event in self.fleet.events_of("applied"):
+            applied.setdefault((name, event["epoch"]), event["t_us"])
         for epoch, at_us in self.committed().items():
             for name in names if epoch else ():
                 self.assertLess((applied[name, epoch] - at_us) / 1e6, BOUND_S, f"{name}, epoch {epoch}")
@@ -158,7 +158,7 @@
         self.assertEqual(self.fleet.told(0)["agreed"]["epochs"][-1]["document"], None)
         self.bound(self.fleet.names)
         self.check(calls)
-        seen = {told["epoch"] for _, told in self.fleet.events_of("attempt")}
+        seen = {event["epoch"] for _, event in self.fleet.events_of("attempt")}
         self.assertEqual(seen, {0, 1, 2})
         for words, reason in (
             (("rollback", "--to", "9"), "there is no epoch 9 to go back to: 0, 1 kept"),
@@ -175,8 +175,8 @@
     def test_a_sighup_amid_a_change_takes_the_files_other_settings_and_none_of_its_policy(self) -> None:
         calls = Calls(self.fleet, 8)
         file = self.fleet.folder / "r0.toml"
-        told = file.read_text().replace("[rules]", "[rules]\nattempts = 1").replace("1000", "900")
-        file.write_text(told.replace("open_most = 400", "open_most = 399"))
+        text = file.read_text().replace("[rules]", "[rules]\nattempts = 1").replace("1000", "900")
+        file.write_text(text.replace("open_most = 400", "open_most = 399"))
         pid = self.fleet.pid("r0")
         changes = [
             threading.Thread(target=self.fleet.propose, args=(1,), kwargs={"attempts": 3 + n})
@@ -228,16 +228,16 @@
         self.assertGreater(result["served_share"], 0.6, result)  # a fifth of the fronts stood still
         self.check()
         known = {
-            told["call"]
-            for name, told in self.fleet.events_of("attempt")
-            if name == still and told["t_us"] < resumed_us
+            event["call"]
+            for name, event in self.fleet.events_of("attempt")
+            if name == still and event["t_us"] < resumed_us
         }
         back = [
-            told
-            for name, told in self.fleet.events_of("attempt")
-            if name in (down, still) and told["t_us"] > resumed_us
+            event
+            for name, event in self.fleet.events_of("attempt")
+            if name in (down, still) and event["t_us"] > resumed_us
         ]
-        new = [told["epoch"] for told in back if told["call"] not in known or told["epoch"]]
+        new = [event["epoch"] for event in back if event["call"] not in known or event["epoch"]]
         self.assertEqual(set(new), {1})
 
 
@@ -315,12 +315,10 @@
     def made(self) -> PolicyFleet:
         folder = Path(tempfile.mkdtemp())
         shutil.copytree(ROOT / "maplestile", folder / "maplestile")
-        file, told = (
-            folder / "maplestile" / "invoke" / "operator_file.py",
-            'rules.flag("second_copies", True)',
-        )
-        self.assertIn(told, file.read_text())
-        file.write_text(file.read_text().replace(told, "True"))
+        file = folder / "maplestile" / "invoke" / "operator_file.py"
+        setting = 'rules.flag("second_copies", True)'
+        self.assertIn(setting, file.read_text())
+        file.write_text(file.read_text().replace(setting, "True"))
         return PolicyFleet(self, older=str(folder))
 
     def test_it_refuses_what_it_does_not_know_and_nobody_takes_it(self) -> None:
@@ -330,11 +328,11 @@
         self.assertEqual((code, reason in err), (1, True), err)
         eventually(lambda: reason in self.fleet.run(2, "policy", "status")[1], "the reason at another agent")
         self.assertEqual(self.fleet.events_of("commit"), [])
-        self.assertEqual({told["epoch"] for _, told in self.fleet.events_of("applied")}, {0})
+        self.assertEqual({event["epoch"] for _, event in self.fleet.events_of("applied")}, {0})
         codes = list[int]()
 
         def propose(number: int) -> None:
-            codes.append(self.asked(number, {"rules": {"attempts": 3 + number}}))
+            codes.append(self.propose_on_first_epoch(number, {"rules": {"attempts": 3 + number}}))
 
         both = [threading.Thread(target=propose, args=(number,)) for number in (0, 2)]
         for one in both:
@@ -343,7 +341,7 @@
             one.join(PATIENCE_S)
         self.assertEqual(sorted(codes), [0, 1])  # of two at once one wins
         self.fleet.until_all_at(1, 1)
-        _, listen = self.fleet.asker()  # an agent without a vote, whose router joins late
+        _, listen = self.fleet.start_non_voter()  # an agent without a vote, whose router joins late
         eventually(lambda: self.fleet.epochs(3).get("r6") == 1, "the epoch at r6")
         self.assertEqual(listen, self.fleet.listens[3])
         self.agreed(self.fleet.propose(3, attempts=2))
@@ -351,12 +349,12 @@
         self.bound(self.fleet.names)
         self.check(calls)
 
-    def asked(self, number: int, document: dict[str, Any]) -> int:
+    def propose_on_first_epoch(self, number: int, document: dict[str, Any]) -> int:
         """0 for a proposal that was taken up; made on epoch 0, whatever stands by then."""
         own = tomllib.loads((self.fleet.folder / "r0.toml").read_text())
         command = {"document": {**document, "class": own["class"]}, "base": 0}
-        where = "127.0.0.1", self.fleet.listens[number]
-        return int("error" in asyncio.run(ask(where, "policy", [], what="propose", command=command)))
+        address = ("127.0.0.1", self.fleet.listens[number])
+        return int("error" in asyncio.run(ask(address, "policy", [], what="propose", command=command)))
 
 
 if __name__ == "__main__":
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -20,7 +20,8 @@
 from tests.fleet import AGENTS, EACH, FOREVER, ROLLOUT_S, Fleet
 from tests.standins import PATIENCE_S, ROOT, eventually
 
-RATE, UNSAFE = 40, "keep-result"
+RATE = 40  # calls a second
+UNSAFE = "keep-result"  # the function whose calls may not run twice
 
 
 class Calls:
@@ -28,7 +29,7 @@
 
     def __init__(self, fleet: Fleet, seconds: float) -> None:
         fronts = [f"127.0.0.1:{port}" for port in fleet.invoke]
-        words = [
+        options = [
             "--function",
             "score-bangla=3",
             "--function",
@@ -45,7 +46,7 @@
             "4",
         ]
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "maplestile", "load", *fronts, *words], stdout=subprocess.PIPE, cwd=ROOT
+            [sys.executable, "-m", "maplestile", "load", *fronts, *options], stdout=subprocess.PIPE, cwd=ROOT
         )
         fleet.test.addCleanup(self._end)
 
@@ -54,12 +55,13 @@
         self.process.communicate()
 
     def result(self) -> dict[str, Any]:
-        told: dict[str, Any] = json.loads(self.process.communicate(timeout=60)[0])
-        return told
+        result: dict[str, Any] = json.loads(self.process.communicate(timeout=60)[0])
+        return result
 
 
 class FleetTest(unittest.TestCase):
-    step_s, toy = 30.0, False
+    step_s = 30.0
+    toy = False
 
     def setUp(self) -> None:
         self.fleet = Fleet(self, self.step_s, self.toy)
@@ -72,7 +74,7 @@
     def agents(self, *besides: int) -> list[int]:
         return [n for n in range(AGENTS) if n not in besides]
 
-    def kept(self, budget: int) -> None:
+    def assert_within_budget(self, budget: int) -> None:
         """Never more out than the budget, by the logs and by what the log of Raft holds."""
         self.assertLessEqual(self.fleet.worst_out(), budget)
         self.assertGreater(self.fleet.worst_out(), 0)
@@ -93,8 +95,8 @@
         """The rollout as the first agent's replica has it; that may be a little behind its start."""
         return self.fleet.status(0).get("rollout") or {"done": []}
 
-    def hang(self, number: int) -> "Hung":
-        hung = Hung(self.fleet.invoke[number])
+    def hang(self, number: int) -> "HangingCall":
+        hung = HangingCall(self.fleet.invoke[number])
         eventually(
             lambda: any(
                 b"hang" in worker_bytes(call) for worker in self.fleet.workers for call in worker.ran
@@ -103,19 +105,18 @@
         )
         return hung
 
-    def told(self, event: str) -> list[dict[str, Any]]:
-        return [told for told in self.fleet.events() if told["event"] == event]
+    def events_named(self, name: str) -> list[dict[str, Any]]:
+        return [event for event in self.fleet.events() if event["event"] == name]
 
-    def until_event(self, event: str, instance: str = "") -> None:
-        def seen() -> bool:
-            told = (t for t in self.fleet.events() if t["event"] == event)
-            return any(instance in ("", t["instance"]) for t in told)
+    def until_event(self, name: str, instance: str = "") -> None:
+        def is_seen() -> bool:
+            return any(instance in ("", event["instance"]) for event in self.events_named(name))
 
-        eventually(seen, f"{event} {instance}")
+        eventually(is_seen, f"{name} {instance}")
 
     @staticmethod
     def kill(pid: int) -> None:
-        with contextlib.suppress(ProcessLookupError):  # it was told to end before its agent died
+        with contextlib.suppress(ProcessLookupError):  # it was asked to end before its agent died
             os.kill(pid, signal.SIGKILL)
 
     def until_none_out(self, number: int) -> None:
@@ -129,19 +130,21 @@
         calls = Calls(self.fleet, 10)
         self.start(1, "--budget", "2")
         self.fleet.until_phase(2, "done")
-        self.kept(2)
+        self.assert_within_budget(2)
         self.no_call_lost_or_run_twice(calls.result())
         after = {name: self.fleet.pid(name) for name in self.fleet.names}
         self.assertTrue(all(after[name] != pids[name] for name in pids))
-        self.assertEqual(sorted(told["instance"] for told in self.told("drained")), self.fleet.names)
+        self.assertEqual(
+            sorted(event["instance"] for event in self.events_named("drained")), self.fleet.names
+        )
 
     def test_of_two_operators_at_once_one_wins_and_the_other_hears_why(self) -> None:
         answers = list[dict[str, Any]]()
 
         def start(number: int) -> None:
             where, command = ("127.0.0.1", self.fleet.listens[number]), {"action": "restart", "budget": 1}
-            asked = agent.ask(where, "rollout", [], what="start", command={**command, "targets": ["r0"]})
-            answers.append(asyncio.run(asked))
+            sending = agent.ask(where, "rollout", [], what="start", command={**command, "targets": ["r0"]})
+            answers.append(asyncio.run(sending))
 
         threads = [threading.Thread(target=start, args=(number,)) for number in (0, 2)]
         for thread in threads:
@@ -152,7 +155,7 @@
         self.assertEqual((len(answers), len(refused)), (2, 1))
         self.assertIn("is running: it has to end, or be undone, first", refused[0])
         self.fleet.until_phase(1, "done")
-        self.assertEqual(len(self.told("operator start")), 1)
+        self.assertEqual(len(self.events_named("operator start")), 1)
         for words, reason in (
             (("start", "--budget", "2", "r9"), "unknown instance: r9"),
             (("start", "--budget", "none"), "budget: must be a count"),
@@ -179,46 +182,46 @@
         )
         time.sleep(1.5)
         late = [
-            told
-            for told in self.fleet.events()
-            if told["event"] == "begin" and told["t_us"] > halted_us + 1_000_000
+            event
+            for event in self.fleet.events()
+            if event["event"] == "begin" and event["t_us"] > halted_us + 1_000_000
         ]
         self.assertEqual(late, [])
         done = self.status()["done"]
         self.assertEqual(self.fleet.run(2, "rollout", "undo")[0], 0)
         self.fleet.until_phase(0, "undone")
-        eventually(lambda: len(self.told("back")) == len(done), "the events of their returns")
-        self.assertEqual([told["instance"] for told in self.told("back")], list(reversed(done)))
-        self.kept(3)
+        eventually(lambda: len(self.events_named("back")) == len(done), "the events of their returns")
+        self.assertEqual([event["instance"] for event in self.events_named("back")], list(reversed(done)))
+        self.assert_within_budget(3)
         self.no_call_lost_or_run_twice(calls.result())
         self.assertEqual(self.fleet.run(0, "ready")[0], 0)
 
     def test_a_halt_that_crosses_a_granted_step_leaves_its_router_alone(self) -> None:
         """The holder stands still from before the grant till after the halt, and then reads of both."""
         number = next(n for n in self.agents() if n != self.fleet.leader())
-        name, asked = self.fleet.of(number)[0], (number + 1) % AGENTS
+        name, peer = self.fleet.of(number)[0], (number + 1) % AGENTS
         pid, holder = self.fleet.pid(name), self.fleet.agents[number].process
         holder.send_signal(signal.SIGSTOP)
         try:
-            self.start(asked, "--budget", "3", name)
+            self.start(peer, "--budget", "3", name)
             eventually(
                 lambda: (
-                    [(one["instance"], one["stage"]) for one in self.fleet.status(asked)["leases"]]
+                    [(one["instance"], one["stage"]) for one in self.fleet.status(peer)["leases"]]
                     == [(name, "granted")]
                 ),
                 "the grant",
             )
-            self.assertEqual(self.fleet.run(asked, "rollout", "halt", "--reason", "a look")[0], 0)
-            self.until_none_out(asked)
+            self.assertEqual(self.fleet.run(peer, "rollout", "halt", "--reason", "a look")[0], 0)
+            self.until_none_out(peer)
         finally:
             holder.send_signal(signal.SIGCONT)
         eventually(lambda: self.fleet.phase(number) == "halted", "the holder to know of the halt")
         time.sleep(1.0)
-        self.assertEqual((self.told("begin"), self.fleet.pid(name)), ([], pid))
-        self.assertEqual(self.fleet.run(asked, "rollout", "resume")[0], 0)
-        self.fleet.until_phase(asked, "done")
+        self.assertEqual((self.events_named("begin"), self.fleet.pid(name)), ([], pid))
+        self.assertEqual(self.fleet.run(peer, "rollout", "resume")[0], 0)
+        self.fleet.until_phase(peer, "done")
         self.assertNotEqual(self.fleet.pid(name), pid)
-        self.kept(3)
+        self.assert_within_budget(3)
 
     def test_with_the_leaders_machine_lost_the_others_go_on_and_it_is_made_up_for(self) -> None:
         leader = self.fleet.leader()
@@ -262,14 +265,14 @@
         self.assertEqual(code, 1)
         self.assertIn("it was not taken", err)  # and so it must not take effect at the healing
         begun = [
-            told["instance"]
-            for told in self.fleet.events()
-            if told["event"] == "begin" and told["t_us"] > split_us + 1_000_000
+            event["instance"]
+            for event in self.fleet.events()
+            if event["event"] == "begin" and event["t_us"] > split_us + 1_000_000
         ]
         self.assertLessEqual(set(begun), theirs)
         self.fleet.relay.ask("heal")
         self.fleet.until_phase(leader, "done")
-        self.kept(3)
+        self.assert_within_budget(3)
         self.no_call_lost_or_run_twice(calls.result())
 
     def test_a_fifth_of_all_messages_lost_delays_a_rollout_and_breaks_nothing(self) -> None:
@@ -281,7 +284,7 @@
             self.fleet.relay.ask("heal")
             self.fleet.run(0, "rollout", "resume")
             self.fleet.until_phase(0, "done")
-        self.kept(2)
+        self.assert_within_budget(2)
         self.no_call_lost_or_run_twice(calls.result())
 
 
@@ -314,11 +317,11 @@
         self.assertEqual(len(self.fleet.status(number)["history"]), 1)
 
 
-class AskerTest(FleetTest):
+class NonVoterTest(FleetTest):
     """An agent without a vote takes part through those that have one."""
 
-    def test_it_asks_and_its_router_is_replaced_and_restored(self) -> None:
-        agent, _ = self.fleet.asker()
+    def test_its_router_is_replaced_and_restored_through_the_voters(self) -> None:
+        agent, _ = self.fleet.start_non_voter()
         eventually(lambda: "r6" in self.fleet.status(0)["instances"], "its router known to all")
         eventually(lambda: self.fleet.run(3, "ready")[0] == 0, "its router ready")
         self.assertEqual(self.release(), "one")
@@ -330,13 +333,13 @@
         self.fleet.until_phase(3, "undone")
         self.assertEqual(self.release(), "one")
         self.until_none_out(0)
-        self.kept(2)
+        self.assert_within_budget(2)
 
     def release(self) -> str:
-        """What the environment of r6 says, as its agent's file told at its start."""
+        """What the environment of r6 says, as its agent's file had it at its start."""
         pid = self.fleet.command(3, "status", "r6")[0]["instances"]["r6"]["pid"]
         environment = Path(f"/proc/{pid}/environ").read_bytes().decode().split("\0")
-        return next(word for word in environment if word.startswith("RELEASE=")).partition("=")[2]
+        return next(entry for entry in environment if entry.startswith("RELEASE=")).partition("=")[2]
 
 
 class StuckTest(FleetTest):
@@ -354,7 +357,7 @@
             self.fleet.until_phase(1, "halted")
             rollout = self.fleet.status(1)["rollout"]
             self.assertIn("r0 takes over", rollout["reason"])
-            self.assertNotIn("drained", [told["event"] for told in self.fleet.events()])
+            self.assertNotIn("drained", [event["event"] for event in self.fleet.events()])
             eventually(lambda: [one["instance"] for one in self.fleet.status(2)["leases"]] == ["r0"], "r0")
         finally:
             os.kill(pid, signal.SIGCONT)
@@ -362,7 +365,7 @@
         self.assertTrue(hung.answered.wait(PATIENCE_S))
         self.assertEqual(self.fleet.run(2, "rollout", "resume")[0], 0)
         self.fleet.until_phase(0, "done")
-        self.kept(1)
+        self.assert_within_budget(1)
 
     def test_an_agent_that_dies_with_a_lease_keeps_it_until_an_operator_releases_it(self) -> None:
         number = next(n for n in self.agents() if n != self.fleet.leader())
@@ -372,23 +375,23 @@
         self.until_event("begin", name)
         orphans = self.fleet.routers_of(self.fleet.agents[number])
         self.fleet.agents[number].process.kill()
-        asked = (number + 1) % AGENTS
-        self.fleet.until_phase(asked, "halted")
-        held = [lease["instance"] for lease in self.fleet.status(asked)["leases"]]
+        peer = (number + 1) % AGENTS
+        self.fleet.until_phase(peer, "halted")
+        held = [lease["instance"] for lease in self.fleet.status(peer)["leases"]]
         self.assertEqual(held, [name])
-        self.assertEqual(self.fleet.run(asked, "rollout", "release", name)[0], 0)
-        self.until_none_out(asked)
+        self.assertEqual(self.fleet.run(peer, "rollout", "release", name)[0], 0)
+        self.until_none_out(peer)
         for pid in orphans:
             self.kill(pid)
         self.fleet.agents[number].process.wait()
         self.fleet.agents[number] = self.fleet.start(number)
         eventually(lambda: self.fleet.run(number, "ready")[0] == 0, "the agent and its routers back")
-        self.fleet.run(asked, "rollout", "resume")
-        self.fleet.until_phase(asked, "done")
+        self.fleet.run(peer, "rollout", "resume")
+        self.fleet.until_phase(peer, "done")
 
 
 class RunnerTest(FleetTest):
-    """RunnerPool taken out at all routers, one of them a process of the first agent."""
+    """Runners taken out at all routers, one of them a process of the first agent."""
 
     toy = True
 
@@ -401,14 +404,14 @@
         self.start(1, "--runners", "--action", "drain", "--budget", "1", "w1")
         self.until_event("begin", "w1")
         self.fleet.until_phase(2, "done")
-        eventually(lambda: len(self.told("out")) == AGENTS, "the word of all agents")
-        out = self.told("out")
-        # All routers were told before the last agent said so, and the rule gives them two seconds.
+        eventually(lambda: len(self.events_named("out")) == AGENTS, "the reports of all agents")
+        out = self.events_named("out")
+        # All routers were notified before the last agent said so, and the rule gives them two seconds.
         time.sleep(max(0.0, 2.0 - (time.monotonic() - out[-1]["t_us"] / 1e6)))
         before = self.calls()
         time.sleep(1.0)
         self.assertEqual(self.calls(), before)
-        # A router that is started anew does not know of it, and is told at once.
+        # A router that is started anew does not know of it, and is notified at once.
         self.assertEqual(self.fleet.run(0, "restart", "r0")[0], 0)
         eventually(lambda: self.fleet.run(0, "ready", "r0")[0] == 0, "r0 back")
         time.sleep(2.0)
@@ -428,8 +431,8 @@
         self.start(2, "--runners", "--budget", "1", "w2")
         self.fleet.until_phase(1, "done")
         self.assertNotEqual(self.pid(), pid)
-        eventually(lambda: len(self.told("in")) == AGENTS, "the word of all agents")
-        order = [told["event"] for told in self.fleet.events() if told.get("instance") == "w2"]
+        eventually(lambda: len(self.events_named("in")) == AGENTS, "the reports of all agents")
+        order = [event["event"] for event in self.fleet.events() if event.get("instance") == "w2"]
         self.assertEqual(
             [e for e in order if e in ("out", "renewed", "in")],
             AGENTS * ["out"] + ["renewed"] + AGENTS * ["in"],
@@ -444,7 +447,7 @@
         return sum(line["kind"] == "CALL" for line in list(self.fleet.workers[0].lines))
 
     def called_again(self, before: int) -> bool:
-        client = Hung(self.fleet.invoke[3], b"again:")
+        client = HangingCall(self.fleet.invoke[3], b"again:")
         client.join(PATIENCE_S)
         return self.calls() > before
 
@@ -453,12 +456,14 @@
     return base64.b64decode(call["bytes"])
 
 
-class Hung(threading.Thread):
+class HangingCall(threading.Thread):
     """A call, and for most that its worker never answers: its router owes an answer until its deadline."""
 
     def __init__(self, port: int, body: bytes = b"hang:") -> None:
         super().__init__(daemon=True)
-        self.port, self.body, self.answered = port, body, threading.Event()
+        self.port = port
+        self.body = body
+        self.answered = threading.Event()
         self.start()
 
     def run(self) -> None:
