--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -18,8 +18,8 @@
 
 from maplestile.agent.supervisor import ask
 from tests.fleet import AGENTS, EACH, FOREVER, Fleet
+from tests.rollout_fleet import Calls
 from tests.standins import PATIENCE_S, ROOT, eventually
-from tests.test_process_rollout import Calls
 
 ROUTERS = 5
 POLICY = "stale_s = 2\nwait_s = 4\ntrace = true\n"
