--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,7 @@
 from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
 from maplestile.control.state import ACTIVE, ControlState, Phase, Stage, budget_of
 
-S = 1_000_000
+S = 1_000_000  # microseconds
 NAMES = [f"r{n}" for n in range(5)]
 
 
@@ -31,28 +31,30 @@
     return made
 
 
-class Small:
+class SmallFleet:
     """A leader and agents round one `ControlState`, at the test's own pace."""
 
     def __init__(self, test: unittest.TestCase, **rules: Any) -> None:
-        self.test, self.control = test, control()
-        self.now, self.out = 100 * S, frozenset[str]()
-        self.watcher = RolloutPlanner(Rules(**{"settle_us": 0, **rules}), self.now)
-        self.words = {name: HealthReport(True) for name in NAMES}
-
-    def ask(self, do: str, **more: Any) -> dict[str, Any]:
+        self.test = test
+        self.control = control()
+        self.now = 100 * S
+        self.out = frozenset[str]()
+        self.planner = RolloutPlanner(Rules(**{"settle_us": 0, **rules}), self.now)
+        self.reports = {name: HealthReport(True) for name in NAMES}
+
+    def submit(self, do: str, **more: Any) -> dict[str, Any]:
         return self.control.apply_encoded({"do": do, **more})
 
     def ok(self, do: str, **more: Any) -> dict[str, Any]:
-        reply = self.ask(do, **more)
+        reply = self.submit(do, **more)
         self.test.assertTrue(reply["ok"], reply)
         return reply
 
     def look(self, after_us: int = 100_000) -> dict[str, Any] | None:
-        """Time passes, the words come, and what the leader decides is applied."""
+        """Time passes, the health reports come, and what the leader decides is applied."""
         self.now += after_us
-        self.watcher.hear(self.words, self.now)
-        command = self.watcher.next_command(self.control, self.out, 1, self.now)
+        self.planner.hear(self.reports, self.now)
+        command = self.planner.next_command(self.control, self.out, 1, self.now)
         if command is None:
             return None
         encoded = encode(command)
@@ -71,19 +73,19 @@
 
 class DecisionTest(unittest.TestCase):
     def test_no_step_beyond_the_budget_and_an_outage_counts(self) -> None:
-        fleet = Small(self)
+        fleet = SmallFleet(self)
         fleet.ok("start", action="restart", targets=[], budget=2)
-        fleet.words["r4"] = HealthReport(False)
+        fleet.reports["r4"] = HealthReport(False)
         self.assertEqual((fleet.look() or {})["instance"], "r0")
         self.assertIsNone(fleet.look())  # r0 by its lease and r4 by itself
-        fleet.words["r4"] = HealthReport(True)
+        fleet.reports["r4"] = HealthReport(True)
         self.assertEqual((fleet.look() or {})["instance"], "r1")
         self.assertIsNone(fleet.look())
         fleet.step("r0")
         self.assertEqual((fleet.look() or {})["instance"], "r2")
 
     def test_one_that_is_back_counts_as_out_until_its_health_can_be_seen_and_holds_up_no_other(self) -> None:
-        fleet = Small(self, settle_us=S)
+        fleet = SmallFleet(self, settle_us=S)
         fleet.ok("start", action="restart", targets=[], budget=3)
         for name in ("r0", "r1", "r2"):
             self.assertEqual((fleet.look() or {})["instance"], name)
@@ -96,48 +98,48 @@
         self.assertEqual((fleet.look(200_000) or {})["instance"], "r4")
 
     def test_each_of_those_that_end_between_two_looks_is_watched(self) -> None:
-        fleet = Small(self, calls_least=20)
+        fleet = SmallFleet(self, calls_least=20)
         fleet.ok("start", action="restart", targets=["r0", "r1", "r2"], budget=2)
         fleet.look()
         fleet.look()
         fleet.step("r0")
         fleet.step("r1")
         fleet.look()
-        fleet.words["r0"] = HealthReport(True, 0, 30)
+        fleet.reports["r0"] = HealthReport(True, 0, 30)
         self.assertIn("r0 fails 30 of 30", (fleet.look() or {}).get("reason", ""))
 
     def test_out_by_membership_or_not_heard_of_is_out(self) -> None:
-        fleet = Small(self)
+        fleet = SmallFleet(self)
         fleet.look()
         fleet.ok("start", action="restart", targets=["r0"], budget=1)
         fleet.out = frozenset({"r3"})
         self.assertIsNone(fleet.look())
         fleet.out = frozenset()
-        del fleet.words["r3"]
+        del fleet.reports["r3"]
         fleet.now += 3 * S
         self.assertIsNone(fleet.look())
-        fleet.words["r3"] = HealthReport(True)
+        fleet.reports["r3"] = HealthReport(True)
         self.assertIsNotNone(fleet.look())
 
-    def test_a_new_leader_waits_for_word_of_all_and_then_takes_the_silent_for_lost(self) -> None:
-        fleet = Small(self)
+    def test_a_new_leader_waits_for_reports_of_all_and_then_takes_the_silent_for_lost(self) -> None:
+        fleet = SmallFleet(self)
         fleet.ok("start", action="restart", targets=["r0"], budget=2)
-        del fleet.words["r4"]
+        del fleet.reports["r4"]
         self.assertIsNone(fleet.look())
         self.assertIsNotNone(fleet.look(6 * S))  # r4 counts as out, and the budget has room for one more
 
     def test_more_lost_than_the_budget_halts_the_rollout_once_it_lasts(self) -> None:
-        fleet = Small(self)
+        fleet = SmallFleet(self)
         fleet.ok("start", action="restart", targets=[], budget=1)
         fleet.look()
-        fleet.words["r4"] = HealthReport(False)
+        fleet.reports["r4"] = HealthReport(False)
         self.assertIsNone(fleet.look())
         self.assertIsNone(fleet.look(2 * S))
         self.assertEqual((fleet.look(2 * S) or {})["do"], "halt")
         self.assertIn("r4 without a step", fleet.control.rollout.reason if fleet.control.rollout else "")
 
     def test_a_step_that_does_not_end_halts(self) -> None:
-        fleet = Small(self, step_us=10 * S)
+        fleet = SmallFleet(self, step_us=10 * S)
         fleet.ok("start", action="restart", targets=[], budget=2)
         fleet.look()
         fleet.ok("begin", **fleet.held("r0"))
@@ -147,22 +149,22 @@
 
     def test_a_released_instance_that_fails_calls_halts(self) -> None:
         for failed, halts in ((1, False), (5, True)):
-            fleet = Small(self, calls_least=20, failed_most=0.1)
-            fleet.words["r0"] = HealthReport(True, 500, 200)  # what it failed before is not held against it
+            fleet = SmallFleet(self, calls_least=20, failed_most=0.1)
+            fleet.reports["r0"] = HealthReport(True, 500, 200)  # what it failed before is not held against it
             fleet.ok("start", action="replace", targets=["r0", "r1"], budget=1)
             fleet.look()
-            fleet.words["r0"] = HealthReport(True)
+            fleet.reports["r0"] = HealthReport(True)
             fleet.look()
             fleet.step("r0")
             fleet.look()
-            fleet.words["r0"] = HealthReport(True, 20, failed)
+            fleet.reports["r0"] = HealthReport(True, 20, failed)
             command = fleet.look() or {}
             self.assertEqual(command.get("do") == "halt", halts, command)
 
 
 class StateTest(unittest.TestCase):
     def test_old_beliefs_are_refused(self) -> None:
-        fleet = Small(self)
+        fleet = SmallFleet(self)
         fleet.ok("start", action="restart", targets=["r0", "r1"], budget=1)
         number = fleet.control.number
         grant = {"instance": "r0", "down": [], "after": number, "term": 1, "rollout": number}
@@ -180,19 +182,19 @@
             ("grant", {"instance": "r1"}, "damaged command"),
         ):
             before = fleet.control.encoded()
-            reply = fleet.ask(do, **more)
+            reply = fleet.submit(do, **more)
             self.assertFalse(reply["ok"])
             self.assertIn(reason, reply["reason"])
             self.assertEqual(fleet.control.encoded(), before)
         fleet.ok("halt", reason="look")
-        self.assertFalse(fleet.ask("begin", **held)["ok"])  # revoked before it was begun
+        self.assertFalse(fleet.submit("begin", **held)["ok"])  # revoked before it was begun
         fleet.ok("resume")
         fleet.ok("grant", **{**grant, "after": fleet.control.number})
         fleet.ok("begin", **fleet.held("r0"))
-        self.assertIn("is begun", fleet.ask("begin", **fleet.held("r0"))["reason"])
+        self.assertIn("is begun", fleet.submit("begin", **fleet.held("r0"))["reason"])
 
     def test_a_drain_stays_out_and_comes_back_in_reverse_order(self) -> None:
-        fleet = Small(self)
+        fleet = SmallFleet(self)
         fleet.ok("start", action="drain", targets=["r0", "r2"], budget=2)
         for name in ("r0", "r2"):
             fleet.look()
@@ -200,7 +202,7 @@
         assert fleet.control.rollout is not None
         self.assertIs(fleet.control.rollout.phase, Phase.DONE)
         self.assertEqual({lease.stage for lease in fleet.control.leases.values()}, {Stage.OUT})
-        self.assertFalse(fleet.ask("start", action="restart", targets=["r1"], budget=2)["ok"])
+        self.assertFalse(fleet.submit("start", action="restart", targets=["r1"], budget=2)["ok"])
         fleet.ok("undo")
         for name in ("r2", "r0"):
             # An undo grants anew what is out already: it takes nothing more of the budget.
@@ -211,14 +213,14 @@
         self.assertEqual(fleet.control.leases, {})
 
     def test_budgets(self) -> None:
-        for told, expected in ((2, 2), ("3", 3), ("25%", 2), ("1%", 1), ("100%", 10)):
-            self.assertEqual(budget_of(told, 10), expected)
+        for budget, expected in ((2, 2), ("3", 3), ("25%", 2), ("1%", 1), ("100%", 10)):
+            self.assertEqual(budget_of(budget, 10), expected)
         for bad in (0, -1, True, None, "x", "0%", "101%", 1.5, "-2"):
             with self.assertRaises(CommandRejected):
                 budget_of(bad, 10)
 
-    def test_what_is_told_is_read_back_whole(self) -> None:
-        fleet = Small(self)
+    def test_the_wire_form_is_read_back_whole(self) -> None:
+        fleet = SmallFleet(self)
         fleet.ok("start", action="drain", targets=["r0"], budget=1)
         fleet.look()
         fleet.step("r0", "out")
@@ -294,7 +296,7 @@
 
 
 class RunnerTest(unittest.TestCase):
-    """RunnerPool: every agent has a part, since they are out at all routers."""
+    """Leases of runners: every agent has a part, since a runner is out at all routers."""
 
     def setUp(self) -> None:
         self.control = ControlState()
@@ -311,13 +313,13 @@
         self.assertIn(reason, reply.get("reason", "it was agreed on"))
 
     def grant(self, name: str, **more: Any) -> dict[str, Any]:
-        told = {"instance": name, "down": [], "after": self.control.number, "term": 1, **more}
-        self.ok("grant", **told)
+        fields = {"instance": name, "down": [], "after": self.control.number, "term": 1, **more}
+        self.ok("grant", **fields)
         return {"instance": name, "lease": self.control.number}
 
-    def all_say(self, did: str, told: dict[str, Any]) -> None:
+    def all_report(self, did: str, lease: dict[str, Any]) -> None:
         for agent in ("a0", "a1"):
-            self.ok("part", agent=agent, did=did, **told)
+            self.ok("part", agent=agent, did=did, **lease)
 
     def stage(self, name: str) -> Stage:
         return self.control.leases[name].stage
@@ -325,36 +327,36 @@
     def test_a_runner_is_out_once_all_say_so_and_back_once_all_use_it(self) -> None:
         self.no("no agent manages w1", "start", action="restart", kind="runners", targets=["w1"], budget=1)
         self.ok("start", action="restart", kind="runners", targets=["w0"], budget=1)
-        told = self.grant("w0")
-        self.all_say("begun", told)
-        self.ok("part", agent="a0", did="out", **told)
-        self.no("is begun", "renewed", agent="a0", **told)  # a1 may still have calls there
-        self.ok("part", agent="a1", did="out", **told)
+        lease = self.grant("w0")
+        self.all_report("begun", lease)
+        self.ok("part", agent="a0", did="out", **lease)
+        self.no("is begun", "renewed", agent="a0", **lease)  # a1 may still have calls there
+        self.ok("part", agent="a1", did="out", **lease)
         self.assertIs(self.stage("w0"), Stage.AWAY)
-        self.no("a1 holds no lease", "renewed", agent="a1", **told)
-        self.no("is away", "part", agent="a0", did="in", **told)
-        self.ok("renewed", agent="a0", **told)
-        self.ok("part", agent="a0", did="in", **told)
+        self.no("a1 holds no lease", "renewed", agent="a1", **lease)
+        self.no("is away", "part", agent="a0", did="in", **lease)
+        self.ok("renewed", agent="a0", **lease)
+        self.ok("part", agent="a0", did="in", **lease)
         self.assertIn("w0", self.control.leases)
-        self.ok("part", agent="a1", did="in", **told)
+        self.ok("part", agent="a1", did="in", **lease)
         assert self.control.rollout is not None
         self.assertEqual((self.control.leases, self.control.rollout.phase), ({}, Phase.DONE))
 
     def test_a_drained_runner_stays_out_until_undone_and_routers_have_a_budget_of_their_own(self) -> None:
         self.ok("start", action="drain", kind="runners", targets=["w1", "w2"], budget=2)
         for name in ("w1", "w2"):
-            told = self.grant(name)
-            self.all_say("begun", told)
-            self.all_say("out", told)
+            lease = self.grant(name)
+            self.all_report("begun", lease)
+            self.all_report("out", lease)
             self.assertIs(self.stage(name), Stage.OUT)
         self.assertEqual((self.control.out("runners"), self.control.out("routers")), (["w1", "w2"], []))
         self.no("2 out already", "start", action="restart", kind="runners", targets=["w0"], budget=2)
         self.assertEqual(ControlState.decode(self.control.encoded()).encoded(), self.control.encoded())
         self.ok("undo")
         for name in ("w2", "w1"):
-            told = self.grant(name)
+            lease = self.grant(name)
             self.assertIs(self.stage(name), Stage.RETURNING)
-            self.all_say("in", told)
+            self.all_report("in", lease)
         assert self.control.rollout is not None
         self.assertIs(self.control.rollout.phase, Phase.UNDONE)
         self.ok("start", action="restart", targets=[], budget=1)
@@ -367,15 +369,15 @@
         self.ok("halt")
         self.no("there is no lease", "part", agent="a0", did="begun", **unbegun)
         self.ok("part", agent="a0", did="begun", **begun)  # under way: it finishes
-        self.all_say("out", begun)
+        self.all_report("out", begun)
         self.assertEqual(list(self.control.leases), ["w1"])
 
     def test_a_silent_runner_counts_against_the_budget(self) -> None:
         self.ok("start", action="drain", kind="runners", targets=["w1"], budget=1)
-        watcher = RolloutPlanner(Rules(settle_us=0), 0)
-        watcher.hear({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
-        self.assertIsNone(watcher.next_command(self.control, frozenset({"w2"}), 1, 2))
-        self.assertIsNotNone(watcher.next_command(self.control, frozenset(), 1, 3))
+        planner = RolloutPlanner(Rules(settle_us=0), 0)
+        planner.hear({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
+        self.assertIsNone(planner.next_command(self.control, frozenset({"w2"}), 1, 2))
+        self.assertIsNotNone(planner.next_command(self.control, frozenset(), 1, 3))
 
 
 class Machine(RuleBasedStateMachine):
@@ -383,15 +385,16 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.control, self.now = control(), 100 * S
-        self.watcher = RolloutPlanner(Rules(settle_us=0, step_us=20 * S), self.now)
+        self.control = control()
+        self.now = 100 * S
+        self.planner = RolloutPlanner(Rules(settle_us=0, step_us=20 * S), self.now)
         self.chance = random.Random(1)
-        self.lost = set[str]()  # out without anybody's word
+        self.lost = set[str]()  # out without a lease
         for agent, managed in (("a0", True), ("a1", False)):
             names = [name for name, owner in self.control.instances.items() if owner == agent]
             runners = {"w0": managed, "w1": False}
-            told = {"do": "register", "agent": agent, "instances": names, "runners": runners}
-            assert self.control.apply_encoded(told)["ok"]
+            command = {"do": "register", "agent": agent, "instances": names, "runners": runners}
+            assert self.control.apply_encoded(command)["ok"]
         self.unused = set[tuple[str, str]]()  # (agent, runner) where its routers have nothing with the runner
         self.begun = set[str]()  # what agents really have in hand or down: the truth beside the state
         self.released = set[str]()
@@ -410,8 +413,8 @@
         chosen=st.sampled_from((["w0"], ["w1"], ["w0", "w1"])),
     )
     def start_runners(self, action: str, budget: int, chosen: list[str]) -> None:
-        told = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
-        self.control.apply_encoded(told)
+        command = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
+        self.control.apply_encoded(command)
 
     @precondition(lambda self: self.control.out("runners"))
     @rule(
@@ -422,13 +425,13 @@
     def part(self, pick: int, agent: str, did: str) -> None:
         out = self.control.out("runners")
         lease = self.control.leases[out[pick % len(out)]]
-        told = {"agent": agent, "instance": lease.instance, "lease": lease.number}
+        fields = {"agent": agent, "instance": lease.instance, "lease": lease.number}
         if did == "renewed":
-            if self.control.apply_encoded({"do": did, **told})["ok"]:
+            if self.control.apply_encoded({"do": did, **fields})["ok"]:
                 # Its process is touched only while no router anywhere uses it.
                 assert {(one, lease.instance) for one in ("a0", "a1")} <= self.unused
             return
-        if self.control.apply_encoded({"do": "part", "did": did, **told})["ok"]:
+        if self.control.apply_encoded({"do": "part", "did": did, **fields})["ok"]:
             if did == "out":
                 self.unused.add((agent, lease.instance))
             elif did == "in":
@@ -444,14 +447,14 @@
 
     @rule()
     def elect(self) -> None:
-        self.watcher = RolloutPlanner(self.watcher.rules, self.now)
+        self.planner = RolloutPlanner(self.planner.rules, self.now)
 
     @rule(pause=st.sampled_from((0, S, 7 * S)))
     def lead(self, pause: int) -> None:
         self.now += pause
-        words = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
-        self.watcher.hear(words, self.now)
-        command = self.watcher.next_command(self.control, frozenset(), 1, self.now)
+        reports = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
+        self.planner.hear(reports, self.now)
+        command = self.planner.next_command(self.control, frozenset(), 1, self.now)
         if command is None:
             return
         reply = self.control.apply(command)
@@ -468,8 +471,8 @@
     def agent(self, pick: int, do: str) -> None:
         out = self.control.out("routers")
         lease = self.control.leases[out[pick % len(out)]]
-        told = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
-        if self.control.apply_encoded({"do": do, **told})["ok"]:
+        fields = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
+        if self.control.apply_encoded({"do": do, **fields})["ok"]:
             (self.begun.discard if do == "back" else self.begun.add)(lease.instance)
 
     @precondition(lambda self: self.control.leases)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -34,32 +34,32 @@
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
 from tests.standins import ROOT
 
-S = 1_000_000
+S = 1_000_000  # microseconds
 OPERATOR = (ROOT / "deploy" / "operator.toml").read_text()
 ONE: dict[str, Any] = {"rules": {"attempts": 1}}
 TWO: dict[str, Any] = {"rules": {"attempts": 2}}
 
 
-class Small:
+class SmallFleet:
     """Two agents with a router each, and the log without its consensus."""
 
     def __init__(self) -> None:
         self.control = ControlState()
         for agent, name in (("a0", "r0"), ("a1", "r1")):
             self.ok("register", agent=agent, instances=[name])
-        self.arbiter = PolicyPlanner()
+        self.planner = PolicyPlanner()
 
-    def ask(self, do: str, **more: Any) -> dict[str, Any]:
+    def submit(self, do: str, **more: Any) -> dict[str, Any]:
         return self.control.apply_encoded({"do": do, "agent": "a0", **more})
 
     def ok(self, do: str, **more: Any) -> dict[str, Any]:
-        reply = self.ask(do, **more)
+        reply = self.submit(do, **more)
         assert reply["ok"], reply
         return reply
 
     def no(self, expected: str, do: str, **more: Any) -> None:
         before = self.control.encoded()
-        reply = self.ask(do, **more)
+        reply = self.submit(do, **more)
         assert not reply["ok"] and expected in reply["reason"], reply
         assert self.control.encoded() == before
 
@@ -68,11 +68,11 @@
 
     def verdict(self, number: int, reason: str = "") -> None:
         change = self.control.policy.number
-        told = {"agent": f"a{number}", "instance": f"r{number}", "reason": reason}
-        self.ok("policy verdict", change=change, **told)
+        agent = f"a{number}"
+        self.ok("policy verdict", change=change, agent=agent, instance=f"r{number}", reason=reason)
 
     def look(self, now_us: int) -> dict[str, Any] | None:
-        command = self.arbiter.next_command(self.control.policy, self.control.instances, now_us)
+        command = self.planner.next_command(self.control.policy, self.control.instances, now_us)
         return None if command is None else encode(command)
 
     def commit(self, document: dict[str, Any] | None = None, **more: Any) -> None:
@@ -88,7 +88,7 @@
 
 
 def test_a_change_is_committed_once_every_live_router_has_checked_it() -> None:
-    fleet = Small()
+    fleet = SmallFleet()
     fleet.ok("policy propose", base=0, document=ONE)
     fleet.read(0)
     fleet.read(1)
@@ -110,7 +110,7 @@
 
 
 def test_a_refusal_or_a_missing_verdict_gives_it_up_everywhere() -> None:
-    fleet = Small()
+    fleet = SmallFleet()
     fleet.ok("policy propose", base=0, document=ONE)
     fleet.verdict(0)
     fleet.verdict(1, "rules.attempts: is not known here")
@@ -133,7 +133,7 @@
 
 
 def test_a_router_that_no_read_names_does_not_hold_a_change_up_and_one_that_is_named_does() -> None:
-    fleet = Small()
+    fleet = SmallFleet()
     fleet.read(1)  # before the change: it may be cut off since
     fleet.ok("policy propose", base=0, document=ONE)
     fleet.read(0)
@@ -150,7 +150,7 @@
 
 
 def test_of_two_changes_at_once_one_wins_and_one_made_on_an_old_epoch_is_refused() -> None:
-    fleet = Small()
+    fleet = SmallFleet()
     fleet.ok("policy propose", base=0, document=ONE)
     fleet.no("change 1 is being checked", "policy propose", base=0, document=TWO)
     fleet.verdict(0, "no")
@@ -163,7 +163,7 @@
 
 
 def test_a_rollback_is_a_new_epoch_with_the_document_before() -> None:
-    fleet = Small()
+    fleet = SmallFleet()
     fleet.no("nothing before", "policy rollback", base=0)
     fleet.commit(ONE)
     fleet.commit(TWO)
@@ -210,9 +210,9 @@
     assert one.hear(PolicyAnnouncement(3, 99 * S), 101 * S) is Step.NOTHING  # a read from before its start
     assert not one.admits(101 * S)
     assert one.hear(PolicyAnnouncement(5, 101 * S), 102 * S) is Step.FETCH
-    word = PolicyAnnouncement(5, 101 * S, whole=True)
-    assert one.hear(word, 102 * S) is Step.ADOPT
-    one.adopted(word, 102 * S)
+    announcement = PolicyAnnouncement(5, 101 * S, whole=True)
+    assert one.hear(announcement, 102 * S) is Step.ADOPT
+    one.adopted(announcement, 102 * S)
     assert one.admits(102 * S) and (one.epoch, one.status) == (5, PolicyStatus.CURRENT)
     assert one.hear(PolicyAnnouncement(4, 103 * S, whole=True), 103 * S) is Step.OLDER  # it never goes back
     assert one.epoch == 5
@@ -239,13 +239,13 @@
     assert one.admits(108 * S) and one.stale_us(108 * S) == 7 * S
     one.hear(PolicyAnnouncement(3, 102 * S), 108 * S)  # it came late: what was committed lately is not known
     assert one.stale_us(108 * S) == 7 * S
-    word = PolicyAnnouncement(4, 108 * S, whole=True)
-    assert one.hear(word, 109 * S) is Step.ADOPT
-    one.adopted(word, 109 * S)
+    announcement = PolicyAnnouncement(4, 108 * S, whole=True)
+    assert one.hear(announcement, 109 * S) is Step.ADOPT
+    one.adopted(announcement, 109 * S)
     assert one.status is PolicyStatus.CURRENT and one.stale_us(109 * S) == 0
 
 
-def test_one_that_stood_still_waits_for_a_word_from_after_that() -> None:
+def test_one_that_stood_still_waits_for_an_announcement_from_after_that() -> None:
     one = follower()
     one.hear(PolicyAnnouncement(3, 101 * S), 101 * S)
     assert not one.admits(104 * S) and one.status is PolicyStatus.WAITING
@@ -258,15 +258,15 @@
 def test_one_that_refuses_what_is_committed_takes_no_calls_until_an_epoch_fits() -> None:
     one = follower()
     one.hear(PolicyAnnouncement(3, 101 * S), 101 * S)
-    word = PolicyAnnouncement(4, 102 * S, whole=True)
-    assert one.hear(word, 102 * S) is Step.ADOPT
+    announcement = PolicyAnnouncement(4, 102 * S, whole=True)
+    assert one.hear(announcement, 102 * S) is Step.ADOPT
     one.refused("rules.new: is not known here")
     assert not one.admits(102 * S) and one.epoch == 3
     one.hear(PolicyAnnouncement(3, 103 * S), 103 * S)
     assert not one.admits(103 * S)
-    word = PolicyAnnouncement(5, 103 * S, whole=True)
-    one.hear(word, 104 * S)
-    one.adopted(word, 104 * S)
+    announcement = PolicyAnnouncement(5, 103 * S, whole=True)
+    one.hear(announcement, 104 * S)
+    one.adopted(announcement, 104 * S)
     assert one.admits(104 * S) and one.reason == ""
 
 
@@ -286,12 +286,12 @@
     text = OPERATOR.replace("[rules]", '[policy]\nfolder = "x"\n[rules]')
     tables = operator.tables_of(text)
     document = Document.of({"rules": {"attempts": 2}, "class": tables["class"], "limits": {"records": 7}})
-    told = operator.from_tables(tables, AdoptedPolicy(4, document))
-    assert (told.epoch, told.records, told.node["settings"]["limits"]["attemptsCap"]) == (4, 7, 2)
-    assert told.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000  # not the file's 9.7
+    config = operator.from_tables(tables, AdoptedPolicy(4, document))
+    assert (config.epoch, config.records, config.node["settings"]["limits"]["attemptsCap"]) == (4, 7, 2)
+    assert config.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000  # not the file's 9.7
     bare = operator.from_tables(tables, AdoptedPolicy(4, Document.of({"class": tables["class"]})))
     assert bare.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000
-    assert told.node["settings"]["limits"]["maxOpen"] == 2000 and told.body_bytes == 16384
+    assert config.node["settings"]["limits"]["maxOpen"] == 2000 and config.body_bytes == 16384
     with pytest.raises(ConfigError, match=r"function\[0\].class: must be one of other"):
         other = {"name": "other", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
         operator.from_tables(tables, AdoptedPolicy(4, Document.of({"class": [other]})))
@@ -313,7 +313,7 @@
         ("", "class: at least one"),
     ],
 )
-def test_a_bad_policy_file_is_told_by_its_field(text: str, place: str, tmp_path: Path) -> None:
+def test_a_bad_policy_file_is_refused_by_its_field(text: str, place: str, tmp_path: Path) -> None:
     grade = '\n[[class]]\nname = "c"\naim_ms = 1\ndeadline_ms = 1\nsemantics = "safe"\n'
     file = tmp_path / "policy.toml"
     file.write_text(text + (grade if text and "class" not in text else ""))
@@ -371,30 +371,33 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """Three routers of two agents in any order of changes, reads, losses, restarts and words that come late.
+    """Three routers of two agents, in any order of changes, reads, losses, restarts and late announcements.
 
-    A router is told what its agent read, perhaps long ago; the truth beside it is the log's."""
+    A router is sent what its agent read, perhaps long ago; the truth beside it is the log's.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.control, self.now = ControlState(), 100 * S
+        self.control = ControlState()
+        self.now = 100 * S
         self.names = {"r0": "a0", "r1": "a0", "r2": "a1"}
         for agent in ("a0", "a1"):
             mine = [name for name, owner in self.names.items() if owner == agent]
             assert self.control.apply_encoded({"do": "register", "agent": agent, "instances": mine})["ok"]
-        self.arbiter = PolicyPlanner()
+        self.planner = PolicyPlanner()
         self.routers = {name: Follower(Rules(), NO_EPOCH, self.now) for name in self.names}
-        self.words = dict.fromkeys(self.names, PolicyAnnouncement(0, 0, whole=True))
+        self.announcements = dict.fromkeys(self.names, PolicyAnnouncement(0, 0, whole=True))
         self.record = dict.fromkeys(self.names, NO_EPOCH)
-        self.committed, self.at = [0], {0: 0}  # the truth, and when it came
+        self.committed = [0]  # the truth
+        self.at = {0: 0}  # when each epoch was committed
         self.applied = dict.fromkeys(self.names, NO_EPOCH)
         self.document = 0
 
     @rule(base=st.integers(0, 1))
     def propose(self, base: int) -> None:
         self.document += 1
-        told = {"do": "policy propose", "agent": "a0", "base": self.control.policy.epoch.number - base}
-        self.control.apply_encoded({**told, "document": {"rules": {"attempts": self.document}}})
+        command = {"do": "policy propose", "agent": "a0", "base": self.control.policy.epoch.number - base}
+        self.control.apply_encoded({**command, "document": {"rules": {"attempts": self.document}}})
 
     @rule()
     def rollback(self) -> None:
@@ -407,23 +410,24 @@
         reply = self.control.apply_encoded({"do": "policy read", "agent": agent, "instances": mine})
         change = self.control.policy.checking()
         for name in mine:
-            self.words[name] = PolicyAnnouncement(
+            self.announcements[name] = PolicyAnnouncement(
                 reply["epoch"], self.now, change.number if change else 0, True
             )
 
     @rule(name=st.sampled_from(("r0", "r1", "r2")))
     def hear(self, name: str) -> None:
-        router, word = self.routers[name], self.words[name]
-        if router.hear(word, self.now) is Step.ADOPT:
-            router.adopted(word, self.now)
-            assert word.epoch >= self.record[name]
-            self.record[name] = word.epoch
+        router = self.routers[name]
+        announcement = self.announcements[name]
+        if router.hear(announcement, self.now) is Step.ADOPT:
+            router.adopted(announcement, self.now)
+            assert announcement.epoch >= self.record[name]
+            self.record[name] = announcement.epoch
 
     @rule(name=st.sampled_from(("r0", "r1", "r2")), refuses=st.integers(0, 9))
     def judge(self, name: str, refuses: int) -> None:
         if (change := self.control.policy.checking()) is not None:
-            told = {"agent": self.names[name], "instance": name, "reason": "no" if not refuses else ""}
-            self.control.apply_encoded({"do": "policy verdict", "change": change.number, **told})
+            verdict = {"agent": self.names[name], "instance": name, "reason": "no" if not refuses else ""}
+            self.control.apply_encoded({"do": "policy verdict", "change": change.number, **verdict})
 
     @rule(name=st.sampled_from(("r0", "r1", "r2")))
     def restart(self, name: str) -> None:
@@ -439,12 +443,12 @@
 
     @rule()
     def elect(self) -> None:
-        self.arbiter = PolicyPlanner()
+        self.planner = PolicyPlanner()
 
     @precondition(lambda self: self.control.policy.checking() is not None)
     @rule()
     def lead(self) -> None:
-        decided = self.arbiter.next_command(self.control.policy, self.control.instances, self.now)
+        decided = self.planner.next_command(self.control.policy, self.control.instances, self.now)
         command = None if decided is None else encode(decided)
         if command is None:
             return
@@ -455,10 +459,10 @@
             assert change is not None
             self.committed.append(reply["epoch"])
             self.at[reply["epoch"]] = self.now
-            yes = {name for name, told in change.verdicts.items() if told == ""}
+            yes = {name for name, reason in change.verdicts.items() if reason == ""}
             assert yes | set(command["absent"]) >= set(self.names)
             for name in command["absent"]:  # it hears of the commit before it is let serve again
-                assert self.words[name].epoch < reply["epoch"]
+                assert self.announcements[name].epoch < reply["epoch"]
 
     @invariant()
     def only_committed_epochs_and_never_back(self) -> None:
@@ -469,7 +473,7 @@
             self.applied[name] = router.epoch
 
     @invariant()
-    def one_that_is_current_has_what_was_committed_when_its_word_was_read(self) -> None:
+    def one_that_is_current_has_what_was_committed_when_its_announcement_was_read(self) -> None:
         for router in self.routers.values():
             if router.status is PolicyStatus.CURRENT:
                 assert self.now - router.confirmed_us <= router.rules.stale_us
@@ -477,7 +481,7 @@
                 assert router.epoch >= max(epoch for epoch, at in self.at.items() if at < router.confirmed_us)
 
     @invariant()
-    def what_is_told_is_read_back(self) -> None:
+    def the_wire_form_is_read_back(self) -> None:
         assert ControlState.decode(self.control.encoded()).encoded() == self.control.encoded()
 
 
@@ -506,16 +510,16 @@
 
     @staticmethod
     def build(tables: dict[str, Any], adopted: AdoptedPolicy | None) -> Config:
-        told = operator.from_tables(tables, adopted)
-        return config_from(told.node, told)
+        settings = operator.from_tables(tables, adopted)
+        return config_from(settings.node, settings)
 
     def reload(self, old: str = "", new: str = "") -> Config:
         return self.driver.configure(operator.tables_of(self.text.replace(old, new)))
 
-    def tell(self, epoch: int, **more: Any) -> dict[str, Any]:
-        told: list[dict[str, Any]] = []
-        self.driver.hear({"epoch": epoch, "fenced_us": monotonic_us(), "checking": 0, **more}, told.append)
-        (answer,) = told
+    def announce(self, epoch: int, **more: Any) -> dict[str, Any]:
+        answers: list[dict[str, Any]] = []
+        self.driver.hear({"epoch": epoch, "fenced_us": monotonic_us(), "checking": 0, **more}, answers.append)
+        (answer,) = answers
         return answer
 
     def policy(self, **rules: Any) -> dict[str, Any]:
@@ -525,11 +529,11 @@
 def test_an_epoch_is_on_record_before_it_is_taken_and_outlives_the_process(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
     assert rig.driver.lacking() == "the fleet has not told its policy yet"
-    assert rig.tell(0, document=None)["standing"] == "current"
-    assert rig.tell(1)["fetch"] is True
-    told = rig.tell(1, document=rig.policy(attempts=2))
-    assert (told["epoch"], rig.taken[-1].settings.max_attempts, rig.taken[-1].settings.epoch) == (1, 2, 1)
-    assert rig.tell(0, document=None)["epoch"] == 1  # a late word changes nothing
+    assert rig.announce(0, document=None)["standing"] == "current"
+    assert rig.announce(1)["fetch"] is True
+    report = rig.announce(1, document=rig.policy(attempts=2))
+    assert (report["epoch"], rig.taken[-1].settings.max_attempts, rig.taken[-1].settings.epoch) == (1, 2, 1)
+    assert rig.announce(0, document=None)["epoch"] == 1  # a late announcement changes nothing
     assert rig.driver.counters["policy.older"] == 1
     rig.start()
     assert (rig.config.settings.max_attempts, rig.config.settings.epoch) == (2, 1)
@@ -541,16 +545,16 @@
 
 def test_a_router_whose_build_refuses_or_whose_disk_fails_takes_no_calls_and_says_why(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    rig.tell(0, document=None)
-    told = rig.tell(1, document=rig.policy(newer=1))
-    assert (told["standing"], told["epoch"]) == ("refused", 0)
+    rig.announce(0, document=None)
+    report = rig.announce(1, document=rig.policy(newer=1))
+    assert (report["standing"], report["epoch"]) == ("refused", 0)
     assert "rules.newer: is not known here" in rig.driver.lacking()
-    assert rig.tell(2, document=rig.policy(attempts=2))["standing"] == "current"
+    assert rig.announce(2, document=rig.policy(attempts=2))["standing"] == "current"
     (tmp_path / f"{store.NAME}.new").mkdir()  # where the next record would be written
-    told = rig.tell(3, document=rig.policy(attempts=3))
-    assert (told["standing"], told["epoch"]) == ("refused", 2)
+    report = rig.announce(3, document=rig.policy(attempts=3))
+    assert (report["standing"], report["epoch"]) == ("refused", 2)
     (tmp_path / f"{store.NAME}.new").rmdir()
-    assert rig.tell(3, document=rig.policy(attempts=3))["standing"] == "current"
+    assert rig.announce(3, document=rig.policy(attempts=3))["standing"] == "current"
     rig.text = rig.text.replace('class = "review"', 'class = "exam"')  # its record fits its file no more
     with pytest.raises(ConfigError):
         rig.start()
@@ -558,7 +562,7 @@
 
 def test_a_reload_takes_no_policy_and_may_not_break_a_promise(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    rig.tell(0, document=None)
+    rig.announce(0, document=None)
     config = rig.reload("keep_s = 9.7", "keep_s = 5.0")
     assert config.settings.keep_alive_us == 9_700_000 and rig.driver.counters["policy.reloads_refused"] == 1
     exam = {"name": "exam", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
@@ -573,16 +577,16 @@
     rig.driver.check({"change": 6, "document": promised})
     more = '[[function]]\nname = "g"\nclass = "review"\nmemory_mb = 1\n\n[[kind]]'
     assert rig.reload("[[kind]]", more).operator is not None
-    rig.tell(1, document=document | {"class": [*promised["class"], exam]})
+    rig.announce(1, document=document | {"class": [*promised["class"], exam]})
     rig.driver.check({"change": 7, "document": promised})
     with pytest.raises(PolicyError, match=r"change 7\): function\[3\].class: must be one of"):
         rig.reload("[[kind]]", more.replace("review", "exam"))
-    rig.tell(1)  # the change was given up
+    rig.announce(1)  # the change was given up
     assert rig.reload("[[kind]]", more.replace("review", "exam")).operator is not None
 
 
 @pytest.mark.parametrize(
-    "told",
+    "message",
     [
         None,
         3,
@@ -592,21 +596,28 @@
         {"epoch": True, "fenced_us": 0, "checking": 0},
     ],
 )
-def test_a_damaged_word_is_told_by_its_field(told: object, tmp_path: Path) -> None:
+def test_a_damaged_announcement_is_refused_by_its_field(message: object, tmp_path: Path) -> None:
     rig = Rig(tmp_path)
     with pytest.raises(PolicyError, match="must be a whole number"):
-        rig.driver.hear(told, lambda answer: None)
+        rig.driver.hear(message, lambda answer: None)
     with pytest.raises(PolicyError, match="must be a whole number"):
-        rig.driver.check(told)
+        rig.driver.check(message)
 
 
-def test_a_word_that_comes_while_the_record_is_written_changes_nothing(tmp_path: Path) -> None:
-    rig, jobs, answers = Rig(tmp_path), list[Any](), list[Any]()
-    rig.tell(0, document=None)
+def test_an_announcement_that_comes_while_the_record_is_written_changes_nothing(tmp_path: Path) -> None:
+    rig = Rig(tmp_path)
+    jobs = list[Any]()
+    answers = list[Any]()
+    rig.announce(0, document=None)
     rig.driver.elsewhere = lambda job, then: jobs.append((job, then))
-    word = {"epoch": 1, "fenced_us": monotonic_us(), "checking": 0, "document": rig.policy(attempts=2)}
-    rig.driver.hear(word, answers.append)
-    rig.driver.hear(word, answers.append)
+    announcement = {
+        "epoch": 1,
+        "fenced_us": monotonic_us(),
+        "checking": 0,
+        "document": rig.policy(attempts=2),
+    }
+    rig.driver.hear(announcement, answers.append)
+    rig.driver.hear(announcement, answers.append)
     assert [answer["epoch"] for answer in answers] == [0] and len(jobs) == 1
     ((job, then),) = jobs
     job()
