--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -16,7 +16,7 @@
 from tests.agent_doubles import PATIENCE_S, RecordingLog, RecordingProcess, recording_router
 from tests.control_script import DOCUMENT
 from tests.recordings import NOBODY, agent_plan, as_lines
-from tests.test_policy import Rig
+from tests.test_policy_driver import Rig
 
 STALE = re.compile(r'"stale_s": [0-9.]+')
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,24 +1,12 @@
-"""The agreed state and the decisions of rollouts, without I/O: cases, and random orders of events."""
+"""The agreed state and the decisions of rollouts, without I/O."""
 
-import gzip
-import pickle
-import random
-import struct
-import tempfile
 import unittest
-from pathlib import Path
 from typing import Any
 
-from hypothesis import settings
-from hypothesis import strategies as st
-from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]
-
 from maplestile.common.errors import CommandRejected
-from maplestile.control.commands import GrantLease, Rejected, encode
-from maplestile.control.log_storage import check
+from maplestile.control.commands import encode
 from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
-from maplestile.control.state import ACTIVE, ControlState, Phase, Stage, budget_of
+from maplestile.control.state import ControlState, Phase, Stage, budget_of
 
 S = 1_000_000  # microseconds
 NAMES = [f"r{n}" for n in range(5)]
@@ -228,73 +216,6 @@
         self.assertEqual(ControlState.decode(fleet.control.encoded()).encoded(), fleet.control.encoded())
 
 
-class FolderTest(unittest.TestCase):
-    """What a voter has on disk is taken whole or not at all, and the place is named."""
-
-    def setUp(self) -> None:
-        self.folder = Path(tempfile.mkdtemp())
-        journal = FileJournal(str(self.folder / "journal"))
-        journal.setCurrentTerm(3, "127.0.0.1:1")
-        for index, term in ((1, 0), (2, 1), (3, 3)):
-            journal.add(b"command", index, term)
-        journal._destroy()
-        with gzip.open(self.folder / "snapshot", "wb") as file:
-            file.write(bytes(1000))
-        check(self.folder, "a1")
-        self.whole = {path.name: path.read_bytes() for path in self.folder.iterdir()}
-
-    def refused(self, name: str, content: bytes | None) -> str:
-        for known, before in self.whole.items():
-            (self.folder / known).write_bytes(before)
-        if content is None:
-            (self.folder / name).unlink()
-        else:
-            (self.folder / name).write_bytes(content)
-        with self.assertRaises(CommandRejected) as caught:
-            check(self.folder, "a1")
-        self.assertEqual((self.folder / name).exists(), content is not None)  # nothing is changed
-        return str(caught.exception).replace(str(self.folder), "")
-
-    def test_whole_folder_is_taken_again_and_a_new_one_as_well(self) -> None:
-        check(self.folder, "a1")
-        check(Path(tempfile.mkdtemp()), "a1")
-
-    def test_journal_that_is_cut_or_of_other_bytes_is_refused(self) -> None:
-        journal = self.whole["journal"]
-        for content, place in (
-            (b"", "/journal: no journal"),
-            (b"x" * 500, "/journal: no journal"),
-            (journal[:60], "/journal: 60 bytes, and its records end"),
-            (None, "/journal: is missing"),
-            (journal[:40] + struct.pack("<I", 9) + journal[44:], "/journal: byte 40: a record"),
-            (journal[:40] + b"\xff" * 60 + journal[100:], "/journal: byte 40: a record"),
-            (journal[:75] + b"\x07" + journal[76:], "/journal: byte 71: entry 7 of term 1 after 1 of 0"),
-            (journal[:83] + b"\xff" * 8 + journal[91:], "/journal: byte 71: entry 2 of term"),
-        ):
-            with self.subTest(place):
-                self.assertIn(place, self.refused("journal", content))
-
-    def test_voter_that_forgot_its_term_might_vote_twice_and_is_refused(self) -> None:
-        old = pickle.dumps({"currentTerm": 2, "votedForNodeId": "127.0.0.1:1"})
-        for content, place in (
-            (None, "its term is 0, and the journal has one of 3"),
-            (old, "its term is 2"),
-            (b"", "of no use"),
-            (self.whole["journal.meta"][:-9], "of no use"),
-            (pickle.dumps({"currentTerm": "3"}), "currentTerm"),
-            (pickle.dumps(Path("x")), "of no use"),
-        ):
-            with self.subTest(place):
-                self.assertIn(f"/journal.meta: {place}", self.refused("journal.meta", content))
-
-    def test_snapshot_that_is_cut_and_another_voters_folder_are_refused(self) -> None:
-        snapshot = self.whole["snapshot"]
-        for content in (b"", snapshot[:-3], b"x" * 50, snapshot[:-8] + b"\0" * 8):
-            self.assertIn("/snapshot: not whole", self.refused("snapshot", content))
-        with self.assertRaisesRegex(CommandRejected, "the folder is of voter 'a1'"):
-            check(self.folder, "a2")
-
-
 class RunnerTest(unittest.TestCase):
     """Leases of runners: every agent has a part, since a runner is out at all routers."""
 
@@ -380,142 +301,5 @@
         self.assertIsNotNone(planner.next_command(self.control, frozenset(), 1, 3))
 
 
-class Machine(RuleBasedStateMachine):
-    """Any order of operators, agents, losses and elections: the properties hold after each event."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.control = control()
-        self.now = 100 * S
-        self.planner = RolloutPlanner(Rules(settle_us=0, step_us=20 * S), self.now)
-        self.chance = random.Random(1)
-        self.lost = set[str]()  # out without a lease
-        for agent, managed in (("a0", True), ("a1", False)):
-            names = [name for name, owner in self.control.instances.items() if owner == agent]
-            runners = {"w0": managed, "w1": False}
-            command = {"do": "register", "agent": agent, "instances": names, "runners": runners}
-            assert self.control.apply_encoded(command)["ok"]
-        self.unused = set[tuple[str, str]]()  # (agent, runner) where its routers have nothing with the runner
-        self.begun = set[str]()  # what agents really have in hand or down: the truth beside the state
-        self.released = set[str]()
-
-    @rule(
-        action=st.sampled_from(("restart", "drain", "replace")),
-        budget=st.integers(1, 3),
-        chosen=st.lists(st.sampled_from(NAMES), max_size=4),
-    )
-    def start(self, action: str, budget: int, chosen: list[str]) -> None:
-        self.control.apply_encoded({"do": "start", "action": action, "targets": chosen, "budget": budget})
-
-    @rule(
-        action=st.sampled_from(("restart", "drain")),
-        budget=st.integers(1, 2),
-        chosen=st.sampled_from((["w0"], ["w1"], ["w0", "w1"])),
-    )
-    def start_runners(self, action: str, budget: int, chosen: list[str]) -> None:
-        command = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
-        self.control.apply_encoded(command)
-
-    @precondition(lambda self: self.control.out("runners"))
-    @rule(
-        pick=st.integers(0, 1),
-        agent=st.sampled_from(("a0", "a1")),
-        did=st.sampled_from(("begun", "out", "in", "renewed")),
-    )
-    def part(self, pick: int, agent: str, did: str) -> None:
-        out = self.control.out("runners")
-        lease = self.control.leases[out[pick % len(out)]]
-        fields = {"agent": agent, "instance": lease.instance, "lease": lease.number}
-        if did == "renewed":
-            if self.control.apply_encoded({"do": did, **fields})["ok"]:
-                # Its process is touched only while no router anywhere uses it.
-                assert {(one, lease.instance) for one in ("a0", "a1")} <= self.unused
-            return
-        if self.control.apply_encoded({"do": "part", "did": did, **fields})["ok"]:
-            if did == "out":
-                self.unused.add((agent, lease.instance))
-            elif did == "in":
-                self.unused.discard((agent, lease.instance))
-
-    @rule(what=st.sampled_from(("halt", "resume", "undo")))
-    def operator(self, what: str) -> None:
-        self.control.apply_encoded({"do": what})
-
-    @rule(name=st.sampled_from(NAMES), is_lost=st.booleans())
-    def lose(self, name: str, is_lost: bool) -> None:
-        (self.lost.add if is_lost else self.lost.discard)(name)
-
-    @rule()
-    def elect(self) -> None:
-        self.planner = RolloutPlanner(self.planner.rules, self.now)
-
-    @rule(pause=st.sampled_from((0, S, 7 * S)))
-    def lead(self, pause: int) -> None:
-        self.now += pause
-        reports = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
-        self.planner.hear(reports, self.now)
-        command = self.planner.next_command(self.control, frozenset(), 1, self.now)
-        if command is None:
-            return
-        reply = self.control.apply(command)
-        assert not isinstance(reply, Rejected), reply  # nothing came between
-        rollout = self.control.rollout
-        assert rollout is not None
-        is_grant = isinstance(command, GrantLease) and command.instance not in self.begun
-        if is_grant and rollout.kind == "routers":
-            down = self.lost | set(self.control.out("routers"))
-            assert len(down) <= rollout.budget, (down, rollout)
-
-    @precondition(lambda self: self.control.out("routers"))
-    @rule(pick=st.integers(0, 9), do=st.sampled_from(("begin", "back", "out")))
-    def agent(self, pick: int, do: str) -> None:
-        out = self.control.out("routers")
-        lease = self.control.leases[out[pick % len(out)]]
-        fields = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
-        if self.control.apply_encoded({"do": do, **fields})["ok"]:
-            (self.begun.discard if do == "back" else self.begun.add)(lease.instance)
-
-    @precondition(lambda self: self.control.leases)
-    @rule(pick=st.integers(0, 9))
-    def release(self, pick: int) -> None:
-        """An operator vouches that it serves."""
-        name = sorted(self.control.leases)[pick % len(self.control.leases)]
-        assert self.control.apply_encoded({"do": "release", "instance": name})["ok"]
-        self.begun.discard(name)
-        self.unused = {(agent, runner) for agent, runner in self.unused if runner != name}
-
-    @invariant()
-    def what_is_out_is_counted(self) -> None:
-        assert self.begun <= set(self.control.leases), (self.begun, self.control.leases)
-
-    @invariant()
-    def leases_keep_to_the_budget(self) -> None:
-        rollout = self.control.rollout
-        rollouts = [*self.control.history, *([rollout] if rollout is not None else [])]
-        for kind in ("routers", "runners"):
-            budgets = [one.budget for one in rollouts if one.kind == kind]
-            assert len(self.control.out(kind)) <= max(budgets, default=0)
-
-    @invariant()
-    def ends_are_ends(self) -> None:
-        rollout = self.control.rollout
-        if rollout is None:
-            return
-        if rollout.phase is Phase.DONE:
-            assert set(rollout.done) >= set(rollout.targets)
-        if rollout.phase not in ACTIVE:
-            assert all(lease.stage is Stage.OUT for lease in self.control.leases.values())
-        if rollout.phase is Phase.UNDONE and rollout.action == "drain":
-            assert not set(rollout.done) & set(self.control.leases)
-
-    @invariant()
-    def it_is_read_back_whole(self) -> None:
-        assert ControlState.decode(self.control.encoded()).encoded() == self.control.encoded()
-
-
-RandomTest = Machine.TestCase
-RandomTest.settings = settings(max_examples=150, stateful_step_count=60, deadline=None, derandomize=True)
-
-
 if __name__ == "__main__":
     unittest.main()
--- /dev/null
+++ b/tests/test_control_random.py
@@ -0,0 +1,154 @@
+"""The agreed state and the decisions of rollouts in random orders of events."""
+
+import random
+import unittest
+
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+
+from maplestile.control.commands import GrantLease, Rejected
+from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
+from maplestile.control.state import ACTIVE, ControlState, Phase, Stage
+from tests.test_control import NAMES, S, control
+
+
+class Machine(RuleBasedStateMachine):
+    """Any order of operators, agents, losses and elections: the properties hold after each event."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.control = control()
+        self.now = 100 * S
+        self.planner = RolloutPlanner(Rules(settle_us=0, step_us=20 * S), self.now)
+        self.chance = random.Random(1)
+        self.lost = set[str]()  # out without a lease
+        for agent, managed in (("a0", True), ("a1", False)):
+            names = [name for name, owner in self.control.instances.items() if owner == agent]
+            runners = {"w0": managed, "w1": False}
+            command = {"do": "register", "agent": agent, "instances": names, "runners": runners}
+            assert self.control.apply_encoded(command)["ok"]
+        self.unused = set[tuple[str, str]]()  # (agent, runner) where its routers have nothing with the runner
+        self.begun = set[str]()  # what agents really have in hand or down: the truth beside the state
+        self.released = set[str]()
+
+    @rule(
+        action=st.sampled_from(("restart", "drain", "replace")),
+        budget=st.integers(1, 3),
+        chosen=st.lists(st.sampled_from(NAMES), max_size=4),
+    )
+    def start(self, action: str, budget: int, chosen: list[str]) -> None:
+        self.control.apply_encoded({"do": "start", "action": action, "targets": chosen, "budget": budget})
+
+    @rule(
+        action=st.sampled_from(("restart", "drain")),
+        budget=st.integers(1, 2),
+        chosen=st.sampled_from((["w0"], ["w1"], ["w0", "w1"])),
+    )
+    def start_runners(self, action: str, budget: int, chosen: list[str]) -> None:
+        command = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
+        self.control.apply_encoded(command)
+
+    @precondition(lambda self: self.control.out("runners"))
+    @rule(
+        pick=st.integers(0, 1),
+        agent=st.sampled_from(("a0", "a1")),
+        did=st.sampled_from(("begun", "out", "in", "renewed")),
+    )
+    def part(self, pick: int, agent: str, did: str) -> None:
+        out = self.control.out("runners")
+        lease = self.control.leases[out[pick % len(out)]]
+        fields = {"agent": agent, "instance": lease.instance, "lease": lease.number}
+        if did == "renewed":
+            if self.control.apply_encoded({"do": did, **fields})["ok"]:
+                # Its process is touched only while no router anywhere uses it.
+                assert {(one, lease.instance) for one in ("a0", "a1")} <= self.unused
+            return
+        if self.control.apply_encoded({"do": "part", "did": did, **fields})["ok"]:
+            if did == "out":
+                self.unused.add((agent, lease.instance))
+            elif did == "in":
+                self.unused.discard((agent, lease.instance))
+
+    @rule(what=st.sampled_from(("halt", "resume", "undo")))
+    def operator(self, what: str) -> None:
+        self.control.apply_encoded({"do": what})
+
+    @rule(name=st.sampled_from(NAMES), is_lost=st.booleans())
+    def lose(self, name: str, is_lost: bool) -> None:
+        (self.lost.add if is_lost else self.lost.discard)(name)
+
+    @rule()
+    def elect(self) -> None:
+        self.planner = RolloutPlanner(self.planner.rules, self.now)
+
+    @rule(pause=st.sampled_from((0, S, 7 * S)))
+    def lead(self, pause: int) -> None:
+        self.now += pause
+        reports = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
+        self.planner.hear(reports, self.now)
+        command = self.planner.next_command(self.control, frozenset(), 1, self.now)
+        if command is None:
+            return
+        reply = self.control.apply(command)
+        assert not isinstance(reply, Rejected), reply  # nothing came between
+        rollout = self.control.rollout
+        assert rollout is not None
+        is_grant = isinstance(command, GrantLease) and command.instance not in self.begun
+        if is_grant and rollout.kind == "routers":
+            down = self.lost | set(self.control.out("routers"))
+            assert len(down) <= rollout.budget, (down, rollout)
+
+    @precondition(lambda self: self.control.out("routers"))
+    @rule(pick=st.integers(0, 9), do=st.sampled_from(("begin", "back", "out")))
+    def agent(self, pick: int, do: str) -> None:
+        out = self.control.out("routers")
+        lease = self.control.leases[out[pick % len(out)]]
+        fields = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
+        if self.control.apply_encoded({"do": do, **fields})["ok"]:
+            (self.begun.discard if do == "back" else self.begun.add)(lease.instance)
+
+    @precondition(lambda self: self.control.leases)
+    @rule(pick=st.integers(0, 9))
+    def release(self, pick: int) -> None:
+        """An operator vouches that it serves."""
+        name = sorted(self.control.leases)[pick % len(self.control.leases)]
+        assert self.control.apply_encoded({"do": "release", "instance": name})["ok"]
+        self.begun.discard(name)
+        self.unused = {(agent, runner) for agent, runner in self.unused if runner != name}
+
+    @invariant()
+    def what_is_out_is_counted(self) -> None:
+        assert self.begun <= set(self.control.leases), (self.begun, self.control.leases)
+
+    @invariant()
+    def leases_keep_to_the_budget(self) -> None:
+        rollout = self.control.rollout
+        rollouts = [*self.control.history, *([rollout] if rollout is not None else [])]
+        for kind in ("routers", "runners"):
+            budgets = [one.budget for one in rollouts if one.kind == kind]
+            assert len(self.control.out(kind)) <= max(budgets, default=0)
+
+    @invariant()
+    def ends_are_ends(self) -> None:
+        rollout = self.control.rollout
+        if rollout is None:
+            return
+        if rollout.phase is Phase.DONE:
+            assert set(rollout.done) >= set(rollout.targets)
+        if rollout.phase not in ACTIVE:
+            assert all(lease.stage is Stage.OUT for lease in self.control.leases.values())
+        if rollout.phase is Phase.UNDONE and rollout.action == "drain":
+            assert not set(rollout.done) & set(self.control.leases)
+
+    @invariant()
+    def it_is_read_back_whole(self) -> None:
+        assert ControlState.decode(self.control.encoded()).encoded() == self.control.encoded()
+
+
+RandomTest = Machine.TestCase
+RandomTest.settings = settings(max_examples=150, stateful_step_count=60, deadline=None, derandomize=True)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/test_policy_documents.py
@@ -0,0 +1,108 @@
+"""Documents of policy, their record on disk, and how the decisions take another policy."""
+
+import tempfile
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from maplestile.common.toml_table import ConfigError
+from maplestile.control.policy import store
+from maplestile.control.policy.document import DOCUMENT_BYTES, AdoptedPolicy, Document, PolicyError
+from maplestile.dispatch import api
+from maplestile.invoke import operator_file as operator
+from maplestile.tools.policy_command import checked
+from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
+from tests.standins import ROOT
+
+S = 1_000_000  # microseconds
+OPERATOR = (ROOT / "deploy" / "operator.toml").read_text()
+ONE: dict[str, Any] = {"rules": {"attempts": 1}}
+
+
+def test_a_document_takes_the_place_of_the_files_policy_whole() -> None:
+    text = OPERATOR.replace("[rules]", '[policy]\nfolder = "x"\n[rules]')
+    tables = operator.tables_of(text)
+    document = Document.of({"rules": {"attempts": 2}, "class": tables["class"], "limits": {"records": 7}})
+    config = operator.from_tables(tables, AdoptedPolicy(4, document))
+    assert (config.epoch, config.records, config.node["settings"]["limits"]["attemptsCap"]) == (4, 7, 2)
+    assert config.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000  # not the file's 9.7
+    bare = operator.from_tables(tables, AdoptedPolicy(4, Document.of({"class": tables["class"]})))
+    assert bare.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000
+    assert config.node["settings"]["limits"]["maxOpen"] == 2000 and config.body_bytes == 16384
+    with pytest.raises(ConfigError, match=r"function\[0\].class: must be one of other"):
+        other = {"name": "other", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
+        operator.from_tables(tables, AdoptedPolicy(4, Document.of({"class": [other]})))
+    assert Document.own(tables).over(tables) == tables | {"limits": tables["limits"]}
+
+
+@pytest.mark.parametrize(
+    ("text", "place"),
+    [
+        ("[rules]\nattempts = 0", "rules.attempts: must be 1 or more"),
+        ("[rules]\nattemps = 1", "rules.attemps: is not known here"),
+        ("[limits]\nsockets = 100", "limits.sockets: is no part of policy"),
+        ('[invoke]\nlisten = "127.0.0.1:1"', "invoke: is no part of policy"),
+        ("rules = 3", "rules: must be a table"),
+        ("limits = 3", "limits: must be a table"),
+        ("class = 3", "class: at least one"),
+        ("[rules]\nkeep_s = 1979-05-27", "policy: has a value of no use"),
+        ("[rules", "no TOML"),
+        ("", "class: at least one"),
+    ],
+)
+def test_a_bad_policy_file_is_refused_by_its_field(text: str, place: str, tmp_path: Path) -> None:
+    grade = '\n[[class]]\nname = "c"\naim_ms = 1\ndeadline_ms = 1\nsemantics = "safe"\n'
+    file = tmp_path / "policy.toml"
+    file.write_text(text + (grade if text and "class" not in text else ""))
+    with pytest.raises(ConfigError, match=place.replace("[", r"\[")):
+        checked(file)
+
+
+def test_a_document_that_is_too_large_is_refused() -> None:
+    with pytest.raises(PolicyError, match="is over 16384 bytes"):
+        Document.of({"rules": {"x": "y" * DOCUMENT_BYTES}})
+
+
+def test_a_record_is_read_whole_or_not_at_all() -> None:
+    folder = Path(tempfile.mkdtemp())
+    assert store.read(folder) is None
+    for adopted in (AdoptedPolicy(0, None), AdoptedPolicy(3, Document.of(ONE))):
+        store.write(folder, adopted)
+        assert store.read(folder) == adopted
+    whole = (folder / store.NAME).read_bytes()
+    for damaged in (b"", whole[:-5], whole.replace(b'"epoch": 3', b'"epoch": 4'), b"[]", b"\xff"):
+        (folder / store.NAME).write_bytes(damaged)
+        assert store.read(folder) is None
+
+
+def test_a_call_keeps_the_rules_that_it_came_under() -> None:
+    workers = [entry(f"w{n}") for n in range(4)]
+    for before, after, more in ((1, 4, False), (4, 1, True)):
+        d = Driver(settings(max_attempts=before, epoch=1), workers)
+        (first,) = sends(d.give(arrival(1)))
+        d.give(api.PolicyChanged(settings(max_attempts=after, epoch=2)))
+        d.give(ended(1, 0, first.worker, api.Result.ERROR))
+        d.run(200 * MS)
+        again = [a for _, a in d.log if isinstance(a, api.SendAttempt)][1:]
+        assert bool(again) is more and all(a.epoch == 1 for a in (first, *again))
+        (new,) = sends(d.give(arrival(2)))
+        assert new.epoch == 2
+
+
+def test_another_policy_changes_the_classes_and_windows_of_new_calls() -> None:
+    d = Driver(settings(), [entry("w0")])
+    kind = api.CallClass(
+        "exam", 500 * MS, 900 * MS, api.Idempotency.NOT_IDEMPOTENT, api.DeduplicationScope.ALL, 0
+    )
+    d.give(
+        api.PolicyChanged(
+            settings(classes=(kind,), load_request_window_us=7, overload_window_us=9, keep_alive_us=0)
+        )
+    )
+    assert sends(d.give(arrival(1, "f", "exam")))
+    dispatcher = d.dispatcher
+    ration = dispatcher.load_requests
+    windows = ration.arrivals.span_us, ration.requests.span_us, dispatcher.workers["w0"].sends.span_us
+    assert windows == (7, 8, 9)
+    assert dispatcher.calls[1].kind is kind and dispatcher.context.keep_alive_us == 2 * S
--- /dev/null
+++ b/tests/test_policy_driver.py
@@ -0,0 +1,165 @@
+"""The driver of a router's part in the fleet's policy, with its record on disk and no router."""
+
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from maplestile.common.toml_table import ConfigError
+from maplestile.control.policy import store
+from maplestile.control.policy.document import AdoptedPolicy, PolicyError
+from maplestile.control.policy.follower import (
+    NO_EPOCH,
+)
+from maplestile.control.policy.settings import policy_settings_of
+from maplestile.invoke import operator_file as operator
+from maplestile.router.config import Config, config_from
+from maplestile.router.policy_driver import PolicyDriver, monotonic_us
+from tests.standins import ROOT
+
+OPERATOR = (ROOT / "deploy" / "operator.toml").read_text()
+
+
+class Rig:
+    def __init__(self, folder: Path, text: str = OPERATOR) -> None:
+        self.text = text + f'[policy]\nfolder = "{folder}"\n'
+        self.taken: list[Config] = []
+        self.start()
+
+    def start(self) -> None:
+        tables = operator.tables_of(self.text)
+        plan = policy_settings_of(tables)
+        assert plan is not None
+        self.driver = PolicyDriver(plan, tables, self.build)
+        self.driver.take = self.taken.append
+        self.config = self.driver.configure(tables)
+
+    @staticmethod
+    def build(tables: dict[str, Any], adopted: AdoptedPolicy | None) -> Config:
+        settings = operator.from_tables(tables, adopted)
+        return config_from(settings.node, settings)
+
+    def reload(self, old: str = "", new: str = "") -> Config:
+        return self.driver.configure(operator.tables_of(self.text.replace(old, new)))
+
+    def announce(self, epoch: int, **more: Any) -> dict[str, Any]:
+        answers: list[dict[str, Any]] = []
+        self.driver.hear({"epoch": epoch, "fenced_us": monotonic_us(), "checking": 0, **more}, answers.append)
+        (answer,) = answers
+        return answer
+
+    def policy(self, **rules: Any) -> dict[str, Any]:
+        return {"rules": rules, "class": operator.tables_of(self.text)["class"]}
+
+
+def test_an_epoch_is_on_record_before_it_is_taken_and_outlives_the_process(tmp_path: Path) -> None:
+    rig = Rig(tmp_path)
+    assert rig.driver.lacking() == "the fleet has not told its policy yet"
+    assert rig.announce(0, document=None)["standing"] == "current"
+    assert rig.announce(1)["fetch"] is True
+    report = rig.announce(1, document=rig.policy(attempts=2))
+    assert (report["epoch"], rig.taken[-1].settings.max_attempts, rig.taken[-1].settings.epoch) == (1, 2, 1)
+    assert rig.announce(0, document=None)["epoch"] == 1  # a late announcement changes nothing
+    assert rig.driver.counters["policy.older"] == 1
+    rig.start()
+    assert (rig.config.settings.max_attempts, rig.config.settings.epoch) == (2, 1)
+    assert not rig.driver.admits()
+    (tmp_path / store.NAME).write_bytes(b"{}")
+    rig.start()
+    assert rig.driver.follower.epoch == NO_EPOCH
+
+
+def test_a_router_whose_build_refuses_or_whose_disk_fails_takes_no_calls_and_says_why(tmp_path: Path) -> None:
+    rig = Rig(tmp_path)
+    rig.announce(0, document=None)
+    report = rig.announce(1, document=rig.policy(newer=1))
+    assert (report["standing"], report["epoch"]) == ("refused", 0)
+    assert "rules.newer: is not known here" in rig.driver.lacking()
+    assert rig.announce(2, document=rig.policy(attempts=2))["standing"] == "current"
+    (tmp_path / f"{store.NAME}.new").mkdir()  # where the next record would be written
+    report = rig.announce(3, document=rig.policy(attempts=3))
+    assert (report["standing"], report["epoch"]) == ("refused", 2)
+    (tmp_path / f"{store.NAME}.new").rmdir()
+    assert rig.announce(3, document=rig.policy(attempts=3))["standing"] == "current"
+    rig.text = rig.text.replace('class = "review"', 'class = "exam"')  # its record fits its file no more
+    with pytest.raises(ConfigError):
+        rig.start()
+
+
+def test_a_reload_takes_no_policy_and_may_not_break_a_promise(tmp_path: Path) -> None:
+    rig = Rig(tmp_path)
+    rig.announce(0, document=None)
+    config = rig.reload("keep_s = 9.7", "keep_s = 5.0")
+    assert config.settings.keep_alive_us == 9_700_000 and rig.driver.counters["policy.reloads_refused"] == 1
+    exam = {"name": "exam", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
+    document = rig.policy()
+    document["class"] = [*document["class"], exam]
+    assert rig.driver.check({"change": 4, "document": document})["build"]
+    document = {**document, "class": [one for one in document["class"] if one["name"] != "review"]}
+    with pytest.raises(PolicyError, match=r"function\[0\].class"):
+        rig.driver.check({"change": 5, "document": document})
+    promised = rig.policy()
+    promised["class"] = promised["class"][:3]
+    rig.driver.check({"change": 6, "document": promised})
+    more = '[[function]]\nname = "g"\nclass = "review"\nmemory_mb = 1\n\n[[kind]]'
+    assert rig.reload("[[kind]]", more).operator is not None
+    rig.announce(1, document=document | {"class": [*promised["class"], exam]})
+    rig.driver.check({"change": 7, "document": promised})
+    with pytest.raises(PolicyError, match=r"change 7\): function\[3\].class: must be one of"):
+        rig.reload("[[kind]]", more.replace("review", "exam"))
+    rig.announce(1)  # the change was given up
+    assert rig.reload("[[kind]]", more.replace("review", "exam")).operator is not None
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        None,
+        3,
+        {},
+        {"epoch": 1},
+        {"epoch": -1, "fenced_us": 0, "checking": 0},
+        {"epoch": True, "fenced_us": 0, "checking": 0},
+    ],
+)
+def test_a_damaged_announcement_is_refused_by_its_field(message: object, tmp_path: Path) -> None:
+    rig = Rig(tmp_path)
+    with pytest.raises(PolicyError, match="must be a whole number"):
+        rig.driver.hear(message, lambda answer: None)
+    with pytest.raises(PolicyError, match="must be a whole number"):
+        rig.driver.check(message)
+
+
+def test_an_announcement_that_comes_while_the_record_is_written_changes_nothing(tmp_path: Path) -> None:
+    rig = Rig(tmp_path)
+    jobs = list[Any]()
+    answers = list[Any]()
+    rig.announce(0, document=None)
+    rig.driver.elsewhere = lambda job, then: jobs.append((job, then))
+    announcement = {
+        "epoch": 1,
+        "fenced_us": monotonic_us(),
+        "checking": 0,
+        "document": rig.policy(attempts=2),
+    }
+    rig.driver.hear(announcement, answers.append)
+    rig.driver.hear(announcement, answers.append)
+    assert [answer["epoch"] for answer in answers] == [0] and len(jobs) == 1
+    ((job, then),) = jobs
+    job()
+    rig.reload('name = "keep-result"', 'name = "kept"')  # it comes in between, and stands
+    then(None)
+    assert answers[-1]["epoch"] == 1
+    assert rig.taken[-1].operator is not None and "kept" in rig.taken[-1].operator.functions
+
+
+def test_the_policy_table_is_checked(tmp_path: Path) -> None:
+    for old, new, place in (
+        ("[operation]", "[names]", "policy: needs"),
+        ("folder =", "fold =", "policy.folder: is missing"),
+        (f'"{tmp_path}"', f'"{tmp_path}"\nstale_s = 0', "policy.stale_s: must be"),
+        (f'"{tmp_path}"', f'"{tmp_path}"\nx = 0', "policy.x: is not known here"),
+    ):
+        text = OPERATOR + f'[policy]\nfolder = "{tmp_path}"\n'
+        with pytest.raises(ConfigError, match=place):
+            operator.parse(text.replace(old, new))
