--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -156,19 +156,29 @@
         verdict = SubmitVerdict(
             agent=self.settings.name, change=change.number, instance=policy.name, reason=reason
         )
+        is_agreed = await self._submit_verdict(verdict)
+        if is_agreed:
+            policy.checked_change = change.number
+        elif is_agreed is False:
+            # The change is decided, or this agent has not registered yet: it is repeated if need be.
+            await asyncio.sleep(REPEAT_INTERVAL_S)
+
+    async def _submit_verdict(self, verdict: SubmitVerdict) -> bool | None:
+        """Whether the log takes the verdict; None where it gives no answer."""
         try:
             reply = await self.replicated_log.submit(verdict)
         except LogError as error:
-            log.warning("policy: the verdict of %s is not agreed on yet: %s", policy.name, error)
-            return
-        is_agreed = reply["ok"]
+            log.warning("policy: the verdict of %s is not agreed on yet: %s", verdict.instance, error)
+            return None
+        is_agreed = bool(reply["ok"])
         self.events.info(
-            "verdict", instance=policy.name, change=change.number, reason=reason, agreed=is_agreed
+            "verdict",
+            instance=verdict.instance,
+            change=verdict.change,
+            reason=verdict.reason,
+            agreed=reply["ok"],
         )
-        if is_agreed:
-            policy.checked_change = change.number
-        else:  # the change is decided, or this agent has not registered yet: it is repeated if need be
-            await asyncio.sleep(REPEAT_INTERVAL_S)
+        return is_agreed
 
     # Operators' commands.
 
--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -28,7 +28,7 @@
 
     @property
     def has_operator_front(self) -> bool:
-        """Whether it may be asked for its readiness, metrics and members."""
+        """Whether it gives its readiness, metrics and members."""
         return self.is_router or bool(self.operator_address)
 
 
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -12,8 +12,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pysyncobj import FAIL_REASON, SyncObj, SyncObjConf, replicated  # type: ignore[import-untyped]
-from pysyncobj.node import TCPNode  # type: ignore[import-untyped]
+from pysyncobj import (  # type: ignore[import-untyped]  # the library has no types
+    FAIL_REASON,
+    SyncObj,
+    SyncObjConf,
+    replicated,
+)
+from pysyncobj.node import TCPNode  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import (
@@ -116,6 +121,14 @@
     return TCPNode(voter.address) if voter.reach == voter.address else RelayedNode(voter.address, voter.reach)
 
 
+@dataclass(slots=True, frozen=True)
+class SubmitOutcome:
+    """What the library answers to a command."""
+
+    reply: EncodedReply | None
+    failure: int  # the library's reason where the command failed; 0 for none
+
+
 class RaftLog:
     """The voter of this process."""
 
@@ -199,28 +212,25 @@
         start_s = time.monotonic()
         while True:
             remaining_s = start_s + ANSWER_TIMEOUT_S - time.monotonic()
-            reply, failure = await self._submit_once(encoded, remaining_s)
-            if reply is not None and not failure:
-                break
-            if failure not in NOT_TAKEN:
-                reason = f"the leader changed meanwhile (reason {failure}); it may yet take effect"
+            outcome = await self._submit_once(encoded, remaining_s)
+            if outcome.reply is not None and not outcome.failure:
+                self._count_command(int((time.monotonic() - start_s) * US_PER_S))
+                return outcome.reply
+            if outcome.failure not in NOT_TAKEN:
+                reason = f"the leader changed meanwhile (reason {outcome.failure}); it may yet take effect"
                 raise OutcomeUnknown(reason)
             if time.monotonic() - start_s > ANSWER_TIMEOUT_S - RETRY_INTERVAL_S:
                 self.counters["control.no_leader"] += 1
                 raise CommandNotTaken(f"no leader within {ANSWER_TIMEOUT_S:.0f} s: it was not taken")
             await asyncio.sleep(RETRY_INTERVAL_S)
-        self._count_command(int((time.monotonic() - start_s) * US_PER_S))
-        return reply
 
-    async def _submit_once(
-        self, encoded: EncodedCommand, timeout_s: float
-    ) -> tuple[EncodedReply | None, int]:
-        """The reply, and the library's reason where the command failed; 0 for none."""
-        answer: asyncio.Future[tuple[EncodedReply | None, int]] = asyncio.get_running_loop().create_future()
+    async def _submit_once(self, encoded: EncodedCommand, timeout_s: float) -> SubmitOutcome:
+        """Give a command to the library. Raises OutcomeUnknown where it gives no answer in time."""
+        answer: asyncio.Future[SubmitOutcome] = asyncio.get_running_loop().create_future()
 
         def on_answer(reply: EncodedReply | None, failure: int) -> None:
             if not answer.done():
-                answer.set_result((reply, failure))
+                answer.set_result(SubmitOutcome(reply, failure))
 
         self.replica.apply_command(encoded, callback=on_answer)
         try:
--- a/tests/test_log_storage.py
+++ b/tests/test_log_storage.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]
+from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.common.errors import CommandRejected
 from maplestile.control.log_storage import check
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]
+from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.agent.process_registry import ProcessRegistry
 from maplestile.agent.supervisor import ask
