--- a/tests/agent_doubles.py
+++ b/tests/agent_doubles.py
@@ -143,7 +143,9 @@
     """A process, a router and a runner's process alike, in which each step succeeds."""
 
     def __init__(self) -> None:
-        self.adopted, self.starts, self.up = False, 1, True
+        self.adopted = False
+        self.starts = 1
+        self.up = True
         self.suspended = {"w0": False}
         self.requests = list[object]()
         self.fetch = False
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -72,7 +72,9 @@
         if toy:
             self.runner_ports[1] = ports[-1]
         ports.pop()
-        self.listens, self.rafts, rest = ports[:AGENTS], ports[AGENTS : 2 * AGENTS], ports[2 * AGENTS :]
+        self.listens = ports[:AGENTS]
+        self.rafts = ports[AGENTS : 2 * AGENTS]
+        rest = ports[2 * AGENTS :]
         self.udp, self.invoke, self.operator = (rest[n::3] for n in range(3))
         self.step_s = step_s
         for n in range(len(self.names)):
@@ -164,7 +166,8 @@
         found = []
         for line in list(program.log):
             if (match := re.search(r"(\w+): started, pid (\d+)", line)) is not None:
-                pid, file = int(match[2]), f"{match[1]}.toml"
+                pid = int(match[2])
+                file = f"{match[1]}.toml"
                 with contextlib.suppress(OSError):
                     command = Path(f"/proc/{pid}/cmdline").read_bytes().decode().split("\0")
                     if str(self.folder / file) in command:
@@ -180,7 +183,8 @@
     def run(self, number: int, *words: str) -> tuple[int, str, str]:
         """The exit code, and what went to standard output and to standard error."""
         at = ["--agent", f"127.0.0.1:{self.listens[number]}"]
-        out, err = io.StringIO(), io.StringIO()
+        out = io.StringIO()
+        err = io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             code = main([*words, *at])
         return code, out.getvalue(), err.getvalue()
@@ -261,7 +265,8 @@
                 changes.append((event["t_us"], -1, event["instance"]))
         for name, (since, until) in (besides or {}).items():
             changes += [(since, 1, name), (until, -1, name)]
-        out, worst = Counter[str](), 0
+        out = Counter[str]()
+        worst = 0
         for _, change, name in sorted(changes):
             out[name] = max(0, out[name] + change)
             worst = max(worst, sum(count > 0 for count in out.values()))
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -108,7 +108,9 @@
     exchanges = list[object]()
     for arguments, replies in command_lines(policy):
         lines = [one if isinstance(one, bytes) else json.dumps(one).encode() + b"\n" for one in replies]
-        scripted, out, err = ScriptedAgent(lines), io.StringIO(), io.StringIO()
+        scripted = ScriptedAgent(lines)
+        out = io.StringIO()
+        err = io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             code = cli.main([*arguments, "--agent", f"127.0.0.1:{scripted.port}"])
         scripted.close()
--- a/tests/record_agent_commands.py
+++ b/tests/record_agent_commands.py
@@ -92,7 +92,8 @@
 
 
 async def command_answers(folder: Path) -> dict[str, bytes]:
-    front, replicated_log = RouterFront(), RecordingLog(control_after_script())
+    front = RouterFront()
+    replicated_log = RecordingLog(control_after_script())
     lines = [json.dumps(command).encode() + b"\n" for command in COMMANDS] + RAW_LINES
     async with serving(front.serve) as router_port:
         plan = agent_plan(folder, f'ask = ["{NOBODY}"]', operator=f"127.0.0.1:{router_port}")
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -62,7 +62,8 @@
 async def sent_by_policy_controller(folder: Path) -> dict[str, bytes]:
     plan = agent_plan(folder, f'ask = ["{NOBODY}"]').control
     assert plan is not None
-    replicated_log, router = RecordingLog(ControlState()), recording_router()
+    replicated_log = RecordingLog(ControlState())
+    router = recording_router()
     replicated_log.control.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
     replicated_log.leads = True
     controller = PolicyController(plan, replicated_log, {"r0": router})
@@ -130,7 +131,9 @@
 
 
 def answered_by_router(folder: Path) -> dict[str, bytes]:
-    rig, announcements, checks = Rig(folder), list[object](), list[object]()
+    rig = Rig(folder)
+    announcements = list[object]()
+    checks = list[object]()
     for announcement in ANNOUNCEMENTS:
         answers = list[object]()
         timed = (
