--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -38,7 +38,8 @@
 
     def test_routers_serve_on_without_their_agent_and_the_next_one_has_them_whole(self) -> None:
         number = self.leader()
-        other, mine = self.agents(number)[0], self.fleet.of(number)
+        other = self.agents(number)[0]
+        mine = self.fleet.of(number)
         pids = {name: self.fleet.pid(name) for name in mine}
         calls = Calls(self.fleet, 14)
         self.kill(number)
@@ -66,7 +67,8 @@
         self.assertEqual(self.fleet.figure(mine[0], "policy_epoch"), 1)
 
     def test_a_step_that_an_agent_left_in_its_midst_is_taken_up_by_the_next(self) -> None:
-        number, name = 0, "r0"
+        number = 0
+        name = "r0"
         pid = self.fleet.pid(name)
         hung = HangingCall(self.fleet.invoke[0])
         eventually(lambda: any(worker.ran for worker in self.fleet.workers), "the call that hangs")
@@ -84,7 +86,8 @@
 
     def test_a_step_granted_to_an_agent_that_dies_before_it_begins_is_taken_by_the_next(self) -> None:
         number = next(n for n in self.agents() if n != self.leader())
-        name, peer = self.fleet.of(number)[0], (number + 1) % AGENTS
+        name = self.fleet.of(number)[0]
+        peer = (number + 1) % AGENTS
         pid = self.fleet.pid(name)
         self.fleet.agents[number].process.send_signal(signal.SIGSTOP)
         self.agreed(self.fleet.run(peer, "rollout", "start", "--budget", "3", name))
@@ -186,7 +189,8 @@
 
 
 def test_a_process_is_adopted_by_its_number_and_its_start() -> None:
-    folder, child = Path(tempfile.mkdtemp()), sleeper()
+    folder = Path(tempfile.mkdtemp())
+    child = sleeper()
 
     async def look() -> None:
         registry = ProcessRegistry(folder)
@@ -222,7 +226,8 @@
     path.write_bytes(b"old\n")
 
     async def look() -> list[bytes]:
-        ended, found = asyncio.Event(), list[bytes]()
+        ended = asyncio.Event()
+        found = list[bytes]()
         with path.open("ab", buffering=0) as writer:
             async for line in lines(path, 4, ended):
                 found.append(line)
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -209,7 +209,8 @@
 
     def test_a_router_that_was_down_and_one_that_stood_still_learn_it_before_they_take_calls(self) -> None:
         calls = Calls(self.fleet, 16)
-        down, still = "r1", "r4"
+        down = "r1"
+        still = "r4"
         self.assertEqual(self.fleet.run(0, "stop", down)[0], 0)
         pid = self.fleet.pid(still)
         os.kill(pid, signal.SIGSTOP)
@@ -245,7 +246,8 @@
     def test_a_minority_cut_off_serves_by_the_old_epoch_says_so_and_learns_it_at_the_healing(self) -> None:
         leader = self.leader()
         others = self.agents(leader)
-        mine, theirs = self.fleet.of(leader), [n for number in others for n in self.fleet.of(number)]
+        mine = self.fleet.of(leader)
+        theirs = [name for number in others for name in self.fleet.of(number)]
         calls = Calls(self.fleet, 18)
         small = [*(int(name[1:]) for name in mine), NODES + leader]  # with the leader on the small side
         self.fleet.relay.begin(split=[{**FOREVER, "sides": [small]}])
@@ -267,7 +269,7 @@
     def test_a_leader_lost_between_check_and_commit_leaves_it_everywhere_or_nowhere(self) -> None:
         leader = self.leader()
         others = self.agents(leader)
-        theirs = [n for number in others for n in self.fleet.of(number)]
+        theirs = [name for number in others for name in self.fleet.of(number)]
         calls = Calls(self.fleet, 10)
         still = theirs[0]
         pid = self.fleet.pid(still)
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -34,8 +34,9 @@
         answers = list[dict[str, Any]]()
 
         def start(number: int) -> None:
-            where, command = ("127.0.0.1", self.fleet.listens[number]), {"action": "restart", "budget": 1}
-            sending = agent.ask(where, "rollout", [], what="start", command={**command, "targets": ["r0"]})
+            address = ("127.0.0.1", self.fleet.listens[number])
+            command = {"action": "restart", "budget": 1}
+            sending = agent.ask(address, "rollout", [], what="start", command={**command, "targets": ["r0"]})
             answers.append(asyncio.run(sending))
 
         threads = [threading.Thread(target=start, args=(number,)) for number in (0, 2)]
@@ -91,8 +92,10 @@
     def test_a_halt_that_crosses_a_granted_step_leaves_its_router_alone(self) -> None:
         """The holder stands still from before the grant till after the halt, and then reads of both."""
         number = next(n for n in self.agents() if n != self.fleet.leader())
-        name, peer = self.fleet.of(number)[0], (number + 1) % AGENTS
-        pid, holder = self.fleet.pid(name), self.fleet.agents[number].process
+        name = self.fleet.of(number)[0]
+        peer = (number + 1) % AGENTS
+        pid = self.fleet.pid(name)
+        holder = self.fleet.agents[number].process
         holder.send_signal(signal.SIGSTOP)
         try:
             self.start(peer, "--budget", "3", name)
@@ -207,7 +210,8 @@
 
     def test_an_agent_that_dies_with_a_lease_keeps_it_until_an_operator_releases_it(self) -> None:
         number = next(n for n in self.agents() if n != self.fleet.leader())
-        name, other = f"r{number * EACH}", f"r{(number + 1) % AGENTS * EACH}"
+        name = f"r{number * EACH}"
+        other = f"r{(number + 1) % AGENTS * EACH}"
         self.hang(number * EACH)
         self.start((number + 1) % AGENTS, "--budget", "3", name, other)
         self.until_event("begin", name)
