--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -10,14 +10,14 @@
 import contextlib
 import logging
 import time
-from collections import Counter
 from collections.abc import Mapping
 from typing import Any
 
+from maplestile.agent.errors import CommandError
 from maplestile.agent.instance import RouterHandle
 from maplestile.agent.policy_leader import PolicyLeader
 from maplestile.agent.policy_router import REPEAT_INTERVAL_S, Announcement, Fence, RouterPolicy
-from maplestile.agent.replicated_log import ReplicatedLog
+from maplestile.agent.replicated_log import ReplicatedLog, submit_for_operator
 from maplestile.agent.tasks import is_idle
 from maplestile.common import logs
 from maplestile.control.commands import EncodedCommand, ReadPolicy, SubmitVerdict
@@ -39,12 +39,10 @@
         settings: ControlSettings,
         replicated_log: ReplicatedLog,
         routers: Mapping[str, RouterHandle],
-        counters: Counter[str],
     ) -> None:
         self.settings = settings
         self.replicated_log = replicated_log
         self.routers = routers
-        self.counters = counters
         self.events = logs.events("policy")
         self.router_policies: dict[str, RouterPolicy] = {}
         self.leader = PolicyLeader(settings.name, replicated_log)
@@ -93,6 +91,7 @@
             self.events.info("committed", epoch=epoch.number, change=epoch.change)
 
     def _running_routers(self) -> list[RouterPolicy]:
+        """The routers that run; nothing is known yet of one whose process was started since the last look."""
         running = []
         for name, router in self.routers.items():
             if not router.process.running():
@@ -106,7 +105,7 @@
     # What is committed, to the routers.
 
     def _start_read(self, running: list[RouterPolicy], change: Change | None) -> None:
-        following = [policy for policy in running if not policy.off]
+        following = [policy for policy in running if not policy.has_own_policy]
         interval_s = READ_INTERVAL_S if change is None else READ_INTERVAL_CHECKING_S
         if following and time.monotonic() - self.read_s >= interval_s and is_idle(self.reading):
             self.read_s = time.monotonic()
@@ -116,7 +115,11 @@
         """Have a read agreed on that names those of the routers that answer, and fence these by it."""
         requested_us = time.monotonic_ns() // 1000
         answering = {policy.name: policy for policy in policies if policy.answers}
-        reports = {name: policy.reported for name, policy in self.router_policies.items() if policy.reported}
+        reports = {
+            name: policy.report.content
+            for name, policy in self.router_policies.items()
+            if policy.report is not None
+        }
         command = ReadPolicy(agent=self.settings.name, instances=tuple(answering), router_status=reports)
         with contextlib.suppress(LogError):  # counted there; its routers hear nothing new meanwhile
             reply = await self.replicated_log.submit(command)
@@ -125,7 +128,7 @@
                     answering[name].fence = Fence(int(reply["epoch"]), requested_us)
 
     def _start_announcement(self, policy: RouterPolicy, change: Change | None) -> None:
-        if policy.off or not is_idle(policy.announcing):
+        if policy.has_own_policy or not is_idle(policy.announcing):
             return
         announcement = policy.next_announcement(self.agreed.epoch.number, change)
         if announcement is not None:
@@ -153,37 +156,40 @@
         verdict = SubmitVerdict(
             agent=self.settings.name, change=change.number, instance=policy.name, reason=reason
         )
+        is_agreed = await self._submit_verdict(verdict)
+        if is_agreed:
+            policy.checked_change = change.number
+        elif is_agreed is False:
+            # The change is decided, or this agent has not registered yet: it is repeated if need be.
+            await asyncio.sleep(REPEAT_INTERVAL_S)
+
+    async def _submit_verdict(self, verdict: SubmitVerdict) -> bool | None:
+        """Whether the log takes the verdict; None where it gives no answer."""
         try:
             reply = await self.replicated_log.submit(verdict)
         except LogError as error:
-            log.warning("policy: the verdict of %s is not agreed on yet: %s", policy.name, error)
-            return
-        is_agreed = reply["ok"]
+            log.warning("policy: the verdict of %s is not agreed on yet: %s", verdict.instance, error)
+            return None
+        is_agreed = bool(reply["ok"])
         self.events.info(
-            "verdict", instance=policy.name, change=change.number, reason=reason, agreed=is_agreed
+            "verdict",
+            instance=verdict.instance,
+            change=verdict.change,
+            reason=verdict.reason,
+            agreed=reply["ok"],
         )
-        if is_agreed:
-            policy.checked_change = change.number
-        else:  # the change is decided, or this agent has not registered yet: it is repeated if need be
-            await asyncio.sleep(REPEAT_INTERVAL_S)
+        return is_agreed
 
     # Operators' commands.
 
     async def execute(self, operation: str, command: EncodedCommand) -> dict[str, Any]:
-        """`status`, `propose` or `rollback`; `{"error": reason}` where it is not agreed on."""
+        """The reply to `status`, `propose` or `rollback`. Raises CommandError where it is not agreed on."""
         if operation == "status":
             return {"policy": self._status()}
         if operation not in ("propose", "rollback"):
-            return {"error": f"policy: no command '{operation}'"}
-        try:
-            # Undecoded, so that the log answers a damaged one as any that does not fit.
-            reply = await self.replicated_log.submit(
-                {**command, "do": f"policy {operation}", "agent": self.settings.name}
-            )
-        except LogError as error:
-            return {"error": str(error)}
-        if not reply["ok"]:
-            return {"error": reply["reason"]}
+            raise CommandError(f"policy: no command '{operation}'")
+        name = f"policy {operation}"
+        reply = await submit_for_operator(self.replicated_log, self.settings.name, name, command)
         self.events.info(f"operator {operation}", change=reply["change"], base=reply["base"])
         return {"policy": reply}
 
@@ -192,11 +198,13 @@
         reported = self.replicated_log.router_status
         instances: dict[str, dict[str, Any]] = {}
         for name, agent in sorted(self.replicated_log.control.instances.items()):
-            heard_s, routers = reported.get(agent, (None, {}))
-            instances[name] = {"agent": agent, "heard_s": heard_s, **routers.get(name, {})}
+            status = reported.get(agent)
+            age_s = None if status is None else status.age_s
+            report = {} if status is None else status.routers.get(name, {})
+            instances[name] = {"agent": agent, "heard_s": age_s, **report}
         return {
             "agreed": self.agreed.encoded(),
             "instances": instances,
             "ready": self.replicated_log.ready(),
-            "raft": self.replicated_log.status(),
+            "raft": self.replicated_log.status().encoded(),
         }
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -11,13 +11,13 @@
 from maplestile.agent.settings import InstanceSettings
 from maplestile.common.address import parse_address
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.rollout_planner import HealthReport
+from maplestile.control.commands import HealthReport
 from maplestile.invoke.operator_file import OperatorError
 from maplestile.invoke.operator_file import read as read_operator
 from maplestile.operation.api import MEMBERS, METRICS, READY, RUNNERS
 from maplestile.operation.client import CallError, call
 
-ANSWER_S = 3.0
+ANSWER_TIMEOUT_S = 3.0
 SUSPEND_PATH = RUNNERS + "/{}/suspend"
 RESUME_PATH = RUNNERS + "/{}/resume"
 CALLS_METRIC = "svc_{}_total{{"  # by class, so one line for each
@@ -42,6 +42,14 @@
         return reply
 
 
+@dataclass(slots=True, frozen=True)
+class ListedRunner:
+    """A runner as a router lists it."""
+
+    suspended: bool
+    in_flight: int  # attempts
+
+
 class InstanceProcess(Protocol):
     """What the client has to know of the process behind the front."""
 
@@ -62,7 +70,7 @@
         self.process = process
 
     async def operate(
-        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_S
+        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_TIMEOUT_S
     ) -> OperatorReply:
         """Call its operators' front; faults are part of the reply."""
         try:
@@ -99,14 +107,14 @@
         except (ValueError, KeyError, TypeError):
             return set()
 
-    async def runners(self) -> dict[str, tuple[bool, int]] | None:
-        """The runners it lists: whether suspended, and the attempts in flight; None if it does not answer."""
+    async def runners(self) -> dict[str, ListedRunner] | None:
+        """The runners that it lists, by their ids; None if it does not answer."""
         reply = await self.operate("GET", RUNNERS)
         if not reply.ok:
             return None
         try:
             listed = json.loads(reply.text)["runners"]
-            return {runner["id"]: (runner["suspended"], runner["inflight"]) for runner in listed}
+            return {runner["id"]: ListedRunner(runner["suspended"], runner["inflight"]) for runner in listed}
         except (ValueError, KeyError, TypeError):
             return None
 
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -9,10 +9,16 @@
 import time
 from collections import Counter
 from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
-from pysyncobj import FAIL_REASON, SyncObj, SyncObjConf, replicated  # type: ignore[import-untyped]
-from pysyncobj.node import TCPNode  # type: ignore[import-untyped]
+from pysyncobj import (  # type: ignore[import-untyped]  # the library has no types
+    FAIL_REASON,
+    SyncObj,
+    SyncObjConf,
+    replicated,
+)
+from pysyncobj.node import TCPNode  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import (
@@ -29,20 +35,23 @@
 )
 from maplestile.control.errors import CommandNotTaken, LogError, OutcomeUnknown
 from maplestile.control.log_storage import check
+from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus, VoterStatus
 from maplestile.control.settings import ControlSettings, Voter
 from maplestile.control.state import ControlState
 
 __all__ = ["LogError", "RaftLog"]
 
 TICK_S = 0.01
+# For a command to be agreed on: an election takes up to 1.4 s, a lossy link more than one.
 ANSWER_TIMEOUT_S = 5.0
-"""For a command to be agreed on: an election takes up to 1.4 s, a lossy link more than one."""
 RETRY_INTERVAL_S = 0.1
 US_PER_S = 1e6
+# The library's reasons for which a command is surely not in the log: its queue was full, no leader was
+# known, another entry stands in its place.
 NOT_TAKEN = (FAIL_REASON.QUEUE_FULL, FAIL_REASON.MISSING_LEADER, FAIL_REASON.DISCARDED)
-"""The library's reasons for which a command is surely not in the log: its queue was full, no leader was
-known, another entry stands in its place."""
 LEADER_STATE = 2  # the library's number
+# What is agreed is rare and must be seen soon: a lost leader is replaced within 0.4 to 1.4 s of its last
+# heartbeat.
 RAFT_TIMES_S = {
     "raftMinTimeout": 0.5,
     "raftMaxTimeout": 1.4,
@@ -51,8 +60,14 @@
     "connectionRetryTime": 0.5,
     "leaderFallbackTimeout": 1.5,
 }
-"""What is agreed is rare and must be seen soon: a lost leader is replaced within 0.4 to 1.4 s of its last
-heartbeat."""
+
+
+@dataclass(slots=True, frozen=True)
+class StampedStatus:
+    """What an agent has reported on its routers' policy, and when it came by this machine's clock."""
+
+    received_s: float  # monotonic
+    routers: Mapping[str, Any]  # by instance
 
 
 class Replica(SyncObj):  # type: ignore[misc]  # the library has no types
@@ -61,9 +76,8 @@
     def __init__(self, own_node: TCPNode, other_nodes: list[TCPNode], conf: SyncObjConf) -> None:
         # See docs/ROADMAP.md: the snapshot lacks these.
         self.control = ControlState()
-        self.heartbeats: dict[str, tuple[int, dict[str, Any]]] = {}  # each agent's last, and its number
-        # When, by this machine's clock, each agent last reported on its routers' policy, and what.
-        self.router_status: dict[str, tuple[float, dict[str, Any]]] = {}
+        self.heartbeats: dict[str, ReceivedHeartbeat] = {}  # by agent
+        self.router_status: dict[str, StampedStatus] = {}  # by agent
         super().__init__(own_node, other_nodes, conf)
 
     @replicated  # type: ignore[untyped-decorator]  # the library has no types
@@ -74,11 +88,12 @@
         except CommandRejected as refusal:
             return encode_reply(Rejected(str(refusal)))
         if isinstance(decoded, Heartbeat):  # no part of what is agreed
-            number, _ = self.heartbeats.get(decoded.agent, (0, {}))
-            self.heartbeats[decoded.agent] = (number + 1, command["words"])
+            last = self.heartbeats.get(decoded.agent)
+            number = 1 if last is None else last.number + 1
+            self.heartbeats[decoded.agent] = ReceivedHeartbeat(number, decoded.reports)
             return encode_reply(Accepted())
         if isinstance(decoded, ReadPolicy) and decoded.router_status is not None:  # nor is this
-            self.router_status[decoded.agent] = (time.monotonic(), dict(decoded.router_status))
+            self.router_status[decoded.agent] = StampedStatus(time.monotonic(), dict(decoded.router_status))
         return encode_reply(self.control.apply(decoded))
 
 
@@ -106,6 +121,14 @@
     return TCPNode(voter.address) if voter.reach == voter.address else RelayedNode(voter.address, voter.reach)
 
 
+@dataclass(slots=True, frozen=True)
+class SubmitOutcome:
+    """What the library answers to a command."""
+
+    reply: EncodedReply | None
+    failure: int  # the library's reason where the command failed; 0 for none
+
+
 class RaftLog:
     """The voter of this process."""
 
@@ -139,36 +162,36 @@
         return control
 
     @property
-    def heartbeats(self) -> Mapping[str, tuple[int, dict[str, Any]]]:
-        """The last heartbeat of each agent in its wire form, and how many have come from it."""
-        heartbeats: dict[str, tuple[int, dict[str, Any]]] = self.replica.heartbeats
+    def heartbeats(self) -> Mapping[str, ReceivedHeartbeat]:
+        """The last heartbeat of each agent."""
+        heartbeats: dict[str, ReceivedHeartbeat] = self.replica.heartbeats
         return heartbeats
 
     @property
-    def router_status(self) -> Mapping[str, tuple[float, dict[str, Any]]]:
-        """Of each agent: how many seconds ago it reported on its routers' policy, and what."""
+    def router_status(self) -> Mapping[str, RouterStatus]:
+        """The last report of each agent on its routers' policy."""
         now_s = time.monotonic()
         return {
-            agent: (round(max(0.0, now_s - at_s), 1), status)
-            for agent, (at_s, status) in self.replica.router_status.items()
+            agent: RouterStatus(round(max(0.0, now_s - status.received_s), 1), status.routers)
+            for agent, status in self.replica.router_status.items()
         }
 
     def ready(self) -> bool:
         """The replica holds what was agreed up to its start, and a leader is known."""
         return bool(self.replica.isReady())
 
-    def status(self) -> dict[str, Any]:
-        """The voter as operators see it: its state, the leader's name, and Raft's term and index."""
+    def status(self) -> VoterStatus:
+        """The voter as operators see it."""
         status = self.replica.getStatus()
         leader_address = str(status["leader"])
         leaders = (voter.name for voter in self.settings.voters if voter.address == leader_address)
-        return {
-            "voter": self.settings.name,
-            "leading": status["state"] == LEADER_STATE,
-            "leader": next(leaders, None),
-            "term": status["raft_term"],
-            "index": status["commit_idx"],
-        }
+        return VoterStatus(
+            voter=self.settings.name,
+            leading=status["state"] == LEADER_STATE,
+            leader=next(leaders, None),
+            term=status["raft_term"],
+            index=status["commit_idx"],
+        )
 
     async def run(self) -> None:
         """Take part in the consensus until cancelled."""
@@ -189,28 +212,25 @@
         start_s = time.monotonic()
         while True:
             remaining_s = start_s + ANSWER_TIMEOUT_S - time.monotonic()
-            reply, failure = await self._submit_once(encoded, remaining_s)
-            if reply is not None and not failure:
-                break
-            if failure not in NOT_TAKEN:
-                reason = f"the leader changed meanwhile (reason {failure}); it may yet take effect"
+            outcome = await self._submit_once(encoded, remaining_s)
+            if outcome.reply is not None and not outcome.failure:
+                self._count_command(int((time.monotonic() - start_s) * US_PER_S))
+                return outcome.reply
+            if outcome.failure not in NOT_TAKEN:
+                reason = f"the leader changed meanwhile (reason {outcome.failure}); it may yet take effect"
                 raise OutcomeUnknown(reason)
             if time.monotonic() - start_s > ANSWER_TIMEOUT_S - RETRY_INTERVAL_S:
                 self.counters["control.no_leader"] += 1
                 raise CommandNotTaken(f"no leader within {ANSWER_TIMEOUT_S:.0f} s: it was not taken")
             await asyncio.sleep(RETRY_INTERVAL_S)
-        self._count_command(int((time.monotonic() - start_s) * US_PER_S))
-        return reply
 
-    async def _submit_once(
-        self, encoded: EncodedCommand, timeout_s: float
-    ) -> tuple[EncodedReply | None, int]:
-        """The reply, and the library's reason where the command failed; 0 for none."""
-        answer: asyncio.Future[tuple[EncodedReply | None, int]] = asyncio.get_running_loop().create_future()
+    async def _submit_once(self, encoded: EncodedCommand, timeout_s: float) -> SubmitOutcome:
+        """Give a command to the library. Raises OutcomeUnknown where it gives no answer in time."""
+        answer: asyncio.Future[SubmitOutcome] = asyncio.get_running_loop().create_future()
 
         def on_answer(reply: EncodedReply | None, failure: int) -> None:
             if not answer.done():
-                answer.set_result((reply, failure))
+                answer.set_result(SubmitOutcome(reply, failure))
 
         self.replica.apply_command(encoded, callback=on_answer)
         try:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -50,17 +50,17 @@
         routers: int = AGENTS * EACH,
         policy: str = "",
         older: str = "",
-        roster: bool = False,
+        with_registry: bool = False,
     ) -> None:
         """With `toy` the runner w2 is a process of the first agent, else a stand-in of this one.
 
         `policy` are more lines of the routers' `[policy]`, which they have none of without; `older` is a
-        folder with another build of the program, which the last router runs. With `roster` agents have a
+        folder with another build of the program, which the last router runs. `with_registry` gives agents a
         folder, by which the next one adopts what the one before has left.
         """
         self.policy = policy
         self.older = older
-        self.roster = roster
+        self.with_registry = with_registry
         self.test = test
         self.folder = Path(tempfile.mkdtemp())
         self.workers = [Worker(), Worker()]
@@ -72,7 +72,9 @@
         if toy:
             self.runner_ports[1] = ports[-1]
         ports.pop()
-        self.listens, self.rafts, rest = ports[:AGENTS], ports[AGENTS : 2 * AGENTS], ports[2 * AGENTS :]
+        self.listens = ports[:AGENTS]
+        self.rafts = ports[AGENTS : 2 * AGENTS]
+        rest = ports[2 * AGENTS :]
         self.udp, self.invoke, self.operator = (rest[n::3] for n in range(3))
         self.step_s = step_s
         for n in range(len(self.names)):
@@ -107,7 +109,7 @@
             folder=self.folder / f"a{number}",
             step_s=self.step_s,
         )
-        if self.roster:
+        if self.with_registry:
             text = text.replace("[control]", f'folder = "{self.folder / f"agent{number}"}"\n[control]')
         for other in range(AGENTS):
             address = f"127.0.0.1:{self.rafts[other]}"
@@ -129,7 +131,7 @@
         self.test.addCleanup(self._end, program)
         return program
 
-    def asker(self) -> tuple[Program, int]:
+    def start_non_voter(self) -> tuple[Program, int]:
         """A fourth agent, which has no vote, with a router of its own; and its port."""
         listen, invoke, operator, udp = free_ports(4)
         text = (self.folder / "r0.toml").read_text().replace('name = "r0"', 'name = "r6"')
@@ -138,7 +140,7 @@
         text = text.replace(str(self.folder / "policy0"), str(self.folder / "policy6"))
         (self.folder / "r6.toml").write_text(text.replace(self.relay.fronts[0], f"127.0.0.1:{udp}", 1))
         ask = ", ".join(f'"127.0.0.1:{port}"' for port in self.listens)
-        file = self.folder / "asker.toml"
+        file = self.folder / "non-voter.toml"
         head = f'[agent]\nlisten = "127.0.0.1:{listen}"\n[control]\nname = "a3"\nask = [{ask}]\n'
         file.write_text(head + '[[instance]]\nname = "r6"\nfile = "r6.toml"\nenv = { RELEASE = "one" }\n')
         program = Program("agent", str(file))
@@ -164,7 +166,8 @@
         found = []
         for line in list(program.log):
             if (match := re.search(r"(\w+): started, pid (\d+)", line)) is not None:
-                pid, file = int(match[2]), f"{match[1]}.toml"
+                pid = int(match[2])
+                file = f"{match[1]}.toml"
                 with contextlib.suppress(OSError):
                     command = Path(f"/proc/{pid}/cmdline").read_bytes().decode().split("\0")
                     if str(self.folder / file) in command:
@@ -180,7 +183,8 @@
     def run(self, number: int, *words: str) -> tuple[int, str, str]:
         """The exit code, and what went to standard output and to standard error."""
         at = ["--agent", f"127.0.0.1:{self.listens[number]}"]
-        out, err = io.StringIO(), io.StringIO()
+        out = io.StringIO()
+        err = io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
             code = main([*words, *at])
         return code, out.getvalue(), err.getvalue()
@@ -261,7 +265,8 @@
                 changes.append((event["t_us"], -1, event["instance"]))
         for name, (since, until) in (besides or {}).items():
             changes += [(since, 1, name), (until, -1, name)]
-        out, worst = Counter[str](), 0
+        out = Counter[str]()
+        worst = 0
         for _, change, name in sorted(changes):
             out[name] = max(0, out[name] + change)
             worst = max(worst, sum(count > 0 for count in out.values()))
--- a/tests/record_agent_commands.py
+++ b/tests/record_agent_commands.py
@@ -92,7 +92,8 @@
 
 
 async def command_answers(folder: Path) -> dict[str, bytes]:
-    front, replicated_log = RouterFront(), RecordingLog(control_after_script())
+    front = RouterFront()
+    replicated_log = RecordingLog(control_after_script())
     lines = [json.dumps(command).encode() + b"\n" for command in COMMANDS] + RAW_LINES
     async with serving(front.serve) as router_port:
         plan = agent_plan(folder, f'ask = ["{NOBODY}"]', operator=f"127.0.0.1:{router_port}")
@@ -107,7 +108,7 @@
             ]
             routers = {"r0": supervisor.instances["r0"]}
             rollouts = RolloutController(control, replicated_log, routers, {}, Counter())
-            policies = PolicyController(control, replicated_log, routers, Counter())
+            policies = PolicyController(control, replicated_log, routers)
             supervisor.command_server.enable_control(ControlPlane(rollouts, policies))
             replies = [await exchange(port, line) for line in lines]
             replicated_log.fault = "no leader within 5 s: it was not taken"
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -16,7 +16,7 @@
 from tests.agent_doubles import PATIENCE_S, RecordingLog, RecordingProcess, recording_router
 from tests.control_script import DOCUMENT
 from tests.recordings import NOBODY, agent_plan, as_lines
-from tests.test_policy import Rig
+from tests.test_policy_driver import Rig
 
 STALE = re.compile(r'"stale_s": [0-9.]+')
 
@@ -62,10 +62,11 @@
 async def sent_by_policy_controller(folder: Path) -> dict[str, bytes]:
     plan = agent_plan(folder, f'ask = ["{NOBODY}"]').control
     assert plan is not None
-    replicated_log, router = RecordingLog(ControlState()), recording_router()
+    replicated_log = RecordingLog(ControlState())
+    router = recording_router()
     replicated_log.control.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
     replicated_log.leads = True
-    controller = PolicyController(plan, replicated_log, {"r0": router}, Counter())
+    controller = PolicyController(plan, replicated_log, {"r0": router})
     known = controller.router_policies["r0"] = RouterPolicy("r0", router, 1)
     await controller.read([known])
     await controller.announce(known, Announcement(0, 500, 0))
@@ -130,7 +131,9 @@
 
 
 def answered_by_router(folder: Path) -> dict[str, bytes]:
-    rig, announcements, checks = Rig(folder), list[object](), list[object]()
+    rig = Rig(folder)
+    announcements = list[object]()
+    checks = list[object]()
     for announcement in ANNOUNCEMENTS:
         answers = list[object]()
         timed = (
