--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -1,15 +1,13 @@
 """The simulated connections: the shipped pool, with sockets that the explorer moves instead of the system."""
 
 import json
+from collections import Counter
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from maplestile.requests.pool import Connection, Pool
 from maplestile.wire.limits import Limits
 
-if TYPE_CHECKING:
-    from maplestile.tools.explore.simulation import Simulation
-
 
 @dataclass(slots=True, eq=False)
 class Line:
@@ -36,11 +34,28 @@
         return self.kind == "CALL" and not self.never_ran
 
 
+class Environment(Protocol):
+    """What simulated connections need of the simulation that they are in."""
+
+    now: int  # the simulated clock, in microseconds
+    counters: Counter[str]
+    links: list["Link"]  # in the order in which they were dialled
+
+    def link_of(self, connection: Connection) -> "Link":
+        """Return the simulated socket of a connection of the pool."""
+
+    def on_write_started(self, link: "Link", message: dict[str, Any]) -> None:
+        """Check a message whose first byte goes out now."""
+
+    def on_line_received(self, line: Line) -> None:
+        """Check and keep a line that a worker has received complete."""
+
+
 class Link:
     """One connection to a worker; to the pool it is the connection's socket."""
 
-    def __init__(self, world: "Simulation", number: int, connection: Connection) -> None:
-        self.world = world
+    def __init__(self, environment: Environment, number: int, connection: Connection) -> None:
+        self._environment = environment
         self.number = number
         self.connection = connection
         self.worker = connection.runner.uid
@@ -51,7 +66,7 @@
 
     def write(self, line: bytes) -> bool:
         """Accept a line; False where only a part of it has been accepted."""
-        self.world.on_write_started(self, json.loads(line))
+        self._environment.on_write_started(self, json.loads(line))
         if self.part:
             self.part = False
             self.held = line
@@ -61,9 +76,9 @@
 
     def deliver(self, data: bytes) -> None:
         """Have the worker receive a complete line."""
-        line = Line(json.loads(data), self, self.world.now)
+        line = Line(json.loads(data), self, self._environment.now)
         self.lines.append(line)
-        self.world.on_line_received(line)
+        self._environment.on_line_received(line)
 
     def holds(self) -> bool:
         """Whether a part of a line has not been accepted yet."""
@@ -77,14 +92,15 @@
 class SimulatedPool(Pool):
     """The shipped pool of connections, which dials simulated ones."""
 
-    def __init__(self, world: "Simulation", limits: Limits) -> None:
-        super().__init__(limits, lambda: world.now, world.counters)
-        self.world = world
+    def __init__(self, environment: Environment, limits: Limits) -> None:
+        super().__init__(limits, lambda: environment.now, environment.counters)
+        self.environment = environment
 
     def dial(self, connection: Connection) -> None:
         """Begin to open a connection; an event `up` or `refuse` decides on it."""
-        self.world.links.append(Link(self.world, len(self.world.links), connection))
+        links = self.environment.links
+        links.append(Link(self.environment, len(links), connection))
 
     def hang_up(self, connection: Connection) -> None:
         """Close a connection."""
-        self.world.link_of(connection).open = False
+        self.environment.link_of(connection).open = False
--- a/maplestile/tools/explore/enabled_events.py
+++ b/maplestile/tools/explore/enabled_events.py
@@ -1,19 +1,32 @@
 """Which events may happen next in a simulation. Their order is part of the search's result."""
 
 from collections.abc import Iterator, Sequence
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from maplestile.dispatch.api import WorkerState
-from maplestile.tools.explore.cases import ANSWERS, Event
+from maplestile.requests.core import Core
+from maplestile.tools.explore.cases import ANSWERS, Case, Event
 from maplestile.tools.explore.connections import Link
-
-if TYPE_CHECKING:
-    from maplestile.tools.explore.simulation import Simulation
+from maplestile.tools.explore.records import Client
 
 ANSWERED_KINDS = ("CALL", "LOAD", "STATS")  # messages that a worker answers
 
 
-def enabled_events(simulation: "Simulation") -> list[Event]:
+class SimulationState(Protocol):
+    """What of a simulation's state decides on its next events."""
+
+    case: Case
+    core: Core
+    now: int  # the simulated clock, in microseconds
+    clients: list[Client]
+    links: list[Link]
+    state: dict[str, WorkerState]  # by worker
+    faults: int  # events of `Case.may` that have happened
+    steps: int  # of time that have passed
+    stopped: bool  # the router's process drains
+
+
+def enabled_events(simulation: SimulationState) -> list[Event]:
     """The events that may happen next, always in the same order."""
     case = simulation.case
     faults = case.may if simulation.faults < case.faults else ()
@@ -25,7 +38,7 @@
     ]
 
 
-def _client_events(simulation: "Simulation", faults: Sequence[str]) -> Iterator[Event]:
+def _client_events(simulation: SimulationState, faults: Sequence[str]) -> Iterator[Event]:
     has_ended = simulation.stopped and simulation.now >= simulation.core.leave_us
     if len(simulation.clients) < len(simulation.case.classes) and not has_ended:
         yield ("submit",)
@@ -66,7 +79,7 @@
             yield "again", link.number, number
 
 
-def _worker_events(simulation: "Simulation", faults: Sequence[str]) -> Iterator[Event]:
+def _worker_events(simulation: SimulationState, faults: Sequence[str]) -> Iterator[Event]:
     for number, state in enumerate(simulation.state.values()):
         if state is WorkerState.RUNNING and "drain" in faults:
             yield "drain", number
@@ -76,7 +89,7 @@
             yield "return", number
 
 
-def _router_events(simulation: "Simulation", faults: Sequence[str]) -> Iterator[Event]:
+def _router_events(simulation: SimulationState, faults: Sequence[str]) -> Iterator[Event]:
     if "policy" in faults:
         yield ("policy",)
     if "stop" in faults and not simulation.stopped:
--- a/maplestile/tools/explore/normal_form.py
+++ b/maplestile/tools/explore/normal_form.py
@@ -55,7 +55,7 @@
     FunctionEntry: frozenset(("salt", "preferred", "workers_with_copies", "settled")),
     Worker: frozenset(("salt",)),
     Call: frozenset(("settings", "kind")),
-    Pool: frozenset(("limits", "clock", "counters", "move", "core", "world", "calls_written")),
+    Pool: frozenset(("limits", "clock", "counters", "move", "core", "environment", "calls_written")),
     Runner: frozenset(("connections",)),
     Message: frozenset(("line", "request")),
     # The socket, the queue and the line on its way have forms of their own.
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -5,7 +5,8 @@
 from maplestile.dispatch.api import DeduplicationScope, Idempotency
 from maplestile.tools.explore import scenario
 from maplestile.tools.explore.connections import Line, Link
-from maplestile.tools.explore.simulation import Client, Simulation
+from maplestile.tools.explore.records import Client
+from maplestile.tools.explore.simulation import Simulation
 from maplestile.wire.messages import Outcome, Verdict
 
 NAMES = {
@@ -27,24 +28,24 @@
 NEW_WORK = ("CALL", "LOAD", "STATS", "UNLOAD")  # messages that start something at a worker
 
 
-def on_answer(world: Simulation, client: Client, outcome: Outcome) -> None:
+def on_answer(simulation: Simulation, client: Client, outcome: Outcome) -> None:
     """Check a final answer, which the client's outcomes include already."""
     name = client.class_name
     if len(client.outcomes) > 1:
-        world.violate("one-answer", f"{name}: {len(client.outcomes)} answers")
+        simulation.violate("one-answer", f"{name}: {len(client.outcomes)} answers")
     if client.left:
-        world.violate("one-answer", f"{name}: an answer after its client left")
-    tick_us = world.core.settings.tick_us
-    if world.stopped and world.now > world.core.leave_us + tick_us:
-        world.violate("drain-ends", f"{name}: owed past the end")
-    if world.now > client.due_us + tick_us:
-        late_ms = (world.now - client.due_us) / scenario.MS
-        world.violate("answer-by-deadline", f"{name}: {late_ms:g} ms late")
-    if outcome.verdict is Verdict.REJECTED and not _is_retry_harmless(world, client):
-        world.violate("harmless-refusal", f"{name}: refused, and it may have run")
-
-
-def _is_retry_harmless(world: Simulation, client: Client) -> bool:
+        simulation.violate("one-answer", f"{name}: an answer after its client left")
+    tick_us = simulation.core.settings.tick_us
+    if simulation.stopped and simulation.now > simulation.core.leave_us + tick_us:
+        simulation.violate("drain-ends", f"{name}: owed past the end")
+    if simulation.now > client.due_us + tick_us:
+        late_ms = (simulation.now - client.due_us) / scenario.MS
+        simulation.violate("answer-by-deadline", f"{name}: {late_ms:g} ms late")
+    if outcome.verdict is Verdict.REJECTED and not _is_retry_harmless(simulation, client):
+        simulation.violate("harmless-refusal", f"{name}: refused, and it may have run")
+
+
+def _is_retry_harmless(simulation: Simulation, client: Client) -> bool:
     """Whether the client of a rejected call may submit it again without running it twice."""
     call_class = scenario.CLASSES[client.class_name]
     if call_class.idempotency is Idempotency.IDEMPOTENT:
@@ -52,107 +53,111 @@
     everywhere = call_class.deduplication_scope is DeduplicationScope.ALL
     if call_class.idempotency is Idempotency.WITH_KEY and everywhere:
         return True
-    return not any(line.may_run() for line in _arrivals_of(world, client))
+    return not any(line.may_run() for line in _arrivals_of(simulation, client))
 
 
-def _arrivals_of(world: Simulation, client: Client) -> list[Line]:
-    return [line for line in world.arrivals if world.client_of(line.call) is client]
+def _arrivals_of(simulation: Simulation, client: Client) -> list[Line]:
+    return [line for line in simulation.arrivals if simulation.client_of(line.call) is client]
 
 
-def on_write(world: Simulation, link: Link, message: dict[str, Any]) -> None:
+def on_write(simulation: Simulation, link: Link, message: dict[str, Any]) -> None:
     """Check a message that starts to be written."""
-    if message["kind"] in NEW_WORK and link.worker in world.unavailable_since_us:
-        world.violate("nothing-after-drain", f"{message['kind']} to {link.worker}")
-    if message["kind"] == "CALL" and world.client_of(message["call"]).away:
-        world.violate("nothing-for-the-gone", f"an attempt at {link.worker}")
+    if message["kind"] in NEW_WORK and link.worker in simulation.unavailable_since_us:
+        simulation.violate("nothing-after-drain", f"{message['kind']} to {link.worker}")
+    if message["kind"] == "CALL" and simulation.client_of(message["call"]).away:
+        simulation.violate("nothing-for-the-gone", f"an attempt at {link.worker}")
 
 
-def on_arrival(world: Simulation, line: Line) -> None:
+def on_arrival(simulation: Simulation, line: Line) -> None:
     """Check a call that a worker has received complete, and may run from now on.
 
-    `world.arrivals` has those before it.
+    `simulation.arrivals` has those before it.
     """
-    client = world.client_of(line.call)
-    earlier = _arrivals_of(world, client)
+    client = simulation.client_of(line.call)
+    earlier = _arrivals_of(simulation, client)
     if len(earlier) >= scenario.attempts_of(client.epoch):
-        world.violate("attempt-limit", f"{client.class_name}: attempt {len(earlier) + 1}")
+        simulation.violate("attempt-limit", f"{client.class_name}: attempt {len(earlier) + 1}")
     may_have_run = next((one for one in earlier if one.may_run()), None)
     if may_have_run is None:
         return
     match scenario.CLASSES[client.class_name].idempotency:
         case Idempotency.NOT_IDEMPOTENT:
             workers = f"at {may_have_run.link.worker}, then at {line.link.worker}"
-            world.violate("unsafe-once", workers)
+            simulation.violate("unsafe-once", workers)
         case Idempotency.WITH_KEY:
-            _check_repeat(world, client.class_name, may_have_run, line)
+            _check_repeat(simulation, client.class_name, may_have_run, line)
 
 
-def _check_repeat(world: Simulation, class_name: str, first: Line, again: Line) -> None:
+def _check_repeat(simulation: Simulation, class_name: str, first: Line, again: Line) -> None:
     """Check that the worker of a repeated call with a key drops the repeat."""
     call_class = scenario.CLASSES[class_name]
-    age_us = world.now - first.at_us
-    if not _in_scope(world, call_class.deduplication_scope, first.link.worker, again.link.worker):
+    age_us = simulation.now - first.at_us
+    if not _in_scope(simulation, call_class.deduplication_scope, first.link.worker, again.link.worker):
         workers = f"at {first.link.worker}, then at {again.link.worker}"
-        world.violate("keyed-in-scope", f"{class_name}: {workers}")
+        simulation.violate("keyed-in-scope", f"{class_name}: {workers}")
     elif age_us >= call_class.deduplication_window_us:
-        world.violate("keyed-in-scope", f"{class_name}: again after {age_us / scenario.MS:g} ms")
+        simulation.violate("keyed-in-scope", f"{class_name}: again after {age_us / scenario.MS:g} ms")
 
 
-def _in_scope(world: Simulation, scope: DeduplicationScope, first: str, second: str) -> bool:
+def _in_scope(simulation: Simulation, scope: DeduplicationScope, first: str, second: str) -> bool:
     """Whether two workers drop each other's repeats."""
     one, other = int(first[1:]), int(second[1:])
     match scope:
         case DeduplicationScope.ZONE:
-            return world.case.zones[one] == world.case.zones[other]
+            return simulation.case.zones[one] == simulation.case.zones[other]
         case DeduplicationScope.CELL:
-            return world.case.cells[one] == world.case.cells[other]
+            return simulation.case.cells[one] == simulation.case.cells[other]
     return True
 
 
-def at_each(world: Simulation) -> None:
+def at_each(simulation: Simulation) -> None:
     """Check what has to hold after every event."""
-    if world.counters["policy.mixed_calls"]:
-        world.violate("one-policy", f"{world.counters['policy.mixed_calls']} attempts under another")
-    for client in world.clients:
-        _check_request(world, client)
-    if world.counters["states.invalid_transitions"]:
-        world.violate("no-forbidden-move", f"{world.counters['states.invalid_transitions']} of them")
-
-
-def _check_request(world: Simulation, client: Client) -> None:
-    pending = world.core.open.get(client.number)
+    if simulation.counters["policy.mixed_calls"]:
+        simulation.violate(
+            "one-policy", f"{simulation.counters['policy.mixed_calls']} attempts under another"
+        )
+    for client in simulation.clients:
+        _check_request(simulation, client)
+    if simulation.counters["states.invalid_transitions"]:
+        simulation.violate(
+            "no-forbidden-move", f"{simulation.counters['states.invalid_transitions']} of them"
+        )
+
+
+def _check_request(simulation: Simulation, client: Client) -> None:
+    pending = simulation.core.open.get(client.number)
     if pending is None:
         return
-    in_flight = any(call == client.number for call, _ in world.core.flights)
+    in_flight = any(call == client.number for call, _ in simulation.core.flights)
     if client.away and not in_flight:
-        world.violate("nothing-for-the-gone", f"{client.class_name}: waits on")
+        simulation.violate("nothing-for-the-gone", f"{client.class_name}: waits on")
     if pending.attempts > scenario.attempts_of(client.epoch):
-        world.violate("attempt-limit", f"{client.class_name}: {pending.attempts} attempts")
+        simulation.violate("attempt-limit", f"{client.class_name}: {pending.attempts} attempts")
 
 
-def at_rest(world: Simulation) -> None:
+def at_rest(simulation: Simulation) -> None:
     """Let time pass without events until nothing can be left, and check that nothing is."""
     for _ in range(scenario.REST_STEPS):
-        world.pass_time()
-        at_each(world)
-    if world.stopped and world.core.open:
-        world.violate("drain-ends", f"{len(world.core.open)} calls owed for good")
-    for client in world.clients:
+        simulation.pass_time()
+        at_each(simulation)
+    if simulation.stopped and simulation.core.open:
+        simulation.violate("drain-ends", f"{len(simulation.core.open)} calls owed for good")
+    for client in simulation.clients:
         if client.is_waiting():
-            world.violate("answer-by-deadline", f"{client.class_name}: no answer")
-    for name, kept in _kept(world).items():
+            simulation.violate("answer-by-deadline", f"{client.class_name}: no answer")
+    for name, kept in _kept(simulation).items():
         if kept:
-            world.violate("nothing-kept", f"{name}: {kept}")
-    if wrong := {name: count for name, count in _busy_counts(world).items() if count}:
-        world.violate("counts-return", str(wrong))
+            simulation.violate("nothing-kept", f"{name}: {kept}")
+    if wrong := {name: count for name, count in _busy_counts(simulation).items() if count}:
+        simulation.violate("counts-return", str(wrong))
 
 
-def _kept(world: Simulation) -> dict[str, object]:
+def _kept(simulation: Simulation) -> dict[str, object]:
     """What the components hold of calls, attempts, load requests and connections."""
-    core, pool = world.core, world.pool
+    core, pool = simulation.core, simulation.pool
     dispatcher = core.dispatcher
     # The dispatcher requests loads by itself, also now; only overdue ones must have been forgotten.
-    overdue_us = world.now - 2 * scenario.ORDER_US
+    overdue_us = simulation.now - 2 * scenario.ORDER_US
     return {
         "open": core.open,
         "flights": core.flights,
@@ -166,9 +171,9 @@
     }
 
 
-def _busy_counts(world: Simulation) -> dict[str, int]:
+def _busy_counts(simulation: Simulation) -> dict[str, int]:
     """The dispatcher's counts of calls in flight."""
-    dispatcher = world.core.dispatcher
+    dispatcher = simulation.core.dispatcher
     counts = {f"row {entry.function}": entry.busy for entry in dispatcher.tiers.functions.values()}
     for worker in dispatcher.workers.values():
         name = worker.entry.worker
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -12,7 +12,8 @@
 
 from maplestile.tools.explore import fingerprint, properties
 from maplestile.tools.explore.cases import Case, Event, Example
-from maplestile.tools.explore.simulation import SHIPPED, Components, Simulation, Violation
+from maplestile.tools.explore.records import Violation
+from maplestile.tools.explore.simulation import SHIPPED, Components, Simulation
 
 
 @dataclass(slots=True)
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -21,8 +21,8 @@
 
 import json
 from collections import Counter
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple, Protocol
+from dataclasses import dataclass
+from typing import Any, Protocol
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import Result, WorkerState
@@ -34,6 +34,7 @@
 from maplestile.tools.explore.cases import Case, Event
 from maplestile.tools.explore.connections import Line, Link, SimulatedPool
 from maplestile.tools.explore.enabled_events import enabled_events
+from maplestile.tools.explore.records import Client, Violation
 from maplestile.wire import runner as wire
 from maplestile.wire.messages import Outcome, Request
 
@@ -47,30 +48,6 @@
 WARM_AGE_US = 20_000 * scenario.MS  # how long workers have run at the start: past their slow start
 
 
-class Violation(NamedTuple):
-    """A property that does not hold, and how it was violated."""
-
-    property: str
-    detail: str
-
-
-@dataclass(slots=True)
-class Client:
-    """A call as its client knows it."""
-
-    number: int  # of the core
-    class_name: str
-    due_us: int
-    epoch: int  # of the policy that it came under
-    outcomes: list[tuple[int, Outcome]] = field(default_factory=list)  # when, and which
-    left: bool = False
-    away: bool = False
-
-    def is_waiting(self) -> bool:
-        """Whether an answer is still due to the client."""
-        return not self.left and not self.outcomes
-
-
 @dataclass(slots=True, frozen=True)
 class Components:
     """What is explored: the shipped components, or ones with a deliberate fault that must be found."""
@@ -86,13 +63,13 @@
 class InvariantChecker(Protocol):
     """What checks a simulation while it runs; the module `properties` is one."""
 
-    def on_answer(self, world: "Simulation", client: Client, outcome: Outcome) -> None:
+    def on_answer(self, simulation: "Simulation", client: Client, outcome: Outcome) -> None:
         """Check a final answer."""
 
-    def on_write(self, world: "Simulation", link: Link, message: dict[str, Any]) -> None:
+    def on_write(self, simulation: "Simulation", link: Link, message: dict[str, Any]) -> None:
         """Check a line that starts to be written."""
 
-    def on_arrival(self, world: "Simulation", line: Line) -> None:
+    def on_arrival(self, simulation: "Simulation", line: Line) -> None:
         """Check a call that a worker has received complete."""
 
 
--- a/maplestile/tools/explore/socket_checks.py
+++ b/maplestile/tools/explore/socket_checks.py
@@ -5,8 +5,8 @@
 
 from maplestile.tools.explore import scenario
 from maplestile.tools.explore.cases import Case
+from maplestile.tools.explore.records import Violation
 from maplestile.tools.explore.scripted_workers import ReceivedCall
-from maplestile.tools.explore.simulation import Violation
 
 US_PER_S = 1e6
 REFUSED_STATUS = 503
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -21,9 +21,10 @@
 import maplestile
 from maplestile.tools.explore import properties, scenario
 from maplestile.tools.explore.cases import CASES, Case, CaseError, Event, Example
+from maplestile.tools.explore.records import Violation
 from maplestile.tools.explore.router_process import RouterUnderTest
 from maplestile.tools.explore.scripted_workers import Peer, Received, ScriptedWorker
-from maplestile.tools.explore.simulation import WORKER_STATES, Simulation, Violation
+from maplestile.tools.explore.simulation import WORKER_STATES, Simulation
 from maplestile.tools.explore.socket_checks import US_PER_S, Clients, violations
 
 PATIENCE_S = 10.0  # until an event must have come about
