--- a/maplestile/tools/explore/cases.py
+++ b/maplestile/tools/explore/cases.py
@@ -55,14 +55,14 @@
     """A bounded set of runs: the calls, the workers, and what may happen to them."""
 
     name: str
-    about: str
+    summary: str
     classes: tuple[str, ...]  # of the calls, in the order in which they come: `scenario.CLASSES`
-    may: tuple[str, ...]  # events beside submit, up, ok, time and drained
-    faults: int  # of `may`, at the most
+    fault_events: tuple[str, ...]  # that may happen, beside submit, up, ok, time and drained
+    max_faults: int  # how many of them may happen
     workers: int = 2
     zones: tuple[str, ...] = ("a", "a")
     cells: tuple[int, ...] = (1, 1)
-    quiet: int = 6  # steps of time, at the most: a call's deadline is four
+    max_time_steps: int = 6  # a call's deadline is four
 
 
 FAULTS = (*ANSWERS, *LINKS)
@@ -101,7 +101,7 @@
             ("unsafe",),
             ("part", "reset", "refuse", "error"),
             3,
-            quiet=5,
+            max_time_steps=5,
         ),
         Case(
             "drain",
@@ -109,7 +109,7 @@
             ("unsafe",),
             (*LISTS, "refuse", "reset", "part"),
             3,
-            quiet=4,
+            max_time_steps=4,
         ),
         Case(
             "drain-safe",
@@ -117,7 +117,7 @@
             ("safe",),
             (*LISTS, "reset"),
             3,
-            quiet=5,
+            max_time_steps=5,
         ),
         Case(
             "away",
@@ -132,7 +132,7 @@
             ("safe",),
             ("away", "error", "reset"),
             3,
-            quiet=5,
+            max_time_steps=5,
         ),
         Case(
             "two",
@@ -141,7 +141,7 @@
             ("full", "reset", "leave"),
             2,
             workers=1,
-            quiet=5,
+            max_time_steps=5,
         ),
         Case(
             "two-unsafe",
@@ -149,7 +149,7 @@
             ("unsafe", "unsafe"),
             ("error", "reset", "drain"),
             2,
-            quiet=4,
+            max_time_steps=4,
         ),
         Case(
             "policy",
@@ -157,7 +157,7 @@
             ("safe", "safe"),
             ("policy", "error", "reset"),
             3,
-            quiet=4,
+            max_time_steps=4,
         ),
         Case(
             "stop",
@@ -165,7 +165,7 @@
             ("safe", "unsafe"),
             ("stop", "reset", "leave"),
             2,
-            quiet=6,
+            max_time_steps=6,
         ),
     )
 }
--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -55,7 +55,7 @@
         return 2
     reports = _explore_all(names, arguments)
     if arguments.json:
-        print(json.dumps([report.told() | {"peak_mb": peak_mb} for report, peak_mb in reports], indent=2))
+        print(json.dumps([report.as_json() | {"peak_mb": peak_mb} for report, peak_mb in reports], indent=2))
     else:
         _print_reports(reports)
     if arguments.save is not None:
@@ -65,7 +65,7 @@
 
 def _print_list() -> None:
     for case in CASES.values():
-        print("case", case.name, case.about, sep="\t")
+        print("case", case.name, case.summary, sep="\t")
     for name, about in properties.NAMES.items():
         print("property", name, about, sep="\t")
 
@@ -89,13 +89,13 @@
     depths = {name: arguments.depth if is_bounded else SMALL.get(name, DEFAULT_DEPTH) for name in names}
     with ProcessPoolExecutor(min(len(names), os.cpu_count() or 1)) as pool:
         runs = [
-            pool.submit(explored, name, depth, arguments.states, arguments.seconds)
+            pool.submit(_explore_case, name, depth, arguments.states, arguments.seconds)
             for name, depth in depths.items()
         ]
         return [run.result() for run in runs]
 
 
-def explored(name: str, depth: int, states: int, seconds: float) -> tuple[Report, float]:
+def _explore_case(name: str, depth: int, states: int, seconds: float) -> tuple[Report, float]:
     """Explore one case; the report, and the most memory that this process has had, in MB."""
     report = explore(CASES[name], depth, states, seconds)
     return report, round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1)
--- a/maplestile/tools/explore/enabled_events.py
+++ b/maplestile/tools/explore/enabled_events.py
@@ -21,7 +21,7 @@
     clients: list[Client]
     links: list[Link]
     state: dict[str, WorkerState]  # by worker
-    faults: int  # events of `Case.may` that have happened
+    faults: int  # events of `Case.fault_events` that have happened
     steps: int  # of time that have passed
     stopped: bool  # the router's process drains
 
@@ -29,7 +29,7 @@
 def enabled_events(simulation: SimulationState) -> list[Event]:
     """The events that may happen next, always in the same order."""
     case = simulation.case
-    faults = case.may if simulation.faults < case.faults else ()
+    faults = case.fault_events if simulation.faults < case.max_faults else ()
     return [
         *_client_events(simulation, faults),
         *(event for link in simulation.links if link.open for event in _link_events(link, faults)),
@@ -94,5 +94,5 @@
         yield ("policy",)
     if "stop" in faults and not simulation.stopped:
         yield ("stop",)
-    if simulation.steps < simulation.case.quiet and simulation.clients:
+    if simulation.steps < simulation.case.max_time_steps and simulation.clients:
         yield ("time",)
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -29,7 +29,7 @@
     seconds: float = 0.0
     example: Example | None = None
 
-    def told(self) -> dict[str, Any]:
+    def as_json(self) -> dict[str, Any]:
         """The report as a JSON object."""
         values = {name: getattr(self, name) for name in self.__slots__ if name != "example"}
         values["seconds"] = round(self.seconds, 2)
@@ -53,10 +53,10 @@
 
 
 def play(
-    case: Case, events: Sequence[Event], parts: Components = SHIPPED, until_idle: bool = True
+    case: Case, events: Sequence[Event], components: Components = SHIPPED, until_idle: bool = True
 ) -> PlayResult:
     """Play the events from the start, then (with `until_idle`) let time pass until nothing more happens."""
-    simulation = Simulation(case, properties, parts)
+    simulation = Simulation(case, properties, components)
     try:
         for event in events:
             simulation.play(event)
@@ -75,18 +75,18 @@
 class _Search:
     """The state of one search."""
 
-    def __init__(self, case: Case, parts: Components, report: Report) -> None:
+    def __init__(self, case: Case, components: Components, report: Report) -> None:
         self.case = case
-        self.parts = parts
+        self.components = components
         self.report = report
         self.seen: set[bytes] = set()
         self.frontier: deque[tuple[tuple[Event, ...], list[Event]]] = deque()
 
     def visit(self, events: tuple[Event, ...]) -> None:
         """Play a list of events; a new state is put into the frontier, a violation into the report."""
-        result = play(self.case, events, self.parts)
+        result = play(self.case, events, self.components)
         if result.problems:
-            self.report.example = shrunk(self.case, events, result.problems[0], self.parts)
+            self.report.example = shrink(self.case, events, result.problems[0], self.components)
         elif result.digest not in self.seen:
             self.seen.add(result.digest)
             self.report.depth = max(self.report.depth, len(events))
@@ -102,12 +102,12 @@
 
 
 def explore(
-    case: Case, depth: int = 0, states: int = 0, seconds: float = 0.0, parts: Components = SHIPPED
+    case: Case, depth: int = 0, states: int = 0, seconds: float = 0.0, components: Components = SHIPPED
 ) -> Report:
     """Search until nothing new is found, a property is violated, or a bound is met (0 for none)."""
     started_s = time.monotonic()
     report = Report(case.name, bound=depth)
-    search = _Search(case, parts, report)
+    search = _Search(case, components, report)
     search.visit(())
     while search.frontier and report.example is None:
         events, enabled = search.frontier.popleft()
@@ -123,10 +123,10 @@
     return report
 
 
-def shrunk(
-    case: Case, events: Sequence[Event], problem: tuple[str, str], parts: Components = SHIPPED
+def shrink(
+    case: Case, events: Sequence[Event], problem: tuple[str, str], components: Components = SHIPPED
 ) -> Example:
-    """The example without every event that the violation of the same property does not need."""
+    """Make an example without any event that the violation of the same property does not need."""
     name, detail = problem
     kept = list(events)
     has_shrunk = True
@@ -134,14 +134,14 @@
         has_shrunk = False
         for index in range(len(kept) - 1, -1, -1):
             fewer = kept[:index] + kept[index + 1 :]
-            if _violates(case, fewer, name, parts) is not None:
+            if _violates(case, fewer, name, components) is not None:
                 kept = fewer
                 has_shrunk = True
-    found = _violates(case, kept, name, parts)
+    found = _violates(case, kept, name, components)
     return Example(case.name, name, tuple(kept), detail if found is None else found)
 
 
-def _violates(case: Case, events: Sequence[Event], name: str, parts: Components) -> str | None:
+def _violates(case: Case, events: Sequence[Event], name: str, components: Components) -> str | None:
     """How the events violate the property of this name; None where they do not."""
-    problems = play(case, events, parts).problems
+    problems = play(case, events, components).problems
     return next((problem.detail for problem in problems if problem.property == name), None)
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -53,7 +53,7 @@
     """What is explored: the shipped components, or ones with a deliberate fault that must be found."""
 
     core: type[Core] = Core
-    module: type[Dispatcher] = Dispatcher
+    dispatcher: type[Dispatcher] = Dispatcher
     pool: type[SimulatedPool] = SimulatedPool
 
 
@@ -104,7 +104,7 @@
         self.core = components.core(
             settings, limits, scenario.SEED, self.pool, lambda: self.now, self._alarm, self.counters
         )
-        self.core.dispatcher = components.module(scenario.settings(), scenario.SEED)
+        self.core.dispatcher = components.dispatcher(scenario.settings(), scenario.SEED)
         self.core.dispatcher.context.random = scenario.DeterministicRandom()
         self.pool.core = self.core
 
@@ -135,7 +135,7 @@
             return
         name = str(event[0])
         numbers = [int(number) for number in event[1:]]
-        self.faults += name in self.case.may
+        self.faults += name in self.case.fault_events
         if name in LINK_EVENTS:
             self._play_at_link(name, self.links[numbers[0]], *numbers[1:])
         elif name in WORKER_STATES:
--- a/tests/record_fronts.py
+++ b/tests/record_fronts.py
@@ -301,7 +301,7 @@
     """What the explorer finds in deliberate faults, as it is saved, and how it replays."""
     told: list[str] = []
     for _, case, parts in (fault for fault in FAULTS if fault[0] in SAVED):
-        example = explore(CASES[case], depth=7, parts=parts).example
+        example = explore(CASES[case], depth=7, components=parts).example
         assert example is not None
         problems = play(CASES[case], example.events, parts).problems
         told.append(example.text() + "".join(f"replayed: {name}: {text}\n" for name, text in problems))
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -28,7 +28,7 @@
 def test_a_deliberate_fault_is_found_and_shrunk_to_what_it_needs(
     name: str, case: str, parts: Components
 ) -> None:
-    report = explore(CASES[case], depth=7, parts=parts)
+    report = explore(CASES[case], depth=7, components=parts)
     example = report.example
     assert example is not None and example.property == name
     for at in range(len(example.events)):  # no event is there without need
@@ -41,12 +41,12 @@
 @pytest.mark.parametrize("name", SMALL)
 def test_small_cases_hold(name: str) -> None:
     report = explore(CASES[name], depth=SMALL[name])
-    assert report.example is None, report.told()
+    assert report.example is None, report.as_json()
     assert report.visited > 500
 
 
 def test_a_case_is_explored_to_its_end_or_says_that_it_was_not() -> None:
-    small = Case("small", "", ("unsafe",), ("error", "reset"), 1, workers=1, quiet=4)
+    small = Case("small", "", ("unsafe",), ("error", "reset"), 1, workers=1, max_time_steps=4)
     whole = explore(small)
     assert whole.complete and whole.example is None and whole.visited > 20
     for cut in (explore(small, depth=4), explore(small, states=10), explore(small, seconds=1e-9)):
@@ -79,7 +79,7 @@
         assert play(CASES[example.case], example.events).problems == [], file
         assert example.text() == file.read_text()
     example = read(FOUND / "keyed-window.json")
-    broken = play(CASES[example.case], example.events, Components(module=ForgetsTheWindow)).problems
+    broken = play(CASES[example.case], example.events, Components(dispatcher=ForgetsTheWindow)).problems
     assert broken[0][0] == "keyed-in-scope"
 
 
@@ -172,7 +172,7 @@
 
     @initialize(classes=strategies.lists(strategies.sampled_from(CLASSES), min_size=3, max_size=3))
     def begin(self, classes: list[str]) -> None:
-        may = (
+        fault_events = (
             "error",
             "full",
             "miss",
@@ -188,7 +188,7 @@
             "return",
             "stop",
         )
-        case = Case("random", "", tuple(classes), may, 12, 3, ("a", "a", "b"), (1, 2, 2), 40)
+        case = Case("random", "", tuple(classes), fault_events, 12, 3, ("a", "a", "b"), (1, 2, 2), 40)
         self.world = Simulation(case, properties)
 
     @precondition(lambda self: hasattr(self, "world") and self.world.enabled())
