--- a/maplestile/tools/explore/cases.py
+++ b/maplestile/tools/explore/cases.py
@@ -1,49 +1,12 @@
-"""The bounded cases, and the files that hold a counterexample.
+"""The bounded cases that the explorer plays."""
 
-    {"version": 1, "case": "unsafe", "property": "unsafe-once", "events": [["submit"], ["up", 0], ...]}
-
-An event is a name and its numbers; `simulation.py` says what each does.
-"""
-
-import json
-from collections.abc import Mapping
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Any
 
 from maplestile.common.toml_table import ConfigError
+from maplestile.tools.explore.events import ANSWERS, EventKind
 
-VERSION = 1
-MAX_EVENTS = 200
-MAX_NUMBER = 999  # in an event
-Event = tuple[str | int, ...]
-
-# Events beside successful answers, by what they concern.
-ANSWERS = ("error", "full", "miss")
-LINKS = ("refuse", "reset")
-LISTS = ("drain", "gone", "return")
-EVENTS: Mapping[str, int] = {  # how many numbers follow each event's name
-    "submit": 0,
-    "leave": 1,
-    "away": 1,
-    "up": 1,
-    "refuse": 1,
-    "reset": 1,
-    "part": 1,
-    "drained": 1,
-    "stray": 1,
-    "ok": 2,
-    "error": 2,
-    "full": 2,
-    "miss": 2,
-    "again": 2,
-    "time": 0,
-    "drain": 1,
-    "gone": 1,
-    "return": 1,
-    "stop": 0,
-    "policy": 0,
-}
+LINK_FAULTS = (EventKind.REFUSE, EventKind.RESET)
+LIST_CHANGES = (EventKind.DRAIN, EventKind.GONE, EventKind.RETURN)
 
 
 class CaseError(ConfigError):
@@ -57,7 +20,7 @@
     name: str
     summary: str
     classes: tuple[str, ...]  # of the calls, in the order in which they come: `scenario.CLASSES`
-    fault_events: tuple[str, ...]  # that may happen, beside submit, up, ok, time and drained
+    fault_events: tuple[EventKind, ...]  # that may happen, beside submit, up, ok, time and drained
     max_faults: int  # how many of them may happen
     workers: int = 2
     zones: tuple[str, ...] = ("a", "a")
@@ -65,18 +28,18 @@
     max_time_steps: int = 6  # a call's deadline is four
 
 
-FAULTS = (*ANSWERS, *LINKS)
+CALL_FAULTS = (*ANSWERS, *LINK_FAULTS)
 CASES = {
     case.name: case
     for case in (
-        Case("safe", "a safe call and all that its attempts can meet", ("safe",), FAULTS, 3),
-        Case("unsafe", "an unsafe call: never out again where it may have run", ("unsafe",), FAULTS, 3),
-        Case("keyed-all", "a keyed call whose repeats all workers drop", ("keyed-all",), FAULTS, 3),
+        Case("safe", "a safe call and all that its attempts can meet", ("safe",), CALL_FAULTS, 3),
+        Case("unsafe", "an unsafe call: never out again where it may have run", ("unsafe",), CALL_FAULTS, 3),
+        Case("keyed-all", "a keyed call whose repeats all workers drop", ("keyed-all",), CALL_FAULTS, 3),
         Case(
             "keyed-zone",
             "a keyed call, its workers in two zones",
             ("keyed-zone",),
-            FAULTS,
+            CALL_FAULTS,
             3,
             zones=("a", "b"),
         ),
@@ -84,7 +47,7 @@
             "keyed-cell",
             "a keyed call, its workers in two cells",
             ("keyed-cell",),
-            FAULTS,
+            CALL_FAULTS,
             3,
             cells=(1, 2),
         ),
@@ -92,14 +55,14 @@
             "late",
             "answers that come twice, late, or for nobody",
             ("unsafe",),
-            ("error", "again", "stray", "reset", "leave"),
+            (EventKind.ERROR, EventKind.AGAIN, EventKind.STRAY, EventKind.RESET, EventKind.LEAVE),
             3,
         ),
         Case(
             "parts",
             "lines that the system takes in part",
             ("unsafe",),
-            ("part", "reset", "refuse", "error"),
+            (EventKind.PART, EventKind.RESET, EventKind.REFUSE, EventKind.ERROR),
             3,
             max_time_steps=5,
         ),
@@ -107,7 +70,7 @@
             "drain",
             "a worker drains, goes, and returns under its address",
             ("unsafe",),
-            (*LISTS, "refuse", "reset", "part"),
+            (*LIST_CHANGES, EventKind.REFUSE, EventKind.RESET, EventKind.PART),
             3,
             max_time_steps=4,
         ),
@@ -115,7 +78,7 @@
             "drain-safe",
             "the same under a safe call, with second copies",
             ("safe",),
-            (*LISTS, "reset"),
+            (*LIST_CHANGES, EventKind.RESET),
             3,
             max_time_steps=5,
         ),
@@ -123,14 +86,21 @@
             "away",
             "a client closes its side, wherever its call is",
             ("unsafe",),
-            ("away", "full", "miss", "refuse", "reset", "part"),
+            (
+                EventKind.AWAY,
+                EventKind.FULL,
+                EventKind.MISS,
+                EventKind.REFUSE,
+                EventKind.RESET,
+                EventKind.PART,
+            ),
             3,
         ),
         Case(
             "away-safe",
             "the same under a safe call, with second copies",
             ("safe",),
-            ("away", "error", "reset"),
+            (EventKind.AWAY, EventKind.ERROR, EventKind.RESET),
             3,
             max_time_steps=5,
         ),
@@ -138,7 +108,7 @@
             "two",
             "two calls of one function at one worker",
             ("unsafe", "safe"),
-            ("full", "reset", "leave"),
+            (EventKind.FULL, EventKind.RESET, EventKind.LEAVE),
             2,
             workers=1,
             max_time_steps=5,
@@ -147,7 +117,7 @@
             "two-unsafe",
             "two unsafe calls at two workers",
             ("unsafe", "unsafe"),
-            ("error", "reset", "drain"),
+            (EventKind.ERROR, EventKind.RESET, EventKind.DRAIN),
             2,
             max_time_steps=4,
         ),
@@ -155,7 +125,7 @@
             "policy",
             "the policy changes while calls are in hand",
             ("safe", "safe"),
-            ("policy", "error", "reset"),
+            (EventKind.POLICY, EventKind.ERROR, EventKind.RESET),
             3,
             max_time_steps=4,
         ),
@@ -163,7 +133,7 @@
             "stop",
             "the process is told to end with calls in hand",
             ("safe", "unsafe"),
-            ("stop", "reset", "leave"),
+            (EventKind.STOP, EventKind.RESET, EventKind.LEAVE),
             2,
             max_time_steps=6,
         ),
@@ -182,61 +152,3 @@
     "stop": 7,
     "policy": 6,
 }
-
-
-@dataclass(slots=True, frozen=True)
-class Example:
-    """A list of events that breaks a property."""
-
-    case: str
-    property: str
-    events: tuple[Event, ...]
-    detail: str = ""  # how it does; `told` in the file
-
-    def text(self) -> str:
-        """The example in the form of its file."""
-        head = {"version": VERSION, "case": self.case, "property": self.property, "told": self.detail}
-        lines = ",\n  ".join(json.dumps(event) for event in self.events)
-        return json.dumps(head, indent=1)[:-2] + f',\n "events": [\n  {lines}\n ]\n}}\n'
-
-
-def read(path: Path) -> Example:
-    """Read a file; raises `CaseError` naming the place of what is wrong."""
-    try:
-        document = json.loads(path.read_text(encoding="utf-8"))
-    except OSError as error:
-        raise CaseError(f"{path}: {error.strerror}") from None
-    except ValueError as error:
-        raise CaseError(f"{path}: no JSON: {error}") from None
-    if not isinstance(document, dict):
-        raise CaseError(f"{path}: must be an object")
-    return _example(path, document)
-
-
-def _example(path: Path, document: dict[str, Any]) -> Example:
-    if document.get("version") != VERSION:
-        raise CaseError(f"{path}: version: must be {VERSION}")
-    if document.get("case") not in CASES:
-        raise CaseError(f"{path}: case: must be one of {', '.join(CASES)}")
-    events = document.get("events")
-    if not isinstance(events, list) or not 0 < len(events) <= MAX_EVENTS:
-        raise CaseError(f"{path}: events: must be a list of 1 to {MAX_EVENTS}")
-    return Example(
-        document["case"],
-        str(document.get("property", "")),
-        tuple(_event(f"{path}: events[{index}]", event) for index, event in enumerate(events)),
-        str(document.get("told", "")),
-    )
-
-
-def _event(place: str, value: Any) -> Event:
-    if not isinstance(value, list) or not value or value[0] not in EVENTS:
-        raise CaseError(f"{place}: must begin with one of {', '.join(EVENTS)}")
-    name, *numbers = value
-    if len(numbers) != EVENTS[name] or not all(map(_is_number, numbers)):
-        raise CaseError(f"{place}: '{name}' takes {EVENTS[name]} numbers")
-    return tuple(value)
-
-
-def _is_number(value: object) -> bool:
-    return type(value) is int and 0 <= value <= MAX_NUMBER
--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from maplestile.tools.explore import properties
-from maplestile.tools.explore.cases import CASES, SMALL, CaseError, Example, read
+from maplestile.tools.explore.cases import CASES, SMALL, CaseError
+from maplestile.tools.explore.example_files import Example, read
 from maplestile.tools.explore.search import Report, explore, play
 
 MAX_DEPTH = 30
@@ -107,7 +108,7 @@
         counts = (report.visited, report.played, report.depth)
         print(report.case, *counts, f"{report.seconds:.1f}", f"{peak_mb:.0f} MB", _verdict(report), sep="\t")
         if report.example is not None:
-            events = (f"  {' '.join(map(str, event))}" for event in report.example.events)
+            events = (f"  {event}" for event in report.example.events)
             print(report.example.detail, *events, sep="\n")
 
 
--- a/maplestile/tools/explore/enabled_events.py
+++ b/maplestile/tools/explore/enabled_events.py
@@ -5,8 +5,9 @@
 
 from maplestile.dispatch.api import WorkerState
 from maplestile.requests.core import Core
-from maplestile.tools.explore.cases import ANSWERS, Case, Event
+from maplestile.tools.explore.cases import Case
 from maplestile.tools.explore.connections import Link
+from maplestile.tools.explore.events import ANSWERS, Event, EventKind
 from maplestile.tools.explore.records import Client
 
 ANSWERED_KINDS = ("CALL", "LOAD", "STATS")  # messages that a worker answers
@@ -38,61 +39,61 @@
     ]
 
 
-def _client_events(simulation: SimulationState, faults: Sequence[str]) -> Iterator[Event]:
+def _client_events(simulation: SimulationState, faults: Sequence[EventKind]) -> Iterator[Event]:
     has_ended = simulation.stopped and simulation.now >= simulation.core.leave_us
     if len(simulation.clients) < len(simulation.case.classes) and not has_ended:
-        yield ("submit",)
+        yield Event(EventKind.SUBMIT)
     for number, client in enumerate(simulation.clients):
         if not client.is_waiting():
             continue
-        if "leave" in faults:
-            yield "leave", number
-        if "away" in faults and not client.away:
-            yield "away", number
+        if EventKind.LEAVE in faults:
+            yield Event(EventKind.LEAVE, (number,))
+        if EventKind.AWAY in faults and not client.away:
+            yield Event(EventKind.AWAY, (number,))
 
 
-def _link_events(link: Link, faults: Sequence[str]) -> Iterator[Event]:
+def _link_events(link: Link, faults: Sequence[EventKind]) -> Iterator[Event]:
     if link.connection.socket is None:
-        yield "up", link.number
-        if "refuse" in faults:
-            yield "refuse", link.number
+        yield Event(EventKind.UP, (link.number,))
+        if EventKind.REFUSE in faults:
+            yield Event(EventKind.REFUSE, (link.number,))
         return
     yield from _answer_events(link, faults)
-    if "reset" in faults:
-        yield "reset", link.number
+    if EventKind.RESET in faults:
+        yield Event(EventKind.RESET, (link.number,))
     if link.held:
-        yield "drained", link.number
-    elif "part" in faults and not link.part:
-        yield "part", link.number
-    if "stray" in faults:
-        yield "stray", link.number
+        yield Event(EventKind.DRAINED, (link.number,))
+    elif EventKind.PART in faults and not link.part:
+        yield Event(EventKind.PART, (link.number,))
+    if EventKind.STRAY in faults:
+        yield Event(EventKind.STRAY, (link.number,))
 
 
-def _answer_events(link: Link, faults: Sequence[str]) -> Iterator[Event]:
+def _answer_events(link: Link, faults: Sequence[EventKind]) -> Iterator[Event]:
     for number, line in enumerate(link.lines):
         if line.kind not in ANSWERED_KINDS:
             continue
         if not line.answers:
-            yield "ok", link.number, number
-            yield from ((answer, link.number, number) for answer in ANSWERS if answer in faults)
-        elif line.answers == 1 and "again" in faults:
-            yield "again", link.number, number
+            yield Event(EventKind.OK, (link.number, number))
+            yield from (Event(answer, (link.number, number)) for answer in ANSWERS if answer in faults)
+        elif line.answers == 1 and EventKind.AGAIN in faults:
+            yield Event(EventKind.AGAIN, (link.number, number))
 
 
-def _worker_events(simulation: SimulationState, faults: Sequence[str]) -> Iterator[Event]:
+def _worker_events(simulation: SimulationState, faults: Sequence[EventKind]) -> Iterator[Event]:
     for number, state in enumerate(simulation.state.values()):
-        if state is WorkerState.RUNNING and "drain" in faults:
-            yield "drain", number
-        if state is not WorkerState.GONE and "gone" in faults:
-            yield "gone", number
-        if state is not WorkerState.RUNNING and "return" in faults:
-            yield "return", number
-
-
-def _router_events(simulation: SimulationState, faults: Sequence[str]) -> Iterator[Event]:
-    if "policy" in faults:
-        yield ("policy",)
-    if "stop" in faults and not simulation.stopped:
-        yield ("stop",)
+        if state is WorkerState.RUNNING and EventKind.DRAIN in faults:
+            yield Event(EventKind.DRAIN, (number,))
+        if state is not WorkerState.GONE and EventKind.GONE in faults:
+            yield Event(EventKind.GONE, (number,))
+        if state is not WorkerState.RUNNING and EventKind.RETURN in faults:
+            yield Event(EventKind.RETURN, (number,))
+
+
+def _router_events(simulation: SimulationState, faults: Sequence[EventKind]) -> Iterator[Event]:
+    if EventKind.POLICY in faults:
+        yield Event(EventKind.POLICY)
+    if EventKind.STOP in faults and not simulation.stopped:
+        yield Event(EventKind.STOP)
     if simulation.steps < simulation.case.max_time_steps and simulation.clients:
-        yield ("time",)
+        yield Event(EventKind.TIME)
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -5,6 +5,7 @@
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import NEVER_RAN, DeduplicationScope, Idempotency
+from maplestile.tools.explore.events import EventKind
 from maplestile.wire import runner as wire
 from maplestile.wire.limits import Limits
 
@@ -37,8 +38,15 @@
         *(_call_class(f"keyed-{scope.value}", Idempotency.WITH_KEY, scope) for scope in DeduplicationScope),
     )
 }
-KINDS = {"ok": "200", "error": "500", "full": "503", "miss": "404"}  # of answers on the wire, by event
-NEVER = [kind for kind, result in wire.RESULTS.items() if result in NEVER_RAN]  # proof that a call never ran
+ANSWER_KINDS = {  # on the wire, by the event that is a worker's answer
+    EventKind.OK: "200",
+    EventKind.ERROR: "500",
+    EventKind.FULL: "503",
+    EventKind.MISS: "404",
+}
+NEVER_RAN_KINDS = [
+    kind for kind, result in wire.RESULTS.items() if result in NEVER_RAN
+]  # proof that a call never ran
 
 
 def attempts_of(epoch: int) -> int:
--- a/maplestile/tools/explore/scripted_workers.py
+++ b/maplestile/tools/explore/scripted_workers.py
@@ -1,4 +1,4 @@
-"""Workers on loopback that accept the router's connections, keep what they receive, and answer as told."""
+"""Workers on loopback that accept the router's connections, keep what they receive, and answer on demand."""
 
 import asyncio
 import base64
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -11,7 +11,9 @@
 from typing import Any
 
 from maplestile.tools.explore import fingerprint, properties
-from maplestile.tools.explore.cases import Case, Event, Example
+from maplestile.tools.explore.cases import Case
+from maplestile.tools.explore.events import Event
+from maplestile.tools.explore.example_files import Example, encode
 from maplestile.tools.explore.records import Violation
 from maplestile.tools.explore.simulation import SHIPPED, Components, Simulation
 
@@ -39,7 +41,7 @@
 
 
 def _example_json(example: Example) -> dict[str, Any]:
-    events = [list(event) for event in example.events]
+    events = [encode(event) for event in example.events]
     return {"property": example.property, "told": example.detail, "events": events}
 
 
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -31,18 +31,18 @@
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.pool import Connection
 from maplestile.tools.explore import scenario
-from maplestile.tools.explore.cases import Case, Event
+from maplestile.tools.explore.cases import Case
 from maplestile.tools.explore.connections import Line, Link, SimulatedPool
 from maplestile.tools.explore.enabled_events import enabled_events
+from maplestile.tools.explore.events import LINK_EVENTS, Event, EventKind
 from maplestile.tools.explore.records import Client, Violation
 from maplestile.wire import runner as wire
 from maplestile.wire.messages import Outcome, Request
 
-LINK_EVENTS = ("up", "refuse", "reset", "part", "drained", "stray", "again", *scenario.KINDS)
 WORKER_STATES = {
-    "drain": WorkerState.DRAINING,
-    "gone": WorkerState.GONE,
-    "return": WorkerState.RUNNING,
+    EventKind.DRAIN: WorkerState.DRAINING,
+    EventKind.GONE: WorkerState.GONE,
+    EventKind.RETURN: WorkerState.RUNNING,
 }
 FIRST_PORT = 9000
 WARM_AGE_US = 20_000 * scenario.MS  # how long workers have run at the start: past their slow start
@@ -133,62 +133,61 @@
         """Have an event happen; one that cannot happen now is ignored. Raises what the components raise."""
         if event not in self.enabled():
             return
-        name = str(event[0])
-        numbers = [int(number) for number in event[1:]]
-        self.faults += name in self.case.fault_events
-        if name in LINK_EVENTS:
-            self._play_at_link(name, self.links[numbers[0]], *numbers[1:])
-        elif name in WORKER_STATES:
-            self._change_worker(f"w{numbers[0]}", name)
+        kind, numbers = event
+        self.faults += kind in self.case.fault_events
+        if kind in LINK_EVENTS:
+            self._play_at_link(kind, self.links[numbers[0]], *numbers[1:])
+        elif kind in WORKER_STATES:
+            self._change_worker(f"w{numbers[0]}", kind)
         elif numbers:
-            self._play_at_client(name, self.clients[numbers[0]])
+            self._play_at_client(kind, self.clients[numbers[0]])
         else:
-            self._play_at_router(name)
+            self._play_at_router(kind)
 
-    def _play_at_client(self, name: str, client: Client) -> None:
-        match name:
-            case "leave":
+    def _play_at_client(self, kind: EventKind, client: Client) -> None:
+        match kind:
+            case EventKind.LEAVE:
                 client.left = True
                 self.core.withdraw(client.number)
-            case "away":
+            case EventKind.AWAY:
                 client.away = True
                 self.core.client_gone(client.number)
 
-    def _play_at_router(self, name: str) -> None:
-        match name:
-            case "submit":
+    def _play_at_router(self, kind: EventKind) -> None:
+        match kind:
+            case EventKind.SUBMIT:
                 self._submit()
-            case "stop":
+            case EventKind.STOP:
                 self.stopped = True
                 self.core.leave(self.now + scenario.LEAVE_US)
-            case "policy":
+            case EventKind.POLICY:
                 self.epoch += 1
                 self.core.adopt(scenario.settings(self.epoch), self.core.limits)
-            case "time":
+            case EventKind.TIME:
                 self.steps += 1
                 self.pass_time()
 
-    def _play_at_link(self, name: str, link: Link, number: int = 0) -> None:
-        match name:
-            case "up":
+    def _play_at_link(self, kind: EventKind, link: Link, number: int = 0) -> None:
+        match kind:
+            case EventKind.UP:
                 self.pool.up(link.connection, link)
-            case "refuse":
+            case EventKind.REFUSE:
                 self.pool.close(link.connection, Result.CONNECT_FAILED)
-            case "reset":
+            case EventKind.RESET:
                 self.pool.close(link.connection, Result.RESET)
-            case "part":
+            case EventKind.PART:
                 link.part = True
-            case "drained":
+            case EventKind.DRAINED:
                 line, link.held = link.held, b""
                 link.deliver(line)
                 self.pool.drained(link.connection)
-            case "stray":
-                self._send_answer(link, "nobody", scenario.KINDS["ok"])
-            case "again":
+            case EventKind.STRAY:
+                self._send_answer(link, "nobody", scenario.ANSWER_KINDS[EventKind.OK])
+            case EventKind.AGAIN:
                 link.lines[number].answers += 1
-                self._send_answer(link, link.lines[number].call, scenario.KINDS["ok"])
+                self._send_answer(link, link.lines[number].call, scenario.ANSWER_KINDS[EventKind.OK])
             case _:
-                self._answer(link.lines[number], scenario.KINDS[name])
+                self._answer(link.lines[number], scenario.ANSWER_KINDS[kind])
 
     def _submit(self) -> None:
         number = len(self.clients)
@@ -203,7 +202,7 @@
 
     def _answer(self, line: Line, kind: str) -> None:
         line.answers += 1
-        line.never_ran = line.never_ran or kind in scenario.NEVER
+        line.never_ran = line.never_ran or kind in scenario.NEVER_RAN_KINDS
         self._send_answer(line.link, line.call, kind)
 
     def _send_answer(self, link: Link, call: str, kind: str) -> None:
@@ -214,9 +213,9 @@
         self.core.catch_up()
         self.pool.settled(link.connection)
 
-    def _change_worker(self, worker: str, name: str) -> None:
-        self.state[worker] = WORKER_STATES[name]
-        if name == "return":
+    def _change_worker(self, worker: str, kind: EventKind) -> None:
+        self.state[worker] = WORKER_STATES[kind]
+        if kind is EventKind.RETURN:
             self.incarnations[worker] += 1
             self.unavailable_since_us.pop(worker, None)
         else:
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -20,16 +20,18 @@
 
 import maplestile
 from maplestile.tools.explore import properties, scenario
-from maplestile.tools.explore.cases import CASES, Case, CaseError, Event, Example
+from maplestile.tools.explore.cases import CASES, Case, CaseError
+from maplestile.tools.explore.events import WORKER_EVENTS, Event, EventKind
+from maplestile.tools.explore.example_files import Example
 from maplestile.tools.explore.records import Violation
 from maplestile.tools.explore.router_process import RouterUnderTest
 from maplestile.tools.explore.scripted_workers import Peer, Received, ScriptedWorker
-from maplestile.tools.explore.simulation import WORKER_STATES, Simulation
+from maplestile.tools.explore.simulation import Simulation
 from maplestile.tools.explore.socket_checks import US_PER_S, Clients, violations
 
-PATIENCE_S = 10.0  # until an event must have come about
-LOOK_S = 0.005  # between two looks whether it has
-REST_S = 1.5  # after the last event
+EVENT_TIMEOUT_S = 10.0  # until an event must have come about
+POLL_INTERVAL_S = 0.005  # between two checks whether it has
+FINAL_WAIT_S = 1.5  # after the last event
 SETTLE_S = 0.03  # after every event
 ROOT = Path(maplestile.__file__).parent.parent
 
@@ -50,7 +52,7 @@
         self.draining_since_s: dict[str, float] = {}
         self.gone: set[str] = set()
         self.left_out: list[str] = []  # events that cannot be had on sockets
-        self.refused_links = [int(event[1]) for event in example.events if event[0] == "refuse"]
+        self.refused_links = [event.numbers[0] for event in example.events if event.kind is EventKind.REFUSE]
         self.dialled = _dialled_workers(example)
 
     async def run(self) -> dict[str, Any]:
@@ -62,7 +64,7 @@
         try:
             for number, event in enumerate(events):
                 await self._play(event, events[number + 1 :])
-            await asyncio.sleep(REST_S)
+            await asyncio.sleep(FINAL_WAIT_S)
             found = self._violations()
         finally:
             await self._stop()
@@ -99,41 +101,40 @@
     async def _play(self, event: Event, coming: Sequence[Event]) -> None:
         """Have an event happen; `coming` are those after it."""
         await self._arrange(coming)
-        name = str(event[0])
-        numbers = [int(number) for number in event[1:]]
-        match name:
-            case "submit":
+        kind, numbers = event
+        match kind:
+            case EventKind.SUBMIT:
                 self._submit()
-            case "leave":
+            case EventKind.LEAVE:
                 self.clients.left.add(numbers[0])
                 self.client_tasks[numbers[0]].cancel()
-            case "time":
+            case EventKind.TIME:
                 await asyncio.sleep(scenario.STEP_US / US_PER_S)
-            case _ if name in WORKER_STATES:
-                await self._change_worker(f"w{numbers[0]}", name)
+            case _ if kind in WORKER_EVENTS:
+                await self._change_worker(f"w{numbers[0]}", kind)
             case _:
-                await self._play_at_link(name, *numbers)
+                await self._play_at_link(kind, *numbers)
         await asyncio.sleep(SETTLE_S)
 
-    async def _play_at_link(self, name: str, link: int = 0, line: int = 0) -> None:
-        match name:
-            case "up":
-                await self._until(lambda: len(self.received.peers) > self._accepted(link), name)
-            case "refuse":
+    async def _play_at_link(self, kind: EventKind, link: int = 0, line: int = 0) -> None:
+        match kind:
+            case EventKind.UP:
+                await self._until(lambda: len(self.received.peers) > self._accepted(link), kind)
+            case EventKind.REFUSE:
                 pass  # `_arrange` has closed the worker's port
-            case "reset":
+            case EventKind.RESET:
                 self._peer(link).reset()
-            case "stray":
-                self._peer(link).answer("nobody", scenario.KINDS["ok"])
-            case "again":
+            case EventKind.STRAY:
+                self._peer(link).answer("nobody", scenario.ANSWER_KINDS[EventKind.OK])
+            case EventKind.AGAIN:
                 peer = self._peer(link)
-                peer.answer(str(peer.messages[line]["call"]), scenario.KINDS["ok"])
-            case _ if name in scenario.KINDS:
+                peer.answer(str(peer.messages[line]["call"]), scenario.ANSWER_KINDS[EventKind.OK])
+            case _ if kind in scenario.ANSWER_KINDS:
                 peer = self._peer(link)
-                await self._until(lambda: len(peer.messages) > line, name)
-                self._answer(peer, peer.messages[line], scenario.KINDS[name])
+                await self._until(lambda: len(peer.messages) > line, kind)
+                self._answer(peer, peer.messages[line], scenario.ANSWER_KINDS[kind])
             case _:
-                self.left_out.append(name)
+                self.left_out.append(kind.value)
 
     async def _arrange(self, coming: Sequence[Event]) -> None:
         """Open or close each worker's port for its next connection.
@@ -142,8 +143,8 @@
         """
         accepts: dict[str, bool] = {}
         for event in coming:
-            if event[0] in ("up", "refuse") and int(event[1]) < len(self.dialled):
-                accepts.setdefault(self.dialled[int(event[1])], event[0] == "up")
+            if event.kind in (EventKind.UP, EventKind.REFUSE) and event.numbers[0] < len(self.dialled):
+                accepts.setdefault(self.dialled[event.numbers[0]], event.kind is EventKind.UP)
         for name, worker in self.workers.items():
             await worker.listen(accepts.get(name, True) and name not in self.gone)
 
@@ -154,12 +155,12 @@
     def _peer(self, link: int) -> Peer:
         return self.received.peers[self._accepted(link)]
 
-    async def _until(self, condition: Callable[[], bool], event_name: str) -> None:
-        end_s = time.monotonic() + PATIENCE_S
+    async def _until(self, condition: Callable[[], bool], kind: EventKind) -> None:
+        end_s = time.monotonic() + EVENT_TIMEOUT_S
         while not condition():
             if time.monotonic() > end_s:
-                raise CaseError(f"events: '{event_name}' did not come about on sockets")
-            await asyncio.sleep(LOOK_S)
+                raise CaseError(f"events: '{kind}' did not come about on sockets")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _submit(self) -> None:
         number = len(self.client_tasks)
@@ -187,18 +188,18 @@
             writer.close()
 
     def _answer(self, peer: Peer, message: dict[str, Any], kind: str) -> None:
-        if message["kind"] == "CALL" and kind in scenario.NEVER:
+        if message["kind"] == "CALL" and kind in scenario.NEVER_RAN_KINDS:
             for call in self.received.calls:
                 if call.call == message["body"] and call.worker == peer.worker:
                     call.never_ran = True
         peer.answer(str(message["call"]), kind)
 
-    async def _change_worker(self, worker: str, event_name: str) -> None:
-        if event_name == "drain":
+    async def _change_worker(self, worker: str, kind: EventKind) -> None:
+        if kind is EventKind.DRAIN:
             self.draining_since_s[worker] = time.monotonic()
             await self.router.request("PUT", f"/v1/runners/{worker}/suspend")
             return
-        if event_name == "gone":
+        if kind is EventKind.GONE:
             self.draining_since_s.setdefault(worker, time.monotonic())
             self.gone.add(worker)
         else:
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -10,7 +10,7 @@
 from maplestile.dispatch.state import Attempt, Call, Worker
 from maplestile.requests.core import AttemptId, Core
 from maplestile.requests.endpoint_list import EndpointList
-from maplestile.requests.states import AttemptState as Life
+from maplestile.requests.states import AttemptState
 from maplestile.tools.explore.connections import SimulatedPool
 from maplestile.tools.explore.simulation import Components
 from maplestile.wire.messages import Outcome
@@ -19,10 +19,10 @@
 
 class AnswersTwice(Core):
     def _finish(self, call: int, outcome: Outcome) -> None:  # the popping left out
-        owed = self.open.get(call)
+        pending = self.open.get(call)
         super()._finish(call, outcome)
-        if owed is not None and outcome.ran:
-            self.open[call] = owed
+        if pending is not None and outcome.ran:
+            self.open[call] = pending
 
 
 class KeepsFailuresBack(Core):
@@ -115,10 +115,10 @@
 
 class KeepsBytes(Core):
     def withdraw(self, call: int) -> None:
-        owed = self.open.get(call)
+        pending = self.open.get(call)
         super().withdraw(call)
-        if owed is not None:
-            self.open_bytes += owed.request.bytes()
+        if pending is not None:
+            self.open_bytes += pending.request.bytes()
 
 
 class EndsNothing(Core):
@@ -140,7 +140,7 @@
     def cancel(self, attempt: AttemptId) -> None:
         found = self.where.get(attempt)
         super().cancel(attempt)
-        if found is not None and found[1].state is Life.CANCELLED:
+        if found is not None and found[1].state is AttemptState.CANCELLED:
             self.where[attempt] = found
             found[0].open[found[1].tag] = attempt
 
--- a/tests/record_fronts.py
+++ b/tests/record_fronts.py
@@ -18,7 +18,8 @@
 from maplestile.control.policy.document import Document
 from maplestile.operation import metrics as figures
 from maplestile.router.config import config_from
-from maplestile.tools.explore.cases import CASES, read
+from maplestile.tools.explore.cases import CASES
+from maplestile.tools.explore.example_files import read
 from maplestile.tools.explore.search import explore, play
 from maplestile.tools.faults.relay import Relay
 from maplestile.tools.faults.schedule import ScheduleError, schedule_from
