--- a/maplestile/tools/faults/command.py
+++ b/maplestile/tools/faults/command.py
@@ -28,7 +28,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Serve the relay until the process is interrupted."""
     # Imported here, so that other commands start without it.
-    from maplestile.tools.faults import relay
+    from maplestile.tools.faults import control_port
 
     try:
         schedule = _read_schedule(arguments.file)
@@ -36,7 +36,7 @@
         print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
         return 2
     try:
-        asyncio.run(relay.serve(schedule, parse_address(arguments.control)))
+        asyncio.run(control_port.serve(schedule, parse_address(arguments.control)))
     except OSError as error:
         print(f"maplestile: the relay cannot listen: {error}", file=sys.stderr)
         return 1
--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -44,17 +44,17 @@
 
 import random
 from dataclasses import dataclass
+from enum import StrEnum
 
 from maplestile.common.toml_table import ConfigError, TomlTable
 
-MEMBERS_MOST = 2000
+MAX_MEMBERS = 2000
 DURATION_MOST_S = 24 * 3600.0
 MAX_DELAY_MS = 60_000
 MAX_SEED = (1 << 63) - 1
 US_PER_MS = 1000
 US_PER_S = 1e6
 MIN_FLAP_S = 1e-3  # the shortest time for which a flapping link is down, or up
-KINDS = ("kill", "pause", "split", "cut", "flap")
 FOREVER_US = int(DURATION_MOST_S * US_PER_S)
 
 
@@ -62,9 +62,19 @@
     """A schedule that cannot be used; the text names the field."""
 
 
+class FaultKind(StrEnum):
+    """The kinds of faults; the value is the name of their tables in a file."""
+
+    KILL = "kill"
+    PAUSE = "pause"
+    SPLIT = "split"
+    CUT = "cut"
+    FLAP = "flap"
+
+
 @dataclass(slots=True, frozen=True)
 class Net:
-    """What befalls each datagram on every link; shares from 0 to 1, times in microseconds."""
+    """What happens to each datagram on every link; shares from 0 to 1, times in microseconds."""
 
     loss: float = 0.0
     delay_us: int = 500
@@ -78,7 +88,7 @@
 class Fault:
     """One fault, from `at_us` on."""
 
-    kind: str  # one of KINDS
+    kind: FaultKind
     at_us: int
     until_us: int  # the end of a pause, split, cut or flap; a kill has none
     members: frozenset[int] = frozenset()  # killed or paused; of a cut or flap, those it comes from
@@ -99,11 +109,11 @@
         if not self.at_us <= now_us < self.until_us:
             return False
         match self.kind:
-            case "split":
+            case FaultKind.SPLIT:
                 return self.side(origin) != self.side(target)
-            case "cut":
+            case FaultKind.CUT:
                 return self._concerns(origin, target)
-            case "flap":
+            case FaultKind.FLAP:
                 concerned = self._concerns(origin, target) or self._concerns(target, origin)
                 return concerned and self._is_down(now_us)
         return False
@@ -128,24 +138,24 @@
         """Whether nothing passes from `origin` to `target` at that moment."""
         return any(fault.cuts(origin, target, now_us) for fault in self.faults)
 
-    def fate(self, origin: int, target: int, now_us: int, chance: random.Random) -> tuple[int, ...]:
+    def fate(self, origin: int, target: int, now_us: int, draws: random.Random) -> tuple[int, ...]:
         """The delays in microseconds after which a datagram arrives.
 
         There are none where it is lost, and two where it comes twice.
         """
         net = self.net
-        if chance.random() < net.loss or self.cut(origin, target, now_us):
+        if draws.random() < net.loss or self.cut(origin, target, now_us):
             return ()
-        delays = [self.delay_us(chance)]
-        if net.reorder and chance.random() < net.reorder:
+        delays = [self.delay_us(draws)]
+        if net.reorder and draws.random() < net.reorder:
             delays[0] += net.reorder_us
-        if net.duplicate and chance.random() < net.duplicate:
-            delays.append(self.delay_us(chance))
+        if net.duplicate and draws.random() < net.duplicate:
+            delays.append(self.delay_us(draws))
         return tuple(delays)
 
-    def delay_us(self, chance: random.Random) -> int:
+    def delay_us(self, draws: random.Random) -> int:
         """Draw the one-way delay of a datagram."""
-        return self.net.delay_us + int(chance.expovariate(1.0) * self.net.jitter_us)
+        return self.net.delay_us + int(draws.expovariate(1.0) * self.net.jitter_us)
 
 
 def schedule_from(top: TomlTable) -> Schedule:
@@ -153,10 +163,12 @@
 
     Raises `ScheduleError` naming the field.
     """
-    members = top.whole("members", least=2, most=MEMBERS_MOST)
+    members = top.whole("members", least=2, most=MAX_MEMBERS)
     seed = top.whole("seed", most=MAX_SEED)
     net = _net(top.table("net"))
-    faults = [_fault(kind, table, members) for kind in KINDS for table in top.tables(kind, needed=False)]
+    faults = [
+        _fault(kind, table, members) for kind in FaultKind for table in top.tables(kind.value, needed=False)
+    ]
     return Schedule(seed, members, net, tuple(sorted(faults, key=lambda fault: fault.at_us)))
 
 
@@ -173,14 +185,14 @@
     return net
 
 
-def _fault(kind: str, table: TomlTable, members: int) -> Fault:
+def _fault(kind: FaultKind, table: TomlTable, members: int) -> Fault:
     at_us = _seconds(table, "at_s")
     match kind:
-        case "kill":
+        case FaultKind.KILL:
             fault = Fault(kind, at_us, FOREVER_US, _member(table, members))
-        case "pause":
+        case FaultKind.PAUSE:
             fault = Fault(kind, at_us, at_us + _seconds(table, "for_s"), _member(table, members))
-        case "split":
+        case FaultKind.SPLIT:
             until_us = _end(table, at_us)
             sides = tuple(frozenset(side) for side in table.groups("sides", members))
             fault = Fault(kind, at_us, until_us, sides=sides)
@@ -190,12 +202,12 @@
     return fault
 
 
-def _link_fault(kind: str, table: TomlTable, at_us: int, members: int) -> Fault:
+def _link_fault(kind: FaultKind, table: TomlTable, at_us: int, members: int) -> Fault:
     """A cut or a flap."""
     until_us = _end(table, at_us)
     origins = frozenset(table.numbers("from", members))
     targets = frozenset(table.numbers("to", members))
-    if kind == "cut":
+    if kind is FaultKind.CUT:
         return Fault(kind, at_us, until_us, origins, targets)
     down_us = _seconds(table, "down_s", MIN_FLAP_S)
     up_us = _seconds(table, "up_s", MIN_FLAP_S)
--- a/tests/record_fronts.py
+++ b/tests/record_fronts.py
@@ -21,6 +21,7 @@
 from maplestile.tools.explore.cases import CASES
 from maplestile.tools.explore.example_files import read
 from maplestile.tools.explore.search import explore, play
+from maplestile.tools.faults.control_port import ControlPort
 from maplestile.tools.faults.relay import Relay
 from maplestile.tools.faults.schedule import ScheduleError, schedule_from
 from maplestile.tools.model import experiment
@@ -380,10 +381,9 @@
     async def ask() -> str:
         relay = Relay(schedule_from(TomlTable({"seed": 1, "members": 3}, "", ScheduleError)))
         await relay.open()
-        told: list[str] = []
-        for line in lines:
-            told.append(f"> {line}\n{json.dumps(await relay.told(line.encode()))}\n")
-        return masked("".join(told))
+        port = ControlPort(relay)
+        replies = [f"> {line}\n{json.dumps(await port.execute(line.encode()))}\n" for line in lines]
+        return masked("".join(replies))
 
     return asyncio.run(ask())
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,19 +4,21 @@
 import json
 import random
 import unittest
+from collections.abc import Callable
 from typing import Any
 
 from maplestile.common.toml_table import TomlTable
+from maplestile.tools.faults.control_port import ControlPort
 from maplestile.tools.faults.relay import Relay
-from maplestile.tools.faults.schedule import Fault, Net, Schedule, ScheduleError, schedule_from
+from maplestile.tools.faults.schedule import Fault, FaultKind, Net, Schedule, ScheduleError, schedule_from
 
-FLAP = Fault("flap", 100, 1000, frozenset({0}), frozenset({1}), down_us=30, up_us=70)
+FLAP = Fault(FaultKind.FLAP, 100, 1000, frozenset({0}), frozenset({1}), down_us=30, up_us=70)
 
 
 class ScheduleTest(unittest.TestCase):
     def test_what_a_fault_cuts_and_when(self) -> None:
-        split = Fault("split", 10, 20, sides=(frozenset({0, 1}), frozenset({2})))
-        cut = Fault("cut", 10, 20, frozenset({0}), frozenset({1}))
+        split = Fault(FaultKind.SPLIT, 10, 20, sides=(frozenset({0, 1}), frozenset({2})))
+        cut = Fault(FaultKind.CUT, 10, 20, frozenset({0}), frozenset({1}))
         for fault, origin, target, now, expected in (
             (split, 0, 1, 15, False),
             (split, 0, 2, 15, True),
@@ -37,12 +39,12 @@
 
     def test_loss_and_duplicates_have_the_configured_shares(self) -> None:
         schedule = Schedule(1, 2, Net(loss=0.2, duplicate=0.1, reorder=0.3, reorder_us=1_000_000))
-        chance = random.Random(1)
-        delays = [schedule.fate(0, 1, 0, chance) for _ in range(5000)]
-        self.assertAlmostEqual(sum(not one for one in delays) / 5000, 0.2, delta=0.03)
-        self.assertAlmostEqual(sum(len(one) == 2 for one in delays) / 5000, 0.08, delta=0.02)
+        draws = random.Random(1)
+        delays = [schedule.fate(0, 1, 0, draws) for _ in range(5000)]
+        self.assertAlmostEqual(sum(not arrivals for arrivals in delays) / 5000, 0.2, delta=0.03)
+        self.assertAlmostEqual(sum(len(arrivals) == 2 for arrivals in delays) / 5000, 0.08, delta=0.02)
         self.assertAlmostEqual(
-            sum(max(one, default=0) >= 1_000_000 for one in delays) / 5000, 0.24, delta=0.03
+            sum(max(arrivals, default=0) >= 1_000_000 for arrivals in delays) / 5000, 0.24, delta=0.03
         )
 
     def test_a_bad_schedule_names_its_field(self) -> None:
@@ -72,6 +74,7 @@
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.relay = Relay(Schedule(1, 2))
+        self.control_port = ControlPort(self.relay)
         self.fronts = await self.relay.open()
         loop = asyncio.get_running_loop()
         self.ends = [await loop.create_datagram_endpoint(Echo, local_addr=("127.0.0.1", 0)) for _ in range(2)]
@@ -81,16 +84,16 @@
             self.addCleanup(front.transport.close)
 
     async def send(self, **command: Any) -> dict[str, Any]:
-        return await self.relay.told(json.dumps(command).encode())
+        return await self.control_port.execute(json.dumps(command).encode())
 
     async def register(self) -> None:
         for number, (transport, _) in enumerate(self.ends):
             host, port = transport.get_extra_info("sockname")
             self.assertTrue((await self.send(do="udp", member=number, address=f"{host}:{port}"))["ok"])
 
-    async def until(self, true: Any) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.01)
 
     async def test_datagrams_pass_are_cut_one_way_and_pass_again(self) -> None:
@@ -130,10 +133,10 @@
         self.assertEqual(self.relay.counts["tcp.chunks"], 0)
         await self.send(do="heal")
         async with asyncio.timeout(10):
-            got = bytearray()
+            received = bytearray()
             while chunk := await reader.read(65_536):
-                got += chunk
-        self.assertEqual(bytes(got), data)
+                received += chunk
+        self.assertEqual(bytes(received), data)
 
     async def test_what_cannot_be_done_is_answered_with_the_field(self) -> None:
         for line, place in (
@@ -145,7 +148,9 @@
             (b'{"do": "begin", "schedule": {"cut": [{"at_s": 1}]}}', r"schedule.cut[0].until_s"),
             (b'{"do": "heal", "now": 1}', "now"),
         ):
-            self.assertTrue(str((await self.relay.told(line)).get("error")).startswith(place), (line, place))
+            self.assertTrue(
+                str((await self.control_port.execute(line)).get("error")).startswith(place), (line, place)
+            )
 
 
 if __name__ == "__main__":
