--- /dev/null
+++ b/tests/record_agent_lines.py
@@ -0,0 +1,76 @@
+"""Records the answers of a real agent's command server."""
+
+import socket
+import tempfile
+from pathlib import Path
+
+from tests.record_router_fronts import close_workers, router_file
+from tests.recording import PROCESS_MASKS, Recorder, masked
+from tests.standins import PATIENCE_S, Program, Worker
+
+AGENT_FILE = """[agent]
+listen = "127.0.0.1:0"
+backoff_s = 600
+backoff_most_s = 600
+[[instance]]
+name = "stays"
+command = ["sleep", "600"]
+[[instance]]
+name = "lost"
+command = ["false"]
+[[instance]]
+name = "router"
+file = "router.toml"
+"""
+AGENT_LINES = (
+    '{"do": "status"}',
+    '{"do": "status", "instances": ["stays"]}',
+    '{"do": "status", "instances": ["nobody"]}',
+    '{"do": "nothing"}',
+    "{}",
+    "[]",
+    "x",
+    '{"do": "ready", "instances": ["stays", "lost"]}',
+    '{"do": "figures", "instances": ["stays"]}',
+    '{"do": "members", "instances": ["lost"]}',
+    '{"do": "suspend", "instances": ["stays"]}',
+    '{"do": "suspend", "instances": ["stays"], "runner": "w1"}',
+    '{"do": "reload", "instances": ["stays", "router"]}',
+    '{"do": "counters", "instances": ["lost"]}',
+    '{"do": "rollout", "what": "status"}',
+    '{"do": "policy", "what": "status"}',
+    '{"do": "control"}',
+    '{"do": "stop", "instances": ["lost"]}',
+    '{"do": "stop", "instances": ["stays"]}',
+)
+
+
+def agent_lines() -> str:
+    """The answers of a real agent with a router, a process that stays, and one that ends at once."""
+
+    def exchange(port: int, line: str) -> str:
+        with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as link:
+            link.sendall(line.encode() + b"\n")
+            with link.makefile("rb") as answer:
+                return f"> {line}\n{answer.read().decode()}"
+
+    with tempfile.TemporaryDirectory() as folder:
+        workers = [Worker(), Worker()]
+        router_file(Path(folder), workers)
+        (Path(folder) / "agent.toml").write_text(AGENT_FILE)
+        program = Program("agent", str(Path(folder) / "agent.toml"), TMPDIR=folder)
+        try:
+            port = int(program.find(r"agent listens on 127\.0\.0\.1:(\d+)"))
+            program.find(r"\[router\] (.*operator front listens)")
+            program.find(r"lost: (.*)")
+            transcript = "\n".join(exchange(port, line) for line in AGENT_LINES)
+            program.stop()
+        finally:
+            program.kill()
+            close_workers(workers)
+    return masked(transcript, PROCESS_MASKS)
+
+
+RECORDERS: dict[str, Recorder] = {
+    "agent-lines.txt": agent_lines,
+}
--- /dev/null
+++ b/tests/record_explorer.py
@@ -0,0 +1,63 @@
+"""Records the explorer's saved examples, and what becomes of spoilt ones."""
+
+import json
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from maplestile.tools.explore.cases import CASES
+from maplestile.tools.explore.example_files import read
+from maplestile.tools.explore.search import explore, play
+from tests.faulty import FAULTS
+from tests.recording import Recorder, run
+from tests.standins import ROOT
+
+SAVED = (  # properties whose violations are described without names of the code
+    "unsafe-once",
+    "keyed-in-scope",
+    "attempt-limit",
+)
+JsonTables = dict[str, Any]
+
+
+def saved_examples() -> str:
+    """What the explorer finds in deliberate faults, as it is saved, and how it replays."""
+    saved: list[str] = []
+    for _, case, components in (fault for fault in FAULTS if fault[0] in SAVED):
+        example = explore(CASES[case], depth=7, components=components).example
+        assert example is not None
+        problems = play(CASES[case], example.events, components).problems
+        replayed = "".join(f"replayed: {name}: {text}\n" for name, text in problems)
+        saved.append(example.text() + replayed)
+    return "\n".join(saved)
+
+
+def example_files() -> str:
+    """A saved example is written as it was read; a spoilt one is refused with its place."""
+    file = ROOT / "examples" / "explore" / "keyed-window.json"
+    results = [read(file).text()]
+    tables: JsonTables = json.loads(file.read_text())
+    changes: tuple[JsonTables, ...] = (
+        {"version": 2},
+        {"case": "nothing"},
+        {"events": []},
+        {"events": 1},
+        {"events": [["nothing"]]},
+        {"events": [["up"]]},
+        {"events": [["up", -1]]},
+        {"events": [["up", "0"]]},
+        {"events": [["submit", 1]]},
+        {"property": "other", "told": ""},
+    )
+    for changed in changes:
+        with tempfile.TemporaryDirectory() as folder:
+            spoilt = Path(folder) / "example.json"
+            spoilt.write_text(json.dumps(tables | changed))
+            results.append(f"{json.dumps(changed)}\n{run('explore', '--replay', str(spoilt))}")
+    return "\n".join(results)
+
+
+RECORDERS: dict[str, Recorder] = {
+    "explorer-saved-examples.txt": saved_examples,
+    "explorer-example-files.txt": example_files,
+}
--- /dev/null
+++ b/tests/record_faults.py
@@ -0,0 +1,72 @@
+"""Records what the schedules of faults do to datagrams, and the replies of the relay."""
+
+import asyncio
+import json
+import random
+
+from maplestile.common.toml_table import TomlTable
+from maplestile.tools.faults.control_port import ControlPort
+from maplestile.tools.faults.relay import Relay
+from maplestile.tools.faults.schedule import ScheduleError, schedule_from
+from maplestile.tools.model import experiment
+from tests.recording import Recorder, as_json, masked, relative
+from tests.standins import ROOT
+
+DRAWS = 12  # datagrams at each time looked at
+RELAY_LINES = (
+    "",
+    "[]",
+    "{}",
+    '{"do": "nothing"}',
+    '{"do": "counts"}',
+    '{"do": "counts", "more": 1}',
+    '{"do": "udp", "member": 0, "address": "127.0.0.1:1"}',
+    '{"do": "udp", "member": 9, "address": "127.0.0.1:1"}',
+    '{"do": "udp", "member": 0, "address": "10.0.0.1:1"}',
+    '{"do": "udp", "member": 0}',
+    '{"do": "tcp", "from": 0, "to": 1, "address": "127.0.0.1:1"}',
+    '{"do": "tcp", "from": 0, "to": 1, "address": "127.0.0.1:1"}',
+    '{"do": "tcp", "from": 0, "to": 7, "address": "127.0.0.1:1"}',
+    '{"do": "begin"}',
+    '{"do": "begin", "schedule": {"kill": [{"at_s": 1, "member": 1}]}}',
+    '{"do": "begin", "schedule": {"net": {"loss": 2}}}',
+    '{"do": "begin", "schedule": {"nothing": 2}}',
+    '{"do": "heal"}',
+    '{"do": "heal", "more": 1}',
+    '{"do": "counts"}',
+)
+
+
+def schedules() -> str:
+    """What each schedule of the examples does to datagrams, at some times, by known draws."""
+    played: dict[str, object] = {}
+    for file in sorted((ROOT / "examples" / "model").glob("*.toml")):
+        schedule = schedule_from(TomlTable(experiment.read(file), "", ScheduleError))
+        draws = random.Random(7)
+        played[relative(file)] = [
+            [
+                [schedule.cut(0, 9, at), schedule.cut(9, 0, at)],
+                [schedule.fate(0, 9, at, draws) for _ in range(DRAWS)],
+            ]
+            for at in (0, 15_000_000, 60_000_000)
+        ]
+    return as_json(played)
+
+
+def relay_replies() -> str:
+    """The answers of the relay's control port to right and wrong commands."""
+
+    async def replies() -> str:
+        relay = Relay(schedule_from(TomlTable({"seed": 1, "members": 3}, "", ScheduleError)))
+        await relay.open()
+        port = ControlPort(relay)
+        answers = [f"> {line}\n{json.dumps(await port.execute(line.encode()))}\n" for line in RELAY_LINES]
+        return masked("".join(answers))
+
+    return asyncio.run(replies())
+
+
+RECORDERS: dict[str, Recorder] = {
+    "faults-schedules.json": schedules,
+    "faults-relay.txt": relay_replies,
+}
--- /dev/null
+++ b/tests/record_files.py
@@ -0,0 +1,114 @@
+"""Records how documents of policy and the platform's configuration are read."""
+
+import json
+from collections.abc import Iterator
+from typing import Any
+
+from maplestile.common.toml_table import ConfigError
+from maplestile.control.policy.document import Document
+from maplestile.router.config import config_from
+from tests.recording import Recorder, as_json, masked, plain
+from tests.standins import params, target
+
+JsonTables = dict[str, Any]
+
+
+def policies() -> str:
+    """Documents of policy: the canonical text and the digest, or what is wrong."""
+    call_class = {"name": "review", "aim_ms": 800, "deadline_ms": 4000, "semantics": "safe"}
+    results: list[object] = []
+    documents: tuple[object, ...] = (
+        {},
+        {"rules": {"keep_s": 9.7, "attempts": 3}},
+        {"class": [call_class], "limits": {"records": 7}, "rules": {}},
+        [],
+        {"worker": []},
+        {"limits": []},
+        {"limits": {"sockets": 1}},
+        {"rules": {"x": float("nan")}},
+        {"rules": {"x": 20_000 * "x"}},
+    )
+    file = {"name": "r", "rules": {"attempts": 1}, "limits": {"sockets": 9, "records": 1}}
+    for tables in documents:
+        try:
+            document = Document.of(tables)
+            results.append([document.text, document.digest(), document.over(file)])
+        except ConfigError as fault:
+            results.append(f"refused: {fault}")
+    return as_json(results)
+
+
+def settings() -> str:
+    """The platform's configuration: what the router is given, and what its decisions and limits get; and the
+    errors for each field that is missing or of another type."""
+    targets = [target("s-0", 9001), target("s-1", 9002, "Terminating")]
+    known = {"index": 1, "updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]}
+    whole: JsonTables = {
+        "name": "n0",
+        "listen": "127.0.0.1:7000",
+        "dns": "127.0.0.1:5353",
+        "operator": "127.0.0.1:7001",
+        "seed": "ff",
+        "limits": {"sockets": 256, "memory_mb": 64},
+        "known": known,
+        "settings": params(zone="z", discovery="ask", tenants=[{"name": "t"}]),
+    }
+    results = {
+        "whole": _configured(whole),
+        "least": _configured({"settings": params(familyInfo={}, kinds=[])}),
+    }
+    for place, tables in (
+        ("", whole),
+        ("settings", whole["settings"]),
+        ("limits", whole["settings"]["limits"]),
+        ("guarantees", whole["settings"]["guarantees"]),
+        ("familyInfo", whole["settings"]["familyInfo"]),
+        ("grades", whole["settings"]["grades"][0]),
+    ):
+        for name in list(tables):
+            kept = tables.pop(name)
+            results[f"{place}.{name} missing"] = _configured(whole)
+            tables[name] = {"odd": []}
+            results[f"{place}.{name} odd"] = _configured(whole)
+            tables[name] = kept
+    first, *others = results.items()
+    least = dict(others[:1])
+    lines = [f"{place}: {_short(value, results['whole'])}" for place, value in others[1:]]
+    return as_json([dict([first]), least]) + masked("\n".join(lines)) + "\n"
+
+
+def _short(value: Any, whole: Any) -> str:
+    """Only what is otherwise than in the whole, by its place."""
+    if isinstance(value, str):
+        return value
+    before = dict(_leaves(whole, ""))
+    after = dict(_leaves(value, ""))
+    changed = [
+        f"{place} {json.dumps(after.get(place))}"
+        for place in sorted(before | after)
+        if before.get(place) != after.get(place)
+    ]
+    return f"taken: {', '.join(changed) or 'as whole'}"
+
+
+def _leaves(value: Any, place: str) -> Iterator[tuple[str, Any]]:
+    if isinstance(value, list):
+        for number, each in enumerate(value):
+            yield from _leaves(each, f"{place}/{number}")
+    else:
+        yield place, value
+
+
+def _configured(payload: JsonTables) -> Any:
+    try:
+        config = config_from(payload)
+    except ConfigError as fault:
+        return f"refused: {fault}"
+    addresses = [config.name, config.listen, config.dns, config.operation, config.seed]
+    return plain([addresses, config.settings, config.limits, config.fleet.shown()])
+
+
+RECORDERS: dict[str, Recorder] = {
+    "files-policy.json": policies,
+    "files-settings.txt": settings,
+}
--- /dev/null
+++ b/tests/record_metrics.py
@@ -0,0 +1,51 @@
+"""Records the text of the metrics and the names of the counters."""
+
+import ast
+
+from maplestile.operation import metrics
+from maplestile.wire.messages import Verdict
+from tests.recording import Recorder
+from tests.standins import ROOT
+
+
+def metrics_text() -> str:
+    """The text of known metrics, with everything that a router may report."""
+    answers = {
+        ("review", Verdict.SERVED): 3,
+        ("review", Verdict.REJECTED): 4,
+        ("review", Verdict.FAILED): 1,
+        ("review", Verdict.EXPIRED): 2,
+        ('a"b', Verdict.SERVED): 5,
+    }
+    membership = {name: number for number, name in enumerate(metrics.MEMBERSHIP)}
+    policy = {name: number + 0.5 for number, name in enumerate(metrics.POLICY)}
+    epochs = {3: {"calls": 7, "attempts": 8}, 4: {"calls": 1}}
+    report = metrics.MetricsReport(("review", 'a"b'), answers, 7, 2, 5, 1, membership, policy, epochs)
+    return metrics.text(report)
+
+
+def counter_names() -> str:
+    """The names of the project's own counters, wherever one is added to; what is put in is shown as `{}`."""
+    names = set[str]()
+    for file in (ROOT / "maplestile").rglob("*.py"):
+        for node in ast.walk(ast.parse(file.read_text())):
+            if isinstance(node, ast.AugAssign) and isinstance(node.target, ast.Subscript):
+                names |= _texts(node.target.slice)
+    return "\n".join(sorted(name for name in names if "." in name)) + "\n"
+
+
+def _texts(node: ast.expr) -> set[str]:
+    if isinstance(node, ast.Constant) and isinstance(node.value, str):
+        return {node.value}
+    if isinstance(node, ast.IfExp):
+        return _texts(node.body) | _texts(node.orelse)
+    if isinstance(node, ast.JoinedStr):
+        parts = (part.value if isinstance(part, ast.Constant) else "{}" for part in node.values)
+        return {"".join(str(part) for part in parts)}
+    return set()
+
+
+RECORDERS: dict[str, Recorder] = {
+    "metrics.txt": metrics_text,
+    "counter-names.txt": counter_names,
+}
