--- a/tests/record_command_line.py
+++ b/tests/record_command_line.py
@@ -279,7 +279,7 @@
     "w1": {"ok": False, "told": "it has no operators' front", "no_front": True},
 }
 YES = {"r1": {"ok": True, "told": ""}}
-TOLD: tuple[tuple[tuple[str, ...], object], ...] = (  # what is asked of an agent, and what it answers
+AGENT_REPLIES: tuple[tuple[tuple[str, ...], object], ...] = (  # a use of the command line, and the reply
     (("status",), INSTANCES),
     (("status", "--json", "r1", "w1"), INSTANCES),
     (("stop", "r1"), INSTANCES),
@@ -342,19 +342,19 @@
 
 
 def helps() -> str:
-    return "\n".join(run(*words, "--help") for words in COMMANDS)
+    return "\n".join(run(*command, "--help") for command in COMMANDS)
 
 
 def bad_uses() -> str:
-    return "\n".join(run(*words) for words in BAD_USES)
+    return "\n".join(run(*arguments) for arguments in BAD_USES)
 
 
 def bad_loads() -> str:
-    return "\n".join(run(*words) for words in BAD_LOADS)
+    return "\n".join(run(*arguments) for arguments in BAD_LOADS)
 
 
 def good_uses() -> str:
-    return "\n".join(run(*words) for words in GOOD_USES)
+    return "\n".join(run(*arguments) for arguments in GOOD_USES)
 
 
 def checks() -> str:
@@ -364,18 +364,19 @@
 
 def spoilt() -> str:
     """The folder stands beside the files that the spoilt ones name."""
-    shown: list[str] = []
-    for words, file, old, new in SPOILT:
+    results: list[str] = []
+    for command, file, old, new in SPOILT:
         text = (ROOT / file).read_text()
         if old not in text:
             raise AssertionError(f"{file} has no {old!r} to replace")
         with tempfile.TemporaryDirectory() as folder:
             changed = Path(folder) / "file.toml"
             changed.write_text(text.replace(old, new, 1))
-            told = run(*words.split(), str(changed), mask=False)
-        told = masked(re.sub(r"^\$ .*", f"$ maplestile {words} {file}: {old!r} -> {new!r}", told))
-        shown.append(told.replace("TEMPORARY/file.toml", "FILE"))
-    return "\n".join(shown)
+            result = run(*command.split(), str(changed), mask=False)
+        change = f"$ maplestile {command} {file}: {old!r} -> {new!r}"
+        result = masked(re.sub(r"^\$ .*", change, result))
+        results.append(result.replace("TEMPORARY/file.toml", "FILE"))
+    return "\n".join(results)
 
 
 def agent_files() -> str:
@@ -384,8 +385,8 @@
     for file in sorted((ROOT / "examples").rglob("*.toml")):
         try:
             read[relative(file)] = agents.load_settings(file)
-        except ConfigError as fault:
-            read[relative(file)] = f"refused: {fault}"
+        except ConfigError as error:
+            read[relative(file)] = f"refused: {error}"
     return as_json(read)
 
 
@@ -395,19 +396,19 @@
     for file in sorted((ROOT / "deploy").rglob("*.toml")):
         try:
             read[relative(file)] = operators.load(file)
-        except ConfigError as fault:
-            read[relative(file)] = f"refused: {fault}"
+        except ConfigError as error:
+            read[relative(file)] = f"refused: {error}"
     return as_json(read)
 
 
 def answers() -> str:
-    """What the command line asks of an agent, and prints of its answer."""
-    shown: list[str] = []
-    for words, reply in TOLD:
-        with agent(reply) as one:
-            told = run(*words, "--agent", one.address)
-            shown.append(told + "-- asked\n" + "\n".join(one.asked) + "\n")
-    return "\n".join(shown)
+    """What the command line sends to an agent, and prints of its reply."""
+    results: list[str] = []
+    for arguments, reply in AGENT_REPLIES:
+        with agent(reply) as stand_in:
+            printed = run(*arguments, "--agent", stand_in.address)
+            results.append(printed + "-- asked\n" + "\n".join(stand_in.requests) + "\n")
+    return "\n".join(results)
 
 
 RECORDERS: dict[str, Recorder] = {
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -33,7 +33,7 @@
     (re.compile(r"\('127\.0\.0\.1', [1-9]\d{4}\)"), "('127.0.0.1', PORT)"),
 )
 
-# Of what a real process tells; the stand-ins' answers are fixed and need none of these.
+# For the output of a real process; the stand-ins' answers are fixed and need none of these.
 PROCESS_MASKS = (
     *MASKS,
     (re.compile(r'"incarnation": \d+'), '"incarnation": NUMBER'),
@@ -60,11 +60,11 @@
             code: object = main(list(arguments))
         except SystemExit as end:
             code = end.code
-    shown = ["$ maplestile " + " ".join(arguments), f"exit {code}"]
+    lines = ["$ maplestile " + " ".join(arguments), f"exit {code}"]
     for name, stream in (("stdout", out), ("stderr", err)):
         if stream.getvalue():
-            shown += [f"-- {name}", stream.getvalue().rstrip("\n")]
-    text = "\n".join(shown) + "\n"
+            lines += [f"-- {name}", stream.getvalue().rstrip("\n")]
+    text = "\n".join(lines) + "\n"
     return masked(text) if mask else text
 
 
@@ -78,7 +78,7 @@
     if isinstance(value, Enum):
         return plain(value.value)
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
-        return [plain(getattr(value, one.name)) for one in dataclasses.fields(value)]
+        return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, Mapping):
         return {str(plain(key)): plain(each) for key, each in value.items()}
     if isinstance(value, set | frozenset):
@@ -99,11 +99,11 @@
 
 
 class StandInAgent:
-    """Answers each question of the command line with one reply, and keeps the lines that it was asked."""
+    """Answers each request of the command line with one reply, and keeps the lines of the requests."""
 
     def __init__(self, reply: object) -> None:
         self.reply = json.dumps(reply).encode() + b"\n"
-        self.asked: list[str] = []
+        self.requests: list[str] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         threading.Thread(target=self._serve, daemon=True).start()
@@ -116,7 +116,7 @@
                 return
             peer.settimeout(PATIENCE_S)
             with peer, peer.makefile("rb") as lines:
-                self.asked.append(lines.readline().decode().rstrip("\n"))
+                self.requests.append(lines.readline().decode().rstrip("\n"))
                 peer.sendall(self.reply)
 
     def close(self) -> None:
@@ -126,11 +126,11 @@
 
 @contextlib.contextmanager
 def agent(reply: object) -> Iterator[StandInAgent]:
-    one = StandInAgent(reply)
+    stand_in = StandInAgent(reply)
     try:
-        yield one
+        yield stand_in
     finally:
-        one.close()
+        stand_in.close()
 
 
 def record(recorders: Mapping[str, Recorder]) -> None:
