--- a/maplestile/tools/cli.py
+++ b/maplestile/tools/cli.py
@@ -16,7 +16,6 @@
     serving_commands,
     traces_command,
 )
-from maplestile.tools.agent_client import DEFAULT_AGENT, request_agent
 from maplestile.tools.explore import command as explore_command
 from maplestile.tools.faults import command as relay_command
 from maplestile.tools.load import command as load_command
@@ -31,8 +30,7 @@
     serving_commands.add(commands)
     instance_commands.add(commands)
     rollout_command.add(commands)
-    policy_command.add(commands, DEFAULT_AGENT)
-    commands.choices["policy"].set_defaults(run=_run_policy)
+    policy_command.add(commands)
     explore_command.add(commands)
     model_command.add(commands)
     relay_command.add(commands)
@@ -41,10 +39,6 @@
     return top
 
 
-def _run_policy(arguments: argparse.Namespace) -> int:
-    return policy_command.run(arguments, request_agent)
-
-
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command and return its exit code.
 
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -8,7 +8,6 @@
 import json
 import sys
 import time
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -16,19 +15,21 @@
 from maplestile.control.policy.agreed import AgreedPolicies, Change, Epoch, Phase
 from maplestile.control.policy.document import Document, digest_of, document_of
 from maplestile.invoke.operator_file import OperatorError, from_tables, read
+from maplestile.tools.agent_client import add_agent_options, request_agent
 
 DECISION_TIMEOUT_S = 30.0  # of a change: its check takes 6 s at the most, an election 2
 POLL_INTERVAL_S = 0.1
 EXIT_DONE = 0
 EXIT_REFUSED = 1
 EXIT_BAD_FILE = 2
-# The agent's reply, or None once the reason has been printed.
-AskAgent = Callable[..., dict[str, Any] | None]
 
+PolicyStatus = dict[str, Any]  # an agent's reply: the replica's state, the instances, and the log's
 
-def add(commands: Any, default_agent: str) -> None:
-    """Add the sub-commands to argparse."""
+
+def add(commands: Any) -> None:
+    """Add the command and its sub-commands to argparse's sub-parsers."""
     policy = commands.add_parser("policy", help="the policy that the fleet agrees on")
+    policy.set_defaults(run=run)
     operations = policy.add_subparsers(dest="what", required=True)
     propose = operations.add_parser(
         "propose",
@@ -36,17 +37,17 @@
     )
     propose.add_argument("file", type=Path, help="the tables [rules], [[class]] and [limits], in TOML")
     _add_change_options(propose)
-    _add_agent_options(propose, default_agent)
+    add_agent_options(propose)
     status = operations.add_parser(
         "status", help="the epochs, the last change, and the epoch of every instance"
     )
-    _add_agent_options(status, default_agent)
+    add_agent_options(status)
     rollback = operations.add_parser(
         "rollback", help="commit the policy of an earlier epoch again, as a new epoch"
     )
     rollback.add_argument("--to", type=int, metavar="EPOCH", help="its policy (default: the one before)")
     _add_change_options(rollback)
-    _add_agent_options(rollback, default_agent)
+    add_agent_options(rollback)
 
 
 def _add_change_options(operation: argparse.ArgumentParser) -> None:
@@ -54,11 +55,6 @@
     operation.add_argument("--no-wait", action="store_true", help="do not wait until it is decided")
 
 
-def _add_agent_options(operation: argparse.ArgumentParser, default_agent: str) -> None:
-    operation.add_argument("--agent", default=default_agent, metavar="HOST:PORT")
-    operation.add_argument("--json", action="store_true", help="print the agent's whole answer")
-
-
 def checked(path: Path) -> Document:
     """The policy of a file, by the checker that routers use.
 
@@ -79,52 +75,77 @@
     return document
 
 
-def run(arguments: argparse.Namespace, ask_agent: AskAgent) -> int:
+def run(arguments: argparse.Namespace) -> int:
     """Run a sub-command; the exit code."""
-    command: dict[str, Any] = {}
-    if arguments.what == "propose":
-        try:
-            command["document"] = checked(arguments.file).tables()
-        except ConfigError as fault:
-            print(f"maplestile: {arguments.file}: {fault}", file=sys.stderr)
-            return EXIT_BAD_FILE
-    status = _status(arguments, ask_agent)
+    match arguments.what:
+        case "propose":
+            return _propose(arguments)
+        case "rollback":
+            return _roll_back(arguments)
+    return _show_status(arguments)
+
+
+def _propose(arguments: argparse.Namespace) -> int:
+    try:
+        document = checked(arguments.file).tables()
+    except ConfigError as error:
+        print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
+        return EXIT_BAD_FILE
+    base = _base_epoch(arguments)
+    if base is None:
+        return EXIT_REFUSED
+    return _submit(arguments, {"document": document, "base": base})
+
+
+def _roll_back(arguments: argparse.Namespace) -> int:
+    base = _base_epoch(arguments)
+    if base is None:
+        return EXIT_REFUSED
+    return _submit(arguments, {"base": base, "to": arguments.to})
+
+
+def _show_status(arguments: argparse.Namespace) -> int:
+    status = _status(arguments)
     if status is None:
         return EXIT_REFUSED
-    if arguments.what == "status":
-        if arguments.json:
-            print(json.dumps(status, indent=2))
-        else:
-            _print_status(status)
-        return EXIT_DONE
+    if arguments.json:
+        print(json.dumps(status, indent=2))
+    else:
+        _print_status(status)
+    return EXIT_DONE
+
+
+def _base_epoch(arguments: argparse.Namespace) -> int | None:
+    """The epoch that a change is based on: as given, or the fleet's; None where the agent has no answer."""
+    status = _status(arguments)
+    if status is None:
+        return None
     agreed = AgreedPolicies.decode(status["agreed"])
-    command["base"] = agreed.epoch.number if arguments.base is None else arguments.base
-    if arguments.what == "rollback":
-        command["to"] = arguments.to
-    return _submit(arguments, ask_agent, command)
+    return agreed.epoch.number if arguments.base is None else int(arguments.base)
 
 
-def _submit(arguments: argparse.Namespace, ask_agent: AskAgent, command: dict[str, Any]) -> int:
+def _submit(arguments: argparse.Namespace, command: dict[str, Any]) -> int:
     """Propose a change, and wait until it is decided if that is wanted."""
-    reply = ask_agent(arguments.agent, "policy", [], what=arguments.what, command=command)
+    reply = request_agent(arguments.agent, "policy", [], what=arguments.what, command=command)
     if reply is None:
         return EXIT_REFUSED
     if not arguments.no_wait:
-        return _wait_until_decided(arguments, ask_agent, int(reply["policy"]["change"]))
+        return _wait_until_decided(arguments, int(reply["policy"]["change"]))
     print(json.dumps(reply) if arguments.json else f"change {reply['policy']['change']} is being checked")
     return EXIT_DONE
 
 
-def _status(arguments: argparse.Namespace, ask_agent: AskAgent) -> dict[str, Any] | None:
-    reply = ask_agent(arguments.agent, "policy", [], what="status")
+def _status(arguments: argparse.Namespace) -> PolicyStatus | None:
+    """The agent's view of the policy; None, with the reason printed, where it gives no answer."""
+    reply = request_agent(arguments.agent, "policy", [], what="status")
     return None if reply is None else reply["policy"]
 
 
-def _wait_until_decided(arguments: argparse.Namespace, ask_agent: AskAgent, number: int) -> int:
+def _wait_until_decided(arguments: argparse.Namespace, number: int) -> int:
     """Wait for the end of a change, by the replica of the agent, which may be a little behind."""
     end_s = time.monotonic() + DECISION_TIMEOUT_S
     while time.monotonic() < end_s:
-        status = _status(arguments, ask_agent)
+        status = _status(arguments)
         if status is None:
             return EXIT_REFUSED
         change = _find_change(AgreedPolicies.decode(status["agreed"]), number)
@@ -145,14 +166,7 @@
     is_committed = change.phase is Phase.COMMITTED
     epoch = change.base + 1 if is_committed else change.base
     if arguments.json:
-        decision = {
-            "change": change.number,
-            "phase": change.phase.value,
-            "reason": change.reason,
-            "epoch": epoch,
-            "absent": change.absent,
-        }
-        print(json.dumps(decision))
+        print(json.dumps(_decision_json(change, epoch)))
     elif is_committed:
         print(f"epoch {epoch} is committed")
         if change.absent:
@@ -163,7 +177,17 @@
     return EXIT_REFUSED
 
 
-def _print_status(status: dict[str, Any]) -> None:
+def _decision_json(change: Change, epoch: int) -> dict[str, Any]:
+    return {
+        "change": change.number,
+        "phase": change.phase.value,
+        "reason": change.reason,
+        "epoch": epoch,
+        "absent": change.absent,
+    }
+
+
+def _print_status(status: PolicyStatus) -> None:
     agreed = AgreedPolicies.decode(status["agreed"])
     raft = status["raft"]
     _print_epoch(agreed.epoch, agreed.epochs)
@@ -179,7 +203,7 @@
 def _print_epoch(epoch: Epoch, kept: list[Epoch]) -> None:
     policy = digest_of(document_of(epoch.document)) or "the files' own"
     rollback = f", of epoch {epoch.rollback} again" if epoch.rollback is not None else ""
-    numbers = ", ".join(str(one.number) for one in kept)
+    numbers = ", ".join(str(kept_epoch.number) for kept_epoch in kept)
     print(f"epoch {epoch.number}: {policy}{rollback}; kept: {numbers}")
 
 
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -1,4 +1,4 @@
-"""Public cluster traces in CSV, read row by row: what each function uses, and a function table from it.
+"""Public cluster traces in CSV, read row by row: what each function uses.
 
 They are known by their header: the Azure Functions trace of 2019 (invocations a minute, durations, memory by
 app) and that of 2021 (one row a call). Several files of one trace are put together by function.
@@ -6,9 +6,8 @@
 """
 
 import csv
-import json
 import math
-from collections.abc import Callable, Iterable, Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
 from typing import TextIO
 
@@ -16,11 +15,10 @@
 DAY_MINUTES = 1440
 MS_PER_S = 1000
 SHORT_NAME_LENGTH = 16
-MAX_LANES = 16
 MAX_BAD_ROWS = 1000  # named; a file of another kind must not fill the memory
 
 # Receives each group of calls that a row has: app, function, start, span in which they start, and count.
-Keep = Callable[[str, str, float, float, int], None]
+CallGroupHandler = Callable[[str, str, float, float, int], None]
 Row = list[str]
 Columns = Mapping[str, int]  # the index of each column by its name
 
@@ -85,7 +83,7 @@
     rows: int = 0
     first_s: float = math.inf
     last_s: float = -math.inf
-    keep: Keep | None = None
+    keep: CallGroupHandler | None = None
 
     def usage(self, owner: str, app: str, name: str) -> Usage:
         """The usage of a function, which is new at its first row. Raises `RowError`."""
@@ -235,43 +233,3 @@
     if not 0 <= value < math.inf:
         raise RowError(f"column '{column}' is out of range: '{text[:40]}'")
     return value
-
-
-def summary(trace: Trace, top: int = 0) -> Iterator[dict[str, object]]:
-    """One record for each function, the busiest first."""
-    for usage in trace.ranked(top):
-        yield {
-            "app": usage.app,
-            "function": usage.name,
-            "calls": int(usage.calls),
-            "rate_per_s": _rounded(usage.rate()),
-            "mean_gap_s": _rounded(usage.gap_s()),
-            "longest_gap_s": _rounded(usage.gap_most_s if usage.gaps else None),
-            "mean_ms": _rounded(usage.duration_ms()),
-            "most_ms": _rounded(usage.duration_most_ms if usage.durations else None),
-            "memory_mb": _rounded(trace.memory_mb(usage)),
-        }
-
-
-def _rounded(value: float | None) -> float | None:
-    """To four significant digits."""
-    return None if value is None else float(f"{value:.4g}")
-
-
-def table(rows: Iterable[dict[str, object]]) -> Iterator[str]:
-    """The records as lines with tabs, under a line with the names of the columns."""
-    for index, row in enumerate(rows):
-        if index == 0:
-            yield "\t".join(row)
-        yield "\t".join("-" if value is None else str(value) for value in row.values())
-
-
-def functions(trace: Trace, class_name: str, memory_mb: float, top: int = 0) -> Iterator[str]:
-    """A function table for the operator's file; a row that lacks its memory gets the one given."""
-    for usage, name in trace.named(top):
-        # By Little's law: as many lanes as calls are in flight on the mean.
-        in_flight = usage.rate() * (usage.duration_ms() or 0.0) / MS_PER_S
-        lanes = min(MAX_LANES, max(1, math.ceil(in_flight)))
-        memory = max(1.0, trace.memory_mb(usage) or memory_mb)
-        yield f"[[function]]\nname = {json.dumps(name)}\nclass = {json.dumps(class_name)}"
-        yield f"memory_mb = {memory:.1f}\nlanes = {lanes}\n"
--- a/maplestile/tools/traces_command.py
+++ b/maplestile/tools/traces_command.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.tools import traces
+from maplestile.tools import trace_output, traces
 
 DEFAULT_MEMORY_MB = 256.0
 
@@ -35,14 +35,14 @@
 
 def _lines(trace: traces.Trace, arguments: argparse.Namespace) -> Iterator[str]:
     if arguments.format == "functions":
-        return traces.functions(trace, arguments.class_name, arguments.memory_mb, arguments.top)
-    rows = traces.summary(trace, arguments.top)
+        return trace_output.functions(trace, arguments.class_name, arguments.memory_mb, arguments.top)
+    rows = trace_output.summary(trace, arguments.top)
     if arguments.format == "table":
-        return traces.table(rows)
+        return trace_output.table(rows)
     return (json.dumps(row) for row in rows)
 
 
-def read_traces(paths: Sequence[Path], keep: traces.Keep | None = None) -> traces.Trace:
+def read_traces(paths: Sequence[Path], keep: traces.CallGroupHandler | None = None) -> traces.Trace:
     """Read the files of one trace; rows that cannot be used are named on standard error.
 
     Raises `TraceError` for a file that cannot be read or is of no known form.
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""The operator's file, the store, the agent and the traces."""
+"""The operator's file, the store, the agent, the garbage collection and the traces."""
 
 import asyncio
 import gc
@@ -21,7 +21,7 @@
 from maplestile.invoke.operator_file import OperatorError, parse
 from maplestile.invoke.store import InvocationRecord, InvocationStore
 from maplestile.router.gc_scheduler import GcScheduler
-from maplestile.tools import traces
+from maplestile.tools import trace_output, traces
 from maplestile.tools.cli import main
 from maplestile.wire.http import Response
 from tests.standins import ROOT, Program
@@ -125,7 +125,7 @@
         self.agent = Program("agent", str(file))
         self.addCleanup(self.agent.kill)
 
-    async def test_agent_restarts_what_falls_and_stops_what_stands(self) -> None:
+    async def test_agent_restarts_what_ends_and_stops_what_runs(self) -> None:
         address = ("127.0.0.1", int(self.agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")))
         self.agent.find(r"\[stays\] (up)")
         self.agent.find(r"falls: (ended with 3; starts again in 0\.10 s)")  # doubled
@@ -150,7 +150,7 @@
         self.assertEqual(await asyncio.to_thread(self.agent.process.wait, 20), 0)
 
 
-class Knot:
+class SelfReference:
     """Points at itself, as a connection does."""
 
     def __init__(self) -> None:
@@ -162,10 +162,10 @@
     collector = GcScheduler(counters)
     collector.start()
     try:
-        knots = [Knot() for _ in range(3)]
+        objects = [SelfReference() for _ in range(3)]
         gc.collect()  # they have stood for a while: the oldest generation
-        dead = weakref.ref(knots[0])
-        del knots
+        dead = weakref.ref(objects[0])
+        del objects
         gc.collect(1)
         assert dead() is not None
         collector.look(100.0)  # nothing was closed, so there is nothing to be found
@@ -173,9 +173,9 @@
         counters["clients.connections"] += 100
         collector.look(100.5)
         assert dead() is None and counters["gc.longest_us"] > 0
-        knot = Knot()
-        dead = weakref.ref(knot)
-        del knot
+        closed = SelfReference()
+        dead = weakref.ref(closed)
+        del closed
         counters["clients.connections"] += 100
         collector.look(101.0)  # not due yet
         assert dead() is not None
@@ -201,10 +201,10 @@
         "day.csv, line 3: 5 fields where 1444 are due",
         "day.csv, line 4: column 'minute 1' is no number: 'x'",
     ]
-    (row,) = traces.summary(trace)
+    (row,) = trace_output.summary(trace)
     assert (row["calls"], row["rate_per_s"], row["longest_gap_s"]) == (1440, 0.01667, 600.0)
     assert (row["mean_ms"], row["most_ms"], row["memory_mb"]) == (250.0, 900.0, 150.0)
-    table = "\n".join(traces.functions(trace, "review", 64))
+    table = "\n".join(trace_output.functions(trace, "review", 64))
     assert parse(TEXT.replace("[[kind]]", table + "\n[[kind]]", 1)).functions["f"].memory_mb == 150.0
 
 
