--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -37,7 +37,7 @@
 class Environment(Protocol):
     """What simulated connections need of the simulation that they are in."""
 
-    now: int  # the simulated clock, in microseconds
+    now_us: int  # on the simulated clock
     counters: Counter[str]
     links: list["Link"]  # in the order in which they were dialled
 
@@ -60,29 +60,29 @@
         self.connection = connection
         self.worker = connection.runner.uid
         self.lines: list[Line] = []
-        self.part = False  # of the next line only a part is accepted at once
-        self.held = b""  # a line whose rest has not been accepted yet
+        self.accepts_part = False  # of the next line only a part is accepted at once
+        self.unaccepted = b""  # a line whose rest has not been accepted yet
         self.open = True
 
     def write(self, line: bytes) -> bool:
         """Accept a line; False where only a part of it has been accepted."""
         self._environment.on_write_started(self, json.loads(line))
-        if self.part:
-            self.part = False
-            self.held = line
+        if self.accepts_part:
+            self.accepts_part = False
+            self.unaccepted = line
             return False
         self.deliver(line)
         return True
 
     def deliver(self, data: bytes) -> None:
         """Have the worker receive a complete line."""
-        line = Line(json.loads(data), self, self._environment.now)
+        line = Line(json.loads(data), self, self._environment.now_us)
         self.lines.append(line)
         self._environment.on_line_received(line)
 
     def holds(self) -> bool:
         """Whether a part of a line has not been accepted yet."""
-        return bool(self.held)
+        return bool(self.unaccepted)
 
     def abort(self) -> None:
         """Close the connection at once."""
@@ -93,7 +93,7 @@
     """The shipped pool of connections, which dials simulated ones."""
 
     def __init__(self, environment: Environment, limits: Limits) -> None:
-        super().__init__(limits, lambda: environment.now, environment.counters)
+        super().__init__(limits, lambda: environment.now_us, environment.counters)
         self.environment = environment
 
     def dial(self, connection: Connection) -> None:
--- a/maplestile/tools/explore/enabled_events.py
+++ b/maplestile/tools/explore/enabled_events.py
@@ -9,6 +9,7 @@
 from maplestile.tools.explore.connections import Link
 from maplestile.tools.explore.events import ANSWERS, Event, EventKind
 from maplestile.tools.explore.records import Client
+from maplestile.tools.explore.simulated_workers import SimulatedWorkers
 
 ANSWERED_KINDS = ("CALL", "LOAD", "STATS")  # messages that a worker answers
 
@@ -18,10 +19,10 @@
 
     case: Case
     core: Core
-    now: int  # the simulated clock, in microseconds
+    now_us: int  # on the simulated clock
     clients: list[Client]
     links: list[Link]
-    state: dict[str, WorkerState]  # by worker
+    workers: SimulatedWorkers
     faults: int  # events of `Case.fault_events` that have happened
     steps: int  # of time that have passed
     stopped: bool  # the router's process drains
@@ -40,7 +41,7 @@
 
 
 def _client_events(simulation: SimulationState, faults: Sequence[EventKind]) -> Iterator[Event]:
-    has_ended = simulation.stopped and simulation.now >= simulation.core.leave_us
+    has_ended = simulation.stopped and simulation.now_us >= simulation.core.leave_us
     if len(simulation.clients) < len(simulation.case.classes) and not has_ended:
         yield Event(EventKind.SUBMIT)
     for number, client in enumerate(simulation.clients):
@@ -61,9 +62,9 @@
     yield from _answer_events(link, faults)
     if EventKind.RESET in faults:
         yield Event(EventKind.RESET, (link.number,))
-    if link.held:
+    if link.unaccepted:
         yield Event(EventKind.DRAINED, (link.number,))
-    elif EventKind.PART in faults and not link.part:
+    elif EventKind.PART in faults and not link.accepts_part:
         yield Event(EventKind.PART, (link.number,))
     if EventKind.STRAY in faults:
         yield Event(EventKind.STRAY, (link.number,))
@@ -81,7 +82,7 @@
 
 
 def _worker_events(simulation: SimulationState, faults: Sequence[EventKind]) -> Iterator[Event]:
-    for number, state in enumerate(simulation.state.values()):
+    for number, state in enumerate(simulation.workers.states.values()):
         if state is WorkerState.RUNNING and EventKind.DRAIN in faults:
             yield Event(EventKind.DRAIN, (number,))
         if state is not WorkerState.GONE and EventKind.GONE in faults:
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -55,7 +55,7 @@
     """One connection to a worker: what is in flight on it, and the state of both ends."""
     lines = [(line.kind, line.call, line.answers) for line in link.lines]
     connection = form.connection(link.connection)
-    return link.number, form.value(link.worker), link.part, link.held, lines, connection
+    return link.number, form.value(link.worker), link.accepts_part, link.unaccepted, lines, connection
 
 
 def _environment(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
@@ -66,9 +66,9 @@
     ]
     unavailable = [
         (form.value(name), form.value(since_us))
-        for name, since_us in sorted(simulation.unavailable_since_us.items())
+        for name, since_us in sorted(simulation.workers.unavailable_since_us.items())
     ]
-    workers = [(form.value(name), state.value) for name, state in sorted(simulation.state.items())]
+    workers = [(form.value(name), state.value) for name, state in sorted(simulation.workers.states.items())]
     arrivals = [
         (line.call, form.value(line.link.worker), line.never_ran, form.value(line.at_us))
         for line in sorted(simulation.arrivals, key=lambda line: str(line.call))
--- a/maplestile/tools/explore/normal_form.py
+++ b/maplestile/tools/explore/normal_form.py
@@ -17,12 +17,11 @@
 from maplestile.dispatch.tiers import FunctionTiers
 from maplestile.requests.core import ControlRequest, Core, InFlightAttempt, PendingRequest
 from maplestile.requests.pool import Connection, Message, Pool, Runner
-from maplestile.tools.explore.scenario import START
+from maplestile.tools.explore.scenario import FUNCTION, START_US
 from maplestile.tools.explore.simulation import Simulation
 
-FUNCTION = "f"  # the one function that all calls of the explorer are of
 HORIZON_US = 20_000_000  # times further off, past or future, are all one: beyond any rule that a case meets
-FIRST_TIME_US = START // 2  # a number from here on is a time, a smaller one a count or a call's number
+FIRST_TIME_US = START_US // 2  # a number from here on is a time, a smaller one a count or a call's number
 DECIMALS = 6  # of a float: the last digits depend on the order of additions
 # Fields that have a form elsewhere, or that no decision reads.
 LEFT_OUT: dict[type, frozenset[str]] = {
@@ -82,7 +81,7 @@
     """Brings the values of one simulation into tuples, lists and plain values, compared by their `repr`."""
 
     def __init__(self, simulation: Simulation) -> None:
-        self._now_us = simulation.now
+        self._now_us = simulation.now_us
         self._workers = _worker_names(simulation)
         self._calls = {client.number: f"call {n}" for n, client in enumerate(simulation.clients)}
         self._links = {id(link.connection): f"link {link.number}" for link in simulation.links}
@@ -228,5 +227,5 @@
     """A name for each worker by its rank, so that workers that are alike are one; the unranked come last."""
     function = simulation.core.dispatcher.tiers.functions.get(FUNCTION)
     ranked = [worker.entry.worker for worker in function.ranking] if function is not None else []
-    unranked = [name for name in sorted(simulation.incarnations) if name not in ranked]
+    unranked = [name for name in sorted(simulation.workers.incarnations) if name not in ranked]
     return {name: f"#{rank}" for rank, name in enumerate([*ranked, *unranked])}
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -36,10 +36,10 @@
     if client.left:
         simulation.violate("one-answer", f"{name}: an answer after its client left")
     tick_us = simulation.core.settings.tick_us
-    if simulation.stopped and simulation.now > simulation.core.leave_us + tick_us:
+    if simulation.stopped and simulation.now_us > simulation.core.leave_us + tick_us:
         simulation.violate("drain-ends", f"{name}: owed past the end")
-    if simulation.now > client.due_us + tick_us:
-        late_ms = (simulation.now - client.due_us) / scenario.MS
+    if simulation.now_us > client.due_us + tick_us:
+        late_ms = (simulation.now_us - client.due_us) / scenario.US_PER_MS
         simulation.violate("answer-by-deadline", f"{name}: {late_ms:g} ms late")
     if outcome.verdict is Verdict.REJECTED and not _is_retry_harmless(simulation, client):
         simulation.violate("harmless-refusal", f"{name}: refused, and it may have run")
@@ -62,7 +62,7 @@
 
 def on_write(simulation: Simulation, link: Link, message: dict[str, Any]) -> None:
     """Check a message that starts to be written."""
-    if message["kind"] in NEW_WORK and link.worker in simulation.unavailable_since_us:
+    if message["kind"] in NEW_WORK and link.worker in simulation.workers.unavailable_since_us:
         simulation.violate("nothing-after-drain", f"{message['kind']} to {link.worker}")
     if message["kind"] == "CALL" and simulation.client_of(message["call"]).away:
         simulation.violate("nothing-for-the-gone", f"an attempt at {link.worker}")
@@ -91,12 +91,12 @@
 def _check_repeat(simulation: Simulation, class_name: str, first: Line, again: Line) -> None:
     """Check that the worker of a repeated call with a key drops the repeat."""
     call_class = scenario.CLASSES[class_name]
-    age_us = simulation.now - first.at_us
+    age_us = simulation.now_us - first.at_us
     if not _in_scope(simulation, call_class.deduplication_scope, first.link.worker, again.link.worker):
         workers = f"at {first.link.worker}, then at {again.link.worker}"
         simulation.violate("keyed-in-scope", f"{class_name}: {workers}")
     elif age_us >= call_class.deduplication_window_us:
-        simulation.violate("keyed-in-scope", f"{class_name}: again after {age_us / scenario.MS:g} ms")
+        simulation.violate("keyed-in-scope", f"{class_name}: again after {age_us / scenario.US_PER_MS:g} ms")
 
 
 def _in_scope(simulation: Simulation, scope: DeduplicationScope, first: str, second: str) -> bool:
@@ -157,7 +157,7 @@
     core, pool = simulation.core, simulation.pool
     dispatcher = core.dispatcher
     # The dispatcher requests loads by itself, also now; only overdue ones must have been forgotten.
-    overdue_us = simulation.now - 2 * scenario.ORDER_US
+    overdue_us = simulation.now_us - 2 * scenario.ORDER_US
     return {
         "open": core.open,
         "flights": core.flights,
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -15,7 +15,7 @@
 from maplestile.tools.explore.scripted_workers import ScriptedWorker
 
 TIMEOUT_S = 10.0  # of the start, of the end, and of a request of an operator
-MS = float(scenario.MS)
+US_PER_MS = float(scenario.US_PER_MS)
 FRONTS = ("operator", "invoke")
 FILE_HEAD = f"""[invoke]
 listen = "127.0.0.1:0"
@@ -41,15 +41,15 @@
     lines = [
         "[[class]]",
         f'name = "{name}"',
-        f"aim_ms = {call_class.latency_objective_us / MS}",
-        f"deadline_ms = {call_class.deadline_us / MS}",
+        f"aim_ms = {call_class.latency_objective_us / US_PER_MS}",
+        f"deadline_ms = {call_class.deadline_us / US_PER_MS}",
     ]
     if name in ("safe", "unsafe"):
         lines.append(f'semantics = "{name}"')
     else:
         lines.append('semantics = "keyed"')
         lines.append(f'scope = "{call_class.deduplication_scope.value}"')
-        lines.append(f"window_ms = {call_class.deduplication_window_us / MS}")
+        lines.append(f"window_ms = {call_class.deduplication_window_us / US_PER_MS}")
     return "\n".join(lines) + "\n"
 
 
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -9,25 +9,26 @@
 from maplestile.wire import runner as wire
 from maplestile.wire.limits import Limits
 
-START = 1_000_000_000_000  # the simulated clock's first moment, in microseconds
-MS = 1000  # microseconds
-STEP_US = 100 * MS  # how far one event `time` moves the clock
-DEADLINE_US = 400 * MS  # of every call
-LEAVE_US = 300 * MS  # a process ends before the deadlines of the calls that it has in flight
-ORDER_US = 300 * MS  # the timeout of a load request
-WINDOW_US = 250 * MS  # for which a worker drops repeats of an idempotency key
-OBJECTIVE_US = 200 * MS  # the latency objective of every class
-RUNNER_SILENT_US = 150 * MS
+START_US = 1_000_000_000_000  # the simulated clock's first moment
+US_PER_MS = 1000
+STEP_US = 100 * US_PER_MS  # how far one event `time` moves the clock
+DEADLINE_US = 400 * US_PER_MS  # of every call
+DRAIN_US = 300 * US_PER_MS  # a process ends before the deadlines of the calls that it has in flight
+ORDER_US = 300 * US_PER_MS  # the timeout of a load request
+DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # for which a worker drops repeats of an idempotency key
+LATENCY_OBJECTIVE_US = 200 * US_PER_MS  # the latency objective of every class
+RUNNER_SILENT_US = 150 * US_PER_MS
 REST_STEPS = 12  # of silence after which nothing may be left: longer than any call, load or health check
 MAX_ATTEMPTS = 2  # of epoch 0, and of every second one after it
 SEED = 7
+FUNCTION = "f"  # the one function that all calls are of
 
 
 def _call_class(
     name: str, idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL
 ) -> api.CallClass:
-    window_us = WINDOW_US if idempotency is Idempotency.WITH_KEY else 0
-    return api.CallClass(name, OBJECTIVE_US, DEADLINE_US, idempotency, scope, window_us)
+    window_us = DEDUPLICATION_WINDOW_US if idempotency is Idempotency.WITH_KEY else 0
+    return api.CallClass(name, LATENCY_OBJECTIVE_US, DEADLINE_US, idempotency, scope, window_us)
 
 
 CLASSES = {
@@ -60,11 +61,11 @@
         classes=tuple(CLASSES.values()),
         router_count=1,
         zone="a",
-        tick_us=4 * MS,
+        tick_us=4 * US_PER_MS,
         must_poll_list=False,
         may_request_loads=True,
         loads_on_miss=True,
-        keep_alive_us=10_000 * MS,
+        keep_alive_us=10_000 * US_PER_MS,
         kind_memory_mb=(("k", 4000.0),),
         load_timeout_us=ORDER_US,
         load_request_window_us=0,
@@ -75,12 +76,12 @@
         may_cancel=True,
         may_hedge=True,
         may_probe=True,
-        answer_slack_us=16 * MS,
-        drain_grace_us=2_000 * MS,
+        answer_slack_us=16 * US_PER_MS,
+        drain_grace_us=2_000 * US_PER_MS,
         slow_start_share=0.16,
-        slow_start_us=18_000 * MS,
+        slow_start_us=18_000 * US_PER_MS,
         overload_multiple=4.0,
-        overload_window_us=2_000 * MS,
+        overload_window_us=2_000 * US_PER_MS,
     )
 
 
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -24,8 +24,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from maplestile.dispatch import api
-from maplestile.dispatch.api import Result, WorkerState
+from maplestile.dispatch.api import Result
 from maplestile.dispatch.dispatcher import Dispatcher
 from maplestile.requests.core import Core
 from maplestile.requests.endpoint_list import EndpointList
@@ -34,19 +33,12 @@
 from maplestile.tools.explore.cases import Case
 from maplestile.tools.explore.connections import Line, Link, SimulatedPool
 from maplestile.tools.explore.enabled_events import enabled_events
-from maplestile.tools.explore.events import LINK_EVENTS, Event, EventKind
+from maplestile.tools.explore.events import LINK_EVENTS, WORKER_EVENTS, Event, EventKind
 from maplestile.tools.explore.records import Client, Violation
+from maplestile.tools.explore.simulated_workers import SimulatedWorkers
 from maplestile.wire import runner as wire
 from maplestile.wire.messages import Outcome, Request
 
-WORKER_STATES = {
-    EventKind.DRAIN: WorkerState.DRAINING,
-    EventKind.GONE: WorkerState.GONE,
-    EventKind.RETURN: WorkerState.RUNNING,
-}
-FIRST_PORT = 9000
-WARM_AGE_US = 20_000 * scenario.MS  # how long workers have run at the start: past their slow start
-
 
 @dataclass(slots=True, frozen=True)
 class Components:
@@ -79,18 +71,16 @@
     def __init__(self, case: Case, checker: InvariantChecker, components: Components = SHIPPED) -> None:
         self.case = case
         self.checker = checker
-        self.now = scenario.START
+        self.now_us = scenario.START_US
         self.counters: Counter[str] = Counter()
         self.problems: list[Violation] = []
         self.links: list[Link] = []
         self.clients: list[Client] = []
         self.arrivals: list[Line] = []  # calls that a worker has received complete, in order
-        self.unavailable_since_us: dict[str, int] = {}  # of a worker that drains or has gone: since when
-        self.faults = 0
-        self.steps = 0
+        self.faults = 0  # events of `Case.fault_events` so far
+        self.steps = 0  # of time
         self.epoch = 0
-        self.incarnations = {f"w{number}": 0 for number in range(case.workers)}  # incarnations by worker
-        self.state = dict.fromkeys(self.incarnations, WorkerState.RUNNING)
+        self.workers = SimulatedWorkers(case)
         self.stopped = False
         self.fleet = EndpointList()
         self._connect(components)
@@ -102,7 +92,7 @@
         limits = scenario.limits()
         self.pool = components.pool(self, limits)
         self.core = components.core(
-            settings, limits, scenario.SEED, self.pool, lambda: self.now, self._alarm, self.counters
+            settings, limits, scenario.SEED, self.pool, lambda: self.now_us, self._alarm, self.counters
         )
         self.core.dispatcher = components.dispatcher(scenario.settings(), scenario.SEED)
         self.core.dispatcher.context.random = scenario.DeterministicRandom()
@@ -137,8 +127,8 @@
         self.faults += kind in self.case.fault_events
         if kind in LINK_EVENTS:
             self._play_at_link(kind, self.links[numbers[0]], *numbers[1:])
-        elif kind in WORKER_STATES:
-            self._change_worker(f"w{numbers[0]}", kind)
+        elif kind in WORKER_EVENTS:
+            self._change_worker(numbers[0], kind)
         elif numbers:
             self._play_at_client(kind, self.clients[numbers[0]])
         else:
@@ -159,7 +149,7 @@
                 self._submit()
             case EventKind.STOP:
                 self.stopped = True
-                self.core.leave(self.now + scenario.LEAVE_US)
+                self.core.leave(self.now_us + scenario.DRAIN_US)
             case EventKind.POLICY:
                 self.epoch += 1
                 self.core.adopt(scenario.settings(self.epoch), self.core.limits)
@@ -176,9 +166,9 @@
             case EventKind.RESET:
                 self.pool.close(link.connection, Result.RESET)
             case EventKind.PART:
-                link.part = True
+                link.accepts_part = True
             case EventKind.DRAINED:
-                line, link.held = link.held, b""
+                line, link.unaccepted = link.unaccepted, b""
                 link.deliver(line)
                 self.pool.drained(link.connection)
             case EventKind.STRAY:
@@ -192,13 +182,15 @@
     def _submit(self) -> None:
         number = len(self.clients)
         class_name = self.case.classes[number]
-        due_us = self.now + scenario.DEADLINE_US
+        due_us = self.now_us + scenario.DEADLINE_US
         if self.stopped:
             due_us = min(due_us, self.core.leave_us)
         client = Client(self.core.number + 1, class_name, due_us, self.epoch)
         self.clients.append(client)
-        request = Request(f"c{number}", "f", class_name, scenario.DEADLINE_US, 100.0, 1, key=f"k{number}")
-        self.core.submit(request, self.now, lambda outcome: self._on_answer(client, outcome))
+        request = Request(
+            f"c{number}", scenario.FUNCTION, class_name, scenario.DEADLINE_US, 100.0, 1, key=f"k{number}"
+        )
+        self.core.submit(request, self.now_us, lambda outcome: self._on_answer(client, outcome))
 
     def _answer(self, line: Line, kind: str) -> None:
         line.answers += 1
@@ -213,41 +205,24 @@
         self.core.catch_up()
         self.pool.settled(link.connection)
 
-    def _change_worker(self, worker: str, kind: EventKind) -> None:
-        self.state[worker] = WORKER_STATES[kind]
-        if kind is EventKind.RETURN:
-            self.incarnations[worker] += 1
-            self.unavailable_since_us.pop(worker, None)
-        else:
-            self.unavailable_since_us.setdefault(worker, self.now)
+    def _change_worker(self, number: int, kind: EventKind) -> None:
+        self.workers.change(number, kind, self.now_us)
         self._publish_list()
 
     def _publish_list(self) -> None:
         """Give the router the endpoint list as it stands."""
-        listed = [
-            (self._entry(number, worker), ("127.0.0.1", FIRST_PORT + number))
-            for number, worker in enumerate(self.incarnations)
-            if self.state[worker] is not WorkerState.GONE
-        ]
-        self.fleet.apply_whole(self.fleet.version + 1, listed)
+        self.fleet.apply_whole(self.fleet.version + 1, self.workers.listed(self.now_us))
         self.pool.update(self.fleet)
         self.core.list_changed(self.fleet.event())
 
-    def _entry(self, number: int, worker: str) -> api.WorkerEntry:
-        # The first process of a worker is past its slow start; a new one is not.
-        started_us = self.now - 1 if self.incarnations[worker] else scenario.START - WARM_AGE_US
-        zone = self.case.zones[number]
-        cell = self.case.cells[number]
-        return api.WorkerEntry(worker, zone, "k", cell, self.state[worker], 1.0, started_us)
-
     def pass_time(self) -> None:
         """Let one step of time pass, with every timer that is due in it."""
-        end_us = self.now + scenario.STEP_US
+        end_us = self.now_us + scenario.STEP_US
         tick_us = self.core.settings.tick_us
         while self.core.ticks and self.core.ticks[0] * tick_us <= end_us:
-            self.now = max(self.now, self.core.ticks[0] * tick_us)
+            self.now_us = max(self.now_us, self.core.ticks[0] * tick_us)
             self.core.tick()
-        self.now = end_us
+        self.now_us = end_us
         self._time_out_connects()
         self.pool.sweep()
 
@@ -255,14 +230,14 @@
         """Close the connections that have not come up in time, as the socket driver does."""
         for link in list(self.links):
             is_opening = link.open and link.connection.socket is None
-            age_us = self.now - link.connection.opened_us
+            age_us = self.now_us - link.connection.opened_us
             if is_opening and age_us >= self.pool.limits.connect_timeout_us:
                 self.pool.close(link.connection, Result.CONNECT_FAILED)
 
     # What the components do.
 
     def _on_answer(self, client: Client, outcome: Outcome) -> None:
-        client.outcomes.append((self.now, outcome))
+        client.outcomes.append((self.now_us, outcome))
         self.checker.on_answer(self, client, outcome)
 
     def on_write_started(self, link: Link, message: dict[str, Any]) -> None:
