--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from maplestile.tools.explore import properties
-from maplestile.tools.explore.cases import CASES, SMALL, CaseError, Example, read
+from maplestile.tools.explore.cases import CASES, SMALL, CaseError
+from maplestile.tools.explore.example_files import Example, read
 from maplestile.tools.explore.search import Report, explore, play
 
 MAX_DEPTH = 30
@@ -55,7 +56,7 @@
         return 2
     reports = _explore_all(names, arguments)
     if arguments.json:
-        print(json.dumps([report.told() | {"peak_mb": peak_mb} for report, peak_mb in reports], indent=2))
+        print(json.dumps([report.as_json() | {"peak_mb": peak_mb} for report, peak_mb in reports], indent=2))
     else:
         _print_reports(reports)
     if arguments.save is not None:
@@ -65,7 +66,7 @@
 
 def _print_list() -> None:
     for case in CASES.values():
-        print("case", case.name, case.about, sep="\t")
+        print("case", case.name, case.summary, sep="\t")
     for name, about in properties.NAMES.items():
         print("property", name, about, sep="\t")
 
@@ -89,13 +90,13 @@
     depths = {name: arguments.depth if is_bounded else SMALL.get(name, DEFAULT_DEPTH) for name in names}
     with ProcessPoolExecutor(min(len(names), os.cpu_count() or 1)) as pool:
         runs = [
-            pool.submit(explored, name, depth, arguments.states, arguments.seconds)
+            pool.submit(_explore_case, name, depth, arguments.states, arguments.seconds)
             for name, depth in depths.items()
         ]
         return [run.result() for run in runs]
 
 
-def explored(name: str, depth: int, states: int, seconds: float) -> tuple[Report, float]:
+def _explore_case(name: str, depth: int, states: int, seconds: float) -> tuple[Report, float]:
     """Explore one case; the report, and the most memory that this process has had, in MB."""
     report = explore(CASES[name], depth, states, seconds)
     return report, round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1)
@@ -107,7 +108,7 @@
         counts = (report.visited, report.played, report.depth)
         print(report.case, *counts, f"{report.seconds:.1f}", f"{peak_mb:.0f} MB", _verdict(report), sep="\t")
         if report.example is not None:
-            events = (f"  {' '.join(map(str, event))}" for event in report.example.events)
+            events = (f"  {event}" for event in report.example.events)
             print(report.example.detail, *events, sep="\n")
 
 
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -21,62 +21,31 @@
 
 import json
 from collections import Counter
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple, Protocol
+from dataclasses import dataclass
+from typing import Any, Protocol
 
-from maplestile.dispatch import api
-from maplestile.dispatch.api import Result, WorkerState
+from maplestile.dispatch.api import Result
 from maplestile.dispatch.dispatcher import Dispatcher
 from maplestile.requests.core import Core
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.pool import Connection
 from maplestile.tools.explore import scenario
-from maplestile.tools.explore.cases import Case, Event
+from maplestile.tools.explore.cases import Case
 from maplestile.tools.explore.connections import Line, Link, SimulatedPool
 from maplestile.tools.explore.enabled_events import enabled_events
+from maplestile.tools.explore.events import LINK_EVENTS, WORKER_EVENTS, Event, EventKind
+from maplestile.tools.explore.records import Client, Violation
+from maplestile.tools.explore.simulated_workers import SimulatedWorkers
 from maplestile.wire import runner as wire
 from maplestile.wire.messages import Outcome, Request
 
-LINK_EVENTS = ("up", "refuse", "reset", "part", "drained", "stray", "again", *scenario.KINDS)
-WORKER_STATES = {
-    "drain": WorkerState.DRAINING,
-    "gone": WorkerState.GONE,
-    "return": WorkerState.RUNNING,
-}
-FIRST_PORT = 9000
-WARM_AGE_US = 20_000 * scenario.MS  # how long workers have run at the start: past their slow start
-
-
-class Violation(NamedTuple):
-    """A property that does not hold, and how it was violated."""
-
-    property: str
-    detail: str
-
-
-@dataclass(slots=True)
-class Client:
-    """A call as its client knows it."""
-
-    number: int  # of the core
-    class_name: str
-    due_us: int
-    epoch: int  # of the policy that it came under
-    outcomes: list[tuple[int, Outcome]] = field(default_factory=list)  # when, and which
-    left: bool = False
-    away: bool = False
-
-    def is_waiting(self) -> bool:
-        """Whether an answer is still due to the client."""
-        return not self.left and not self.outcomes
-
 
 @dataclass(slots=True, frozen=True)
 class Components:
     """What is explored: the shipped components, or ones with a deliberate fault that must be found."""
 
     core: type[Core] = Core
-    module: type[Dispatcher] = Dispatcher
+    dispatcher: type[Dispatcher] = Dispatcher
     pool: type[SimulatedPool] = SimulatedPool
 
 
@@ -86,13 +55,13 @@
 class InvariantChecker(Protocol):
     """What checks a simulation while it runs; the module `properties` is one."""
 
-    def on_answer(self, world: "Simulation", client: Client, outcome: Outcome) -> None:
+    def on_answer(self, simulation: "Simulation", client: Client, outcome: Outcome) -> None:
         """Check a final answer."""
 
-    def on_write(self, world: "Simulation", link: Link, message: dict[str, Any]) -> None:
+    def on_write(self, simulation: "Simulation", link: Link, message: dict[str, Any]) -> None:
         """Check a line that starts to be written."""
 
-    def on_arrival(self, world: "Simulation", line: Line) -> None:
+    def on_arrival(self, simulation: "Simulation", line: Line) -> None:
         """Check a call that a worker has received complete."""
 
 
@@ -102,18 +71,16 @@
     def __init__(self, case: Case, checker: InvariantChecker, components: Components = SHIPPED) -> None:
         self.case = case
         self.checker = checker
-        self.now = scenario.START
+        self.now_us = scenario.START_US
         self.counters: Counter[str] = Counter()
         self.problems: list[Violation] = []
         self.links: list[Link] = []
         self.clients: list[Client] = []
         self.arrivals: list[Line] = []  # calls that a worker has received complete, in order
-        self.unavailable_since_us: dict[str, int] = {}  # of a worker that drains or has gone: since when
-        self.faults = 0
-        self.steps = 0
+        self.faults = 0  # events of `Case.fault_events` so far
+        self.steps = 0  # of time
         self.epoch = 0
-        self.incarnations = {f"w{number}": 0 for number in range(case.workers)}  # incarnations by worker
-        self.state = dict.fromkeys(self.incarnations, WorkerState.RUNNING)
+        self.workers = SimulatedWorkers(case)
         self.stopped = False
         self.fleet = EndpointList()
         self._connect(components)
@@ -125,9 +92,9 @@
         limits = scenario.limits()
         self.pool = components.pool(self, limits.runners)
         self.core = components.core(
-            settings, limits, scenario.SEED, self.pool, lambda: self.now, self._alarm, self.counters
+            settings, limits, scenario.SEED, self.pool, lambda: self.now_us, self._alarm, self.counters
         )
-        self.core.decisions.dispatcher = components.module(scenario.settings(), scenario.SEED)
+        self.core.decisions.dispatcher = components.dispatcher(scenario.settings(), scenario.SEED)
         self.core.dispatcher.context.random = scenario.DeterministicRandom()
         self.pool.core = self.core
 
@@ -156,77 +123,78 @@
         """Have an event happen; one that cannot happen now is ignored. Raises what the components raise."""
         if event not in self.enabled():
             return
-        name = str(event[0])
-        numbers = [int(number) for number in event[1:]]
-        self.faults += name in self.case.may
-        if name in LINK_EVENTS:
-            self._play_at_link(name, self.links[numbers[0]], *numbers[1:])
-        elif name in WORKER_STATES:
-            self._change_worker(f"w{numbers[0]}", name)
+        kind, numbers = event
+        self.faults += kind in self.case.fault_events
+        if kind in LINK_EVENTS:
+            self._play_at_link(kind, self.links[numbers[0]], *numbers[1:])
+        elif kind in WORKER_EVENTS:
+            self._change_worker(numbers[0], kind)
         elif numbers:
-            self._play_at_client(name, self.clients[numbers[0]])
+            self._play_at_client(kind, self.clients[numbers[0]])
         else:
-            self._play_at_router(name)
+            self._play_at_router(kind)
 
-    def _play_at_client(self, name: str, client: Client) -> None:
-        match name:
-            case "leave":
+    def _play_at_client(self, kind: EventKind, client: Client) -> None:
+        match kind:
+            case EventKind.LEAVE:
                 client.left = True
                 self.core.withdraw(client.number)
-            case "away":
+            case EventKind.AWAY:
                 client.away = True
                 self.core.client_gone(client.number)
 
-    def _play_at_router(self, name: str) -> None:
-        match name:
-            case "submit":
+    def _play_at_router(self, kind: EventKind) -> None:
+        match kind:
+            case EventKind.SUBMIT:
                 self._submit()
-            case "stop":
+            case EventKind.STOP:
                 self.stopped = True
-                self.core.leave(self.now + scenario.LEAVE_US)
-            case "policy":
+                self.core.leave(self.now_us + scenario.DRAIN_US)
+            case EventKind.POLICY:
                 self.epoch += 1
                 self.core.adopt(scenario.settings(self.epoch), self.core.limits)
-            case "time":
+            case EventKind.TIME:
                 self.steps += 1
                 self.pass_time()
 
-    def _play_at_link(self, name: str, link: Link, number: int = 0) -> None:
-        match name:
-            case "up":
+    def _play_at_link(self, kind: EventKind, link: Link, number: int = 0) -> None:
+        match kind:
+            case EventKind.UP:
                 self.pool.up(link.connection, link)
-            case "refuse":
+            case EventKind.REFUSE:
                 self.pool.close(link.connection, Result.CONNECT_FAILED)
-            case "reset":
+            case EventKind.RESET:
                 self.pool.close(link.connection, Result.RESET)
-            case "part":
-                link.part = True
-            case "drained":
-                line, link.held = link.held, b""
+            case EventKind.PART:
+                link.accepts_part = True
+            case EventKind.DRAINED:
+                line, link.unaccepted = link.unaccepted, b""
                 link.deliver(line)
                 self.pool.drained(link.connection)
-            case "stray":
-                self._send_answer(link, "nobody", scenario.KINDS["ok"])
-            case "again":
+            case EventKind.STRAY:
+                self._send_answer(link, "nobody", scenario.ANSWER_KINDS[EventKind.OK])
+            case EventKind.AGAIN:
                 link.lines[number].answers += 1
-                self._send_answer(link, link.lines[number].call, scenario.KINDS["ok"])
+                self._send_answer(link, link.lines[number].call, scenario.ANSWER_KINDS[EventKind.OK])
             case _:
-                self._answer(link.lines[number], scenario.KINDS[name])
+                self._answer(link.lines[number], scenario.ANSWER_KINDS[kind])
 
     def _submit(self) -> None:
         number = len(self.clients)
         class_name = self.case.classes[number]
-        due_us = self.now + scenario.DEADLINE_US
+        due_us = self.now_us + scenario.DEADLINE_US
         if self.stopped:
             due_us = min(due_us, self.core.leave_us)
         client = Client(self.core.number + 1, class_name, due_us, self.epoch)
         self.clients.append(client)
-        request = Request(f"c{number}", "f", class_name, scenario.DEADLINE_US, 100.0, 1, key=f"k{number}")
-        self.core.submit(request, self.now, lambda outcome: self._on_answer(client, outcome))
+        request = Request(
+            f"c{number}", scenario.FUNCTION, class_name, scenario.DEADLINE_US, 100.0, 1, key=f"k{number}"
+        )
+        self.core.submit(request, self.now_us, lambda outcome: self._on_answer(client, outcome))
 
     def _answer(self, line: Line, kind: str) -> None:
         line.answers += 1
-        line.never_ran = line.never_ran or kind in scenario.NEVER
+        line.never_ran = line.never_ran or kind in scenario.NEVER_RAN_KINDS
         self._send_answer(line.link, line.call, kind)
 
     def _send_answer(self, link: Link, call: str, kind: str) -> None:
@@ -237,41 +205,24 @@
         self.core.catch_up()
         self.pool.settled(link.connection)
 
-    def _change_worker(self, worker: str, name: str) -> None:
-        self.state[worker] = WORKER_STATES[name]
-        if name == "return":
-            self.incarnations[worker] += 1
-            self.unavailable_since_us.pop(worker, None)
-        else:
-            self.unavailable_since_us.setdefault(worker, self.now)
+    def _change_worker(self, number: int, kind: EventKind) -> None:
+        self.workers.change(number, kind, self.now_us)
         self._publish_list()
 
     def _publish_list(self) -> None:
         """Give the router the endpoint list as it stands."""
-        listed = [
-            (self._entry(number, worker), ("127.0.0.1", FIRST_PORT + number))
-            for number, worker in enumerate(self.incarnations)
-            if self.state[worker] is not WorkerState.GONE
-        ]
-        self.fleet.apply_whole(self.fleet.version + 1, listed)
+        self.fleet.apply_whole(self.fleet.version + 1, self.workers.listed(self.now_us))
         self.pool.update(self.fleet)
         self.core.list_changed(self.fleet.event())
 
-    def _entry(self, number: int, worker: str) -> api.WorkerEntry:
-        # The first process of a worker is past its slow start; a new one is not.
-        started_us = self.now - 1 if self.incarnations[worker] else scenario.START - WARM_AGE_US
-        zone = self.case.zones[number]
-        cell = self.case.cells[number]
-        return api.WorkerEntry(worker, zone, "k", cell, self.state[worker], 1.0, started_us)
-
     def pass_time(self) -> None:
         """Let one step of time pass, with every timer that is due in it."""
-        end_us = self.now + scenario.STEP_US
+        end_us = self.now_us + scenario.STEP_US
         tick_us = self.core.settings.tick_us
         while self.core.ticks and self.core.ticks[0] * tick_us <= end_us:
-            self.now = max(self.now, self.core.ticks[0] * tick_us)
+            self.now_us = max(self.now_us, self.core.ticks[0] * tick_us)
             self.core.tick()
-        self.now = end_us
+        self.now_us = end_us
         self._time_out_connects()
         self.pool.sweep()
 
@@ -279,14 +230,14 @@
         """Close the connections that have not come up in time, as the socket driver does."""
         for link in list(self.links):
             is_opening = link.open and link.connection.socket is None
-            age_us = self.now - link.connection.opened_us
+            age_us = self.now_us - link.connection.opened_us
             if is_opening and age_us >= self.pool.limits.connect_timeout_us:
                 self.pool.close(link.connection, Result.CONNECT_FAILED)
 
     # What the components do.
 
     def _on_answer(self, client: Client, outcome: Outcome) -> None:
-        client.outcomes.append((self.now, outcome))
+        client.outcomes.append((self.now_us, outcome))
         self.checker.on_answer(self, client, outcome)
 
     def on_write_started(self, link: Link, message: dict[str, Any]) -> None:
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -10,7 +10,7 @@
 from maplestile.dispatch.state import Attempt, Call, Worker
 from maplestile.requests.core import AttemptId, Core
 from maplestile.requests.endpoint_list import EndpointList
-from maplestile.requests.states import AttemptState as Life
+from maplestile.requests.states import AttemptState
 from maplestile.tools.explore.connections import SimulatedPool
 from maplestile.tools.explore.simulation import Components
 from maplestile.wire.messages import Outcome
@@ -30,10 +30,10 @@
         replace_method(self.requests, "finish", self.finish)
 
     def finish(self, call: int, outcome: Outcome) -> None:  # the popping left out
-        owed = self.open.get(call)
+        pending = self.open.get(call)
         self.sound_finish(call, outcome)
-        if owed is not None and outcome.ran:
-            self.open[call] = owed
+        if pending is not None and outcome.ran:
+            self.open[call] = pending
 
 
 class KeepsFailuresBack(Core):
@@ -122,10 +122,10 @@
 
 class KeepsBytes(Core):
     def withdraw(self, call: int) -> None:
-        owed = self.open.get(call)
+        pending = self.open.get(call)
         super().withdraw(call)
-        if owed is not None:
-            self.requests.open_bytes += owed.request.bytes()
+        if pending is not None:
+            self.requests.open_bytes += pending.request.bytes()
 
 
 class EndsNothing(Core):
@@ -149,7 +149,7 @@
     def cancel(self, attempt: AttemptId) -> None:
         found = self.where.get(attempt)
         super().cancel(attempt)
-        if found is not None and found[1].state is Life.CANCELLED:
+        if found is not None and found[1].state is AttemptState.CANCELLED:
             self.where[attempt] = found
             found[0].open[found[1].tag] = attempt
 
@@ -164,18 +164,18 @@
 FAULTS: tuple[tuple[str, str, Components], ...] = (
     ("one-answer", "safe", Components(core=AnswersTwice)),
     ("answer-by-deadline", "unsafe", Components(core=KeepsFailuresBack)),
-    ("unsafe-once", "unsafe", Components(module=SendsAnythingAgain)),
-    ("keyed-in-scope", "keyed-cell", Components(module=ForgetsTheScope)),
-    ("keyed-in-scope", "keyed-all", Components(module=ForgetsTheWindow)),
+    ("unsafe-once", "unsafe", Components(dispatcher=SendsAnythingAgain)),
+    ("keyed-in-scope", "keyed-cell", Components(dispatcher=ForgetsTheScope)),
+    ("keyed-in-scope", "keyed-all", Components(dispatcher=ForgetsTheWindow)),
     ("nothing-after-drain", "drain", Components(pool=WritesToDraining)),
-    ("attempt-limit", "safe", Components(module=CountsNoAttempts)),
-    ("one-policy", "policy", Components(module=DecidesByTheNewest)),
-    ("harmless-refusal", "unsafe", Components(module=RefusesAnything)),
-    ("counts-return", "late", Components(module=LeavesCounts)),
+    ("attempt-limit", "safe", Components(dispatcher=CountsNoAttempts)),
+    ("one-policy", "policy", Components(dispatcher=DecidesByTheNewest)),
+    ("harmless-refusal", "unsafe", Components(dispatcher=RefusesAnything)),
+    ("counts-return", "late", Components(dispatcher=LeavesCounts)),
     ("nothing-kept", "late", Components(core=KeepsBytes)),
     ("drain-ends", "stop", Components(core=EndsNothing)),
     ("nothing-for-the-gone", "away", Components(pool=WritesForTheGone)),
-    ("nothing-for-the-gone", "away-safe", Components(module=TriesForTheGone)),
+    ("nothing-for-the-gone", "away-safe", Components(dispatcher=TriesForTheGone)),
     ("no-forbidden-move", "late", Components(pool=CallsOffLater)),
     ("no-crash", "late", Components(pool=KnowsEverybody)),
 )
