--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -18,6 +18,8 @@
 # The modules of the model are imported by the functions that need them: simpy and the agent's controllers
 # would delay the start of every other command.
 
+CONTROL_KINDS = ("rollout", "policy")  # the `kind` of a file; one of the membership protocol has none
+
 
 def add(commands: Any) -> None:
     """Add the command to argparse's sub-parsers."""
@@ -35,26 +37,29 @@
 
     try:
         tables = experiment.read(arguments.file)
-        chosen = None if tables.get("kind") in ("rollout", "policy") else experiment.parse(tables)
-        if chosen is None or arguments.seeds > 1:
-            _print_spread(_spread(tables, chosen, arguments.seeds), arguments.format)
+        membership = None if tables.get("kind") in CONTROL_KINDS else experiment.parse(tables)
+        if membership is None or arguments.seeds > 1:
+            _print_spread(_spread(tables, membership, arguments.seeds), arguments.format)
             return 0
     except ScheduleError as error:
         print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
         return 2
-    _run_once(chosen, arguments)
+    _run_once(membership, arguments)
     return 0
 
 
 def _spread(tables: dict[str, Any], membership: "Experiment | None", seed_count: int) -> "Spread":
     """Run the experiment with so many seeds. Raises `ScheduleError`."""
-    from maplestile.tools.model import policy, report, rollout, run
+    from maplestile.tools.model import policy, policy_experiment, report, rollout, rollout_experiment, run
+    from maplestile.tools.model.control_experiment import with_seeds
 
     if membership is not None:
-        return report.over(run.figures, run.with_seeds(membership, seed_count))
+        return report.spread_of_runs(run.metrics, run.with_seeds(membership, seed_count))
     if tables["kind"] == "rollout":
-        return report.over(rollout.figures, rollout.with_seeds(rollout.parse(tables), seed_count))
-    return report.over(policy.figures, policy.with_seeds(policy.parse(tables), seed_count))
+        rollouts = with_seeds(rollout_experiment.parse(tables), seed_count)
+        return report.spread_of_runs(rollout.metrics, rollouts)
+    policies = with_seeds(policy_experiment.parse(tables), seed_count)
+    return report.spread_of_runs(policy.metrics, policies)
 
 
 def _print_spread(spread: "Spread", output_format: str) -> None:
--- a/maplestile/tools/model/membership_metrics.py
+++ b/maplestile/tools/model/membership_metrics.py
@@ -7,7 +7,7 @@
 from maplestile.tools.faults.schedule import Fault, Schedule
 from maplestile.tools.model.experiment import Experiment
 
-Figures = dict[str, float | None]
+Metrics = dict[str, float | None]
 
 US_PER_S = 1e6
 US_PER_MINUTE = 60e6
@@ -71,7 +71,7 @@
     return bool({observer, member} & (fault.members | fault.others))
 
 
-def metrics(experiment: Experiment, measured: Measurements, live_members: Sequence[int]) -> Figures:
+def compute_metrics(experiment: Experiment, measured: Measurements, live_members: Sequence[int]) -> Metrics:
     """The metrics of a run that has ended, in the order in which they are printed."""
     schedule = experiment.schedule
     kills = [fault for fault in schedule.faults if fault.kind == "kill"]
@@ -80,7 +80,7 @@
     member_minutes = schedule.members * experiment.duration_us / US_PER_MINUTE
     periods = experiment.duration_us / experiment.period_us
     duties = experiment.duties
-    values: Figures = {
+    values: Metrics = {
         "members": schedule.members,
         "seconds": experiment.duration_us / US_PER_S,
         "lifeguard": int(experiment.lifeguard),
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -1,50 +1,20 @@
 """Changes of policy on the model: the shipped `ControlState`, `PolicyPlanner` and `Follower` on simpy.
 
-    kind = "policy"
-    seed = 5
-    routers = 200                # 1 to 2000
-    agents = 20                  # each has as many of them; one leads
-    changes = 20                 # one after the other, `pause_ms` after the one before is decided
-    pause_ms = 500
-    duration_s = 600             # the run ends with the changes, or here
-    rate = 20                    # calls a second at each router
-    commit_ms = 20               # for a command to be agreed on, plus an exponential jitter of the same mean
-    replica_ms = 100             # an agent's replica is behind the log by up to so long (evenly)
-    call_ms = 3                  # a call to a router on loopback, plus an exponential jitter of the same mean
-    check_ms = 5                 # a router's check
-    loss = 0.0                   # share of commands whose answer does not come: asked again after `retry_ms`
-    retry_ms = 500
-    refuse = 0.0                 # chance that some router refuses a change
-
-    [[cut]]                      # an agent is cut off, with its routers, and healed after `for_s`
-    at_s = 10
-    for_s = 8
-    agent = 3
-
-    [[down]]                     # a router is down, and starts again after `for_s`
-    at_s = 20
-    for_s = 5
-    router = 17
-
-What it leaves out: Raft itself, messages (a command is agreed on after its time, or its answer is lost), and
-the calls, which are counted by their rate.
+Experiments are in `policy_experiment.py`, what is measured in `policy_metrics.py`. Left out are Raft itself,
+messages (a command is committed after its time, or its reply is lost), and the calls, which are counted by
+their rate.
 """
 
-import random
-from dataclasses import dataclass, replace
-from statistics import quantiles
-from typing import Any
+from dataclasses import asdict
 
 import simpy
 
 from maplestile.agent.policy_controller import LOOK_INTERVAL_S, READ_INTERVAL_CHECKING_S, READ_INTERVAL_S
-from maplestile.common.toml_table import TomlTable
 from maplestile.control.commands import (
     PolicyCommitted,
     PolicyRead,
     ProposePolicy,
     ReadPolicy,
-    Register,
     Rejected,
     SubmitVerdict,
 )
@@ -52,294 +22,208 @@
 from maplestile.control.policy.document import Document
 from maplestile.control.policy.follower import Follower, PolicyAnnouncement, PolicyStatus, Rules, Step
 from maplestile.control.policy.planner import PolicyPlanner
-from maplestile.control.state import ControlState
-from maplestile.tools.faults.schedule import DURATION_MOST_S, ScheduleError
-from maplestile.tools.model.experiment import TimeRange, time_range_from
-
-LOOK_US, READ_US, CHECKING_US = (
-    int(s * 1e6) for s in (LOOK_INTERVAL_S, READ_INTERVAL_S, READ_INTERVAL_CHECKING_S)
-)
+from maplestile.tools.faults.schedule import US_PER_S
+from maplestile.tools.model.control_model import ControlModel, agent_name
+from maplestile.tools.model.experiment import TimeRange
+from maplestile.tools.model.membership_metrics import Metrics
+from maplestile.tools.model.policy_experiment import PolicyExperiment
+from maplestile.tools.model.policy_metrics import PolicyMeasurements, PolicyMetrics
+
+LOOK_US = int(LOOK_INTERVAL_S * US_PER_S)
+READ_US = int(READ_INTERVAL_S * US_PER_S)
+READ_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
 TICK_US = 500_000
 
+Fence = tuple[int, int]  # a read's epoch, and when the read was sent, in microseconds
+
+
+class PolicyModel(ControlModel):
+    """One run of policy changes, with the shipped decisions."""
+
+    def __init__(self, experiment: PolicyExperiment) -> None:
+        super().__init__(experiment, experiment.routers)
+        self.experiment = experiment
+        self.measured = PolicyMeasurements()
+        self._planner = PolicyPlanner()
+        self._agent_of = {name: number % experiment.agents for number, name in enumerate(self.names)}
+        self._routers = {name: Follower(Rules(), 0, 0) for name in self.names}
+        self._fences: dict[str, Fence] = {}
+        self._replica_epochs = dict.fromkeys(range(experiment.agents), 0)
+        self._cut = set[int]()  # agents that are cut off
+        self._down = set[str]()  # routers that are down
+
+    def run(self) -> PolicyMetrics:
+        """Play the run to its end, and return its metrics."""
+        experiment = self.experiment
+        for agent in range(experiment.agents):
+            self._env.process(self._read_policy(agent))
+        for cut in experiment.cuts:
+            self._env.process(self._play_cut(cut))
+        for down in experiment.downs:
+            self._env.process(self._play_down(down))
+        self._env.process(self._tick_routers())
+        self._env.process(self._lead())
+        operator = self._env.process(self._propose_changes())
+        self._env.run(until=self._env.any_of([operator, self._env.timeout(experiment.duration_us)]))
+        return self.measured.metrics(self.names, experiment.rate, self._behind())
+
+    def _behind(self) -> int:
+        """How many routers that are neither cut off nor down lack the last epoch."""
+        epoch = self.control.policy.epoch.number
+        unreachable = self._routers_cut_off() | self._down
+        return sum(router.epoch != epoch for name, router in self._routers.items() if name not in unreachable)
 
-@dataclass(slots=True, frozen=True)
-class Plan:
-    """The settings of one run on the model; times in microseconds."""
-
-    seed: int
-    routers: int
-    agents: int
-    changes: int
-    pause_us: int
-    duration_us: int
-    rate: float
-    commit_us: int
-    replica_us: int
-    call_us: int
-    check_us: int
-    loss: float
-    retry_us: int
-    refuse: float
-    cuts: tuple[TimeRange, ...]
-    downs: tuple[TimeRange, ...]
-
-
-def parse(told: dict[str, Any]) -> Plan:
-    """Raises ScheduleError naming the field."""
-    top = TomlTable(told, "", ScheduleError)
-    top.choice("kind", ("policy",))
-    routers = top.whole("routers", least=1, most=2000)
-    agents = top.whole("agents", 3, least=1, most=routers)
-
-    def us(name: str, default: float, scale: float = 1000.0) -> int:
-        return int(top.number(name, default, most=DURATION_MOST_S * 1000) * scale)
-
-    plan = Plan(
-        seed=top.whole("seed", most=(1 << 63) - 1),
-        routers=routers,
-        agents=agents,
-        changes=top.whole("changes", 10, least=1, most=1000),
-        pause_us=us("pause_ms", 500.0),
-        duration_us=us("duration_s", 600.0, 1e6),
-        rate=top.number("rate", 20.0),
-        commit_us=us("commit_ms", 20.0),
-        replica_us=us("replica_ms", 100.0),
-        call_us=us("call_ms", 3.0),
-        check_us=us("check_ms", 5.0),
-        loss=top.number("loss", 0.0, most=0.9),
-        retry_us=us("retry_ms", 500.0),
-        refuse=top.number("refuse", 0.0, most=1.0),
-        cuts=tuple(time_range_from(t, "agent", agents) for t in top.tables("cut", needed=False)),
-        downs=tuple(time_range_from(t, "router", routers) for t in top.tables("down", needed=False)),
-    )
-    top.end()
-    return plan
-
-
-class Model:
-    """One run of policy changes on simpy's clock, with the shipped decisions."""
-
-    def __init__(self, plan: Plan) -> None:
-        self.plan, self.env, self.chance = plan, simpy.Environment(), random.Random(plan.seed)
-        self.control, self.arbiter = ControlState(), PolicyPlanner()
-        self.names = [f"r{n}" for n in range(plan.routers)]
-        self.owner = {name: n % plan.agents for n, name in enumerate(self.names)}
-        for agent in range(plan.agents):
-            register = Register(agent=f"a{agent}", instances=tuple(self.names[agent :: plan.agents]))
-            assert not isinstance(self.control.apply(register), Rejected)
-        self.routers = {name: Follower(Rules(), 0, 0) for name in self.names}
-        self.fences: dict[str, tuple[int, int]] = {}
-        self.seen = dict.fromkeys(range(plan.agents), 0)  # the epoch of each agent's replica
-        self.cut, self.down = set[int](), set[str]()
-        self.committed_us: dict[int, int] = {0: 0}
-        self.away: dict[int, set[str]] = {}  # by epoch: those cut off or down at some time until they had it
-        self.applied: dict[tuple[str, int], int] = {}
-        self.ends: dict[str, int] = {"committed": 0, "aborted": 0}
-        self.stale_most = 0
-        self.served_old = 0.0  # calls taken under an epoch that was not the committed one
-
-    @property
-    def now(self) -> int:
-        """The simulated time in microseconds."""
-        return int(self.env.now)
-
-    def run(self) -> dict[str, float | None]:
-        """Play the run to its end, and return its measurements by name."""
-        for agent in range(self.plan.agents):
-            self.env.process(self._agent(agent))
-        for cut in self.plan.cuts:
-            self.env.process(self._cut(cut))
-        for down in self.plan.downs:
-            self.env.process(self._down(down))
-        self.env.process(self._ticks())
-        self.env.process(self._leader())
-        self.env.run(
-            until=self.env.any_of(
-                [self.env.process(self._operator()), self.env.timeout(self.plan.duration_us)]
-            )
-        )
-        return self._figures()
-
-    def _jittered(self, mean_us: int) -> int:
-        return mean_us + int(self.chance.expovariate(1.0) * mean_us)
+    def _routers_cut_off(self) -> set[str]:
+        return {name for name, agent in self._agent_of.items() if agent in self._cut}
 
-    def _agreed_on(self, agent: int) -> simpy.events.ProcessGenerator:
-        """Until a command of this agent is agreed on; while it is cut off none is."""
-        while True:
-            yield self.env.timeout(self._jittered(self.plan.commit_us))
-            if agent not in self.cut and self.chance.random() >= self.plan.loss:
-                return
-            yield self.env.timeout(self.plan.retry_us)
+    def _is_delivered(self, agent: int) -> bool:
+        """Whether this agent gets the reply to a command."""
+        return agent not in self._cut and self._random.random() >= self.experiment.loss
 
-    # An agent: reads, words to its routers, verdicts.
+    # An agent reads the policy, announces it to its routers, and submits their verdicts.
 
-    def _agent(self, agent: int) -> simpy.events.ProcessGenerator:
-        mine = [name for name in self.names if self.owner[name] == agent]
-        yield self.env.timeout(int(self.chance.random() * READ_US))
-        self.env.process(self._looks(agent, mine))
+    def _read_policy(self, agent: int) -> simpy.events.ProcessGenerator:
+        names = self.instances_of(agent)
+        yield self._env.timeout(self._uniform_us(READ_US))
+        self._env.process(self._control_routers(agent, names))
         while True:
-            asked_us, named = self.now, [name for name in mine if name not in self.down]
-            yield self.env.timeout(self._jittered(self.plan.commit_us))
-            if agent not in self.cut and self.chance.random() >= self.plan.loss:
-                read = self.control.apply(ReadPolicy(agent=f"a{agent}", instances=tuple(named)))
+            sent_us = self.now_us
+            running = [name for name in names if name not in self._down]
+            yield self._commit()
+            if self._is_delivered(agent):
+                read = self.control.apply(ReadPolicy(agent=agent_name(agent), instances=tuple(running)))
                 assert isinstance(read, PolicyRead), read
-                fence = read.epoch, asked_us
-                self.fences.update(dict.fromkeys(named, fence))
+                self._fences.update(dict.fromkeys(running, (read.epoch, sent_us)))
             checking = self.control.policy.checking() is not None
-            yield self.env.timeout(max(1, (CHECKING_US if checking else READ_US) - (self.now - asked_us)))
+            interval_us = READ_CHECKING_US if checking else READ_US
+            yield self._env.timeout(max(1, interval_us - (self.now_us - sent_us)))
 
-    def _looks(self, agent: int, mine: list[str]) -> simpy.events.ProcessGenerator:
-        told: dict[str, tuple[int, int]] = {}
-        judged = 0
+    def _control_routers(self, agent: int, names: list[str]) -> simpy.events.ProcessGenerator:
+        """Have each change checked once by each router, and announce each new epoch and read."""
+        announced: dict[str, Fence] = {}
+        checked = 0
         while True:
             change = self.control.policy.checking()
-            if change is not None and change.number != judged and agent not in self.cut:
-                judged = change.number
-                for name in mine:
-                    self.env.process(self._judge(agent, name, change))
-            for name in mine:
-                fenced, fenced_us = self.fences.get(name, (0, 0))
-                word = self.seen[agent], fenced_us
-                if word[0] >= fenced and told.get(name) != word and name not in self.down:
-                    told[name] = word
-                    self.env.process(self._tell(name, PolicyAnnouncement(*word, whole=True)))
-            yield self.env.timeout(LOOK_US)
-
-    def _tell(self, name: str, word: PolicyAnnouncement) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(self._jittered(self.plan.call_us))
-        router = self.routers[name]
-        if name not in self.down and router.hear(word, self.now) is Step.ADOPT:
-            router.adopted(word, self.now)
-            for epoch in range(1, word.epoch + 1):
-                self.applied.setdefault((name, epoch), self.now)
-
-    def _judge(self, agent: int, name: str, change: Change) -> simpy.events.ProcessGenerator:
-        delay_us = int(self.chance.random() * self.plan.replica_us)
-        yield self.env.timeout(delay_us + self._jittered(self.plan.call_us) + self.plan.check_us)
-        if name in self.down:
+            if change is not None and change.number != checked and agent not in self._cut:
+                checked = change.number
+                for name in names:
+                    self._env.process(self._check(agent, name, change))
+            self._announce_new(agent, names, announced)
+            yield self._env.timeout(LOOK_US)
+
+    def _announce_new(self, agent: int, names: list[str], announced: dict[str, Fence]) -> None:
+        epoch = self._replica_epochs[agent]
+        for name in names:
+            fence_epoch, fence_us = self._fences.get(name, (0, 0))
+            announcement = epoch, fence_us
+            if epoch >= fence_epoch and announced.get(name) != announcement and name not in self._down:
+                announced[name] = announcement
+                self._env.process(self._announce(name, PolicyAnnouncement(*announcement, whole=True)))
+
+    def _announce(self, name: str, announcement: PolicyAnnouncement) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(self._jittered_us(self.experiment.call_us))
+        router = self._routers[name]
+        if name not in self._down and router.hear(announcement, self.now_us) is Step.ADOPT:
+            router.adopted(announcement, self.now_us)
+            self.measured.record_applied(name, announcement.epoch, self.now_us)
+
+    def _check(self, agent: int, name: str, change: Change) -> simpy.events.ProcessGenerator:
+        """Have a router check a change, and submit its verdict."""
+        experiment = self.experiment
+        replica_us = self._uniform_us(experiment.replica_us)
+        yield self._env.timeout(replica_us + self._jittered_us(experiment.call_us) + experiment.check_us)
+        if name in self._down:
             return
-        yield from self._agreed_on(agent)
-        refuses = self.chance.random() < self.plan.refuse / self.plan.routers
+        yield from self._commit_with_retries(agent)
+        is_refused = self._random.random() < experiment.refuse / experiment.routers
         verdict = SubmitVerdict(
-            agent=f"a{agent}",
+            agent=agent_name(agent),
             change=change.number,
             instance=name,
-            reason="refused" if refuses else "",
+            reason="refused" if is_refused else "",
         )
         self.control.apply(verdict)
 
-    def _ticks(self) -> simpy.events.ProcessGenerator:
+    def _commit_with_retries(self, agent: int) -> simpy.events.ProcessGenerator:
+        """Until a command of this agent is committed; while it is cut off none is."""
+        while True:
+            yield self._commit()
+            if self._is_delivered(agent):
+                return
+            yield self._env.timeout(self.experiment.retry_us)
+
+    def _tick_routers(self) -> simpy.events.ProcessGenerator:
         while True:
             stale = 0
-            for name, router in self.routers.items():
-                if name not in self.down:
-                    router.tick(self.now)
+            for name, router in self._routers.items():
+                if name not in self._down:
+                    router.tick(self.now_us)
                     stale += router.status is PolicyStatus.STALE
-            self.stale_most = max(self.stale_most, stale)
-            yield self.env.timeout(TICK_US)
+            self.measured.record_stale(stale)
+            yield self._env.timeout(TICK_US)
 
     # The leader, and an operator.
 
-    def _leader(self) -> simpy.events.ProcessGenerator:
+    def _lead(self) -> simpy.events.ProcessGenerator:
         while True:
-            yield self.env.timeout(LOOK_US)
-            command = self.arbiter.next_command(self.control.policy, self.control.instances, self.now)
+            yield self._env.timeout(LOOK_US)
+            command = self._planner.next_command(self.control.policy, self.control.instances, self.now_us)
             if command is None:
                 continue
-            yield self.env.timeout(self._jittered(self.plan.commit_us))
+            yield self._commit()
             reply = self.control.apply(command)
             if isinstance(reply, PolicyCommitted):
-                epoch = reply.epoch
-                self.committed_us[epoch] = self.now
-                cut = {name for name, agent in self.owner.items() if agent in self.cut}
-                self.away[epoch] = cut | self.down
-                for agent in range(self.plan.agents):
-                    self.env.process(self._replicate(agent, epoch))
+                unreachable = self._routers_cut_off() | self._down
+                self.measured.record_commit(reply.epoch, self.now_us, unreachable)
+                for agent in range(self.experiment.agents):
+                    self._env.process(self._replicate(agent, reply.epoch))
 
     def _replicate(self, agent: int, epoch: int) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(int(self.chance.random() * self.plan.replica_us))
-        while agent in self.cut:
-            yield self.env.timeout(LOOK_US)
-        self.seen[agent] = max(self.seen[agent], epoch)
-
-    def _operator(self) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(2 * READ_US)
-        for number in range(self.plan.changes):
+        yield self._env.timeout(self._uniform_us(self.experiment.replica_us))
+        while agent in self._cut:
+            yield self._env.timeout(LOOK_US)
+        self._replica_epochs[agent] = max(self._replica_epochs[agent], epoch)
+
+    def _propose_changes(self) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(2 * READ_US)
+        for number in range(self.experiment.changes):
             policy = self.control.policy
             document = Document.of({"rules": {"attempts": number + 1}})
-            reply = self.control.apply(ProposePolicy(agent="a0", base=policy.epoch.number, document=document))
+            propose = ProposePolicy(agent=agent_name(0), base=policy.epoch.number, document=document)
+            reply = self.control.apply(propose)
             assert not isinstance(reply, Rejected), reply
             while policy.checking() is not None:
-                yield self.env.timeout(LOOK_US)
+                yield self._env.timeout(LOOK_US)
             assert policy.change is not None
-            self.ends["committed" if policy.change.phase is Phase.COMMITTED else "aborted"] += 1
-            yield self.env.timeout(self.plan.pause_us)
-        yield self.env.timeout(2 * READ_US)
+            self.measured.record_end(policy.change.phase is Phase.COMMITTED)
+            yield self._env.timeout(self.experiment.pause_us)
+        yield self._env.timeout(2 * READ_US)
 
     # Faults.
 
-    def _cut(self, cut: TimeRange) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(cut.at_us)
-        self.cut.add(cut.which)
-        self._now_away({name for name, agent in self.owner.items() if agent == cut.which})
-        yield self.env.timeout(cut.for_us)
-        self.cut.discard(cut.which)
+    def _play_cut(self, cut: TimeRange) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(cut.at_us)
+        self._cut.add(cut.which)
+        names = self.instances_of(cut.which)
+        self.measured.record_unreachable(names, self.control.policy.epoch.number)
+        yield self._env.timeout(cut.for_us)
+        self._cut.discard(cut.which)
 
-    def _down(self, down: TimeRange) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(down.at_us)
+    def _play_down(self, down: TimeRange) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(down.at_us)
         name = self.names[down.which]
-        self.down.add(name)
-        self._now_away({name})
-        yield self.env.timeout(down.for_us)
-        self.down.discard(name)
-        self.routers[name] = Follower(Rules(), self.routers[name].epoch, self.now)
+        self._down.add(name)
+        self.measured.record_unreachable([name], self.control.policy.epoch.number)
+        yield self._env.timeout(down.for_us)
+        self._down.discard(name)
+        self._routers[name] = Follower(Rules(), self._routers[name].epoch, self.now_us)
 
-    def _now_away(self, names: set[str]) -> None:
-        epoch = self.control.policy.epoch.number
-        self.away.setdefault(epoch, set()).update(n for n in names if (n, epoch) not in self.applied)
 
-    def _figures(self) -> dict[str, float | None]:
-        took, old_calls = list[float](), list[float]()
-        for epoch, at_us in self.committed_us.items():
-            live = [name for name in self.names if name not in self.away.get(epoch, set())]
-            if not epoch or any((name, epoch) not in self.applied for name in live):
-                continue
-            behind = [self.applied[name, epoch] - at_us for name in live]
-            took.append(max(behind) / 1000)
-            old_calls.append(sum(behind) / 1e6 * self.plan.rate)
-        total = sum(self.ends.values())
-        percentiles = quantiles(took, n=100, method="inclusive") if len(took) > 1 else [None] * 99
-        return {
-            "routers": self.plan.routers,
-            "changes": total,
-            "committed": self.ends["committed"],
-            "abort_rate": round(self.ends["aborted"] / total, 4) if total else None,
-            "last_applied_p50_ms": _rounded(percentiles[49]),
-            "last_applied_p99_ms": _rounded(percentiles[98]),
-            "old_calls_per_change": round(sum(old_calls) / len(old_calls), 2) if old_calls else None,
-            "old_share_of_a_second": round(
-                sum(old_calls) / len(old_calls) / self.plan.rate / self.plan.routers, 4
-            )
-            if old_calls and self.plan.rate
-            else None,
-            "stale_most": self.stale_most,
-            "behind_at_the_end": sum(
-                router.epoch != self.control.policy.epoch.number
-                for name, router in self.routers.items()
-                if name not in self.down and self.owner[name] not in self.cut
-            ),
-        }
-
-
-def _rounded(value: float | None) -> float | None:
-    return None if value is None else round(value, 1)
-
-
-def figures(plan: Plan) -> dict[str, float | None]:
-    """Play one run, and return its measurements by name."""
-    return Model(plan).run()
-
-
-def with_seeds(plan: Plan, count: int) -> list[Plan]:
-    """Return the same run with so many seeds, counted up from its own."""
-    return [replace(plan, seed=plan.seed + n) for n in range(count)]
+def run(experiment: PolicyExperiment) -> PolicyMetrics:
+    """Run an experiment, and return its metrics."""
+    return PolicyModel(experiment).run()
+
+
+def metrics(experiment: PolicyExperiment) -> Metrics:
+    """Run an experiment, and return its metrics by name."""
+    return asdict(run(experiment))
--- a/maplestile/tools/model/report.py
+++ b/maplestile/tools/model/report.py
@@ -5,58 +5,66 @@
 import json
 import os
 import statistics
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 from typing import Any, TypeVar
 
-from maplestile.tools.model.membership_metrics import Figures, TimeSeries
+from maplestile.tools.model.membership_metrics import Metrics, TimeSeries
+
+DIGITS = 6  # after the decimal point of a median
 
 Spread = dict[str, dict[str, float] | None]
 Experiment = TypeVar("Experiment")
 
 
-def as_json(figures: Figures) -> str:
+def as_json(metrics: Metrics) -> str:
     """The metrics of one run as JSON."""
-    return json.dumps(figures, indent=2, sort_keys=True)
+    return json.dumps(metrics, indent=2, sort_keys=True)
 
 
-def as_csv(figures: Figures) -> str:
+def as_csv(metrics: Metrics) -> str:
     """The metrics of one run as CSV, one a line."""
-    out = io.StringIO()
-    writer = csv.writer(out, lineterminator="\n")
-    writer.writerow(("figure", "value"))
-    for key in sorted(figures):
-        writer.writerow((key, "" if figures[key] is None else figures[key]))
-    return out.getvalue()
+    rows = ((name, "" if metrics[name] is None else metrics[name]) for name in sorted(metrics))
+    return _csv(("figure", "value"), rows)
+
 
+def spread_of_runs(run: Callable[[Experiment], Metrics], experiments: Sequence[Experiment]) -> Spread:
+    """Run experiments, as many at a time as there are cores, and return the spread of their metrics.
 
-def over(figures: Callable[[Experiment], Figures], runs: Sequence[Experiment]) -> Spread:
-    """The spread of the metrics over some runs, as many at a time as there are cores."""
-    with ProcessPoolExecutor(min(len(runs), os.cpu_count() or 1)) as pool:
-        return spread(list(pool.map(figures, runs)))
+    `run` is a function of a module: other processes import it by its name.
+    """
+    with ProcessPoolExecutor(min(len(experiments), os.cpu_count() or 1)) as pool:
+        return spread(list(pool.map(run, experiments)))
 
 
-def spread(runs: list[Figures]) -> Spread:
+def spread(runs: Sequence[Metrics]) -> Spread:
     """Each metric's least, median and greatest over runs of other seeds; None where it has none."""
-    found: Spread = {}
-    for key in sorted(runs[0]):
-        values = [value for figures in runs if (value := figures[key]) is not None]
-        found[key] = None
-        if values:
-            middle = round(statistics.median(values), 6)
-            found[key] = {"min": min(values), "median": middle, "max": max(values), "runs": len(values)}
-    return found
+    return {
+        name: _spread_of_values([value for metrics in runs if (value := metrics[name]) is not None])
+        for name in sorted(runs[0])
+    }
+
+
+def _spread_of_values(values: Sequence[float]) -> dict[str, float] | None:
+    if not values:
+        return None
+    median = round(statistics.median(values), DIGITS)
+    return {"min": min(values), "median": median, "max": max(values), "runs": len(values)}
 
 
 def spread_csv(spread: Spread) -> str:
     """The spread as CSV, one metric a line."""
+    empty = ("", "", "", 0)
+    rows = ((name, *(empty if row is None else row.values())) for name, row in spread.items())
+    return _csv(("figure", "min", "median", "max", "runs"), rows)
+
+
+def _csv(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
-    writer.writerow(("figure", "min", "median", "max", "runs"))
-    for key, row in spread.items():
-        values = ("", "", "", 0) if row is None else tuple(row.values())
-        writer.writerow((key, *values))
+    writer.writerow(head)
+    writer.writerows(rows)
     return out.getvalue()
 
 
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -1,272 +1,220 @@
 """Rollouts on the model: the shipped `ControlState` and `RolloutPlanner` on simpy, with many instances.
 
-    kind = "rollout"
-    seed = 11
-    instances = 40               # 2 to 2000
-    agents = 10                  # each manages as many, and votes or asks; one leads
-    action = "restart"           # or replace
-    budget = "10%"
-    duration_s = 600             # the run ends with the rollout, or here
-    commit_ms = 20               # for a command to be agreed on, plus an exponential jitter of the same mean
-    drain_ms = 1000              # from SIGTERM to the end of an instance, plus a jitter of `drain_jitter_ms`
-    drain_jitter_ms = 300
-    start_ms = 300               # until it serves again
-    stuck = 0.0                  # share of drains that take `stuck_s`
-    stuck_s = 30
-    halt_at_s = 5                # an operator halts then, and resumes after `halt_for_s`; 0 for never
-    halt_for_s = 2
-
-    [[outage]]                   # an instance is out by itself, planned by nobody
-    at_s = 20
-    for_s = 5
-    instance = 7
-
-    [[election]]                 # the leader is lost; another leads after `for_s`, without its memory
-    at_s = 10
-    for_s = 1.2
-
-What it leaves out: Raft itself (a command is agreed on after its time), lost words, and the calls.
+Experiments are in `rollout_experiment.py`. Left out are Raft itself (a command is committed after its time),
+lost messages, and the calls.
 """
 
-import random
-from dataclasses import dataclass, replace
-from typing import Any
+from dataclasses import asdict, dataclass, field
 
 import simpy
 
-from maplestile.common.errors import CommandRejected
-from maplestile.common.toml_table import TomlTable
 from maplestile.control.commands import (
     BeginStep,
     FinishStep,
     GrantLease,
     HaltRollout,
     HealthReport,
-    Register,
     Rejected,
     ResumeRollout,
     StartRollout,
 )
 from maplestile.control.rollout_planner import RolloutPlanner, Rules
-from maplestile.control.state import ACTIONS, ACTIVE, ControlState, Lease, Phase, Stage, budget_of
-from maplestile.tools.faults.schedule import DURATION_MOST_S, ScheduleError
-from maplestile.tools.model.experiment import TimeRange, time_range_from
+from maplestile.control.state import ACTIVE, Lease, Phase, Stage
+from maplestile.tools.faults.schedule import US_PER_MS, US_PER_S
+from maplestile.tools.model.control_model import ControlModel
+from maplestile.tools.model.experiment import TimeRange
+from maplestile.tools.model.membership_metrics import Metrics
+from maplestile.tools.model.rollout_experiment import RolloutExperiment
 
-LOOK_US, WORD_US = 50_000, 500_000  # as the steward looks and tells
+# The intervals of the shipped rollout controller.
+LOOK_US = 50_000
+REPORT_US = 500_000
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
-    """The settings of one run on the model; times in microseconds."""
+class RolloutMetrics:
+    """The metrics of one run; None where there is nothing to measure."""
 
-    seed: int
     instances: int
-    agents: int
-    action: str
-    budget: int | str
-    duration_us: int
-    commit_us: int
-    drain_us: int
-    drain_jitter_us: int
-    start_us: int
-    stuck: float
-    stuck_us: int
-    halt_at_us: int
-    halt_for_us: int
-    outages: tuple[TimeRange, ...]
-    elections: tuple[TimeRange, ...]
-
-
-def parse(told: dict[str, Any]) -> Plan:
-    """Raises ScheduleError naming the field."""
-    top = TomlTable(told, "", ScheduleError)
-    top.choice("kind", ("rollout",))
-    instances = top.whole("instances", least=2, most=2000)
-    budget = top.values.pop("budget", 1)
-    try:
-        budget_of(budget, instances)
-    except CommandRejected as refusal:
-        raise ScheduleError(f"budget: {refusal}") from None
-
-    def us(name: str, default: float, scale: float = 1000.0) -> int:
-        return int(top.number(name, default, most=DURATION_MOST_S * 1000) * scale)
-
-    outages = [time_range_from(table, "instance", instances) for table in top.tables("outage", needed=False)]
-    elections = [time_range_from(table) for table in top.tables("election", needed=False)]
-    plan = Plan(
-        seed=top.whole("seed", most=(1 << 63) - 1),
-        instances=instances,
-        agents=top.whole("agents", 3, least=1, most=instances),
-        action=top.choice("action", tuple(a for a in ACTIONS if a != "drain"), "restart"),
-        budget=budget,
-        duration_us=us("duration_s", 600.0, 1e6),
-        commit_us=us("commit_ms", 20.0),
-        drain_us=us("drain_ms", 1000.0),
-        drain_jitter_us=us("drain_jitter_ms", 300.0),
-        start_us=us("start_ms", 300.0),
-        stuck=top.number("stuck", 0.0, most=1.0),
-        stuck_us=us("stuck_s", 30.0, 1e6),
-        halt_at_us=us("halt_at_s", 0.0, 1e6),
-        halt_for_us=us("halt_for_s", 2.0, 1e6),
-        outages=tuple(outages),
-        elections=tuple(elections),
-    )
-    top.end()
-    return plan
-
-
-class Model:
-    """One run of a rollout on simpy's clock, with the shipped decisions."""
-
-    def __init__(self, plan: Plan) -> None:
-        self.plan, self.env, self.chance = plan, simpy.Environment(), random.Random(plan.seed)
-        self.control = ControlState()
-        names = [f"r{n}" for n in range(plan.instances)]
-        for agent in range(plan.agents):
-            theirs = names[agent :: plan.agents]
-            self.control.apply(Register(agent=f"a{agent}", instances=tuple(theirs)))
-        self.names = names
-        self.down = set[str]()  # truly out, planned or not
-        self.lost = set[str]()  # out by an outage
-        self.hands = set[int]()  # leases that their agents have in hand
-        self.watcher: RolloutPlanner | None = RolloutPlanner(Rules(), 0)
-        self.pending = False
-        self.worst_out = self.worst_planned = 0
-        self.begins: list[int] = []
-        self.halted_us: list[int] = []
-        self.halts = 0
-        self.ended_us: int | None = None
-
-    @property
-    def now(self) -> int:
-        """The simulated time in microseconds."""
-        return int(self.env.now)
-
-    def run(self) -> dict[str, float | None]:
-        """Play the run to its end, and return its measurements by name."""
-        plan = self.plan
-        start = StartRollout(action=plan.action, targets=(), budget=plan.budget)
+    budget: int
+    done: int  # instances whose step is done
+    ended: int  # 1 if the rollout is done, else 0
+    seconds: float | None  # until the rollout ended
+    most_out: int  # instances out at the same time
+    most_out_planned: int  # of these, out by a step and not by an outage
+    halts_by_itself: int
+    last_step_after_halt_ms: float | None  # from the operator's halt until the last step began
+
+
+@dataclass(slots=True)
+class RolloutMeasurements:
+    """What a run has counted so far."""
+
+    most_out: int = 0
+    most_out_planned: int = 0
+    begun_us: list[int] = field(default_factory=list)  # when each step began
+    last_after_halt_us: list[int] = field(default_factory=list)  # for each halt of an operator
+    halts: int = 0  # by the planner
+    ended_us: int | None = None
+
+    def record_out(self, out: int, out_planned: int) -> None:
+        """Take in how many instances are out now."""
+        self.most_out = max(self.most_out, out)
+        self.most_out_planned = max(self.most_out_planned, out_planned)
+
+    def record_halt(self, sent_us: int) -> None:
+        """Keep how long after an operator sent a halt the last step began."""
+        later_us = [at_us for at_us in self.begun_us if at_us > sent_us]
+        self.last_after_halt_us.append(max(later_us) - sent_us if later_us else 0)
+
+
+class RolloutModel(ControlModel):
+    """One run of a rollout, with the shipped decisions."""
+
+    def __init__(self, experiment: RolloutExperiment) -> None:
+        super().__init__(experiment, experiment.instances)
+        self.experiment = experiment
+        self.measured = RolloutMeasurements()
+        self._out = set[str]()  # instances that do not serve, planned or not
+        self._in_outage = set[str]()
+        self._started_leases = set[int]()  # leases whose agents have started the step
+        self._planner: RolloutPlanner | None = RolloutPlanner(Rules(), 0)  # None without a leader
+        self._is_command_pending = False
+
+    def run(self) -> RolloutMetrics:
+        """Play the run to its end, and return its metrics."""
+        experiment = self.experiment
+        start = StartRollout(action=experiment.action, targets=(), budget=experiment.budget)
         reply = self.control.apply(start)
         assert not isinstance(reply, Rejected), reply
-        self.env.process(self._look())
-        self.env.process(self._words())
-        for outage in self.plan.outages:
-            self.env.process(self._outage(outage))
-        for election in self.plan.elections:
-            self.env.process(self._election(election))
-        if self.plan.halt_at_us:
-            self.env.process(self._operator())
-        self.env.run(until=self.plan.duration_us)
-        return self._figures()
-
-    def _commit(self) -> simpy.events.Timeout:
-        """The time until a command is agreed on."""
-        jitter = int(self.chance.expovariate(1.0) * self.plan.commit_us)
-        return self.env.timeout(self.plan.commit_us + jitter)
-
-    def _look(self) -> simpy.events.ProcessGenerator:
+        self._env.process(self._control_rollout())
+        self._env.process(self._report_health())
+        for outage in experiment.outages:
+            self._env.process(self._play_outage(outage))
+        for election in experiment.elections:
+            self._env.process(self._play_election(election))
+        if experiment.halt_at_us:
+            self._env.process(self._halt_and_resume())
+        self._env.run(until=experiment.duration_us)
+        return self._metrics()
+
+    # The agents and their leader.
+
+    def _control_rollout(self) -> simpy.events.ProcessGenerator:
+        """Start the steps of new leases, and submit the leader's commands, until the rollout ends."""
         while True:
-            for lease in list(self.control.leases.values()):
-                if lease.stage is Stage.GRANTED and lease.number not in self.hands:
-                    self.hands.add(lease.number)
-                    self.env.process(self._step(lease))
-            if self.watcher is not None and not self.pending:
-                command = self.watcher.next_command(self.control, frozenset(), 1, self.now)
-                if command is not None:
-                    self.pending = True
-                    self.env.process(self._decided(command))
+            self._start_steps()
+            self._plan()
             rollout = self.control.rollout
             if rollout is not None and rollout.phase not in ACTIVE:
-                self.ended_us = self.now
+                self.measured.ended_us = self.now_us
                 return
-            yield self.env.timeout(LOOK_US)
+            yield self._env.timeout(LOOK_US)
 
-    def _decided(self, command: GrantLease | HaltRollout) -> simpy.events.ProcessGenerator:
+    def _start_steps(self) -> None:
+        for lease in list(self.control.leases.values()):
+            if lease.stage is Stage.GRANTED and lease.number not in self._started_leases:
+                self._started_leases.add(lease.number)
+                self._env.process(self._step(lease))
+
+    def _plan(self) -> None:
+        if self._planner is None or self._is_command_pending:
+            return
+        command = self._planner.next_command(self.control, frozenset(), 1, self.now_us)
+        if command is not None:
+            self._is_command_pending = True
+            self._env.process(self._submit(command))
+
+    def _submit(self, command: GrantLease | HaltRollout) -> simpy.events.ProcessGenerator:
         yield self._commit()
-        self.pending = False
+        self._is_command_pending = False
         is_rejected = isinstance(self.control.apply(command), Rejected)
         if isinstance(command, HaltRollout) and not is_rejected:
-            self.halts += 1
-            yield self.env.timeout(self.plan.halt_for_us)  # an operator looks, and has it go on
+            self.measured.halts += 1
+            yield self._env.timeout(self.experiment.halt_for_us)  # until an operator resumes it
             self.control.apply(ResumeRollout())
 
-    def _words(self) -> simpy.events.ProcessGenerator:
+    def _report_health(self) -> simpy.events.ProcessGenerator:
         while True:
-            if self.watcher is not None:
-                self.watcher.hear(
-                    {name: HealthReport(name not in self.down) for name in self.names}, self.now
-                )
-            yield self.env.timeout(WORD_US)
+            if self._planner is not None:
+                reports = {name: HealthReport(name not in self._out) for name in self.names}
+                self._planner.hear(reports, self.now_us)
+            yield self._env.timeout(REPORT_US)
 
     def _step(self, lease: Lease) -> simpy.events.ProcessGenerator:
+        """Drain the lease's instance and start it again."""
         begin = BeginStep(agent=lease.holder, instance=lease.instance, lease=lease.number)
         yield self._commit()
         if isinstance(self.control.apply(begin), Rejected):
             return
-        self.begins.append(self.now)
-        self._out(lease.instance)
-        jitter = int(self.chance.expovariate(1.0) * self.plan.drain_jitter_us)
-        stuck = self.chance.random() < self.plan.stuck
-        drain_us = self.plan.stuck_us if stuck else self.plan.drain_us + jitter
-        yield self.env.timeout(drain_us + self.plan.start_us)
-        if lease.instance not in self.lost:
-            self.down.discard(lease.instance)
+        self.measured.begun_us.append(self.now_us)
+        self._take_out(lease.instance)
+        yield self._env.timeout(self._drain_us() + self.experiment.start_us)
+        if lease.instance not in self._in_outage:
+            self._out.discard(lease.instance)
         yield self._commit()
         self.control.apply(FinishStep(agent=lease.holder, instance=lease.instance, lease=lease.number))
 
-    def _out(self, name: str) -> None:
-        self.down.add(name)
-        self.worst_out = max(self.worst_out, len(self.down))
-        self.worst_planned = max(self.worst_planned, len(self.down - self.lost))
+    def _drain_us(self) -> int:
+        jitter_us = self._exponential_us(self.experiment.drain_jitter_us)
+        is_stuck = self._random.random() < self.experiment.stuck
+        return self.experiment.stuck_us if is_stuck else self.experiment.drain_us + jitter_us
+
+    def _take_out(self, name: str) -> None:
+        self._out.add(name)
+        self.measured.record_out(len(self._out), len(self._out - self._in_outage))
+
+    # Faults, and an operator.
 
-    def _outage(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(outage.at_us)
+    def _play_outage(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(outage.at_us)
         name = self.names[outage.which]
-        self.lost.add(name)
-        self._out(name)
-        yield self.env.timeout(outage.for_us)
-        self.lost.discard(name)
+        self._in_outage.add(name)
+        self._take_out(name)
+        yield self._env.timeout(outage.for_us)
+        self._in_outage.discard(name)
         if name not in self.control.leases:
-            self.down.discard(name)
+            self._out.discard(name)
 
-    def _election(self, election: TimeRange) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(election.at_us)
-        self.watcher = None
-        yield self.env.timeout(election.for_us)
-        self.watcher = RolloutPlanner(Rules(), self.now)
+    def _play_election(self, election: TimeRange) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(election.at_us)
+        self._planner = None
+        yield self._env.timeout(election.for_us)
+        self._planner = RolloutPlanner(Rules(), self.now_us)
 
-    def _operator(self) -> simpy.events.ProcessGenerator:
-        yield self.env.timeout(self.plan.halt_at_us)
-        asked_us = self.now
+    def _halt_and_resume(self) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(self.experiment.halt_at_us)
+        sent_us = self.now_us
         yield self._commit()
         if isinstance(self.control.apply(HaltRollout(reason="by the plan")), Rejected):
             return
-        yield self.env.timeout(self.plan.halt_for_us)
-        late = [at for at in self.begins if at > asked_us]
-        self.halted_us.append(max(late) - asked_us if late else 0)
+        yield self._env.timeout(self.experiment.halt_for_us)
+        self.measured.record_halt(sent_us)
         self.control.apply(ResumeRollout())
 
-    def _figures(self) -> dict[str, float | None]:
+    def _metrics(self) -> RolloutMetrics:
         rollout = self.control.rollout
         assert rollout is not None
-        return {
-            "instances": self.plan.instances,
-            "budget": rollout.budget,
-            "done": len(rollout.done),
-            "ended": int(rollout.phase is Phase.DONE),
-            "seconds": None if self.ended_us is None else round(self.ended_us / 1e6, 3),
-            "most_out": self.worst_out,
-            "most_out_planned": self.worst_planned,
-            "halts_by_itself": self.halts,
-            "last_step_after_halt_ms": max(self.halted_us) / 1000 if self.halted_us else None,
-        }
-
-
-def figures(plan: Plan) -> dict[str, float | None]:
-    """Play one run, and return its measurements by name."""
-    return Model(plan).run()
-
-
-def with_seeds(plan: Plan, count: int) -> list[Plan]:
-    """Return the same run with so many seeds, counted up from its own."""
-    return [replace(plan, seed=plan.seed + n) for n in range(count)]
+        measured = self.measured
+        halted_us = measured.last_after_halt_us
+        return RolloutMetrics(
+            instances=self.experiment.instances,
+            budget=rollout.budget,
+            done=len(rollout.done),
+            ended=int(rollout.phase is Phase.DONE),
+            seconds=None if measured.ended_us is None else round(measured.ended_us / US_PER_S, 3),
+            most_out=measured.most_out,
+            most_out_planned=measured.most_out_planned,
+            halts_by_itself=measured.halts,
+            last_step_after_halt_ms=max(halted_us) / US_PER_MS if halted_us else None,
+        )
+
+
+def run(experiment: RolloutExperiment) -> RolloutMetrics:
+    """Run an experiment, and return its metrics."""
+    return RolloutModel(experiment).run()
+
+
+def metrics(experiment: RolloutExperiment) -> Metrics:
+    """Run an experiment, and return its metrics by name."""
+    return asdict(run(experiment))
--- /dev/null
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -0,0 +1,105 @@
+"""Experiments of rollouts: the file's format, and its settings.
+
+kind = "rollout"
+seed = 11
+instances = 40               # 2 to 2000
+agents = 10                  # each manages as many, and votes or not; one leads
+action = "restart"           # or replace
+budget = "10%"
+duration_s = 600             # the run ends with the rollout, or here
+commit_ms = 20               # until a command is committed, plus an exponential jitter of the same mean
+drain_ms = 1000              # from SIGTERM to the end of an instance, plus a jitter of `drain_jitter_ms`
+drain_jitter_ms = 300
+start_ms = 300               # until it serves again
+stuck = 0.0                  # share of drains that take `stuck_s`
+stuck_s = 30
+halt_at_s = 5                # an operator halts then, and resumes after `halt_for_s`; 0 for never
+halt_for_s = 2
+
+[[outage]]                   # an instance is out by itself, planned by nobody
+at_s = 20
+for_s = 5
+instance = 7
+
+[[election]]                 # the leader is lost; another leads after `for_s`, without its memory
+at_s = 10
+for_s = 1.2
+
+Times are whole microseconds in the settings.
+"""
+
+from dataclasses import dataclass
+from typing import Any
+
+from maplestile.common.errors import CommandRejected
+from maplestile.common.toml_table import TomlTable
+from maplestile.control.state import ACTIONS, budget_of
+from maplestile.tools.faults.schedule import ScheduleError
+from maplestile.tools.model.control_experiment import (
+    ControlExperiment,
+    microseconds_from_ms,
+    microseconds_from_s,
+    seed_from,
+)
+from maplestile.tools.model.experiment import TimeRange, time_range_from
+
+MAX_INSTANCES = 2000
+MODELLED_ACTIONS = tuple(action for action in ACTIONS if action != "drain")
+
+
+@dataclass(slots=True, frozen=True)
+class RolloutExperiment(ControlExperiment):
+    """The settings of one run; the module tells each field as the file has it."""
+
+    instances: int
+    action: str
+    budget: int | str
+    drain_us: int
+    drain_jitter_us: int
+    start_us: int
+    stuck: float
+    stuck_us: int
+    halt_at_us: int
+    halt_for_us: int
+    outages: tuple[TimeRange, ...]
+    elections: tuple[TimeRange, ...]
+
+
+def parse(tables: dict[str, Any]) -> RolloutExperiment:
+    """Read an experiment out of a file's tables. Raises `ScheduleError` naming the field."""
+    top = TomlTable(tables, "", ScheduleError)
+    top.choice("kind", ("rollout",))
+    instances = top.whole("instances", least=2, most=MAX_INSTANCES)
+    budget = _budget_from(top, instances)
+    outages = [time_range_from(table, "instance", instances) for table in top.tables("outage", needed=False)]
+    elections = [time_range_from(table) for table in top.tables("election", needed=False)]
+    experiment = RolloutExperiment(
+        seed=seed_from(top),
+        instances=instances,
+        agents=top.whole("agents", 3, least=1, most=instances),
+        action=top.choice("action", MODELLED_ACTIONS, "restart"),
+        budget=budget,
+        duration_us=microseconds_from_s(top, "duration_s", 600.0),
+        commit_us=microseconds_from_ms(top, "commit_ms", 20.0),
+        drain_us=microseconds_from_ms(top, "drain_ms", 1000.0),
+        drain_jitter_us=microseconds_from_ms(top, "drain_jitter_ms", 300.0),
+        start_us=microseconds_from_ms(top, "start_ms", 300.0),
+        stuck=top.number("stuck", 0.0, most=1.0),
+        stuck_us=microseconds_from_s(top, "stuck_s", 30.0),
+        halt_at_us=microseconds_from_s(top, "halt_at_s", 0.0),
+        halt_for_us=microseconds_from_s(top, "halt_for_s", 2.0),
+        outages=tuple(outages),
+        elections=tuple(elections),
+    )
+    top.end()
+    return experiment
+
+
+def _budget_from(table: TomlTable, instances: int) -> Any:
+    """Take the budget, a count or a share. Raises `ScheduleError`."""
+    budget = table.values.pop("budget", 1)
+    try:
+        budget_of(budget, instances)
+    except CommandRejected as rejection:
+        raise ScheduleError(f"budget: {rejection}") from None
+    return budget
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -20,11 +20,11 @@
 from maplestile.tools.model.experiment import Experiment
 from maplestile.tools.model.membership_metrics import (
     US_PER_S,
-    Figures,
     Measurements,
+    Metrics,
     TimeSeries,
+    compute_metrics,
     is_excused,
-    metrics,
 )
 
 HOST = "model"  # members' addresses are (HOST, number): nothing is sent anywhere
@@ -77,7 +77,7 @@
         seed = self.schedule.seed * SEED_STRIDE + number
         return Member(number, Swim(name, (HOST, number), self._tuning, seed, 0, checks), checks)
 
-    def run(self) -> Figures:
+    def run(self) -> Metrics:
         """Run the experiment to its end and return its metrics."""
         self._introduce()
         for fault in self.schedule.faults:
@@ -85,7 +85,7 @@
         self._env.process(self._sample())
         self._env.run(until=self.experiment.duration_us)
         live_members = [member.number for member in self._live_members()]
-        return metrics(self.experiment, self.measured, live_members)
+        return compute_metrics(self.experiment, self.measured, live_members)
 
     def _introduce(self) -> None:
         """Have all members know each other at the start: joins are not what is measured."""
@@ -223,20 +223,20 @@
     return statistics.fmean(values) if values else 0.0
 
 
-def run(experiment: Experiment) -> tuple[Figures, TimeSeries]:
-    """Run an experiment; its metrics, and its time series."""
+def run(experiment: Experiment) -> tuple[Metrics, TimeSeries]:
+    """Run an experiment, and return its metrics and its time series."""
     model = MembershipModel(experiment)
     result = model.run()
     return result, model.measured.series
 
 
-def figures(experiment: Experiment) -> Figures:
-    """Run an experiment for its metrics alone."""
+def metrics(experiment: Experiment) -> Metrics:
+    """Run an experiment, and return its metrics by name."""
     return run(experiment)[0]
 
 
 def with_seeds(experiment: Experiment, count: int) -> list[Experiment]:
-    """The same experiment with so many seeds, one after the other."""
+    """Return the experiment with so many seeds, counted up from its own."""
     schedule = experiment.schedule
-    schedules = (replace(schedule, seed=schedule.seed + n) for n in range(count))
-    return [replace(experiment, schedule=one) for one in schedules]
+    schedules = (replace(schedule, seed=schedule.seed + offset) for offset in range(count))
+    return [replace(experiment, schedule=seeded) for seeded in schedules]
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -10,7 +10,7 @@
 from benchmarks.fit import Series, fit
 from benchmarks.hollow import HollowFleet
 from benchmarks.name_lists import ANSWER_BYTES, NameServer, most_listed
-from benchmarks.policy_changes import plan, played
+from benchmarks.policy_changes import experiment, run_seeds
 from tests.standins import name_bytes
 
 PERIOD_US = 100_000
@@ -85,5 +85,5 @@
 
 def test_changes_of_policy_are_all_committed_where_nothing_fails() -> None:
     for routers in (10, 40):
-        (told,) = played(plan(routers), 1)
-        assert (told["committed"], told["behind_at_the_end"]) == (10, 0)
+        (metrics,) = run_seeds(experiment(routers), 1)
+        assert (metrics.committed, metrics.behind_at_the_end) == (10, 0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 from maplestile.tools.model import report
 from maplestile.tools.model.experiment import parse
 from maplestile.tools.model.report import as_csv, as_json
-from maplestile.tools.model.run import figures, run, with_seeds
+from maplestile.tools.model.run import metrics, run, with_seeds
 
 Figures = dict[str, float | None]
 # Seeds of `HealthCheckGroup` in which all transmissions of a finding miss one member: 9 of the first 400.
@@ -73,8 +73,8 @@
 
     def test_runs_of_many_seeds_tell_their_spread(self) -> None:
         chosen = parse({"seed": 5, "members": 5, "duration_s": 20, "kill": [{"at_s": 5, "member": 1}]})
-        runs = [figures(one) for one in with_seeds(chosen, 3)]
-        spread = report.over(figures, with_seeds(chosen, 3))
+        runs = [metrics(one) for one in with_seeds(chosen, 3)]
+        spread = report.spread_of_runs(metrics, with_seeds(chosen, 3))
         detection = spread["detection_median_periods"] or {}
         values = sorted(one["detection_median_periods"] or 0 for one in runs)
         self.assertEqual([detection["min"], detection["median"], detection["max"]], values)
