--- /dev/null
+++ b/tests/test_swim.py
@@ -0,0 +1,57 @@
+"""Members that join, leave and come back; every datagram is delivered at once."""
+
+import unittest
+
+from maplestile.membership.swim import Swim
+from maplestile.membership.tuning import Tuning
+from tests.swim_group import deliver_all
+
+TUNING = Tuning(period_us=100_000, ack_us=40_000)
+STEP_US = 10_000
+
+
+class JoinTest(unittest.TestCase):
+    def test_a_joiner_is_learned_by_all_also_where_the_seeds_update_about_it_died_out(self) -> None:
+        swims = [Swim(f"r{n}", ("h", n), TUNING, n, 0) for n in range(3)]
+        swims[1].join([("h", 0)])
+        swims[2].join([("h", 0)])
+        now_us = 0
+        for _ in range(400):  # 40 periods of 100 ms
+            now_us += STEP_US
+            for swim in swims:
+                swim.tick(now_us)
+            if now_us == STEP_US:
+                # The seed's updates about the joiners are dropped.
+                deliver_all(swims, now_us, after_each=swims[0].update_queue.clear)
+            else:
+                deliver_all(swims, now_us)
+        self.assertEqual([swim.live() for swim in swims], [["r0", "r1", "r2"]] * 3)
+
+
+class ReturnTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.now_us = 0
+        self.swims = [Swim(f"r{n}", ("h", n), TUNING, n, 0) for n in range(3)]
+
+    def advance(self, steps: int) -> None:
+        for _ in range(steps):
+            self.now_us += STEP_US
+            for swim in self.swims:
+                swim.tick(self.now_us)
+            deliver_all(self.swims, self.now_us)
+
+    def test_one_that_left_and_comes_back_with_no_seed_is_found_again(self) -> None:
+        for swim in self.swims[1:]:
+            swim.join([("h", 0)])
+        self.advance(200)
+        self.swims[0].leave()
+        self.advance(100)
+        self.assertEqual(self.swims[1].live(), ["r1", "r2"])
+        # Its file names no seed: it was the first.
+        self.swims[0] = Swim("r0", ("h", 0), TUNING, 9, self.now_us)
+        self.advance(300)
+        self.assertEqual([swim.live() for swim in self.swims], [["r0", "r1", "r2"]] * 3)
+
+
+if __name__ == "__main__":
+    unittest.main()
