--- a/maplestile/tools/load/arrivals.py
+++ b/maplestile/tools/load/arrivals.py
@@ -31,14 +31,23 @@
         at_s += generator.expovariate(rate)
 
 
+@dataclass(slots=True, frozen=True)
+class TracedCall:
+    """One call of a trace."""
+
+    at_s: float  # in the trace's own time
+    app: str
+    function: str
+
+
 @dataclass(slots=True)
 class Recorder:
     """Keeps the calls of a trace as it is read (`Trace.keep`): the first `most` of them."""
 
     seed: int
     most: int
-    calls: list[tuple[float, str, str]] = field(default_factory=list)  # time, app and function
-    dropped: int = 0
+    calls: list[TracedCall] = field(default_factory=list)
+    dropped: int = 0  # calls beyond `most`
     _random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
@@ -50,21 +59,25 @@
             if len(self.calls) >= self.most:
                 self.dropped += 1
                 continue
-            self.calls.append((started_s + self._random.random() * span_s, app, function))
+            at_s = started_s + self._random.random() * span_s
+            self.calls.append(TracedCall(at_s, app, function))
 
 
 def replay(recorder: Recorder, names: Mapping[tuple[str, str], str], speed: float) -> list[Arrival]:
     """Plan the trace's calls from its first on, `speed` times as fast, under the functions' names."""
     if not recorder.calls:
         return []
-    first_s = min(at_s for at_s, _, _ in recorder.calls)
+    first_s = min(call.at_s for call in recorder.calls)
     return sorted(
-        Arrival((at_s - first_s) / speed, names[app, function]) for at_s, app, function in recorder.calls
+        Arrival((call.at_s - first_s) / speed, names[call.app, call.function]) for call in recorder.calls
     )
 
 
 def names_of(trace: Trace, only: str = "") -> dict[tuple[str, str], str]:
-    """The name of each function of a trace in a function table (`traces --format functions`), or `only`."""
+    """The names of a trace's functions, by app and function.
+
+    They are those of its function table (`traces --format functions`), or `only` for each if that is given.
+    """
     return {(usage.app, usage.name): only or name for usage, name in trace.named()}
 
 
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -1,11 +1,10 @@
-"""`maplestile load`: call invoke fronts at a rate or as a trace tells, and print the result as JSON.
+"""`maplestile load`: call invoke fronts at a rate or as in a trace, and print the result as JSON.
 
 Exits with 0 whatever became of the calls, and with 2 for arguments that cannot be used.
 """
 
 import argparse
 import asyncio
-import json
 import sys
 from collections.abc import Iterable, Sequence
 from pathlib import Path
@@ -17,6 +16,7 @@
 
 if TYPE_CHECKING:
     from maplestile.tools.load.arrivals import Arrival
+    from maplestile.tools.load.client import CallTemplate
 
 # The modules of the load tool are imported by the functions that need them: the library of the histogram
 # would delay the start of every other command.
@@ -70,21 +70,26 @@
         print(f"maplestile: load: {error}", file=sys.stderr)
         return 2
     planned = arrivals.bounded(_arrivals(arguments, weights), arguments.seconds, arguments.count)
-    request = client.CallTemplate(
-        b"x" * arguments.body_bytes,
-        arguments.tenant,
-        arguments.class_name,
-        arguments.deadline_ms,
-        arguments.keys,
-    )
-    load = client.Load(targets, request, arguments.wait_s)
+    load = client.Load(targets, _call_template(arguments), arguments.wait_s)
     result = asyncio.run(load.run(planned, arguments.open))
-    print(json.dumps(report.told(result), indent=2))
+    print(report.as_json(report.summarize(result)))
     if arguments.plot is not None:
         report.plot(result, f"{result.ends.total()} calls to {len(targets)} instances", arguments.plot)
     return 0
 
 
+def _call_template(arguments: argparse.Namespace) -> "CallTemplate":
+    from maplestile.tools.load.client import CallTemplate
+
+    return CallTemplate(
+        body=b"x" * arguments.body_bytes,
+        tenant=arguments.tenant,
+        class_name=arguments.class_name,
+        deadline_ms=arguments.deadline_ms,
+        keys=arguments.keys,
+    )
+
+
 def _parse_targets(texts: Sequence[str]) -> list[Address]:
     if not all(_is_loopback(text) for text in texts):
         raise ArgumentsError("targets must be loopback addresses, HOST:PORT")
@@ -100,7 +105,7 @@
 
 
 def _parse_weights(texts: Sequence[str]) -> dict[str, float]:
-    """The weights of the functions by name; of several texts that are wrong the last is reported."""
+    """The weights of the functions by name. Raises `ArgumentsError` for the last text that is wrong."""
     weights: dict[str, float] = {}
     wrong = None
     for text in texts:
@@ -115,6 +120,7 @@
 
 
 def _check_numbers(arguments: argparse.Namespace) -> None:
+    """Raise `ArgumentsError` where the numbers do not fit together or are out of range."""
     if bool(arguments.rate) == bool(arguments.trace):
         raise ArgumentsError("either --rate or --trace")
     if arguments.rate and not arguments.function:
--- a/maplestile/tools/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -1,6 +1,8 @@
 """The result of a load as JSON, and as a plot over time."""
 
+import json
 from collections import Counter
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
@@ -18,27 +20,47 @@
 }
 
 
+@dataclass(slots=True, frozen=True)
+class LoadSummary:
+    """The result as it is printed; the names of the fields are the keys of the JSON object."""
+
+    calls: int
+    ends: dict[str, int]  # calls by their end
+    seconds: float
+    served_share: float | None  # None without calls
+    latency_ms: dict[str, float] | None  # of served calls, by percentile; None without any
+    statuses: dict[str, int]  # calls by the HTTP status of the answer
+    served_by_target: dict[str, int]
+    moved: int  # attempts at a target that took no connection
+    own_lag_ms: float  # the most that a call was made after it was due
+
+
 def _latency_ms(result: Result, percentile: float) -> float:
     return float(result.latency.get_value_at_percentile(percentile)) / US_PER_MS
 
 
-def told(result: Result) -> dict[str, Any]:
-    """The result as a JSON object: calls by their end, and latencies of the served ones."""
+def summarize(result: Result) -> LoadSummary:
+    """Count calls by their end, and take the percentiles of the latencies of the served ones."""
     calls = result.ends.total()
     served = result.ends[CallEnd.SERVED]
     latency_ms = {f"p{percentile:g}": _latency_ms(result, percentile) for percentile in PERCENTILES}
     latency_ms["max"] = result.latency.get_max_value() / US_PER_MS
-    return {
-        "calls": calls,
-        "ends": dict(sorted(result.ends.items())),
-        "seconds": round(result.seconds, 3),
-        "served_share": round(served / calls, 6) if calls else None,
-        "latency_ms": latency_ms if served else None,
-        "statuses": {str(status): count for status, count in sorted(result.statuses.items())},
-        "served_by_target": dict(sorted(result.targets.items())),
-        "moved": result.moved,
-        "own_lag_ms": round(result.late_us / US_PER_MS, 3),
-    }
+    return LoadSummary(
+        calls=calls,
+        ends=dict(sorted(result.ends.items())),
+        seconds=round(result.seconds, 3),
+        served_share=round(served / calls, 6) if calls else None,
+        latency_ms=latency_ms if served else None,
+        statuses={str(status): count for status, count in sorted(result.statuses.items())},
+        served_by_target=dict(sorted(result.targets.items())),
+        moved=result.moved,
+        own_lag_ms=round(result.late_us / US_PER_MS, 3),
+    )
+
+
+def as_json(summary: LoadSummary) -> str:
+    """The summary as a JSON object."""
+    return json.dumps(asdict(summary), indent=2)
 
 
 def plot(result: Result, title: str, path: Path) -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -24,9 +24,10 @@
         made = list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2))
         self.assertEqual(made, list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2)))
         self.assertAlmostEqual(len(made) / 2000, 1.0, delta=0.1)
-        self.assertAlmostEqual(sum(a.function == "f" for a in made) / len(made), 0.75, delta=0.05)
+        self.assertAlmostEqual(sum(arrival.function == "f" for arrival in made) / len(made), 0.75, delta=0.05)
         self.assertEqual(made, sorted(made))
-        self.assertEqual(len(list(arrivals.bounded(made, 10.0, 100_000))), sum(a.at_s <= 10.0 for a in made))
+        due = sum(arrival.at_s <= 10.0 for arrival in made)
+        self.assertEqual(len(list(arrivals.bounded(made, 10.0, 100_000))), due)
         self.assertEqual(len(list(arrivals.bounded(made, 40.0, 7))), 7)
 
     def test_traces_of_both_kinds_are_replayed_from_their_first_call(self) -> None:
@@ -35,10 +36,10 @@
         names = arrivals.names_of(trace)
         self.assertEqual(len(set(names.values())), 3)  # two apps have a function of one name
         made = arrivals.replay(recorder, names, 2.0)
-        self.assertEqual([a.at_s for a in made], [0.0, 0.5, 1.5])
+        self.assertEqual([arrival.at_s for arrival in made], [0.0, 0.5, 1.5])
         recorder, trace = self.read("HashOwner,HashApp,HashFunction,Trigger,1,2\no,a,f,http,3,2\n")
         made = arrivals.replay(recorder, arrivals.names_of(trace, "only"), 1.0)
-        self.assertEqual({a.function for a in made}, {"only"})
+        self.assertEqual({arrival.function for arrival in made}, {"only"})
         self.assertEqual(len(made), 5)
         self.assertLess(made[-1].at_s, 120.0)
 
@@ -73,18 +74,16 @@
         host, port = server.sockets[0].getsockname()[:2]
         return host, port
 
-    async def load(self, targets: list[tuple[str, int]], count: int, **more: bool) -> client.Result:
-        load = client.Load(
-            targets, client.CallTemplate(b"body", "t", keys=more.get("keys", False)), wait_s=5.0
-        )
+    async def load(self, targets: list[tuple[str, int]], count: int, keys: bool = False) -> client.Result:
+        load = client.Load(targets, client.CallTemplate(b"body", "t", keys=keys), wait_s=5.0)
         return await load.run([Arrival(n * 0.005, "f") for n in range(count)], 100)
 
     async def test_each_call_is_counted_by_its_end(self) -> None:
         front = await self.front(b"200 OK", b"503 Busy", b"429 Many", b"502 Bad", b"504 Late", b"200 OK")
         result = await self.load([front], 6, keys=True)
         self.assertEqual(dict(result.ends), {"served": 2, "refused": 2, "failed": 2})
-        summary = report.told(result)
-        self.assertEqual((summary["calls"], summary["served_share"]), (6, round(2 / 6, 6)))
+        summary = report.summarize(result)
+        self.assertEqual((summary.calls, summary.served_share), (6, round(2 / 6, 6)))
         keys = {head.partition(b"Idempotency-Key: ")[2].split(b"\r\n")[0] for head in self.requests}
         self.assertEqual(len(keys), 6)
 
@@ -95,13 +94,13 @@
         self.assertEqual(len(self.requests), 3)
 
     async def test_a_front_that_accepts_no_connection_is_skipped(self) -> None:
-        closed = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        dead = closed.sockets[0].getsockname()[:2]
+        closed = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
+        unreachable = closed.sockets[0].getsockname()[:2]
         closed.close()
         await closed.wait_closed()
-        result = await self.load([dead, await self.front(b"200 OK")], 4)
+        result = await self.load([unreachable, await self.front(b"200 OK")], 4)
         self.assertEqual((result.ends["served"], result.moved), (4, 2))
-        result = await self.load([dead], 2)
+        result = await self.load([unreachable], 2)
         self.assertEqual(dict(result.ends), {"nowhere": 2})
 
 
@@ -158,7 +157,7 @@
 
 class CommandTest(unittest.TestCase):
     def test_unusable_arguments_are_named(self) -> None:
-        for words, reason in (
+        for arguments, reason in (
             (["127.0.0.1:1"], "either --rate or --trace"),
             (["127.0.0.1:1", "--rate", "5"], "--rate needs a --function"),
             (["192.0.2.1:1", "--rate", "5", "--function", "f"], "loopback"),
@@ -166,14 +165,14 @@
             (["127.0.0.1:1", "--rate", "5", "--function", "f", "--seconds", "0"], "must be over 0"),
         ):
             with contextlib.redirect_stderr(io.StringIO()) as errors:
-                self.assertEqual(main(["load", *words]), 2)
+                self.assertEqual(main(["load", *arguments]), 2)
             self.assertIn(reason, errors.getvalue())
 
     def test_a_plot_and_the_answer_as_json(self) -> None:
         file = Path(tempfile.mkdtemp()) / "load.png"
         with contextlib.redirect_stdout(io.StringIO()) as output:
-            words = ["127.0.0.1:9", "--rate", "50", "--function", "f", "--seconds", "0.2"]
-            self.assertEqual(main(["load", *words, "--plot", str(file)]), 0)
+            arguments = ["127.0.0.1:9", "--rate", "50", "--function", "f", "--seconds", "0.2"]
+            self.assertEqual(main(["load", *arguments, "--plot", str(file)]), 0)
         self.assertIn("nowhere", json.loads(output.getvalue())["ends"])
         self.assertEqual(file.read_bytes()[:4], b"\x89PNG")
 
