--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -1,7 +1,9 @@
 """The decision module alone: what a call costs a router as workers and functions grow.
 
 Calls come one each `1 / CALLS_PER_S` s to functions of equal popularity, are answered after 100 ms, and the
-list of workers changes once each 126 calls: one worker goes, another comes, and the whole list is told."""
+list of workers changes once each `CALLS_PER_CHANGE` calls: one worker goes, another comes, and the router
+receives the whole list.
+"""
 
 import heapq
 import sys
@@ -16,15 +18,24 @@
 from maplestile.dispatch.dispatcher import Dispatcher
 
 CALLS_PER_S = 126  # 72,000 over 570 routers
-CALLS_A_CHANGE = 126
+CALLS_PER_CHANGE = 126
+US_PER_S = 1_000_000
+CALL_INTERVAL_US = US_PER_S // CALLS_PER_S
 ANSWER_US = 100_000
 SIZES = ((36, 500), (375, 1_200), (1_200, 2_500), (3_750, 5_000))  # workers, functions
-DISPATCHERS = 570
+MEASURED_CALLS = 6_000
+MEASURED_CALLS_SMALL = 500
+ROUTERS = 570
 START_US = 1_000_000_000
+WORST_SHARE = 0.99
+MAX_MEMORY_FUNCTIONS = 400
+MEMORY_CALL_START = 10**9  # above the numbers of all other calls
 
 
 @dataclass(frozen=True)
 class Cost:
+    """What a router spends on a call, on a list, and on a function that it knows."""
+
     call_us: float  # processor time, lists included
     list_us: float  # processor time of one whole list
     worst_us: float  # the 99th percentile of a call's own arrival
@@ -32,12 +43,13 @@
 
 
 def settings() -> api.Settings:
+    """The settings of a router of a large fleet."""
     kind = api.CallClass(
         "review", 1_000_000, 4_000_000, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0
     )
     return api.Settings(
         classes=(kind,),
-        router_count=DISPATCHERS,
+        router_count=ROUTERS,
         zone="z0",
         tick_us=4_000,
         must_poll_list=False,
@@ -63,114 +75,131 @@
 
 
 def entry(number: int) -> api.WorkerEntry:
+    """A worker of the list, by its number."""
     zone = f"z{number % 12}"
     return api.WorkerEntry(f"w{number}", zone, "k", 0, api.WorkerState.RUNNING, 4.0, 0)
 
 
+def arrival(call: int, function: str) -> api.CallArrived:
+    """A call of a function, by the call's number."""
+    return api.CallArrived(call, function, "review", 4_000_000, 400.0, 2, 0)
+
+
 class Router:
-    """One dispatcher with its answers and timers on a clock of its own."""
+    """One dispatcher with its answers and timers on a clock of its own (microseconds)."""
 
     def __init__(self, workers: int, functions: int, seed: int) -> None:
-        self.random, self.functions = Random(seed), functions
-        self.workers, self.next = [entry(number) for number in range(workers)], workers
-        self.dispatcher, self.now = Dispatcher(settings(), seed), START_US
-        self.due: list[tuple[int, int, api.Event]] = []
-        self.number = self.call = self.attempts = 0
-        self.spent_us: list[float] = []
-        self.lists_us: list[float] = []
+        self.dispatcher = Dispatcher(settings(), seed)
+        self.spent_us: list[float] = []  # on the arrival of each call
+        self.lists_us: list[float] = []  # processor time of each list
+        self._random = Random(seed)
+        self._functions = functions
+        self._workers = [entry(number) for number in range(workers)]
+        self._next_worker = workers
+        self._now_us = START_US
+        self._due: list[tuple[int, int, api.Event]] = []  # a heap: when, a number that orders, and what
+        self._events = 0
+        self._calls = 0
         self._give(self._list(api.ListKind.CACHED))
 
+    def run(self, calls: int) -> None:
+        """Play so many calls, with the answers and timers between them."""
+        for _ in range(calls):
+            self._advance(self._now_us + CALL_INTERVAL_US)
+            self._calls += 1
+            if self._calls % CALLS_PER_CHANGE == 0:
+                self._change_list()
+            arrived = arrival(self._calls, f"f{self._random.randrange(self._functions)}")
+            started_s = time.perf_counter()
+            self._give(arrived)
+            self.spent_us.append((time.perf_counter() - started_s) * US_PER_S)
+
+    def call_once(self, call: int, function: str) -> None:
+        """Play one call of a function, and the answers and timers that are due by then, on the new time."""
+        self._now_us += CALL_INTERVAL_US
+        self._give(arrival(call, function))
+        while self._due and self._due[0][0] <= self._now_us:
+            self._give(heapq.heappop(self._due)[2])
+
+    def _advance(self, until_us: int) -> None:
+        """Give the dispatcher what is due until a time."""
+        while self._due and self._due[0][0] <= until_us:
+            self._now_us, _, event = heapq.heappop(self._due)
+            self._give(event)
+        self._now_us = until_us
+
     def _list(self, kind: api.ListKind) -> api.WorkerListReceived:
-        return api.WorkerListReceived(kind, self.next, tuple(self.workers))
+        return api.WorkerListReceived(kind, self._next_worker, tuple(self._workers))
+
+    def _change_list(self) -> None:
+        """Replace one worker."""
+        self._workers[self._random.randrange(len(self._workers))] = entry(self._next_worker)
+        self._next_worker += 1
+        received = self._list(api.ListKind.FULL)
+        started_s = time.process_time()
+        self._give(received)
+        self.lists_us.append((time.process_time() - started_s) * US_PER_S)
 
     def _give(self, event: api.Event) -> None:
-        for action in self.dispatcher.handle(self.now, event):
+        """Have the dispatcher handle an event, and plan what comes of its actions."""
+        for action in self.dispatcher.handle(self._now_us, event):
             if isinstance(action, api.SetTimer):
-                self._later(action.due_us, api.TimerFired(action.token))
+                self._plan(action.due_us, api.TimerFired(action.token))
             elif isinstance(action, api.SendAttempt):
-                number = max(n for c, n in self.dispatcher.attempts if c == action.call)
-                ended = api.AttemptEnded(
-                    action.call,
-                    number,
-                    action.worker,
-                    api.Result.OK,
-                    ANSWER_US,
-                    True,
-                    api.Warmth.UNKNOWN,
-                    0,
-                    (),
-                )
-                self._later(self.now + ANSWER_US, ended)
+                self._plan(self._now_us + ANSWER_US, self._answer(action))
             elif isinstance(action, api.RequestLoad):
-                done = api.LoadRequestEnded(action.worker, action.function, api.Result.OK, ANSWER_US, 1)
-                self._later(self.now + ANSWER_US, done)
-
-    def _later(self, due_us: int, event: api.Event) -> None:
-        self.number += 1
-        heapq.heappush(self.due, (due_us, self.number, event))
+                loaded = api.LoadRequestEnded(action.worker, action.function, api.Result.OK, ANSWER_US, 1)
+                self._plan(self._now_us + ANSWER_US, loaded)
 
-    def _change(self) -> None:
-        self.workers[self.random.randrange(len(self.workers))] = entry(self.next)
-        self.next += 1
-        told, began = self._list(api.ListKind.FULL), time.process_time()
-        self._give(told)
-        self.lists_us.append((time.process_time() - began) * 1e6)
+    def _answer(self, action: api.SendAttempt) -> api.AttemptEnded:
+        """The end of an attempt, which is the last of its call."""
+        attempt = max(number for call, number in self.dispatcher.attempts if call == action.call)
+        return api.AttemptEnded(
+            action.call, attempt, action.worker, api.Result.OK, ANSWER_US, True, api.Warmth.UNKNOWN, 0, ()
+        )
 
-    def run(self, calls: int) -> None:
-        for _ in range(calls):
-            until = self.now + 1_000_000 // CALLS_PER_S
-            while self.due and self.due[0][0] <= until:
-                self.now, _, event = heapq.heappop(self.due)
-                self._give(event)
-            self.now, self.call = until, self.call + 1
-            if self.call % CALLS_A_CHANGE == 0:
-                self._change()
-            function = f"f{self.random.randrange(self.functions)}"
-            arrived = api.CallArrived(self.call, function, "review", 4_000_000, 400.0, 2, 0)
-            began = time.perf_counter()
-            self._give(arrived)
-            self.spent_us.append((time.perf_counter() - began) * 1e6)
+    def _plan(self, due_us: int, event: api.Event) -> None:
+        self._events += 1
+        heapq.heappush(self._due, (due_us, self._events, event))
 
 
 def measure(workers: int, functions: int, calls: int, seed: int = 1) -> Cost:
+    """The costs of one size, after half as many calls to warm up."""
     router = Router(workers, functions, seed)
     router.run(calls // 2)
     router.spent_us.clear()
     router.lists_us.clear()
-    began = time.process_time()
+    started_s = time.process_time()
     router.run(calls)
-    spent_us = (time.process_time() - began) * 1e6
-    worst = sorted(router.spent_us)[int(0.99 * len(router.spent_us))]
-    lists = sum(router.lists_us) / max(1, len(router.lists_us))
-    return Cost(spent_us / calls, lists, worst, memory_of_a_function(workers, functions))
+    spent_us = (time.process_time() - started_s) * US_PER_S
+    worst_us = sorted(router.spent_us)[int(WORST_SHARE * len(router.spent_us))]
+    list_us = sum(router.lists_us) / max(1, len(router.lists_us))
+    return Cost(spent_us / calls, list_us, worst_us, memory_of_a_function(workers, functions))
 
 
 def memory_of_a_function(workers: int, functions: int) -> float:
     """Bytes by the difference of two sizes, with one call of each function."""
-    count = min(functions, 400)
+    count = min(functions, MAX_MEMORY_FUNCTIONS)
     tracemalloc.start()
     router = Router(workers, functions, 1)
-    taken = list[int]()
+    used_bytes = list[int]()
     for batch in range(2):
         for number in range(batch * count, (batch + 1) * count):
-            router.now += 1_000_000 // CALLS_PER_S
-            name = f"memory-{number}"
-            router._give(api.CallArrived(10**9 + number, name, "review", 4_000_000, 400.0, 2, 0))
-            while router.due and router.due[0][0] <= router.now:
-                router._give(heapq.heappop(router.due)[2])
-        taken.append(tracemalloc.get_traced_memory()[0])
+            router.call_once(MEMORY_CALL_START + number, f"memory-{number}")
+        used_bytes.append(tracemalloc.get_traced_memory()[0])
     tracemalloc.stop()
-    return (taken[1] - taken[0]) / count
+    return (used_bytes[1] - used_bytes[0]) / count
 
 
 def run(small: bool = False, sizes: Sequence[tuple[int, int]] = SIZES) -> list[Series]:
+    """The series by workers; `small` is for a quick look."""
     call = Series("call", "workers", "µs of processor time")
     whole = Series("whole list", "workers", "µs of processor time")
     worst = Series("arrival p99", "workers", "µs")
     memory = Series("function", "workers", "bytes")
     for workers, functions in sizes[:2] if small else sizes:
         print(f"  {workers} workers, {functions} functions …", file=sys.stderr, flush=True)
-        cost = measure(workers, functions, 500 if small else 6_000)
+        cost = measure(workers, functions, MEASURED_CALLS_SMALL if small else MEASURED_CALLS)
         call.add(workers, cost.call_us)
         whole.add(workers, cost.list_us)
         worst.add(workers, cost.worst_us)
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -9,7 +9,7 @@
 import resource
 import time
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
@@ -28,6 +28,11 @@
 POLL_S = 0.1
 
 
+def messages_sent(counters: Mapping[str, int]) -> int:
+    """Return the number of membership messages that a router has sent, by its counters."""
+    return sum(count for name, count in counters.items() if name.startswith("peers.out."))
+
+
 class HollowRouter(GossipDriver):
     """A member that counts its bytes."""
 
@@ -54,7 +59,7 @@
 
     def sent(self) -> int:
         """Return the number of messages sent."""
-        return sum(count for name, count in self.counters.items() if name.startswith("peers.out."))
+        return messages_sent(self.counters)
 
     def address(self) -> Address:
         """Return the address of the socket, which must be open."""
--- a/benchmarks/hollow_check.py
+++ b/benchmarks/hollow_check.py
@@ -3,58 +3,67 @@
     python -m benchmarks.hollow_check
 
 Real ones are processes of the program with the relay between them; both count the messages that they send. It
-fails where the two differ by more than `BOUND`."""
+fails where the two differ by more than `MAX_DIFFERENCE`.
+"""
 
 import asyncio
 import sys
 import time
 import unittest
 
-from benchmarks.hollow import HollowFleet
+from benchmarks.hollow import HollowFleet, messages_sent
 from tests.fleet import PERIOD_S, Routers
 
-SIZES, SECONDS, BOUND = (5, 20), 5.0, 0.15
+SIZES = (5, 20)
+SETTLE_S = 2.0
+SECONDS = 5.0
+MAX_DIFFERENCE = 0.15  # as a share
 
 
-def real(members: int) -> float:
-    """Messages a member and second."""
+def measure_real(members: int) -> float:
+    """Messages a member and second of real routers."""
     test = unittest.TestCase()
     try:
         routers = Routers(test, members)
         routers.until_whole()
-        time.sleep(2.0)
-        before, began = _sent(routers), time.monotonic()
+        time.sleep(SETTLE_S)
+        sent_before = _sent(routers)
+        started_s = time.monotonic()
         time.sleep(SECONDS)
-        return (_sent(routers) - before) / (time.monotonic() - began) / members
+        return (_sent(routers) - sent_before) / (time.monotonic() - started_s) / members
     finally:
         test.doCleanups()
 
 
 def _sent(routers: Routers) -> int:
-    told = [program.counters() for program in routers.programs]
-    return sum(count for one in told for name, count in one.items() if name.startswith("peers.out."))
+    """The messages that all routers have sent so far."""
+    return sum(messages_sent(program.counters()) for program in routers.programs)
 
 
-async def hollow(members: int) -> float:
+async def measure_hollow(members: int) -> float:
+    """Messages a member and second of hollow routers."""
     fleet = HollowFleet(members, int(PERIOD_S * 1e6))
     try:
         await fleet.start()
-        await asyncio.sleep(2.0)
+        await asyncio.sleep(SETTLE_S)
         return (await fleet.measure(SECONDS)).messages
     finally:
         await fleet.stop()
 
 
 def main() -> int:
-    differ = False
+    """Compare both at each size; 1 where they differ by too much at any, else 0."""
+    is_too_far = False
     for members in SIZES:
-        there, here = real(members), asyncio.run(hollow(members))
-        differs = abs(here / there - 1)
-        differ = differ or differs > BOUND
+        real = measure_real(members)
+        hollow = asyncio.run(measure_hollow(members))
+        difference = abs(hollow / real - 1)
+        is_too_far = is_too_far or difference > MAX_DIFFERENCE
         print(
-            f"{members} routers: real {there:.2f}, hollow {here:.2f} messages a second, {differs:.1%} apart"
+            f"{members} routers: real {real:.2f}, hollow {hollow:.2f} messages a second, "
+            f"{difference:.1%} apart"
         )
-    return int(differ)
+    return int(is_too_far)
 
 
 if __name__ == "__main__":
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -17,6 +17,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from benchmarks.hollow import messages_sent
 from maplestile.tools.model.experiment import parse
 from maplestile.tools.model.report import Metrics
 from maplestile.tools.model.run import metrics
@@ -69,12 +70,7 @@
 
 def _sent(routers: Routers) -> int:
     """The messages that all routers have sent so far."""
-    return sum(
-        count
-        for program in routers.programs
-        for name, count in program.counters().items()
-        if name.startswith("peers.out.")
-    )
+    return sum(messages_sent(program.counters()) for program in routers.programs)
 
 
 def _confirmed_us(routers: Routers, number: int) -> list[int]:
