--- a/benchmarks/name_lists.py
+++ b/benchmarks/name_lists.py
@@ -2,7 +2,8 @@
 
 The name server here answers the SRV query with as many hosts' records as 8,000 bytes have room for, as the
 operators' protocol page has it; the others are asked for one by one. Its SRV records alone fill the answer at
-`most_listed()` workers, and beyond that no answer holds the list."""
+`most_listed()` workers, and beyond that no answer holds the list.
+"""
 
 import asyncio
 import struct
@@ -20,120 +21,186 @@
 
 ANSWER_BYTES = 8_000
 SIZES = (20, 40, 80, 140)
-SECONDS, CHANGE_S = 5.0, 1.0
-HEADER_BYTES = 28  # IPv4 and UDP
-POINTER = b"\xc0\x0c"  # to the question's name
+SECONDS = 5.0
+SECONDS_SMALL = 1.0
+CHANGE_S = 1.0  # between two changes of the list
+CHANGE_S_SMALL = 0.5
+POLL_S = 0.05
+UDP_HEADER_BYTES = 28  # IPv4 and UDP
+
+# DNS messages (RFC 1035).
+DNS_HEADER_BYTES = 12
+DNS_HEADER = struct.Struct("!6H")  # identifier, flags, and how many records each section has
+QUESTION_TAIL_BYTES = 4  # type and class, after the name
+ANSWER_FLAGS = 0x8400  # a response, authoritative
+NAME_POINTER = b"\xc0\x0c"  # to the question's name
+SOA_RECORD_BYTES = 40  # room for it, which is more than it takes
+PORT = 10_080
+WEIGHT = 40
 
 
 def host_of(number: int) -> str:
+    """The host name of a worker."""
     return f"s-{number:08x}.zone-{number % 12}.hosts"
 
 
-def service(number: int) -> bytes:
-    return record(POINTER, SRV, struct.pack("!3H", 0, 40, 10_080) + name_bytes(host_of(number)))
+def service_record(number: int) -> bytes:
+    """The SRV record of a worker (RFC 2782)."""
+    return record(NAME_POINTER, SRV, struct.pack("!3H", 0, WEIGHT, PORT) + name_bytes(host_of(number)))
+
+
+def host_record(number: int, record_type: int) -> bytes:
+    """The address or the texts of a worker's host."""
+    host = name_bytes(host_of(number))
+    if record_type == A:
+        return record(host, A, bytes([127, number >> 16 & 255, number >> 8 & 255, number & 255]))
+    texts = b"kind=std", b"cell=2", b"started=0"
+    return record(host, TXT, b"".join(bytes([len(text)]) + text for text in texts))
 
 
 def most_listed() -> int:
     """Workers whose SRV records fit into one answer."""
-    return (ANSWER_BYTES - 12 - len(name_bytes(LIST_NAME)) - 4 - 40) // len(service(11))
+    question_bytes = len(name_bytes(LIST_NAME)) + QUESTION_TAIL_BYTES
+    room = ANSWER_BYTES - DNS_HEADER_BYTES - question_bytes - SOA_RECORD_BYTES
+    return room // len(service_record(11))
 
 
 class NameServer(asyncio.DatagramProtocol):
-    """Lists `workers`; `serial` counts its changes."""
+    """Lists `workers`, by number; `serial` counts its changes."""
 
     def __init__(self, workers: int) -> None:
-        self.workers, self.serial, self.next = list(range(workers)), 1, workers
+        self.workers = list(range(workers))
+        self.serial = 1
         self.traffic: Counter[str] = Counter()
-        self.transport: Any = None
+        self._next_worker = workers
+        self._transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
-        self.transport = transport
+        """Keep the socket."""
+        self._transport = transport
 
     def change(self) -> None:
-        self.workers[self.serial % len(self.workers)] = self.next
-        self.serial, self.next = self.serial + 1, self.next + 1
+        """Replace one worker."""
+        self.workers[self.serial % len(self.workers)] = self._next_worker
+        self._next_worker += 1
+        self.serial += 1
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        end = data.index(b"\0", 12) + 5
-        kind = struct.unpack_from("!H", data, end - 4)[0]
-        reply = self._list(data, end) if kind == SRV else self._host(data, end, kind)
+        """Answer a query, and count it."""
+        reply = self.answer(data)
         self.traffic["queries"] += 1
-        self.traffic["bytes"] += len(data) + len(reply) + 2 * HEADER_BYTES
-        self.transport.sendto(reply, addr)
-
-    def _list(self, data: bytes, end: int) -> bytes:
-        answers = b"".join(service(number) for number in self.workers)
-        soa = record(POINTER, SOA, b"\0\0" + struct.pack("!5I", self.serial, 0, 0, 0, 0))
-        more, count = b"", 0
+        self.traffic["bytes"] += len(data) + len(reply) + 2 * UDP_HEADER_BYTES
+        self._transport.sendto(reply, addr)
+
+    def answer(self, query: bytes) -> bytes:
+        """The answer to a query of the list, or of a record of one host."""
+        question_end = query.index(b"\0", DNS_HEADER_BYTES) + 1 + QUESTION_TAIL_BYTES
+        (record_type,) = struct.unpack_from("!H", query, question_end - QUESTION_TAIL_BYTES)
+        question = query[DNS_HEADER_BYTES:question_end]
+        identifier = int.from_bytes(query[:2])
+        if record_type == SRV:
+            return self._answer_list(identifier, question)
+        return self._answer_host(identifier, question, record_type)
+
+    def _answer_list(self, identifier: int, question: bytes) -> bytes:
+        """All SRV records, the serial, and the records of as many hosts as there is room for."""
+        services = b"".join(service_record(number) for number in self.workers)
+        soa = record(NAME_POINTER, SOA, b"\0\0" + struct.pack("!5I", self.serial, 0, 0, 0, 0))
+        room = ANSWER_BYTES - DNS_HEADER_BYTES - len(question) - len(services) - len(soa)
+        hosts = b""
+        count = 0
         for number in self.workers:
-            two = self._records(number, A) + self._records(number, TXT)
-            if end + len(answers) + len(soa) + len(more) + len(two) > ANSWER_BYTES:
+            records = host_record(number, A) + host_record(number, TXT)
+            if len(hosts) + len(records) > room:
                 break
-            more, count = more + two, count + 2
-        head = struct.pack("!6H", int.from_bytes(data[:2]), 0x8400, 1, len(self.workers), 1, count)
-        return head + data[12:end] + answers + soa + more
-
-    def _records(self, number: int, kind: int) -> bytes:
-        host = name_bytes(host_of(number))
-        if kind == A:
-            return record(host, A, bytes([127, number >> 16 & 255, number >> 8 & 255, number & 255]))
-        texts = b"kind=std", b"cell=2", b"started=0"
-        return record(host, TXT, b"".join(bytes([len(text)]) + text for text in texts))
+            hosts += records
+            count += 2
+        header = DNS_HEADER.pack(identifier, ANSWER_FLAGS, 1, len(self.workers), 1, count)
+        return header + question + services + soa + hosts
 
-    def _host(self, data: bytes, end: int, kind: int) -> bytes:
-        number = int(data[13 : 13 + data[12]].decode().removeprefix("s-"), 16)
-        head = struct.pack("!6H", int.from_bytes(data[:2]), 0x8400, 1, 1, 0, 0)
-        return head + data[12:end] + self._records(number, kind)
+    def _answer_host(self, identifier: int, question: bytes, record_type: int) -> bytes:
+        label = question[1 : 1 + question[0]].decode()
+        number = int(label.removeprefix("s-"), 16)
+        header = DNS_HEADER.pack(identifier, ANSWER_FLAGS, 1, 1, 0, 0)
+        return header + question + host_record(number, record_type)
 
 
 @dataclass(frozen=True)
-class Use:
+class Usage:
+    """What polling the list uses."""
+
     queries: float  # a second
     bytes: float  # a second, both ways
     processor_ms: float  # a second, of router and name server together
     stale_ms: float  # from a change until the router has it whole, in the mean
 
 
-async def measure(workers: int, seconds: float, change_s: float = CHANGE_S) -> Use:
-    loop, fleet = asyncio.get_running_loop(), EndpointList()
+class StalenessMeter:
+    """How long each change of a name server takes until a router's list has it whole."""
+
+    def __init__(self, server: NameServer, endpoints: EndpointList) -> None:
+        self.stale_ms = list[float]()
+        self._server = server
+        self._endpoints = endpoints
+        self._changed_s = 0.0
+
+    def change(self) -> None:
+        """Change the name server's list."""
+        self._server.change()
+        self._changed_s = time.monotonic()
+
+    def record_update(self) -> None:
+        """Note an update of the router's list."""
+        if self._changed_s and self._endpoints.version == self._server.serial:
+            self.stale_ms.append((time.monotonic() - self._changed_s) * 1e3)
+
+
+async def measure(workers: int, seconds: float, change_s: float = CHANGE_S) -> Usage:
+    """What a router and a name server of so many workers use, with a change each `change_s`."""
     server = NameServer(workers)
+    loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(lambda: server, local_addr=("127.0.0.1", 0))
     address = transport.get_extra_info("sockname")[:2]
-    changed_s, stale = 0.0, list[float]()
-
-    def taken() -> None:
-        if changed_s and fleet.version == server.serial:
-            stale.append((time.monotonic() - changed_s) * 1e3)
-
+    fleet = EndpointList()
+    staleness = StalenessMeter(server, fleet)
+    taken = staleness.record_update
     names = DnsDiscovery(address, fleet, Limits(), Counter(), taken)
     polling = asyncio.create_task(names.run())
     try:
         while len(fleet.entries) < workers:
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(POLL_S)
         server.traffic.clear()
-        began, spent = time.monotonic(), time.process_time()
-        while time.monotonic() < began + seconds:
-            server.change()
-            changed_s = time.monotonic()
+        started_s = time.monotonic()
+        processor_before_s = time.process_time()
+        while time.monotonic() < started_s + seconds:
+            staleness.change()
             await asyncio.sleep(change_s)
-        took_s, spent_s = time.monotonic() - began, time.process_time() - spent
+        took_s = time.monotonic() - started_s
+        processor_s = time.process_time() - processor_before_s
     finally:
         polling.cancel()
         await asyncio.gather(polling, return_exceptions=True)
         transport.close()
-    queries, size = server.traffic["queries"] / took_s, server.traffic["bytes"] / took_s
-    return Use(queries, size, 1e3 * spent_s / took_s, sum(stale) / max(1, len(stale)))
+    return Usage(
+        queries=server.traffic["queries"] / took_s,
+        bytes=server.traffic["bytes"] / took_s,
+        processor_ms=1e3 * processor_s / took_s,
+        stale_ms=sum(staleness.stale_ms) / max(1, len(staleness.stale_ms)),
+    )
 
 
 def run(small: bool = False) -> list[Series]:
+    """The series by workers; `small` is for a quick look."""
     queries = Series("list queries", "workers", "a second")
     size = Series("list bytes", "workers", "B a second")
-    spent = Series("list processor time", "workers", "ms a second, with the name server's")
+    processor = Series("list processor time", "workers", "ms a second, with the name server's")
     stale = Series("list staleness", "workers", "ms")
+    seconds = SECONDS_SMALL if small else SECONDS
+    change_s = CHANGE_S_SMALL if small else CHANGE_S
     for workers in SIZES[:2] if small else SIZES:
-        use = asyncio.run(measure(workers, 1.0 if small else SECONDS, 0.5 if small else CHANGE_S))
-        queries.add(workers, use.queries)
-        size.add(workers, use.bytes)
-        spent.add(workers, use.processor_ms)
-        stale.add(workers, use.stale_ms)
-    return [queries, size, spent, stale]
+        usage = asyncio.run(measure(workers, seconds, change_s))
+        queries.add(workers, usage.queries)
+        size.add(workers, usage.bytes)
+        processor.add(workers, usage.processor_ms)
+        stale.add(workers, usage.stale_ms)
+    return [queries, size, processor, stale]
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -73,8 +73,8 @@
 
 def test_name_server_fills_an_answer_and_no_answer_lists_more_than_the_page_allows() -> None:
     query = b"\0\1" + bytes(10) + name_bytes("_app._tcp.cluster.lan") + b"\0\x21\0\1"
-    sizes = [len(NameServer(workers)._list(query, len(query))) for workers in (20, 60, most_listed())]
-    assert max(sizes) <= ANSWER_BYTES < len(NameServer(most_listed() + 10)._list(query, len(query)))
+    sizes = [len(NameServer(workers).answer(query)) for workers in (20, 60, most_listed())]
+    assert max(sizes) <= ANSWER_BYTES < len(NameServer(most_listed() + 10).answer(query))
 
 
 def test_every_agreed_read_is_an_entry_and_longer_with_more_routers() -> None:
