--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -25,13 +25,15 @@
 SECONDS_SMALL = 2.0
 READ_INTERVAL_S = 1.0
 READY_TIMEOUT_S = 20
+POLL_S = 0.05
+SMALL_SIZES = 2  # of those below
 AGENTS = (5, 15, 30, 60)  # with a router each
 ROUTERS = (1, 4, 12, 30)  # of each of eight agents
 FEW_AGENTS = 8
 
 
 @dataclass(frozen=True)
-class Use:
+class Usage:
     """What the reads cost, for each second."""
 
     reads: float  # agreed a second
@@ -62,10 +64,10 @@
         addresses = [f"127.0.0.1:{port}" for port in ports]
         voters = tuple(Voter(f"a{n}", address, address) for n, address in enumerate(addresses))
         self.folder = folder
-        self.rafts = [RaftLog(self._plan(voter, voters), Counter()) for voter in voters]
+        self.rafts = [RaftLog(self._settings(voter, voters), Counter()) for voter in voters]
         self.tasks = [asyncio.create_task(raft.run()) for raft in self.rafts]
 
-    def _plan(self, voter: Voter, voters: tuple[Voter, ...]) -> ControlSettings:
+    def _settings(self, voter: Voter, voters: tuple[Voter, ...]) -> ControlSettings:
         rules = Rules(step_us=60_000_000, settle_us=1_000_000, failed_most=0.1, calls_least=20)
         return ControlSettings(voter.name, voter.address, self.folder / voter.name, voters, (), 1, rules)
 
@@ -73,7 +75,7 @@
         """Wait until each is ready."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not all(raft.ready() for raft in self.rafts):
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(POLL_S)
 
     async def stop(self) -> None:
         """Stop them all."""
@@ -82,7 +84,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def measure(agents: int, routers: int, seconds: float) -> Use:
+async def measure(agents: int, routers: int, seconds: float) -> Usage:
     """The cost of the reads of so many agents with so many routers each."""
     with tempfile.TemporaryDirectory() as folder:
         voters = Voters(Path(folder))
@@ -93,56 +95,71 @@
             await voters.stop()
 
 
-async def _load(voters: Voters, agents: int, routers: int, seconds: float) -> Use:
-    counts = Counter[str]()
+async def _load(voters: Voters, agents: int, routers: int, seconds: float) -> Usage:
+    readers = [Reader(number, voters.rafts[number % VOTERS], routers) for number in range(agents)]
     end_s = time.monotonic() + seconds
-    spent_s = time.process_time()
-    start_s = time.monotonic()
-    await asyncio.gather(
-        *(_agent(voters, number, agents, routers, end_s, counts) for number in range(agents))
+    processor_before_s = time.process_time()
+    started_s = time.monotonic()
+    await asyncio.gather(*(reader.run(reader.number / agents, end_s) for reader in readers))
+    took_s = time.monotonic() - started_s
+    processor_s = time.process_time() - processor_before_s
+    reads = sum(reader.reads for reader in readers)
+    late = sum(reader.late for reader in readers)
+    return Usage(
+        reads=reads / took_s,
+        late=late / max(1, reads + late),
+        voter_ms=1e3 * processor_s / VOTERS / took_s,
+        log_bytes=sum(reader.bytes for reader in readers) / took_s,
     )
-    took_s = time.monotonic() - start_s
-    voter_ms = 1e3 * (time.process_time() - spent_s) / VOTERS / took_s
-    submitted = max(1, counts["reads"] + counts["late"])
-    return Use(counts["reads"] / took_s, counts["late"] / submitted, voter_ms, counts["bytes"] / took_s)
-
-
-async def _agent(
-    voters: Voters, number: int, agents: int, routers: int, end_s: float, counts: Counter[str]
-) -> None:
-    """Register the agent's routers, then submit a read each second until the end."""
-    names = tuple(f"r{number}-{n}" for n in range(routers))
-    raft = voters.rafts[number % VOTERS]
-    await raft.submit(Register(agent=f"g{number}", instances=names))
-    await asyncio.sleep(number / agents)
-    while time.monotonic() < end_s:
-        start_s = time.monotonic()
-        status = {name: router_status() for name in names}
-        read = ReadPolicy(agent=f"g{number}", instances=names, router_status=status)
+
+
+class Reader:
+    """An agent that submits a read each second, and counts them."""
+
+    def __init__(self, number: int, raft: RaftLog, routers: int) -> None:
+        self.number = number
+        self.reads = 0
+        self.late = 0  # those that were not agreed, too
+        self.bytes = 0
+        self._raft = raft
+        self._name = f"g{number}"
+        self._routers = tuple(f"r{number}-{router}" for router in range(routers))
+
+    async def run(self, delay_s: float, end_s: float) -> None:
+        """Register the agent's routers, wait, and read until the end, by `time.monotonic`."""
+        await self._raft.submit(Register(agent=self._name, instances=self._routers))
+        await asyncio.sleep(delay_s)
+        while time.monotonic() < end_s:
+            started_s = time.monotonic()
+            await self._read(started_s)
+            await asyncio.sleep(max(0.0, started_s + READ_INTERVAL_S - time.monotonic()))
+
+    async def _read(self, started_s: float) -> None:
+        status = {name: router_status() for name in self._routers}
+        read = ReadPolicy(agent=self._name, instances=self._routers, router_status=status)
         try:
-            await raft.submit(read)
-            counts["reads"] += 1
-            counts["bytes"] += len(pickle.dumps(encode(read)))
-            counts["late"] += time.monotonic() - start_s > READ_INTERVAL_S
+            await self._raft.submit(read)
+            self.reads += 1
+            self.bytes += len(pickle.dumps(encode(read)))
+            self.late += time.monotonic() - started_s > READ_INTERVAL_S
         except LogError:
-            counts["late"] += 1
-        await asyncio.sleep(max(0.0, start_s + READ_INTERVAL_S - time.monotonic()))
+            self.late += 1
 
 
 def run(small: bool = False) -> list[Series]:
-    """The series by agents and by routers."""
+    """The series by agents and by routers; `small` is for a quick look."""
     by_agents = Series("voter by agents", "agents of a router", "ms of processor time a second")
     late = Series("reads late by agents", "agents of a router", "share")
     each = f"routers of each of {FEW_AGENTS} agents"
     by_routers = Series("voter by routers", each, "ms of processor time a second")
     log = Series("voter log", each, "B a second")
     seconds = SECONDS_SMALL if small else SECONDS
-    for agents in AGENTS[:2] if small else AGENTS:
-        use = asyncio.run(measure(agents, 1, seconds))
-        by_agents.add(agents, use.voter_ms)
-        late.add(agents, use.late)
-    for routers in ROUTERS[:2] if small else ROUTERS:
-        use = asyncio.run(measure(FEW_AGENTS, routers, seconds))
-        by_routers.add(routers, use.voter_ms)
-        log.add(routers, use.log_bytes)
+    for agents in AGENTS[:SMALL_SIZES] if small else AGENTS:
+        usage = asyncio.run(measure(agents, 1, seconds))
+        by_agents.add(agents, usage.voter_ms)
+        late.add(agents, usage.late)
+    for routers in ROUTERS[:SMALL_SIZES] if small else ROUTERS:
+        usage = asyncio.run(measure(FEW_AGENTS, routers, seconds))
+        by_routers.add(routers, usage.voter_ms)
+        log.add(routers, usage.log_bytes)
     return [by_agents, late, by_routers, log]
--- a/tools/measure_rollout.py
+++ b/tools/measure_rollout.py
@@ -25,6 +25,8 @@
 LOAD_TOOL_START_S = 0.7
 AFTER_HALT_S = 2.5  # in which a step would begin, if the halt were not followed
 
+Samples = dict[str, list[float]]  # by what is measured, a value for each round
+
 
 def spread(values: list[float]) -> dict[str, float]:
     """The least, median and greatest."""
@@ -33,7 +35,7 @@
     return {key: round(value, 4) for key, value in summary.items()} | {"runs": len(ordered)}
 
 
-def one_round(seconds: float, samples: dict[str, list[float]]) -> None:
+def measure_fleet(seconds: float, samples: Samples) -> None:
     """Measure one fleet, and add to the samples."""
     test = unittest.TestCase()
     try:
@@ -55,7 +57,7 @@
         test.doCleanups()
 
 
-def record_calls(samples: dict[str, list[float]], name: str, result: dict[str, Any]) -> None:
+def record_calls(samples: Samples, name: str, result: dict[str, Any]) -> None:
     """Add the load tool's report to the samples."""
     samples.setdefault(f"served share, {name}", []).append(result["served_share"])
     samples.setdefault(f"p99 ms, {name}", []).append(result["latency_ms"]["p99"])
@@ -65,13 +67,13 @@
 
 def roll_out(fleet: Fleet, budget: int) -> float:
     """Restart all routers; the seconds that it took."""
-    before = (fleet.status(0)["rollout"] or {}).get("number")
+    number_before = (fleet.status(0)["rollout"] or {}).get("number")
     started_s = time.monotonic()
     assert fleet.run(0, "rollout", "start", "--budget", str(budget))[0] == 0
 
     def ended() -> bool:
         rollout = fleet.status(0)["rollout"] or {}
-        return bool(rollout.get("number") != before and rollout.get("phase") == "done")
+        return bool(rollout.get("number") != number_before and rollout.get("phase") == "done")
 
     eventually(ended, "the rollout")
     return time.monotonic() - started_s
@@ -80,27 +82,27 @@
 def last_begin_after_halt_ms(fleet: Fleet) -> float:
     """Milliseconds from the operator's halt until the last step began; 0 if none did."""
     assert fleet.run(0, "rollout", "start", "--budget", "2")[0] == 0
-    eventually(lambda: any(one["event"] == "back" for one in fleet.events()), "a step's end")
+    eventually(lambda: any(event["event"] == "back" for event in fleet.events()), "a step's end")
     halted_us = time.monotonic_ns() // 1000
     assert fleet.run(1, "rollout", "halt")[0] == 0
     time.sleep(AFTER_HALT_S)
-    late = [one["t_us"] - halted_us for one in fleet.events() if one["event"] == "begin"]
+    late_us = [event["t_us"] - halted_us for event in fleet.events() if event["event"] == "begin"]
     eventually(lambda: fleet.status(0)["leases"] == [], "what was under way")
     assert fleet.run(1, "rollout", "resume")[0] == 0
     fleet.until_phase(0, "done")
-    return float(max([0, *late])) / 1000
+    return float(max([0, *late_us])) / 1000
 
 
 def failover_s(fleet: Fleet) -> float:
     """From the kill of the leader's machine until another voter leads and has had a command agreed on."""
-    leader = eventually(lambda: [n for n in [fleet.leader()] if n is not None], "a leader")[0]
+    leader = eventually(lambda: [number for number in [fleet.leader()] if number is not None], "a leader")[0]
     lost = fleet.agents[leader]
     routers = fleet.routers_of(lost)
     started_s = time.monotonic()
     lost.process.kill()
     for pid in routers:
         os.kill(pid, signal.SIGKILL)
-    others = [n for n in range(AGENTS) if n != leader]
+    others = [number for number in range(AGENTS) if number != leader]
     start = ("rollout", "start", "--budget", "3", f"r{others[0] * 2}")
     eventually(lambda: fleet.run(others[0], *start)[0] == 0, "a command agreed on")
     return time.monotonic() - started_s
@@ -112,9 +114,9 @@
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=14.0)
     arguments = parser.parse_args()
-    samples: dict[str, list[float]] = {}
+    samples: Samples = {}
     for _ in range(arguments.rounds):
-        one_round(arguments.seconds, samples)
+        measure_fleet(arguments.seconds, samples)
     print(json.dumps({name: spread(values) for name, values in samples.items()}, indent=2))
 
 
