--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -6,6 +6,7 @@
 """
 
 from dataclasses import asdict
+from typing import NamedTuple
 
 import simpy
 
@@ -34,7 +35,12 @@
 READ_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
 TICK_US = 500_000
 
-Fence = tuple[int, int]  # a read's epoch, and when the read was sent, in microseconds
+
+class Fence(NamedTuple):
+    """The last agreed read that covers a router; it may learn of no older epoch."""
+
+    epoch: int = 0
+    sent_us: int = 0
 
 
 class PolicyModel(ControlModel):
@@ -93,14 +99,14 @@
             if self._is_delivered(agent):
                 read = self.control.apply(ReadPolicy(agent=agent_name(agent), instances=tuple(running)))
                 assert isinstance(read, PolicyRead), read
-                self._fences.update(dict.fromkeys(running, (read.epoch, sent_us)))
+                self._fences.update(dict.fromkeys(running, Fence(read.epoch, sent_us)))
             checking = self.control.policy.checking() is not None
             interval_us = READ_CHECKING_US if checking else READ_US
             yield self._env.timeout(max(1, interval_us - (self.now_us - sent_us)))
 
     def _control_routers(self, agent: int, names: list[str]) -> simpy.events.ProcessGenerator:
         """Have each change checked once by each router, and announce each new epoch and read."""
-        announced: dict[str, Fence] = {}
+        announced: dict[str, PolicyAnnouncement] = {}
         checked = 0
         while True:
             change = self.control.policy.checking()
@@ -111,14 +117,15 @@
             self._announce_new(agent, names, announced)
             yield self._env.timeout(LOOK_US)
 
-    def _announce_new(self, agent: int, names: list[str], announced: dict[str, Fence]) -> None:
+    def _announce_new(self, agent: int, names: list[str], announced: dict[str, PolicyAnnouncement]) -> None:
+        """Announce to each router what it was not announced before, unless its fence is newer."""
         epoch = self._replica_epochs[agent]
         for name in names:
-            fence_epoch, fence_us = self._fences.get(name, (0, 0))
-            announcement = epoch, fence_us
-            if epoch >= fence_epoch and announced.get(name) != announcement and name not in self._down:
+            fence = self._fences.get(name, Fence())
+            announcement = PolicyAnnouncement(epoch, fence.sent_us, whole=True)
+            if epoch >= fence.epoch and announced.get(name) != announcement and name not in self._down:
                 announced[name] = announcement
-                self._env.process(self._announce(name, PolicyAnnouncement(*announcement, whole=True)))
+                self._env.process(self._announce(name, announcement))
 
     def _announce(self, name: str, announcement: PolicyAnnouncement) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._jittered_us(self.experiment.call_us))
--- a/maplestile/tools/model/policy_experiment.py
+++ b/maplestile/tools/model/policy_experiment.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyExperiment(ControlExperiment):
-    """The settings of one run; the module tells each field as the file has it."""
+    """The settings of one run; the module describes each field as the file has it."""
 
     routers: int
     changes: int
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutExperiment(ControlExperiment):
-    """The settings of one run; the module tells each field as the file has it."""
+    """The settings of one run; the module describes each field as the file has it."""
 
     instances: int
     action: str
