--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -50,26 +50,35 @@
         return recorder, trace
 
 
+class ScriptedFront:
+    """A front that gives some answers in turn, the last for good; an empty one ends the connection."""
+
+    def __init__(self, answers: tuple[bytes, ...], requests: list[bytes]) -> None:
+        self._answers = list(answers)
+        self._requests = requests
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+            while head := await reader.readuntil(b"\r\n\r\n"):
+                length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
+                self._requests.append(head + await reader.readexactly(length))
+                answer = self._next_answer()
+                if not answer:
+                    break
+                writer.write(b"HTTP/1.1 " + answer + b"\r\nContent-Length: 2\r\n\r\nok")
+        writer.close()
+
+    def _next_answer(self) -> bytes:
+        return self._answers.pop(0) if len(self._answers) > 1 else self._answers[0]
+
+
 class ClientTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.requests: list[bytes] = []
 
-    async def front(self, *answers: bytes) -> tuple[str, int]:
-        """A front that gives these answers in turn, the last for good; an empty one ends the connection."""
-        remaining = list(answers)
-
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                while head := await reader.readuntil(b"\r\n\r\n"):
-                    length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
-                    self.requests.append(head + await reader.readexactly(length))
-                    answer = remaining.pop(0) if len(remaining) > 1 else remaining[0]
-                    if not answer:
-                        break
-                    writer.write(b"HTTP/1.1 " + answer + b"\r\nContent-Length: 2\r\n\r\nok")
-            writer.close()
-
-        server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    async def start_front(self, *answers: bytes) -> tuple[str, int]:
+        front = ScriptedFront(answers, self.requests)
+        server = await asyncio.start_server(front.serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()[:2]
         return host, port
@@ -79,7 +88,9 @@
         return await load.run([Arrival(n * 0.005, "f") for n in range(count)], 100)
 
     async def test_each_call_is_counted_by_its_end(self) -> None:
-        front = await self.front(b"200 OK", b"503 Busy", b"429 Many", b"502 Bad", b"504 Late", b"200 OK")
+        front = await self.start_front(
+            b"200 OK", b"503 Busy", b"429 Many", b"502 Bad", b"504 Late", b"200 OK"
+        )
         result = await self.load([front], 6, keys=True)
         self.assertEqual(dict(result.ends), {"served": 2, "refused": 2, "failed": 2})
         summary = report.summarize(result)
@@ -88,7 +99,7 @@
         self.assertEqual(len(keys), 6)
 
     async def test_a_call_that_was_sent_and_not_answered_is_lost_and_not_made_again(self) -> None:
-        front = await self.front(b"", b"200 OK")
+        front = await self.start_front(b"", b"200 OK")
         result = await self.load([front], 3)
         self.assertEqual(dict(result.ends), {"lost": 1, "served": 2})
         self.assertEqual(len(self.requests), 3)
@@ -98,7 +109,7 @@
         unreachable = closed.sockets[0].getsockname()[:2]
         closed.close()
         await closed.wait_closed()
-        result = await self.load([unreachable, await self.front(b"200 OK")], 4)
+        result = await self.load([unreachable, await self.start_front(b"200 OK")], 4)
         self.assertEqual((result.ends["served"], result.moved), (4, 2))
         result = await self.load([unreachable], 2)
         self.assertEqual(dict(result.ends), {"nowhere": 2})
