--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -16,6 +16,7 @@
 from maplestile.membership.messages import DatagramError, decode, encode
 from maplestile.membership.settings import MembershipSettings
 from maplestile.membership.swim import Status, Swim
+from maplestile.membership.view import HealthChecksView, MembershipView, MemberView
 
 log = logging.getLogger("maplestile.peers")
 
@@ -120,22 +121,25 @@
 
     # What operators see.
 
-    def members(self) -> dict[str, Any]:
-        """Return the view: `{"member", "isolated", "health", "agreed", "members": [...], ...}`."""
+    def members(self) -> MembershipView:
+        """Return what this member knows of its group."""
         swim = self.swim
         checks = self.health_checks
-        return {
-            "member": swim.name,
-            "incarnation": swim.incarnation,
-            "isolated": swim.isolated,
-            "health": swim.health,
-            "agreed": sorted(swim.agreed),
-            "members": [_member_view(member) for member in swim.view()],
-            "watch": None if checks is None else _health_checks_view(checks),
-        }
+        return MembershipView(
+            own_name=swim.name,
+            incarnation=swim.incarnation,
+            isolated=swim.isolated,
+            local_health=swim.health,
+            agreed=tuple(sorted(swim.agreed)),
+            members=tuple(_view_of(member) for member in swim.view()),
+            health_checks=None if checks is None else _health_checks_view(checks),
+        )
 
     def metrics(self) -> dict[str, int]:
-        """Return the metrics: members by status, whether this one is isolated, and its health checks."""
+        """Return the values of the metrics in `operation.metrics.MEMBERSHIP`, by name.
+
+        Those of the shared health checks are left out where the members share none.
+        """
         metrics = {f"members_{status.value}": 0 for status in Status}
         for member in self.swim.members.values():
             metrics[f"members_{member.status.value}"] += 1
@@ -192,24 +196,17 @@
         self.swim.outbox.clear()
 
 
-def _member_view(member: Member) -> dict[str, Any]:
-    host, port = member.address
-    return {
-        "name": member.name,
-        "address": f"{host}:{port}",
-        "status": member.status.value,
-        "incarnation": member.incarnation,
-    }
+def _view_of(member: Member) -> MemberView:
+    return MemberView(member.name, member.address, member.status, member.incarnation)
 
 
-def _health_checks_view(checks: SharedHealthChecks) -> dict[str, Any]:
-    """Return the runners that this member probes, those that their owners find silent, and what moved."""
+def _health_checks_view(checks: SharedHealthChecks) -> HealthChecksView:
     silent = sorted(runner for runner, finding in checks.findings.items() if not finding.answers)
-    return {
-        "mine": sorted(checks.next_probe_us),
-        "silent": silent,
-        "taken_over": checks.assignment.taken_over,
-        "given_up": checks.assignment.given_up,
-        "overlap": checks.assignment.overlap,
-        "left": checks.skipped_probes,
-    }
+    return HealthChecksView(
+        assigned=tuple(sorted(checks.next_probe_us)),
+        silent=tuple(silent),
+        taken_over=checks.assignment.taken_over,
+        given_up=checks.assignment.given_up,
+        overlap=checks.assignment.overlap,
+        skipped_probes=checks.skipped_probes,
+    )
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -3,11 +3,12 @@
 import json
 import re
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 from urllib.parse import unquote
 
 from maplestile.common.toml_table import ConfigError
 from maplestile.operation import metrics as exposition
+from maplestile.operation.membership_json import encode_membership
 from maplestile.operation.policy import PolicyOperations
 from maplestile.operation.runner_view import RunnerView
 from maplestile.wire.http import (
@@ -21,6 +22,9 @@
 )
 from maplestile.wire.limits import Limits
 
+if TYPE_CHECKING:  # a router without membership loads none of it: start time and memory
+    from maplestile.membership.view import MembershipView
+
 READY = "/v1/readyz"
 METRICS = "/v1/metrics"
 MEMBERS = "/v1/members"
@@ -51,7 +55,7 @@
         """Its part in the fleet's policy; None where the file decides."""
         ...
 
-    def members(self) -> dict[str, Any] | None:
+    def members(self) -> "MembershipView | None":
         """Return this instance's view of membership; None where membership is off."""
         ...
 
@@ -117,10 +121,10 @@
         return Response(200, exposition.text(self.router.metrics()).encode(), METRICS_HEADERS)
 
     def _members(self) -> Response:
-        members = self.router.members()
-        if members is None:
+        view = self.router.members()
+        if view is None:
             return problem(404, "membership is off: no [peers] in the operator's file")
-        return _json_response(members)
+        return _json_response(encode_membership(view))
 
     def _runners(self) -> Response:
         return _json_response({"runners": [runner.as_json() for runner in self.router.runners()]})
--- a/maplestile/operation/metrics.py
+++ b/maplestile/operation/metrics.py
@@ -17,6 +17,7 @@
     ("failure_total", "Requests failed, in time or out of it.", (Verdict.FAILED, Verdict.EXPIRED)),
 )
 
+# The metrics of membership: name and help.
 MEMBERSHIP = {
     "members_alive": "Members seen alive, this one among them.",
     "members_suspect": "Members suspected of having failed.",
@@ -28,6 +29,7 @@
     "duties_overlap": "Duties done here while the last agreed view gave them to another.",
 }
 
+# The metrics of the fleet's policy: name, type and help.
 POLICY = {
     "epoch": (GAUGE, "Epoch of the fleet's policy that new calls are decided under."),
     "stale": (GAUGE, "1 while this router is cut off, and its epoch may not be the last committed one."),
@@ -37,6 +39,7 @@
     "mixed_calls_total": (COUNTER, "Attempts decided under another epoch than their call; always 0."),
 }
 
+# The counters of each epoch, by the keys of `MetricsReport.epochs`.
 EPOCH_COUNTERS = ("calls", "attempts")
 
 
@@ -50,9 +53,9 @@
     inflight: int
     hosts_listed: int
     hosts_down: int
-    membership: Mapping[str, int] = field(default_factory=dict)  # where routers know each other
-    policy: Mapping[str, float] = field(default_factory=dict)  # where the fleet decides on it
-    epochs: Mapping[int, Mapping[str, int]] = field(default_factory=dict)  # calls and attempts under each
+    membership: Mapping[str, int] = field(default_factory=dict)  # by a name of `MEMBERSHIP`
+    policy: Mapping[str, float] = field(default_factory=dict)  # by a name of `POLICY`
+    epochs: Mapping[int, Mapping[str, int]] = field(default_factory=dict)  # by epoch and counter
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING
 
 from maplestile.operation.cordons import Cordons
 from maplestile.operation.metrics import MetricsReport
@@ -12,6 +12,9 @@
 from maplestile.requests.core import Core
 from maplestile.requests.endpoint_list import EndpointList
 
+if TYPE_CHECKING:  # a router without membership loads none of it: start time and memory
+    from maplestile.membership.view import MembershipView
+
 
 @dataclass(slots=True, frozen=True)
 class OperatorService:
@@ -22,8 +25,8 @@
     cordons: Cordons
     count_backend_calls: Callable[[], int]
     not_ready_reason: Callable[[], str]  # empty where the router can serve
-    membership_view: Callable[[], dict[str, Any] | None]
-    membership_metrics: Callable[[], dict[str, int]]  # empty where membership is off
+    membership_view: "Callable[[], MembershipView | None]"  # None where membership is off
+    membership_metrics: Callable[[], dict[str, int]]  # by name; empty where membership is off
     policy: PolicyOperations | None = None  # where the fleet decides on it
 
     def ready(self) -> str:
@@ -45,7 +48,7 @@
             epochs={} if self.policy is None else self.core.epochs,
         )
 
-    def members(self) -> dict[str, Any] | None:
+    def members(self) -> "MembershipView | None":
         """Return this instance's view of membership; None where membership is off."""
         return self.membership_view()
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -4,10 +4,12 @@
 import tempfile
 import unittest
 from collections import Counter
+from dataclasses import replace
 from pathlib import Path
-from typing import Any
 
 from maplestile.dispatch import api
+from maplestile.membership.messages import Status
+from maplestile.membership.view import HealthChecksView, MembershipView, MemberView
 from maplestile.net.http import HttpFront
 from maplestile.operation import metrics as exposition
 from maplestile.operation.api import OperatorApi
@@ -23,6 +25,24 @@
 from tests.helpers import Driver, arrival, ended, entry, fleet, sends, settings
 from tests.standins import target
 
+MEMBERSHIP = MembershipView(
+    own_name="a",
+    incarnation=2,
+    isolated=False,
+    local_health=1,
+    agreed=("a", "b"),
+    members=(
+        MemberView("a", ("127.0.0.1", 7946), Status.ALIVE, 2),
+        MemberView("b", ("127.0.0.1", 7947), Status.SUSPECT, 0),
+    ),
+    health_checks=HealthChecksView(("s-0",), ("s-1",), 3, 4, 5, 6),
+)
+MEMBERSHIP_JSON = (
+    '{"member": "a", "incarnation": 2, "isolated": false, "health": 1, "agreed": ["a", "b"], "members": ['
+    '{"name": "a", "address": "127.0.0.1:7946", "status": "alive", "incarnation": 2}, '
+    '{"name": "b", "address": "127.0.0.1:7947", "status": "suspect", "incarnation": 0}], "watch": '
+    '{"mine": ["s-0"], "silent": ["s-1"], "taken_over": 3, "given_up": 4, "overlap": 5, "left": 6}}'
+)
 REPORT = exposition.MetricsReport(
     ("review", 'a"b'),
     {("review", Verdict.SERVED): 3, ("review", Verdict.EXPIRED): 2, ("review", Verdict.FAILED): 1},
@@ -40,6 +60,7 @@
         self.lacking = ""
         self.calls: list[str] = []
         self.policy: PolicyOperations | None = None
+        self.membership: MembershipView | None = None
 
     def ready(self) -> str:
         return self.lacking
@@ -47,8 +68,8 @@
     def metrics(self) -> exposition.MetricsReport:
         return REPORT
 
-    def members(self) -> dict[str, Any] | None:
-        return None
+    def members(self) -> MembershipView | None:
+        return self.membership
 
     def runners(self) -> list[RunnerView]:
         return [RunnerView(id="s-0", suspended=False, avoided=False, inflight=2)]
@@ -84,6 +105,17 @@
         shown = b'{"runners": [{"id": "s-0", "suspended": false, "avoided": false, "inflight": 2}]}'
         self.assertEqual((answer.status, answer.body), (200, shown))
 
+    def test_membership_is_shown_as_json_in_a_fixed_order(self) -> None:
+        self.assertEqual(self.ask("GET", "/v1/members").status, 404)
+        self.router.membership = MEMBERSHIP
+        answer = self.ask("GET", "/v1/members")
+        self.assertEqual((answer.status, answer.body.decode()), (200, MEMBERSHIP_JSON))
+
+    def test_membership_without_shared_health_checks_shows_null(self) -> None:
+        self.router.membership = replace(MEMBERSHIP, health_checks=None)
+        answer = self.ask("GET", "/v1/members")
+        self.assertTrue(answer.body.endswith(b', "watch": null}'), answer.body)
+
     def test_runners_are_named_percent_decoded_and_unknown_ones_are_rejected(self) -> None:
         statuses = [
             self.ask("PUT", f"/v1/runners/{name}/{do}").status
