--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -22,6 +22,6 @@
         """Return the epoch in force and its status."""
         ...
 
-    def figures(self) -> dict[str, float]:
-        """Return the policy's metrics by name."""
+    def metrics(self) -> dict[str, float]:
+        """Return the values of the metrics in `operation.metrics.POLICY`, by name."""
         ...
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -44,7 +44,7 @@
             hosts_listed=len(listed),
             hosts_down=len(listed & (self.endpoints.suspended | self.core.avoided())),
             membership=self.membership_metrics(),
-            policy={} if self.policy is None else self.policy.figures(),
+            policy={} if self.policy is None else self.policy.metrics(),
             epochs={} if self.policy is None else self.core.epochs,
         )
 
--- /dev/null
+++ b/maplestile/router/policy_configuration.py
@@ -0,0 +1,42 @@
+"""A router's configuration from its file's tables and a policy of the fleet in the place of the file's own.
+
+It is built from the tables as they were last taken, so that an epoch brings in its policy, and nothing of the
+file that was not taken.
+"""
+
+from collections.abc import Callable
+
+from maplestile.control.policy.document import AdoptedPolicy, Document, Tables
+from maplestile.router.config import Config
+
+LIVE_TABLES = ("function", "tenant", "worker", "limits")  # tables of the file that a reload takes
+
+# Builds a configuration from the tables, with the policy of an epoch if one is given. Raises ConfigError.
+Build = Callable[[Tables, AdoptedPolicy | None], Config]
+
+
+class PolicyConfiguration:
+    """The tables of the router's file as they were last taken, and what is built from them."""
+
+    def __init__(self, tables: Tables, build: Build) -> None:
+        """Raises PolicyError where the file's own policy has no form of use."""
+        self.tables = tables
+        self.build = build
+        self.file_policy = Document.own(tables)  # in force until an epoch brings another
+
+    def build_own(self) -> Config:
+        """Return the configuration of the file alone. Raises ConfigError."""
+        return self.build(self.tables, None)
+
+    def build_with(self, epoch: int, document: Document | None, tables: Tables | None = None) -> Config:
+        """Return the configuration with the policy of an epoch in the place of the file's own.
+
+        No document stands for the file's own policy. `tables` are those of a reload that is not taken yet, in
+        the place of those last taken. Raises ConfigError.
+        """
+        adopted = AdoptedPolicy(epoch, document or self.file_policy)
+        return self.build(self.tables if tables is None else tables, adopted)
+
+    def take(self, tables: Tables) -> None:
+        """Take those tables of the file that a reload may change."""
+        self.tables = self.tables | {name: tables[name] for name in LIVE_TABLES if name in tables}
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -1,7 +1,7 @@
 """A router's part in the fleet's policy, put to work: its record on disk, its configuration, its events.
 
-The decisions are made by `follower.Follower`. What is built here is built from the file's tables as they were
-last taken, so that an epoch brings in its policy, and nothing of the file that was not taken.
+The decisions are made by `control.policy.follower.Follower`. What the agent sends comes by the operators'
+front (`operation.policy.PolicyOperations`), with the codec of `policy_messages`.
 """
 
 import asyncio
@@ -21,119 +21,67 @@
 from maplestile.control.policy.settings import PolicySettings
 from maplestile.requests.core import AttemptId
 from maplestile.router.config import Config
+from maplestile.router.policy_configuration import Build, PolicyConfiguration
+from maplestile.router.policy_jobs import RunJob, at_once
 from maplestile.router.policy_messages import (
     PolicyReport,
     decode_announcement,
     decode_check,
     encode_check_passed,
+    encode_report,
 )
 
 log = logging.getLogger("maplestile.policy")
 TICK_INTERVAL_S = 0.1
 US_PER_S = 1e6
-LIVE_TABLES = ("function", "tenant", "worker", "limits")  # tables of the file that a reload takes
 
-Build = Callable[[Tables, AdoptedPolicy | None], Config]
-Job = Callable[[], None]
-OnEnd = Callable[[BaseException | None], None]
-
-# Runs the job, away from the loop or not, and then on the loop `OnEnd` with its failure, if it has failed.
-RunJob = Callable[[Job, OnEnd], None]
-
-
-def at_once(job: Job, on_end: OnEnd) -> None:
-    """Run a job here and now."""
-    try:
-        job()
-    except OSError as fault:
-        on_end(fault)
-    else:
-        on_end(None)
-
-
-def in_thread(job: Job, on_end: OnEnd) -> None:
-    """Run a job in a thread, and its end on the running loop."""
-    done = asyncio.get_running_loop().run_in_executor(None, job)
-    done.add_done_callback(lambda ended: on_end(ended.exception()))
+Reply = Callable[[PolicyReport], None]
 
 
 def monotonic_us() -> int:
-    """The machine's monotonic clock, which a router shares with its agent."""
+    """Return the machine's monotonic clock, which a router shares with its agent, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
-class PolicyConfiguration:
-    """The tables of the router's file as they were last taken, and what is built from them."""
-
-    def __init__(self, tables: Tables, build: Build) -> None:
-        """Raises PolicyError where the file's own policy has no form of use."""
-        self.tables = tables
-        self.build = build
-        self.file_policy = Document.own(tables)  # in force until an epoch brings another
-
-    def build_own(self) -> Config:
-        """The configuration of the file alone. Raises ConfigError."""
-        return self.build(self.tables, None)
-
-    def build_with(self, epoch: int, document: Document | None, tables: Tables | None = None) -> Config:
-        """The configuration with the policy of an epoch in the place of the file's. Raises ConfigError."""
-        adopted = AdoptedPolicy(epoch, document or self.file_policy)
-        return self.build(self.tables if tables is None else tables, adopted)
-
-    def take(self, tables: Tables) -> None:
-        """Take those tables of the file that a reload may change."""
-        self.tables = self.tables | {name: tables[name] for name in LIVE_TABLES if name in tables}
-
-
 class PolicyDriver:
     """Follows the fleet's policy on behalf of one router.
 
-    The router sets `counters`, `calls`, `take` and `elsewhere` once it is composed.
+    The router sets `counters`, `calls_by_epoch`, `put_in_force` and `run_job` once it is composed.
     """
 
-    def __init__(self, plan: PolicySettings, tables: Tables, build: Build) -> None:
+    def __init__(self, settings: PolicySettings, tables: Tables, build: Build) -> None:
         """Raises PolicyError where the file's own policy has no form of use."""
-        self.plan = plan
+        self.settings = settings
         self.configuration = PolicyConfiguration(tables, build)
         self.events = logs.events("policy")
         self.counters: Counter[str] = Counter()
-        self.take: Callable[[Config], None] = lambda _config: None  # puts a configuration in force
-        self.calls: dict[int, Counter[str]] = {}  # by epoch
-        self.elsewhere: RunJob = at_once
+        self.put_in_force: Callable[[Config], None] = lambda _config: None
+        self.calls_by_epoch: dict[int, Counter[str]] = {}
+        self.run_job: RunJob = at_once
         self.writing = False  # a record is being written
         self.logged_refusal = (NO_EPOCH, "")
-        record = store.read(plan.folder)
+        record = store.read(settings.folder)
         self.document = None if record is None else record.document
-        self.follower = Follower(plan.rules, NO_EPOCH if record is None else record.epoch, monotonic_us())
+        self.follower = Follower(settings.rules, NO_EPOCH if record is None else record.epoch, monotonic_us())
         self.logged_status = PolicyStatus.WAITING
         self.configured = False
 
     @property
     def epoch(self) -> int:
-        """The epoch in force, 0 where none is on record."""
+        """The epoch in force; 0 where none is on record."""
         return max(0, self.follower.epoch)
 
     # The configuration.
 
     def configure(self, tables: Tables) -> Config:
-        """At the start, and at each reload: the file with the policy in force in the place of its own.
+        """Return the file's configuration with the policy in force in the place of its own.
 
-        Raises ConfigError; then all stays as it was.
+        Called at the start, and at each reload. Raises ConfigError; then all stays as it was.
         """
         if not self.configured:
             self.configured = True
             return self._first_configuration()
-        config = self.configuration.build_with(self.epoch, self.document, tables)
-        self._check_promise(tables)
-        if Document.own(tables) != self.configuration.file_policy:
-            self.counters["policy.reloads_refused"] += 1
-            log.warning(
-                "policy: the file's policy has changed and is not taken: the fleet decides, "
-                "and its epoch is %d; `maplestile policy propose`",
-                self.follower.epoch,
-            )
-        self.configuration.take(tables)
-        return config
+        return self._reloaded_configuration(tables)
 
     def _first_configuration(self) -> Config:
         if self.follower.epoch == NO_EPOCH:
@@ -146,8 +94,21 @@
         self.follower.refused(reason)
         return self.configuration.build_own()
 
-    def _check_promise(self, tables: Tables) -> None:
-        """The change that is being agreed on has to fit still: this router has reported that it does.
+    def _reloaded_configuration(self, tables: Tables) -> Config:
+        config = self.configuration.build_with(self.epoch, self.document, tables)
+        self._check_prepared(tables)
+        if Document.own(tables) != self.configuration.file_policy:
+            self.counters["policy.reloads_refused"] += 1
+            log.warning(
+                "policy: the file's policy has changed and is not taken: the fleet decides, "
+                "and its epoch is %d; `maplestile policy propose`",
+                self.follower.epoch,
+            )
+        self.configuration.take(tables)
+        return config
+
+    def _check_prepared(self, tables: Tables) -> None:
+        """Check that the change being agreed on still fits: this router has reported that it does.
 
         Raises PolicyError.
         """
@@ -164,7 +125,9 @@
 
     def hear(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
         """Take an announcement of what is committed; the answer may come later. Raises PolicyError."""
-        announcement = decode_announcement(message)
+        self._take_announcement(decode_announcement(message), lambda report: reply(encode_report(report)))
+
+    def _take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
         step = self.follower.hear(announcement, monotonic_us())
         if step is Step.ADOPT and not self.writing:
             self._adopt(announcement, reply)
@@ -172,10 +135,10 @@
         if step is Step.OLDER:
             self.counters["policy.older"] += 1
         self._log_status()
-        reply(self._report().as_json(fetch=step is Step.FETCH))
+        reply(self._report(lacks_document=step is Step.FETCH))
 
-    def _adopt(self, announcement: PolicyAnnouncement, reply: Callable[[dict[str, Any]], None]) -> None:
-        """On record first, off the loop, since a disk may take its time; then in force."""
+    def _adopt(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
+        """Write the record first, off the loop since a disk may take its time; then put it in force."""
         finish = partial(self._finish_adoption, announcement, reply)
         try:
             self.configuration.build_with(announcement.epoch, announcement.document)
@@ -184,12 +147,12 @@
             return
         self.writing = True
         record = AdoptedPolicy(announcement.epoch, announcement.document)
-        self.elsewhere(lambda: store.write(self.plan.folder, record), finish)
+        self.run_job(lambda: store.write(self.settings.folder, record), finish)
 
     def _finish_adoption(
         self,
         announcement: PolicyAnnouncement,
-        reply: Callable[[dict[str, Any]], None],
+        reply: Reply,
         fault: BaseException | None,
     ) -> None:
         self.writing = False
@@ -201,13 +164,13 @@
         except (ConfigError, OSError) as cause:
             self._refuse(announcement.epoch, str(cause))
         else:
-            self._put_in_force(announcement, config)
+            self._complete_adoption(announcement, config)
         self._log_status()
-        reply(self.view())
+        reply(self._report())
 
-    def _put_in_force(self, announcement: PolicyAnnouncement, config: Config) -> None:
+    def _complete_adoption(self, announcement: PolicyAnnouncement, config: Config) -> None:
         self.document = announcement.document
-        self.take(config)
+        self.put_in_force(config)
         self.follower.adopted(announcement, monotonic_us())
         self.counters["policy.adopted"] += 1
         self.events.info("applied", epoch=announcement.epoch, digest=digest_of(announcement.document))
@@ -232,14 +195,14 @@
         self.events.info("checked", change=change.change, digest=digest_of(change.document))
         return encode_check_passed()
 
-    # What the router and its operators ask.
+    # What the router and its operators see.
 
     def admits(self) -> bool:
-        """Whether new calls are taken."""
+        """Return whether new calls are taken."""
         return self.follower.admits(monotonic_us())
 
     def lacking(self) -> str:
-        """Why it takes no calls; empty if it does."""
+        """Return why no new calls are taken; empty if they are."""
         if self.admits():
             return ""
         if self.follower.status is PolicyStatus.REFUSED:
@@ -247,24 +210,25 @@
         return "the fleet has not told its policy yet"
 
     def view(self) -> dict[str, Any]:
-        """The router's report of its policy, in JSON's types."""
-        return self._report().as_json()
+        """Return the router's report of its policy, in JSON's types."""
+        return encode_report(self._report())
 
-    def _report(self) -> PolicyReport:
+    def _report(self, lacks_document: bool = False) -> PolicyReport:
         now_us = monotonic_us()
         self.follower.tick(now_us)
         return PolicyReport(
             epoch=self.epoch,
             digest=digest_of(self.document),
-            standing=self.follower.status.value,
+            status=self.follower.status,
             stale_s=self._stale_s(now_us),
             reason=self.follower.reason,
             build=__version__,
-            calls={str(epoch): dict(counts) for epoch, counts in self.calls.items()},
+            calls_by_epoch=self.calls_by_epoch,
+            lacks_document=lacks_document,
         )
 
-    def figures(self) -> dict[str, float]:
-        """The metrics of the policy."""
+    def metrics(self) -> dict[str, float]:
+        """Return the values of the metrics in `operation.metrics.POLICY`, by name."""
         now_us = monotonic_us()
         return {
             "epoch": self.epoch,
@@ -278,12 +242,12 @@
     def _stale_s(self, now_us: int) -> float:
         return round(self.follower.stale_us(now_us) / US_PER_S, 1)
 
-    def sent(self, attempt: AttemptId, epoch: int) -> None:
-        """Log an attempt with the epoch that it was sent by; where the file asks for that trace."""
+    def log_attempt(self, attempt: AttemptId, epoch: int) -> None:
+        """Log an attempt and the epoch that it was sent by, where the settings ask for that trace."""
         self.events.info("attempt", call=attempt[0], attempt=attempt[1], epoch=epoch)
 
     async def run(self) -> None:
-        """Have its status follow the clock until cancelled."""
+        """Let the status follow the clock until cancelled."""
         while True:
             self.follower.tick(monotonic_us())
             self._log_status()
--- a/maplestile/router/policy_messages.py
+++ b/maplestile/router/policy_messages.py
@@ -1,16 +1,16 @@
 """What an agent and its router send each other about the policy, with the codec of the operators' front.
 
 An announcement is `{"epoch", "fenced_us", "checking"}`, with `"document"` if it comes along; a check is
-`{"change", "document"}`. Both are answered by JSON objects, too.
+`{"change", "document"}`. Both are answered by JSON objects, too: an announcement by a `PolicyReport`.
 """
 
 from collections.abc import Mapping
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any
 
 from maplestile import __version__
 from maplestile.control.policy.document import Document, PolicyError, document_of
-from maplestile.control.policy.follower import PolicyAnnouncement
+from maplestile.control.policy.follower import PolicyAnnouncement, PolicyStatus
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,19 +27,16 @@
 
     epoch: int
     digest: str  # of the document in force; empty for the file's own policy
-    standing: str  # the value of a PolicyStatus
+    status: PolicyStatus
     stale_s: float  # for how long its epoch has not been known to be the committed one
     reason: str  # of a refusal
     build: str
-    calls: Mapping[str, Mapping[str, int]]  # by epoch
-
-    def as_json(self, fetch: bool = False) -> dict[str, Any]:
-        """The form on the wire; `fetch` asks for the document of the announced epoch."""
-        return asdict(self) | ({"fetch": True} if fetch else {})
+    calls_by_epoch: Mapping[int, Mapping[str, int]]
+    lacks_document: bool  # of the announced epoch: the agent is asked to send it
 
 
 def decode_announcement(message: object) -> PolicyAnnouncement:
-    """What the agent announces. Raises PolicyError, which names the field."""
+    """Return what the agent announces. Raises PolicyError, which names the field."""
     epoch = _whole_number(message, "epoch")
     fenced_us = _whole_number(message, "fenced_us")
     checking = _whole_number(message, "checking")
@@ -49,14 +46,30 @@
 
 
 def decode_check(message: object) -> PolicyCheck:
-    """What the router is to check. Raises PolicyError, which names the field."""
+    """Return what the router is to check. Raises PolicyError, which names the field."""
     change = _whole_number(message, "change")
     assert isinstance(message, dict)  # it had its number
     return PolicyCheck(change, document_of(message.get("document")))
 
 
+def encode_report(report: PolicyReport) -> dict[str, Any]:
+    """Return a report in JSON's types; `"fetch"` stands in it only where the document is lacking."""
+    encoded: dict[str, Any] = {
+        "epoch": report.epoch,
+        "digest": report.digest,
+        "standing": report.status.value,
+        "stale_s": report.stale_s,
+        "reason": report.reason,
+        "build": report.build,
+        "calls": {str(epoch): dict(counts) for epoch, counts in report.calls_by_epoch.items()},
+    }
+    if report.lacks_document:
+        encoded["fetch"] = True
+    return encoded
+
+
 def encode_check_passed() -> dict[str, Any]:
-    """The answer to a check of a change that fits this build and file."""
+    """Return the answer to a check of a change that fits this build and file."""
     return {"build": __version__}
 
 
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -28,10 +28,10 @@
 
     def start(self) -> None:
         tables = operator.tables_of(self.text)
-        plan = policy_settings_of(tables)
-        assert plan is not None
-        self.driver = PolicyDriver(plan, tables, self.build)
-        self.driver.take = self.taken.append
+        settings = policy_settings_of(tables)
+        assert settings is not None
+        self.driver = PolicyDriver(settings, tables, self.build)
+        self.driver.put_in_force = self.taken.append
         self.config = self.driver.configure(tables)
 
     @staticmethod
@@ -135,7 +135,7 @@
     jobs = list[Any]()
     answers = list[Any]()
     rig.announce(0, document=None)
-    rig.driver.elsewhere = lambda job, then: jobs.append((job, then))
+    rig.driver.run_job = lambda job, then: jobs.append((job, then))
     announcement = {
         "epoch": 1,
         "fenced_us": monotonic_us(),
