--- a/maplestile/membership/failure_detector.py
+++ b/maplestile/membership/failure_detector.py
@@ -16,9 +16,9 @@
 from maplestile.membership.probe_order import ProbeOrder
 from maplestile.membership.update_merger import UpdateMerger
 
-# In fifths of the ack timeout: early enough that the nack reaches the requester before its probe ends.
-NACK_ACK_FIFTHS = 4
-RELAYED_PING_ACK_TIMES = 2  # after so many ack timeouts nobody waits for the outcome of a relayed ping
+# Of the ack timeout, in percent: early enough that the nack reaches the requester before its probe ends.
+NACK_DUE_PERCENT = 80
+RELAYED_PING_ACK_TIMEOUTS = 2  # after so many nobody waits for the outcome of a relayed ping
 
 
 @dataclass(slots=True)
@@ -125,7 +125,7 @@
         probe.helpers = [helper.name for helper in helpers]
         for helper in helpers:
             request = Message(
-                MessageKind.REQ, probe.sequence, self._members.own_name, target.name, target.address
+                MessageKind.PING_REQ, probe.sequence, self._members.own_name, target.name, target.address
             )
             self._sender.send(helper.address, request, about=target)
 
@@ -171,8 +171,8 @@
             return
         ping = self._sender.new_message(MessageKind.PING, message.target)
         ack_us = self._tuning.ack_us * self._health.multiplier
-        nack_due_us = now_us + ack_us * NACK_ACK_FIFTHS // 5
-        expires_us = now_us + ack_us * RELAYED_PING_ACK_TIMES
+        nack_due_us = now_us + ack_us * NACK_DUE_PERCENT // 100
+        expires_us = now_us + ack_us * RELAYED_PING_ACK_TIMEOUTS
         relayed = RelayedPing(message.reply_to, message.seq, nack_due_us, expires_us)
         self._relayed[ping.seq] = relayed
         if len(self._relayed) > self._tuning.members_max:  # bounds memory under a flood of requests
--- a/maplestile/membership/gossip_timer.py
+++ b/maplestile/membership/gossip_timer.py
@@ -33,7 +33,7 @@
             self._exchange_backlog()
         if self._is_needed():
             for member in self._sender.random_members(self._tuning.gossip_fanout):
-                self._sender.send(member.address, self._sender.new_message(MessageKind.WORD))
+                self._sender.send(member.address, self._sender.new_message(MessageKind.GOSSIP))
 
     def _exchange_backlog(self) -> None:
         if len(self._sender.update_queue) > self._tuning.backlog_updates:
--- a/maplestile/membership/message_sender.py
+++ b/maplestile/membership/message_sender.py
@@ -6,11 +6,11 @@
 from maplestile.common.address import Address
 from maplestile.membership.health_checks import SharedHealthChecks
 from maplestile.membership.member_list import Member, MemberList
-from maplestile.membership.messages import MemberUpdate, Message, MessageKind, Status
+from maplestile.membership.messages import SEQUENCE_BITS, MemberUpdate, Message, MessageKind, Status
 from maplestile.membership.tuning import Tuning
 from maplestile.membership.update_queue import UpdateQueue, with_first
 
-SEQUENCE_MASK = 0xFFFF_FFFF
+SEQUENCE_MASK = (1 << SEQUENCE_BITS) - 1
 
 
 class OutgoingMessage(NamedTuple):
--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -1,6 +1,6 @@
 """The membership protocol's messages, and their codec: one msgpack map a datagram.
 
-    {"k": kind, "q": seq, "s": source, "t": target, "a": [host, port] of the target (req only),
+    {"k": kind, "q": seq, "s": source, "t": target, "a": [host, port] of the target (ping-req only),
      "r": [host, port] to answer to, "d": digest of the view (pings and acks),
      "g": [[status, name, host, port, incarnation, by], ...],
      "f": [[runner, whether it answers, version, by], ...]}
@@ -24,11 +24,11 @@
 
     PING = "ping"
     ACK = "ack"
-    REQ = "req"  # SWIM's ping-req: a request to ping the target for the sender
+    PING_REQ = "req"  # SWIM's ping-req: a request to ping the target for the sender
     NACK = "nack"  # Lifeguard: the helper is reached, but the target has not answered it yet
     JOIN = "join"  # a full state, and a request for the receiver's
     SYNC = "sync"  # a full state
-    WORD = "word"  # gossip only
+    GOSSIP = "word"  # updates and findings alone
 
 
 class Status(StrEnum):
@@ -42,7 +42,7 @@
 
 KINDS = tuple(kind.value for kind in MessageKind)
 STATUSES = tuple(status.value for status in Status)
-KINDS_WITH_TARGET = (MessageKind.PING, MessageKind.REQ)
+KINDS_WITH_TARGET = (MessageKind.PING, MessageKind.PING_REQ)
 
 NAME_BYTES = 64
 RUNNER_BYTES = 128
@@ -120,7 +120,7 @@
     )
     if kind in KINDS_WITH_TARGET:
         message.target = _name(payload.get("t"), "t")
-    if kind == MessageKind.REQ:
+    if kind == MessageKind.PING_REQ:
         message.target_address = _address(payload.get("a"), "a")
     if "d" in payload:
         message.digest = _number(payload, "d", DIGEST_BITS)
--- a/maplestile/membership/settings.py
+++ b/maplestile/membership/settings.py
@@ -18,12 +18,11 @@
 from maplestile.common.address import Address
 from maplestile.membership.tuning import Tuning
 
+DEFAULT_TUNING = Tuning()
 SEEDS_MAX = 64
 PERIOD_MIN_US = 10_000
 PERIOD_MAX_US = 60_000_000
 ACK_MIN_US = 1_000
-DEFAULT_PERIOD_US = 1_000_000
-DEFAULT_ACK_US = 400_000
 LOOPBACK_HOSTS = ("127.0.0.1", "localhost", "::1")
 PORTS = 1 << 16
 
@@ -40,7 +39,7 @@
     seeds: tuple[Address, ...]
     tuning: Tuning
     advertise: Address | None = None  # where the others reach this member, if not at `listen`
-    watch_us: int = 0  # between the probes of one runner by its owner; 0 for none
+    health_check_interval_us: int = 0  # of each runner, by the member that owns it; 0 for none
 
 
 def membership_settings_from(table: Any) -> MembershipSettings:
@@ -58,29 +57,31 @@
     advertise = table.get("advertise")
     if advertise is not None:
         advertise = _address(advertise, "peers.advertise")
-    watch_us = _watch_us(table)
+    interval_us = _health_check_interval_us(table)
     seed_addresses = tuple(_address(seed, f"peers.seeds[{index}]") for index, seed in enumerate(seeds))
-    return MembershipSettings(listen, seed_addresses, tuning, advertise, watch_us)
+    return MembershipSettings(listen, seed_addresses, tuning, advertise, interval_us)
 
 
 def _tuning(table: dict[str, Any]) -> Tuning:
-    period_us = table.get("periodUs", DEFAULT_PERIOD_US)
-    ack_us = table.get("ackUs", DEFAULT_ACK_US)
-    lifeguard = table.get("lifeguard", True)
+    period_us = table.get("periodUs", DEFAULT_TUNING.period_us)
+    ack_us = table.get("ackUs", DEFAULT_TUNING.ack_us)
+    lifeguard = table.get("lifeguard", DEFAULT_TUNING.lifeguard)
     if not isinstance(period_us, int) or not PERIOD_MIN_US <= period_us <= PERIOD_MAX_US:
         raise MembershipSettingsError("peers.period_ms: must be from 10 to 60000")
     if not isinstance(ack_us, int) or not ACK_MIN_US <= ack_us < period_us:
         raise MembershipSettingsError("peers.ack_ms: must be at least 1 and less than the period")
     if not isinstance(lifeguard, bool):
         raise MembershipSettingsError("peers.lifeguard: must be true or false")
-    return replace(Tuning(), period_us=period_us, ack_us=ack_us, lifeguard=lifeguard)
+    return replace(DEFAULT_TUNING, period_us=period_us, ack_us=ack_us, lifeguard=lifeguard)
 
 
-def _watch_us(table: dict[str, Any]) -> int:
-    watch_us = table.get("watchUs", 0)
-    if not isinstance(watch_us, int) or (watch_us and not PERIOD_MIN_US <= watch_us <= PERIOD_MAX_US):
+def _health_check_interval_us(table: dict[str, Any]) -> int:
+    interval_us = table.get("watchUs", 0)
+    if not isinstance(interval_us, int) or (
+        interval_us and not PERIOD_MIN_US <= interval_us <= PERIOD_MAX_US
+    ):
         raise MembershipSettingsError("peers.watch_ms: must be 0, or from 10 to 60000")
-    return watch_us
+    return interval_us
 
 
 def _address(value: Any, place: str) -> Address:
--- a/maplestile/membership/state_exchange.py
+++ b/maplestile/membership/state_exchange.py
@@ -10,7 +10,7 @@
 from maplestile.membership.update_merger import UpdateMerger
 
 # Messages that only a member sends which takes their receiver for a member as well.
-KINDS_BETWEEN_MEMBERS = (MessageKind.PING, MessageKind.ACK, MessageKind.REQ, MessageKind.NACK)
+KINDS_BETWEEN_MEMBERS = (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ, MessageKind.NACK)
 
 
 class StateExchange:
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -229,7 +229,7 @@
         match message.kind:
             case MessageKind.PING:
                 self._detector.handle_ping(message)
-            case MessageKind.REQ:
+            case MessageKind.PING_REQ:
                 self._detector.handle_ping_request(message, now_us)
             case MessageKind.ACK:
                 self._detector.handle_ack(message)
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -132,7 +132,7 @@
         elif member.status is Status.ALIVE and self._death_notices < self._tuning.death_notices_per_period:
             self._death_notices += 1
             self._probe_order.put_next(member.name)
-            self._sender.send(member.address, self._sender.new_message(MessageKind.WORD), first=update)
+            self._sender.send(member.address, self._sender.new_message(MessageKind.GOSSIP), first=update)
 
     def _merge_own(self, update: MemberUpdate) -> None:
         """Refute a suspicion or a death of this member by a higher incarnation (SWIM, section 4.2).
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -47,7 +47,8 @@
         self.seed = seed
         self.counters = counters
         self.probe = probe
-        self.health_checks = SharedHealthChecks(name, settings.watch_us) if settings.watch_us else None
+        interval_us = settings.health_check_interval_us
+        self.health_checks = SharedHealthChecks(name, interval_us) if interval_us else None
         self.swim = self._new_swim(settings.listen)  # replaced once the socket's address is known
         self.events = logs.events("peers")
         self.transport: asyncio.DatagramTransport | None = None
