--- a/maplestile/agent/policy_leader.py
+++ b/maplestile/agent/policy_leader.py
@@ -13,6 +13,7 @@
 from maplestile.control.policy.planner import PolicyPlanner
 
 log = logging.getLogger("maplestile.policy")
+# Fields of an encoded command that go into its log line, where it has them.
 LOGGED_KEYS = ("absent", "reason")
 
 
--- a/maplestile/agent/rollout_leader.py
+++ b/maplestile/agent/rollout_leader.py
@@ -10,6 +10,7 @@
 from maplestile.control.rollout_planner import RolloutPlanner
 from maplestile.control.settings import ControlSettings
 
+# Fields of an encoded command that go into its log line, where it has them.
 LOGGED_KEYS = ("instance", "down", "reason")
 
 
@@ -22,11 +23,13 @@
         self.events = logs.events("control")
         self.planner: RolloutPlanner | None = None  # while this voter leads
         self.term = -1
-        self.heard: dict[str, int] = {}  # by agent: the number of the last heartbeat that the planner has
+        self.last_heartbeats: dict[
+            str, int
+        ] = {}  # by agent: the number of the last heartbeat that the planner has
         self.deciding: asyncio.Task[None] | None = None
 
     def look(self, lost_members: frozenset[str]) -> None:
-        """Hand new heartbeats to the planner, and submit its next command."""
+        """Pass new heartbeats to the planner, and submit its next command, one at a time."""
         replicated_log = self.log_client.replicated_log
         status = replicated_log.status()
         if not status.leading:
@@ -35,7 +38,7 @@
         now_us = time.monotonic_ns() // 1000
         if self.planner is None or status.term != self.term:
             self.planner = self._take_lead(status.term, now_us)
-        self._hear(self.planner, now_us)
+        self._pass_heartbeats(self.planner, now_us)
         if self.deciding is not None and not self.deciding.done():
             return
         command = self.planner.next_command(replicated_log.control, lost_members, self.term, now_us)
@@ -51,14 +54,16 @@
     def _take_lead(self, term: int, now_us: int) -> RolloutPlanner:
         self.term = term
         heartbeats = self.log_client.replicated_log.heartbeats
-        self.heard = {agent: heartbeat.number for agent, heartbeat in heartbeats.items()}  # those are old
+        self.last_heartbeats = {
+            agent: heartbeat.number for agent, heartbeat in heartbeats.items()
+        }  # from before its lead
         self.events.info("leads", term=term, voter=self.settings.name)
         return RolloutPlanner(self.settings.rules, now_us)
 
-    def _hear(self, planner: RolloutPlanner, now_us: int) -> None:
+    def _pass_heartbeats(self, planner: RolloutPlanner, now_us: int) -> None:
         for agent, heartbeat in self.log_client.replicated_log.heartbeats.items():
-            if heartbeat.number != self.heard.get(agent):
-                self.heard[agent] = heartbeat.number
+            if heartbeat.number != self.last_heartbeats.get(agent):
+                self.last_heartbeats[agent] = heartbeat.number
                 planner.hear(heartbeat.reports, now_us)
 
     async def _submit(self, command: GrantLease | HaltRollout) -> None:
--- a/maplestile/membership/failure_detector.py
+++ b/maplestile/membership/failure_detector.py
@@ -113,7 +113,7 @@
             return
         ping = self._sender.new_message(MessageKind.PING, target.name)
         ack_due_us = now_us + self._tuning.ack_us * self._health.multiplier
-        self._probe = Probe(ping.seq, target.name, ack_due_us)
+        self._probe = Probe(ping.sequence, target.name, ack_due_us)
         self._sender.send(target.address, ping, about=target)
 
     def _probe_indirectly(self, probe: Probe) -> None:
@@ -161,7 +161,7 @@
     def handle_ping(self, message: Message) -> None:
         """Answer a ping; a suspicion of its sender goes along, so that it can refute."""
         if message.target == self._members.own_name:
-            ack = Message(MessageKind.ACK, message.seq, self._members.own_name)
+            ack = Message(MessageKind.ACK, message.sequence, self._members.own_name)
             self._sender.send(message.reply_to, ack, about=self._members.get(message.source))
 
     def handle_ping_request(self, message: Message, now_us: int) -> None:
@@ -173,25 +173,25 @@
         ack_us = self._tuning.ack_us * self._health.multiplier
         nack_due_us = now_us + ack_us * NACK_DUE_PERCENT // 100
         expires_us = now_us + ack_us * RELAYED_PING_ACK_TIMEOUTS
-        relayed = RelayedPing(message.reply_to, message.seq, nack_due_us, expires_us)
-        self._relayed[ping.seq] = relayed
+        relayed = RelayedPing(message.reply_to, message.sequence, nack_due_us, expires_us)
+        self._relayed[ping.sequence] = relayed
         if len(self._relayed) > self._tuning.members_max:  # bounds memory under a flood of requests
             del self._relayed[min(self._relayed)]
         self._sender.send(message.target_address, ping, about=self._members.get(message.target))
 
     def handle_ack(self, message: Message) -> None:
         """Take the ack of a relayed ping, or of this member's own probe."""
-        relayed = self._relayed.pop(message.seq, None)
+        relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
             self._answer_requester(relayed, MessageKind.ACK, message.source)
             return
         probe = self._probe
-        if probe is not None and message.seq == probe.sequence and message.source == probe.target:
+        if probe is not None and message.sequence == probe.sequence and message.source == probe.target:
             probe.acked = True
 
     def handle_nack(self, message: Message) -> None:
         """Count a helper that reached this member but got no ack of the target."""
-        if self._probe is not None and message.seq == self._probe.sequence:
+        if self._probe is not None and message.sequence == self._probe.sequence:
             self._probe.nacks += 1
 
     def _answer_requester(self, relayed: RelayedPing, kind: MessageKind, source: str) -> None:
--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -1,6 +1,6 @@
 """The membership protocol's messages, and their codec: one msgpack map a datagram.
 
-    {"k": kind, "q": seq, "s": source, "t": target, "a": [host, port] of the target (ping-req only),
+    {"k": kind, "q": sequence, "s": source, "t": target, "a": [host, port] of the target (ping-req only),
      "r": [host, port] to answer to, "d": digest of the view (pings and acks),
      "g": [[status, name, host, port, incarnation, by], ...],
      "f": [[runner, whether it answers, version, by], ...]}
@@ -74,10 +74,10 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message of the protocol; `seq` ties an answer to its probe."""
+    """One message of the protocol; `sequence` ties an answer to its probe."""
 
     kind: str
-    seq: int
+    sequence: int
     source: str
     target: str = ""
     target_address: Address | None = None
@@ -91,7 +91,7 @@
     """Return the datagram of a message."""
     payload: dict[str, Any] = {
         "k": message.kind,
-        "q": message.seq,
+        "q": message.sequence,
         "s": message.source,
         "r": list(message.reply_to),
     }
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -116,7 +116,7 @@
         return self.member_list.own.incarnation
 
     @property
-    def health(self) -> int:
+    def local_health(self) -> int:
         """Lifeguard's local health score: 0 is healthy."""
         return self._local_health.score
 
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -130,7 +130,7 @@
             own_name=swim.name,
             incarnation=swim.incarnation,
             isolated=swim.isolated,
-            local_health=swim.health,
+            local_health=swim.local_health,
             agreed=tuple(sorted(swim.agreed)),
             members=tuple(_view_of(member) for member in swim.view()),
             health_checks=None if checks is None else _health_checks_view(checks),
@@ -145,7 +145,7 @@
         for member in self.swim.members.values():
             metrics[f"members_{member.status.value}"] += 1
         metrics["isolated"] = int(self.swim.isolated)
-        metrics["health"] = self.swim.health
+        metrics["health"] = self.swim.local_health
         if self.health_checks is not None:
             metrics["duties"] = len(self.health_checks.next_probe_us)
             metrics["duties_overlap"] = self.health_checks.assignment.overlap
