--- a/maplestile/agent/rollout_leader.py
+++ b/maplestile/agent/rollout_leader.py
@@ -23,9 +23,8 @@
         self.events = logs.events("control")
         self.planner: RolloutPlanner | None = None  # while this voter leads
         self.term = -1
-        self.last_heartbeats: dict[
-            str, int
-        ] = {}  # by agent: the number of the last heartbeat that the planner has
+        # By agent, the number of the last heartbeat that is not to be passed to the planner again.
+        self.last_heartbeats: dict[str, int] = {}
         self.deciding: asyncio.Task[None] | None = None
 
     def look(self, lost_members: frozenset[str]) -> None:
@@ -54,9 +53,8 @@
     def _take_lead(self, term: int, now_us: int) -> RolloutPlanner:
         self.term = term
         heartbeats = self.log_client.replicated_log.heartbeats
-        self.last_heartbeats = {
-            agent: heartbeat.number for agent, heartbeat in heartbeats.items()
-        }  # from before its lead
+        # Those that came before this voter led are old, and are never passed.
+        self.last_heartbeats = {agent: heartbeat.number for agent, heartbeat in heartbeats.items()}
         self.events.info("leads", term=term, voter=self.settings.name)
         return RolloutPlanner(self.settings.rules, now_us)
 
