--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -116,7 +116,7 @@
         return self.member_list.own.incarnation
 
     @property
-    def health(self) -> int:
+    def local_health(self) -> int:
         """Lifeguard's local health score: 0 is healthy."""
         return self._local_health.score
 
@@ -229,7 +229,7 @@
         match message.kind:
             case MessageKind.PING:
                 self._detector.handle_ping(message)
-            case MessageKind.REQ:
+            case MessageKind.PING_REQ:
                 self._detector.handle_ping_request(message, now_us)
             case MessageKind.ACK:
                 self._detector.handle_ack(message)
