--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -4,7 +4,7 @@
 import contextlib
 import logging
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from functools import partial
 
 from maplestile.common.waiting import wait_until_set
@@ -95,6 +95,7 @@
         self.closing.close_all()
 
     async def _serve(self, reader: ClientReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection to its end, whatever ends it; its open requests are cancelled then."""
         if self.table.is_full() and not self.table.evict_idle():
             await self.rejection.reject(reader, writer)
             return
@@ -116,6 +117,7 @@
                 await self._flush(client)
 
     def _open(self, reader: ClientReader, writer: asyncio.StreamWriter) -> Client:
+        """Add a connection to the table; the end of its client's side is reported from now on."""
         limits = self.limits
         reads.limit_read_size(writer.transport, limits.clients.read_bytes)
         now_us = self.core.clock()
@@ -160,46 +162,58 @@
         await reads.end_and_discard(client.writer, lambda: client.reader.take(max_bytes), linger_s)
 
     async def _read_all(self, client: Client) -> None:
-        """Handle messages until the client ends its side, or the connection is closed here."""
+        """Handle messages until the client ends its side, or the connection is closed here.
+
+        Raises FramingError for input that cannot be used, and OSError where the connection is lost.
+        """
         while data := await self._read(client):
             if client.writer.is_closing():  # evicted: its client sends what crossed that again
                 return
             if client.write_closed:  # the same
                 self.counters["clients.crossed_close"] += 1
                 continue
-            received_us = client.reader.received_us
-            if client.reader.read_was_full:
-                client.detect_close()
-            client.handling = True
-            count = 0
-            for count, view in enumerate(client.framer.feed(data), 1):
-                client.message_reads += count == 1
-                self.requests.handle(client, view, received_us)
-                self.core.catch_up()
-                # A flood must not keep the others waiting.
-                if count % self.table.limits.clients.batch_messages == 0:
-                    await asyncio.sleep(0)
-                    if client.writer.is_closing():
-                        return
-                if client.write_closed:  # the process ends now
-                    self.counters["clients.crossed_close"] += 1
-                    break
-            client.handling = False
-            if count:
-                client.message_since_us = received_us
-                self.closing.note_activity(client)
+            for _ in self._handle_messages(client, data):
+                await asyncio.sleep(0)  # a flood must not keep the others waiting
+                if client.writer.is_closing():
+                    return
+
+    def _handle_messages(self, client: Client, data: bytes) -> Iterator[None]:
+        """Handle the messages that one read completes; yield after each batch, for others to be served.
+
+        What is left after a yield is not handled if the caller does not go on. Raises FramingError.
+        """
+        received_us = client.reader.received_us
+        if client.reader.read_was_full:
+            client.detect_close()
+        client.handling = True
+        count = 0
+        for count, message in enumerate(client.framer.feed(data), 1):
+            if count == 1:
+                client.message_reads += 1
+            self.requests.handle(client, message, received_us)
+            self.core.catch_up()
+            if count % self.limits.clients.batch_messages == 0:
+                yield
+            if client.write_closed:  # the process ends now
+                self.counters["clients.crossed_close"] += 1
+                break
+        client.handling = False
+        if count:
+            client.message_since_us = received_us
+            self.closing.note_activity(client)
 
     async def _read(self, client: Client) -> bytes:
         """Return the next input, empty at its end. Raises FramingError if no message is complete in time."""
-        max_bytes = self.table.limits.clients.read_bytes
-        if client.message_reads and not client.framer.rest:  # idle between requests, for as long as it likes
+        max_bytes = self.limits.clients.read_bytes
+        between_requests = client.message_reads > 0 and not client.framer.rest
+        if between_requests:  # it may be idle for as long as it likes
             data = await client.reader.take(max_bytes)
             client.message_since_us = self.core.clock()
             return data
         # Connections that send nothing, or half a message, must not keep their descriptors for ever. One with
         # a pending answer stays open anyway, and what it sends meanwhile must not go unread.
         while True:
-            left_us = client.message_since_us + self.table.limits.clients.message_us - self.core.clock()
+            left_us = client.message_since_us + self.limits.clients.message_us - self.core.clock()
             try:
                 return await reads.within(left_us / 1e6, lambda: client.reader.take(max_bytes))
             except TimeoutError:
@@ -208,6 +222,7 @@
                 client.message_since_us = self.core.clock()
 
     async def _wait_for_answers(self, client: Client) -> None:
+        """Return once nothing is open on the connection, or it is closed."""
         while client.calls and not client.writer.is_closing():
             client.all_answered.clear()
             await wait_until_set(client.all_answered, CLOSE_POLL_S)
