--- a/maplestile/net/client_table.py
+++ b/maplestile/net/client_table.py
@@ -49,16 +49,13 @@
     def evict_idle(self) -> bool:
         """Close one connection without a pending request or unread input; return whether there was one.
 
-        A request that was read, or is on its way in pieces, must not be dropped for a newcomer's.
+        A request that was read, or is on its way in pieces, must not be dropped for a newcomer's. Where no
+        connection is idle, one whose client has not read or sent on for long is closed in its place.
         """
         candidates = self._eviction_candidates()
-        idle = next((client for client in candidates if not client.has_unhandled_input()), None)
-        if idle is None:
-            return self._abort_unread() or self._evict_unfinished(candidates)
-        self.counters["clients.idle_evicted"] += 1
-        self.clients.pop(idle, None)
-        idle.writer.close()
-        return True
+        return (
+            self._evict_first_idle(candidates) or self._abort_unread() or self._evict_unfinished(candidates)
+        )
 
     def _eviction_candidates(self) -> list[Client]:
         """Return the connections without an open request, the first to be evicted first.
@@ -80,6 +77,15 @@
             return EvictionRank.SILENT
         return EvictionRank.WAITING if silent_us > self.limits.clients.grace_us else EvictionRank.NEW
 
+    def _evict_first_idle(self, candidates: list[Client]) -> bool:
+        """Close the first connection of which all input has been handled."""
+        for client in candidates:
+            if not client.has_unhandled_input():
+                self.counters["clients.idle_evicted"] += 1
+                self._evict(client)
+                return True
+        return False
+
     def _abort_unread(self) -> bool:
         """Abort a closed connection whose client has not read its last answers for long."""
         now_us = self.clock()
@@ -96,12 +102,13 @@
         """Close a connection with a part of a request, of which the rest has not come for long."""
         since_us = self.clock() - self.limits.clients.unfinished_us
         for client in candidates:
-            if not client.framer.rest or client.message_since_us >= since_us:
-                continue
-            if client.handling or client.unread_input_bytes():
-                continue
-            self.counters["clients.unfinished_evicted"] += 1
-            self.clients.pop(client, None)
-            client.writer.close()
-            return True
+            is_unfinished = client.framer.rest and client.message_since_us < since_us
+            if is_unfinished and not client.handling and not client.unread_input_bytes():
+                self.counters["clients.unfinished_evicted"] += 1
+                self._evict(client)
+                return True
         return False
+
+    def _evict(self, client: Client) -> None:
+        self.clients.pop(client, None)
+        client.writer.close()
