--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -24,7 +24,7 @@
 
 
 class DnsDiscovery:
-    """Polls one name server; `before` polls the one that it replaces, until this one has answered."""
+    """Polls one name server; `replaced` polls the one before it, until this one has answered."""
 
     def __init__(
         self,
@@ -32,32 +32,32 @@
         endpoints: EndpointList,
         limits: NameServerLimits,
         counters: Counter[str],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         starved: Callable[[], object] = lambda: None,
-        before: asyncio.Task[None] | None = None,
+        replaced: asyncio.Task[None] | None = None,
     ) -> None:
         self.client = DnsClient(server, limits, counters, starved)
         self.endpoints = endpoints
         self.limits = limits
         self.counters = counters
-        self.changed = changed  # called after each change of the endpoints
-        self.before = before
-        self.heard = False  # a usable answer has come
+        self.on_change = on_change  # called after each change of the endpoints
+        self.replaced = replaced
+        self.has_answered = False  # a usable answer has come
         self.is_complete = True  # the endpoints are all that the server lists under their serial
-        self.restart = SerialRestart(limits, counters)
+        self.serial_restart = SerialRestart(limits, counters)
 
     async def run(self) -> None:
         """Poll until cancelled; the query socket is closed with it."""
         try:
             await self._run()
         finally:
-            self._end_before()
+            self._end_replaced()
             self.client.close()
 
-    def _end_before(self) -> None:
-        if self.before is not None:
-            self.before.cancel()
-            self.before = None
+    def _end_replaced(self) -> None:
+        if self.replaced is not None:
+            self.replaced.cancel()
+            self.replaced = None
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
@@ -75,8 +75,8 @@
                 await asyncio.sleep(FAST_RETRY_S if failures <= FAST_RETRIES else SLOW_RETRY_S)
                 continue
             failures = 0
-            self.heard = True
-            self._end_before()
+            self.has_answered = True
+            self._end_replaced()
             next_s = started_s + self.limits.poll_us / 1e6
             await asyncio.sleep(max(MIN_POLL_S, next_s - loop.time()))
 
@@ -86,10 +86,10 @@
         if reply.serial is None:
             raise dns.DnsError("a list without its serial")
         behind = self.endpoints.behind(reply.serial)
-        if behind and not self.restart.is_confirmed():
+        if behind and not self.serial_restart.note_older_serial():
             await self._apply_drains(reply)
             return
-        self.restart.reset()
+        self.serial_restart.reset()
         unchanged = reply.serial == self.endpoints.version
         if behind:
             self.counters["names.serial_restarts"] += 1
@@ -124,7 +124,7 @@
             self.endpoints.drain(drained)
             self.is_complete = False  # the next list that is not behind replaces the endpoints
             self.counters["names.outdated_drains"] += len(drained)
-            self.changed()
+            self.on_change()
 
     def _apply(self, reply: dns.Reply, serial: int, replaces: bool) -> None:
         """Apply a whole list; with `replaces` also one whose serial is not newer."""
@@ -139,7 +139,7 @@
         self.is_complete = not faults
         if (endpoints.version, endpoints.entries, endpoints.addresses) != before:
             self.counters["names.lists"] += 1
-            self.changed()
+            self.on_change()
 
     def _listed_entries(self, reply: dns.Reply) -> tuple[list[tuple[WorkerEntry, Address]], list[str]]:
         """Return the entries of a list with their addresses, and the faults of those without usable records.
@@ -173,7 +173,7 @@
         self._replies = 0  # in a row with an older serial
         self._since_s = 0.0  # of the first of them
 
-    def is_confirmed(self) -> bool:
+    def note_older_serial(self) -> bool:
         """Count one more reply with an older serial; return whether they came often and long enough."""
         now_s = asyncio.get_running_loop().time()
         if not self._replies:
--- a/maplestile/router/discovery.py
+++ b/maplestile/router/discovery.py
@@ -45,13 +45,13 @@
     @property
     def has_answered(self) -> bool:
         """Whether a usable answer has come, or none is awaited."""
-        return self.driver is None or self.driver.heard
+        return self.driver is None or self.driver.has_answered
 
     def _answering_task(self) -> asyncio.Task[None] | None:
         """Return the current task, or the one before it where the current server never answered."""
         driver = self.driver
-        if driver is None or driver.heard or driver.before is None:
+        if driver is None or driver.has_answered or driver.replaced is None:
             return self.task
-        previous = driver.before
-        driver.before = None
+        previous = driver.replaced
+        driver.replaced = None
         return previous
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -214,7 +214,7 @@
                 await asyncio.sleep(0.005)
             self.names.client.transport.abort()
             queries_before = counters["names.queries"]
-            self.names.heard = False
-            while not self.names.heard:
+            self.names.has_answered = False
+            while not self.names.has_answered:
                 await asyncio.sleep(0.005)
         self.assertGreater(counters["names.queries"], queries_before)
