--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -22,9 +22,14 @@
 SLOW_RETRY_S = 0.1
 MIN_POLL_S = 0.01
 
+ListedEntry = tuple[WorkerEntry, Address]
+
 
 class DnsDiscovery:
-    """Polls one name server; `replaced` polls the one before it, until this one has answered."""
+    """Polls one name server, and applies its lists to the endpoints.
+
+    `replaced` is the task that polls the name server before it: it goes on until this one has answered.
+    """
 
     def __init__(
         self,
@@ -69,9 +74,7 @@
                 await self._poll()
             except (dns.DnsError, TimeoutError, OSError) as fault:
                 failures += 1
-                self.counters["names.failed"] += 1
-                if failures in LOGGED_FAILURES:
-                    log.warning("names: no usable list in %d queries: %s", failures, fault or "no reply")
+                self._note_failure(failures, fault)
                 await asyncio.sleep(FAST_RETRY_S if failures <= FAST_RETRIES else SLOW_RETRY_S)
                 continue
             failures = 0
@@ -80,26 +83,32 @@
             next_s = started_s + self.limits.poll_us / 1e6
             await asyncio.sleep(max(MIN_POLL_S, next_s - loop.time()))
 
+    def _note_failure(self, failures: int, fault: Exception) -> None:
+        """Count a failed poll, and log some: `failures` have come in a row."""
+        self.counters["names.failed"] += 1
+        if failures in LOGGED_FAILURES:
+            log.warning("names: no usable list in %d queries: %s", failures, fault or "no reply")
+
     async def _poll(self) -> None:
-        """Ask for the list once, and apply what is new. Raises DnsError, TimeoutError or OSError."""
+        """Query the list once, and apply what is new. Raises DnsError, TimeoutError or OSError."""
         reply = await self.client.query(LIST_NAME, dns.SRV)
         if reply.serial is None:
             raise dns.DnsError("a list without its serial")
-        behind = self.endpoints.behind(reply.serial)
-        if behind and not self.serial_restart.note_older_serial():
+        is_behind = self.endpoints.behind(reply.serial)
+        if is_behind and not self.serial_restart.note_older_serial():
             await self._apply_drains(reply)
             return
         self.serial_restart.reset()
-        unchanged = reply.serial == self.endpoints.version
-        if behind:
+        is_unchanged = reply.serial == self.endpoints.version
+        if is_unchanged and self.is_complete:
+            return
+        if is_behind:
             self.counters["names.serial_restarts"] += 1
             version = self.endpoints.version
             log.warning("names: serials start anew, %d after %d", reply.serial, version)
-        elif unchanged and self.is_complete:
-            return
         await self.client.complete(reply, reply.targets)
         # The serial of the endpoints may have changed while the hosts were queried.
-        replaces = behind or reply.serial == self.endpoints.version
+        replaces = is_behind or reply.serial == self.endpoints.version
         self._apply(reply, reply.serial, replaces)
 
     async def _apply_drains(self, reply: dns.Reply) -> None:
@@ -109,23 +118,24 @@
         """
         entries = self.endpoints.entries
         serving = {uid for uid, entry in entries.items() if entry.state is WorkerState.RUNNING}
-        draining = [t for t in reply.targets if t.priority and _worker_of(t) in serving]
+        draining = [target for target in reply.targets if target.priority and _worker_of(target) in serving]
         await self.client.complete(reply, draining)
-        drained = list[str]()
-        for target in draining:
-            try:
-                listed, _ = dns.worker_entry(reply, target)
-            except dns.DnsError:
-                continue
-            known = self.endpoints.entries.get(listed.worker)
-            if known is not None and known.started_us == listed.started_us:  # else another process
-                drained.append(listed.worker)
+        drained = [_worker_of(target) for target in draining if self._is_known_process(reply, target)]
         if drained:
             self.endpoints.drain(drained)
             self.is_complete = False  # the next list that is not behind replaces the endpoints
             self.counters["names.outdated_drains"] += len(drained)
             self.on_change()
 
+    def _is_known_process(self, reply: dns.Reply, target: dns.Target) -> bool:
+        """Return whether a target is the process that the endpoints have, and not an earlier or later one."""
+        try:
+            listed, _ = dns.worker_entry(reply, target)
+        except dns.DnsError:
+            return False
+        known = self.endpoints.entries.get(listed.worker)
+        return known is not None and known.started_us == listed.started_us
+
     def _apply(self, reply: dns.Reply, serial: int, replaces: bool) -> None:
         """Apply a whole list; with `replaces` also one whose serial is not newer."""
         listed, faults = self._listed_entries(reply)
@@ -133,33 +143,40 @@
             self.counters["names.incomplete"] += 1
             log.warning("names: list %d lacks %d hosts: %s", serial, len(faults), faults[0])
         endpoints = self.endpoints
-        before = (endpoints.version, dict(endpoints.entries), dict(endpoints.addresses))
+        list_before = (endpoints.version, dict(endpoints.entries), dict(endpoints.addresses))
         if not endpoints.apply_whole(serial, listed, replaces):
             return  # overtaken while its hosts were queried
         self.is_complete = not faults
-        if (endpoints.version, endpoints.entries, endpoints.addresses) != before:
+        if (endpoints.version, endpoints.entries, endpoints.addresses) != list_before:
             self.counters["names.lists"] += 1
             self.on_change()
 
-    def _listed_entries(self, reply: dns.Reply) -> tuple[list[tuple[WorkerEntry, Address]], list[str]]:
+    def _listed_entries(self, reply: dns.Reply) -> tuple[list[ListedEntry], list[str]]:
         """Return the entries of a list with their addresses, and the faults of those without usable records.
 
         An entry whose host was not found, or has bad records, stays as it was but for its state: one host
         must not delay the drains of all others.
         """
-        listed = list[tuple[WorkerEntry, Address]]()
+        listed = list[ListedEntry]()
         faults = list[str]()
         for target in reply.targets:
             try:
                 listed.append(dns.worker_entry(reply, target))
             except dns.DnsError as fault:
                 faults.append(str(fault))
-                worker = _worker_of(target)
-                if (known := self.endpoints.entries.get(worker)) is not None:
-                    state = WorkerState.DRAINING if target.priority else known.state
-                    listed.append((replace(known, state=state), self.endpoints.addresses[worker]))
+                if (known := self._known_entry(target)) is not None:
+                    listed.append(known)
         return listed, faults
 
+    def _known_entry(self, target: dns.Target) -> ListedEntry | None:
+        """Return the entry that the endpoints have of a target, draining if the list says so."""
+        worker = _worker_of(target)
+        known = self.endpoints.entries.get(worker)
+        if known is None:
+            return None
+        state = WorkerState.DRAINING if target.priority else known.state
+        return replace(known, state=state), self.endpoints.addresses[worker]
+
 
 class SerialRestart:
     """Recognizes a name server that numbers its lists anew, whose lists would never be applied again.
@@ -174,7 +191,7 @@
         self._since_s = 0.0  # of the first of them
 
     def note_older_serial(self) -> bool:
-        """Count one more reply with an older serial; return whether they came often and long enough."""
+        """Note one more reply with an older serial; return whether they came often and for long enough."""
         now_s = asyncio.get_running_loop().time()
         if not self._replies:
             self._since_s = now_s
