--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -17,6 +17,7 @@
 MAX_PIPELINED_BYTES = 262_144
 MAX_LENGTH_DIGITS = 18  # of a Content-Length
 WRITE_TIMEOUT_S = 10.0
+NO_CONTENT = 204
 
 
 class TooLarge(Exception):
@@ -32,7 +33,7 @@
 
 
 class FrontState:
-    """What the connections of one front share."""
+    """What the connections of one front share: the application, the counters, and which connections wait."""
 
     def __init__(
         self, name: str, app: Application, counters: Counter[str], received_us: Callable[[], int]
@@ -85,11 +86,12 @@
             except h11.RemoteProtocolError as fault:
                 await self._refuse_malformed(fault)
                 return
-            if request is None or self.write_closed:  # what crossed the close is called again elsewhere
+            if request is None or self.write_closed:  # what crossed the close is sent again elsewhere
                 return
             answer = await self._answer(request)
             await self._write(answer, self.front.bounds.one_call or self.front.leaving)
-            if self.protocol.our_state is not h11.DONE or self.protocol.their_state is not h11.DONE:
+            states = (self.protocol.our_state, self.protocol.their_state)
+            if states != (h11.DONE, h11.DONE):  # either side ends the connection
                 return
             self.protocol.start_next_cycle()
 
@@ -99,7 +101,10 @@
         self.writer.write_eof()
 
     async def _read_request(self) -> HttpRequest | None:
-        """Return the next request, or None at the end of the connection."""
+        """Return the next request, or None at the end of the connection.
+
+        Raises TooLarge, and what `_next_event` raises.
+        """
         head = await self._next_event()
         if not isinstance(head, h11.Request):
             return None
@@ -116,16 +121,14 @@
             return None
         self._due_s = None
         self.front.receiving.pop(self, None)
-        headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
-        return HttpRequest(
-            head.method.decode(),
-            head.target.decode("latin-1"),
-            headers,
-            bytes(body),
-            self.front.received_us(),
-        )
+        return _decoded(head, bytes(body), self.front.received_us())
 
     async def _next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
+        """Return the next part of a request, and read while none is complete.
+
+        Raises TooSlow for a request that is not complete in time, TimeoutError where none starts, and h11's
+        RemoteProtocolError for input that is no HTTP.
+        """
         while (event := self.protocol.next_event()) is h11.NEED_DATA:
             if self.protocol.they_are_waiting_for_100_continue:
                 go_on = h11.InformationalResponse(status_code=100, headers=[])
@@ -138,7 +141,10 @@
         return event
 
     async def _read_first(self) -> bytes:
-        """Read the first bytes of a request: the client may take its time, and may be evicted meanwhile."""
+        """Read the first bytes of a request: the client may take its time, and may be evicted meanwhile.
+
+        Raises TimeoutError if it takes longer than an idle connection may.
+        """
         bounds = self.front.bounds
         self.front.idle[self] = None
         try:
@@ -204,18 +210,27 @@
 
     async def _write(self, response: Response, close: bool) -> None:
         """Write an answer. Raises TimeoutError where the client does not read it."""
+        self.writer.write(self._encode(response, close))
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
+            await self.writer.drain()
+
+    def _encode(self, response: Response, close: bool) -> bytes:
+        """Return the bytes of an answer; with `close` it announces the end of the connection."""
         headers = [*response.headers]
-        if response.status != 204:
+        if response.status != NO_CONTENT:  # which must not have the header
             headers.append(("Content-Length", str(len(response.body))))
         if close:
             headers.append(("Connection", "close"))
         data = self.protocol.send(h11.Response(status_code=response.status, headers=headers)) or b""
         if response.body:
             data += self.protocol.send(h11.Data(data=response.body)) or b""
-        data += self.protocol.send(h11.EndOfMessage()) or b""
-        self.writer.write(data)
-        async with asyncio.timeout(WRITE_TIMEOUT_S):
-            await self.writer.drain()
+        return data + (self.protocol.send(h11.EndOfMessage()) or b"")
+
+
+def _decoded(head: h11.Request, body: bytes, received_us: int) -> HttpRequest:
+    """Return a complete request in the types of the application."""
+    headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
+    return HttpRequest(head.method.decode(), head.target.decode("latin-1"), headers, body, received_us)
 
 
 def _set_result(answer: asyncio.Future[Response], response: Response) -> None:
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/rejection.py
@@ -26,7 +26,7 @@
         self.connections = 0
 
     async def reject(self, reader: ClientReader, writer: asyncio.StreamWriter) -> None:
-        """Refuse the first requests of a connection, and close it."""
+        """Refuse the first requests of a connection, and close it; over its own cap, close it at once."""
         table = self.table
         table.counters["clients.rejected"] += 1
         log.warning("client: turned away, %d connections are owed an answer", len(table.clients))
@@ -43,7 +43,10 @@
             writer.close()
 
     async def _refuse_requests(self, reader: ClientReader, writer: asyncio.StreamWriter) -> None:
-        """Refuse all requests up to the first moment at which no part of another one waits."""
+        """Refuse all requests up to the first moment at which no part of another one waits.
+
+        Raises FramingError, OSError, or TimeoutError where no complete request comes in time.
+        """
         limits = self.table.limits
         max_bytes = limits.clients.read_bytes
         framer = jsonrpc.Framer(limits.messages)
@@ -61,7 +64,7 @@
         await reads.end_and_discard(writer, lambda: reader.take(max_bytes), limits.clients.linger_us / 1e6)
 
     def _refusal(self, view: memoryview) -> bytes:
-        """Return the answer to one message."""
+        """Return the answer to one message; a cancellation has none."""
         limits = self.table.limits
         try:
             message = jsonrpc.parse(view, limits.messages, self.known)
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -44,6 +44,7 @@
         self.writer.transport.abort()
 
     async def _drain(self) -> None:
+        """Notify the pool once the system has taken all, or has taken too long."""
         try:
             async with asyncio.timeout(self.pool.limits.stall_us / 1e6):
                 await self.writer.drain()
@@ -78,10 +79,11 @@
         asyncio.get_running_loop().call_later(FLUSH_AGAIN_S, self.settled, connection)
 
     async def _serve(self, connection: Connection) -> None:
-        end = Result.CONNECT_FAILED
+        """Connect, read answers until the connection ends, and report at the pool how it ended."""
+        result = Result.CONNECT_FAILED  # of the attempts on the connection, at its end
         try:
             reader, writer = await self._open_stream(connection)
-            end = Result.RESET
+            result = Result.RESET
             reads.limit_read_size(writer.transport, self.limits.read_bytes)
             writer.transport.set_write_buffer_limits(high=0)
             self.up(connection, StreamSocket(self, connection, writer))
@@ -91,17 +93,17 @@
             log.warning("runner %s: %s; connection condemned", connection.runner.uid, fault)
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, OSError) and fault.errno in reads.NO_DESCRIPTOR:
-                end = Result.SUPERSEDED  # clients hold all descriptors: that says nothing of the runner
+                result = Result.SUPERSEDED  # clients hold all descriptors: that says nothing of the runner
                 self.starved()
             log.debug("runner %s: %r", connection.runner.uid, fault)
         finally:
-            self.close(connection, end)
+            self.close(connection, result)
 
     async def _open_stream(self, connection: Connection) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Connect within the time limit. Raises OSError or TimeoutError."""
         host, port = connection.runner.address
-        most = self.limits.read_bytes
         async with asyncio.timeout(self.limits.connect_timeout_us / 1e6):
-            return await asyncio.open_connection(host, port, limit=most)
+            return await asyncio.open_connection(host, port, limit=self.limits.read_bytes)
 
     async def _read_answers(self, connection: Connection, reader: asyncio.StreamReader) -> None:
         """Report answers until the runner closes. Raises LineError, or OSError if the connection breaks."""
@@ -114,11 +116,12 @@
             self.settled(connection)
 
     async def _read(self, reader: asyncio.StreamReader, lines: wire.LineFramer) -> bytes:
+        """Return the next input, empty at its end. Raises LineError if a line stops short, or OSError."""
         if not lines.rest:
             return await reader.read(self.limits.read_bytes)
         # A line that has started comes soon, or never: its writer stopped short, and all behind it waits.
         try:
-            most = self.limits.read_bytes
-            return await reads.within(self.limits.line_pause_us / 1e6, lambda: reader.read(most))
+            max_bytes = self.limits.read_bytes
+            return await reads.within(self.limits.line_pause_us / 1e6, lambda: reader.read(max_bytes))
         except TimeoutError:
             raise wire.LineError("a line that does not go on") from None
