--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -2,7 +2,7 @@
 
 import json
 import os
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, fields, replace
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
@@ -29,14 +29,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What one router process is to do."""
+    """The checked configuration of one router process; addresses that are None belong to what is off."""
 
     name: str
     settings: Settings
     limits: Limits
     listen: Address | None  # the platform's front
     dns: Address | None  # the name server
-    fleet: EndpointList  # the endpoints known before the name server answers
+    fleet: EndpointList  # the endpoints that are known before the name server answers
     seed: int
     operator: "OperatorSettings | None" = None  # the operator's file, with the invoke front
     operation: Address | None = None  # where operators call; `folder` is of no use without it
@@ -46,9 +46,9 @@
 
     def restarts(self, new: "Config") -> list[str]:
         """Return the names of what differs in the new configuration and only a restart can change."""
-        names = [f.name for f in fields(Settings) if f.name not in INVOKE_SETTINGS]
-        changed = [f"settings.{n}" for n in names if getattr(self.settings, n) != getattr(new.settings, n)]
-        changed += [n for n in RESTART_FIELDS if getattr(self, n) != getattr(new, n)]
+        names = [each.name for each in fields(Settings) if each.name not in INVOKE_SETTINGS]
+        changed = [f"settings.{name}" for name in _differing(names, self.settings, new.settings)]
+        changed += _differing(RESTART_FIELDS, self, new)
         if self.operator is not None and new.operator is not None:
             if self.operator.listen != new.operator.listen:
                 changed.append("invoke.listen")
@@ -57,6 +57,11 @@
         return changed
 
 
+def _differing(names: Iterable[str], old: object, new: object) -> list[str]:
+    """Return the attributes, of these, in which two objects differ."""
+    return [name for name in names if getattr(old, name) != getattr(new, name)]
+
+
 def config_from(payload: Mapping[str, Any], operator: "OperatorSettings | None" = None) -> Config:
     """Check a decoded configuration. Raises ConfigError with the first fault."""
     try:
@@ -92,9 +97,9 @@
 def _config_from(payload: Mapping[str, Any], operator: "OperatorSettings | None") -> Config:
     settings = settings_from(payload["settings"])
     budgets = payload.get("limits", {})
-    endpoints = EndpointList()
     if operator is not None:
         settings = replace(settings, epoch=operator.epoch)
+    endpoints = EndpointList()
     endpoints.apply_known(payload.get("known", {"updates": []}))
     sockets = int(budgets.get("sockets", DEFAULT_SOCKETS))
     memory_mb = float(budgets.get("memory_mb", DEFAULT_MEMORY_MB))
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -46,27 +46,38 @@
         self.configure = configure
 
     def reload(self, reads_left: int = MAX_READS) -> None:
-        """Read the configuration again, whole, before anything of it is applied; print the result."""
+        """Read the configuration again, whole, before anything of it is applied; print the result.
+
+        Where there is no file descriptor to read it by, one is freed, and it is read again a little later.
+        """
         result = ReloadResult()
-        config: Config | None = None
         try:
             config = self._read(result)
         except (ConfigError, OSError) as fault:
             if reads_left > 1 and isinstance(fault, OSError) and fault.errno in reads.NO_DESCRIPTOR:
-                self.components.descriptors_exhausted()
-                asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload, reads_left - 1)
+                self._reload_later(reads_left - 1)
                 return
             result.fault = f"{type(fault).__name__}: {fault}"
-        components = self.components
-        if config is None:
-            components.counters["reloads.failed"] += 1
-            log.error("%s cannot reload; the old configuration stays: %s", components.name, result.fault)
+            self._note_refused(result)
         else:
-            components.counters["reloads.taken"] += 1
-            result.taken = self._apply(config)
-            log.info("%s reloaded; taken: %s", components.name, ", ".join(result.taken) or "nothing")
+            self._take(config, result)
         result.print()
 
+    def _reload_later(self, reads_left: int) -> None:
+        self.components.descriptors_exhausted()
+        asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload, reads_left)
+
+    def _note_refused(self, result: ReloadResult) -> None:
+        components = self.components
+        components.counters["reloads.failed"] += 1
+        log.error("%s cannot reload; the old configuration stays: %s", components.name, result.fault)
+
+    def _take(self, config: Config, result: ReloadResult) -> None:
+        components = self.components
+        components.counters["reloads.taken"] += 1
+        result.taken = self._apply(config)
+        log.info("%s reloaded; taken: %s", components.name, ", ".join(result.taken) or "nothing")
+
     def _read(self, result: ReloadResult) -> Config:
         """Return the new configuration. Raises ConfigError or OSError where it cannot be applied."""
         config = self.configure()
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -39,21 +39,25 @@
     def observe(self) -> None:
         """Look once at the other process and at the cordons that it stored."""
         components = self.components
-        handover = self.handover
-        assert components.cordons is not None
+        assert components.cordons is not None  # built together with the handover
         components.cordons.look()
-        stage_before = handover.stage
+        stage_before = self.handover.stage
+        self._look_at_locks()
+        if self.handover.stage is not stage_before:
+            log.info("%s: %s", components.name, self.handover.stage.value)
+        process_count = self.handover.live
+        if process_count != components.process_count:
+            log.info("%s: budgets for %d processes side by side", components.name, process_count)
+            components.share_budgets(process_count)
+
+    def _look_at_locks(self) -> None:
+        """Notify the other process once this one can serve, and learn what it does."""
         try:
             if not self.readiness.missing():
-                handover.ready()
-            handover.look()
+                self.handover.ready()
+            self.handover.look()
         except OSError as fault:
-            log.warning("%s: the locks: %s", components.name, fault)
-        if handover.stage is not stage_before:
-            log.info("%s: %s", components.name, handover.stage.value)
-        if handover.live != components.process_count:
-            log.info("%s: budgets for %d processes side by side", components.name, handover.live)
-            components.share_budgets(handover.live)
+            log.warning("%s: the locks: %s", self.components.name, fault)
 
     def _may_take_clients(self) -> bool:
         if self.readiness.list_is_current() and self.handover.stage is not Stage.WAITING:
