--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -54,7 +54,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "KnownNames":
-        """Return the names of the notified settings."""
+        """Return the names that these settings allow."""
         classes = {
             call_class.name: call_class.idempotency is Idempotency.WITH_KEY for call_class in settings.classes
         }
