--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -9,6 +9,7 @@
 from maplestile.dispatch import api
 
 SERIAL_NUMBERS = 1 << 32  # how many there are
+US_PER_MS = 1000
 MIN_WEIGHT = 0.01
 STATES = {
     "Ready": api.WorkerState.RUNNING,
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """The runners by uid; `version` counts the events of the name server.
+    """The runners by uid; `version` is the serial of the last list or event that was applied, -1 before.
 
     A list that is no newer than the version is out of date. The uids in `suspended` are shown as draining.
     """
@@ -52,24 +53,25 @@
         return self.version >= 0 and 0 < (self.version - serial) % SERIAL_NUMBERS < SERIAL_NUMBERS // 2
 
     def apply_whole(
-        self, version: int, listed: Iterable[tuple[api.WorkerEntry, Address]], anew: bool = False
+        self, version: int, listed: Iterable[tuple[api.WorkerEntry, Address]], replaces: bool = False
     ) -> bool:
-        """Apply a whole list; false if it is out of date: a late reply must not bring back the dead.
+        """Apply a whole list; return false if it is out of date: a late reply must not bring back the dead.
 
-        With `anew` the numbers have started again, or the list at hand lacked something.
+        With `replaces` it is applied whatever its version: the numbers have started again, or the list that
+        was applied under that version lacked something.
         """
-        if not anew and (version == self.version or self.behind(version)):
+        is_outdated = version == self.version or self.behind(version)
+        if is_outdated and not replaces:
             return False
         self.version = version
-        self.entries.clear()
-        self.addresses.clear()
+        self._clear()
         for entry, address in listed:
             self._put(entry, address)
         return True
 
-    def drain(self, drained: Iterable[str]) -> None:
-        """Mark these uids as draining. Raises KeyError if one is not listed."""
-        for uid in drained:
+    def drain(self, uids: Iterable[str]) -> None:
+        """Mark these runners as draining. Raises KeyError if one is not listed."""
+        for uid in uids:
             self.entries[uid] = replace(self.entries[uid], state=api.WorkerState.DRAINING)
 
     def replace(self, other: "EndpointList") -> None:
@@ -91,15 +93,20 @@
         return api.WorkerListReceived(kind, self.version, self.shown())
 
     def _apply_update(self, update: Mapping[str, Any]) -> None:
+        """Apply one event. Raises KeyError, TypeError, ValueError or AttributeError if it cannot be used."""
         endpoints = update["endpoints"]
         if endpoints.get("all"):
-            self.entries.clear()
-            self.addresses.clear()
+            self._clear()
         for target in endpoints["targets"]:
             self._put(*_decode_target(target))
         self.version = max(self.version, int(update["index"]))
 
+    def _clear(self) -> None:
+        self.entries.clear()
+        self.addresses.clear()
+
     def _put(self, entry: api.WorkerEntry, address: Address) -> None:
+        """Add or change an entry; one that is gone is removed."""
         if entry.state is api.WorkerState.GONE:
             self.entries.pop(entry.worker, None)
             self.addresses.pop(entry.worker, None)
@@ -111,6 +118,7 @@
 
 
 def _decode_target(target: Mapping[str, Any]) -> tuple[api.WorkerEntry, Address]:
+    """Decode one runner of an event, with its address."""
     host, _, port = str(target.get("endpoint", "")).rpartition(":")
     entry = api.WorkerEntry(
         worker=target["uid"],
@@ -119,6 +127,6 @@
         cell=int(target.get("pod_group", 0)),
         state=STATES[target.get("state", "Ready")],
         weight=float(target.get("capacity_hint", 1.0)),
-        started_us=int(target.get("boot_ms", 0)) * 1000,
+        started_us=int(target.get("boot_ms", 0)) * US_PER_MS,
     )
     return entry, (host, int(port or 0))
