--- a/maplestile/wire/settings.py
+++ b/maplestile/wire/settings.py
@@ -1,4 +1,4 @@
-"""Parses the notified settings, decoded from JSON, for the simulator adapter and the router alike."""
+"""Parses the platform's settings, decoded from JSON, for the simulator adapter and the router alike."""
 
 from collections.abc import Mapping
 from typing import Any
