--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -61,6 +61,7 @@
                 self.core.client_gone(number)
 
     def _call(self, client: Client, call: jsonrpc.Call, received_us: int) -> None:
+        """Pass a call to the core; it is answered once, unless it is cancelled. Raises RpcError."""
         if call.id in client.calls:  # the two answers would look alike
             raise jsonrpc.RpcError(jsonrpc.INVALID_REQUEST, "an id that is open already")
         if len(client.calls) >= self.table.limits.clients.streams:
@@ -69,14 +70,15 @@
             self.counters["clients.disconnected_before"] += 1
             self.answers.write(client, jsonrpc.answer(call.id, Outcome(Verdict.REJECTED)))
             return
-        client.calls[call.id] = 0
+        client.calls[call.id] = 0  # until the core has given it a number
         client.tags[call.request.tag] = call.id
         answer = partial(self._answer, client, call)
         number = self.core.submit(call.request, received_us, answer, client.presence)
-        if call.id in client.calls:
+        if call.id in client.calls:  # not answered at once
             client.calls[call.id] = number
 
     def _answer(self, client: Client, call: jsonrpc.Call, outcome: Outcome) -> None:
+        """Write the final answer to a call; one to a call that was cancelled is dropped."""
         if client.calls.pop(call.id, None) is None:
             return
         client.tags.pop(call.request.tag, None)
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -67,7 +67,10 @@
         return self.handover is not None and self.handover.successor_ready
 
     def received_us(self) -> int:
-        """Return when bytes can have come that a stream hands on one loop turn after they were read."""
+        """Return the earliest Unix time in microseconds of bytes that a stream returns in this loop turn.
+
+        A stream returns them one turn after the select that found them.
+        """
         return self.selector.read_us
 
     def endpoints_changed(self, kind: ListKind = ListKind.FULL) -> None:
@@ -126,6 +129,7 @@
         )
 
     def _apply_limits(self) -> None:
+        """Give each component this process's share of the limits in force."""
         self.limits = self.config.limits.shared(self.process_count)
         self.core.limits = self.limits
         self.runners.limits = self.limits.runners
@@ -133,6 +137,7 @@
             self.platform.limits = self.limits
 
     def _schedule_tick(self, due_us: int) -> None:
+        """Set the one alarm of the core's timers to a Unix time in microseconds."""
         if self._tick_timer is not None:
             self._tick_timer.cancel()
         delay_s = max(0.0, (due_us - clock()) / 1e6)
