--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -3,14 +3,13 @@
 import asyncio
 import json
 import logging
-import os
 import signal
 import sys
 import time
 from collections import Counter
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from maplestile.common import logs
 from maplestile.common.toml_table import ConfigError
@@ -19,7 +18,7 @@
 from maplestile.net.receive_timestamps import TimestampingSelector
 from maplestile.router.clock import clock as clock  # kept here for its users outside this package
 from maplestile.router.components import Components
-from maplestile.router.config import Config, config_from, config_from_environment
+from maplestile.router.config import Config, config_from_environment
 from maplestile.router.discovery import Discovery
 from maplestile.router.drain import Drain
 from maplestile.router.fronts import open_client_fronts, open_operator_front
@@ -30,7 +29,6 @@
 from maplestile.router.supervisor import TaskSupervisor
 
 if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
-    from maplestile.control.policy.document import AdoptedPolicy
     from maplestile.router.policy_driver import PolicyDriver
     from maplestile.router.takeover import HandoverMonitor
 
@@ -146,32 +144,14 @@
 
 def serve(file: Path) -> int:
     """Run one instance by an operator's file, with the invoke front; return its exit code."""
-    # Imported here: the platform's nodes have no operator's file and no policy of their own.
-    from maplestile.control.policy.settings import policy_settings_of
-    from maplestile.invoke.operator_file import from_tables, read
+    from maplestile.router.file_configuration import FileConfiguration  # not loaded by the platform's nodes
 
-    seed = os.urandom(8).hex()
-
-    def build(tables: Mapping[str, Any], adopted: "AdoptedPolicy | None" = None) -> Config:
-        operator = from_tables(tables, adopted)
-        return config_from({**operator.node, "seed": seed}, operator)
-
-    driver: PolicyDriver | None = None
     try:
-        tables = read(file)
-        if (settings := policy_settings_of(tables)) is not None:
-            from maplestile.router import policy_driver
-
-            driver = policy_driver.PolicyDriver(settings, tables, build)
+        configuration = FileConfiguration(file)
     except ConfigError as fault:
         print(f"maplestile: {fault}", file=sys.stderr)
         return 1
-
-    def configure() -> Config:
-        tables = read(file)
-        return build(tables) if driver is None else driver.configure(tables)
-
-    return _run(configure, driver)
+    return _run(configuration.read, configuration.policy)
 
 
 def platform() -> int:
@@ -180,22 +160,26 @@
 
 
 def _run(configure: Callable[[], Config], policy: "PolicyDriver | None" = None) -> int:
+    """Run one router process to its end; return its exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until its handler is set; the default ends the program
     logs.start()
     try:
         selector = TimestampingSelector(clock)
         loop: asyncio.AbstractEventLoop = asyncio.SelectorEventLoop(selector)
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
-
-            async def start() -> None:
-                await RouterProcess(configure, selector, policy).run()
-
-            runner.run(start())
+            runner.run(_run_process(configure, selector, policy))
     except (ConfigError, OSError) as fault:
         _log_failed_start(fault)
         return 1
     return 0
 
 
+async def _run_process(
+    configure: Callable[[], Config], selector: TimestampingSelector, policy: "PolicyDriver | None"
+) -> None:
+    """Build the process in its running loop, and run it. Raises ConfigError or OSError."""
+    await RouterProcess(configure, selector, policy).run()
+
+
 def _log_failed_start(fault: Exception) -> None:
     log.error("cannot start: %s: %s", type(fault).__name__, fault)
