--- a/maplestile/net/client_reader.py
+++ b/maplestile/net/client_reader.py
@@ -14,7 +14,7 @@
         ...
 
     @property
-    def rested_us(self) -> int:
+    def last_idle_us(self) -> int:
         """When the loop last had nothing to do, in Unix microseconds."""
         ...
 
@@ -31,15 +31,15 @@
         self.buffered_bytes = 0  # read from the socket and not taken yet
         self.ended = False
         self.on_end: Callable[[], object] = lambda: None
-        self._loop_idle_us = 0  # `rested_us` at the last read
+        self._last_idle_us = 0  # `last_idle_us` at the last read
 
     def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # narrower than typeshed's buffers
         """Take what the transport has read."""
         # What a flood leaves in the socket is as old as its first bytes, until the loop has caught up.
-        if not self.read_was_full or self.timestamps.rested_us != self._loop_idle_us:
+        if not self.read_was_full or self.timestamps.last_idle_us != self._last_idle_us:
             self.received_us = self.timestamps.since_us
         self.read_was_full = len(data) >= self.max_read_bytes
-        self._loop_idle_us = self.timestamps.rested_us
+        self._last_idle_us = self.timestamps.last_idle_us
         self.buffered_bytes += len(data)
         super().feed_data(data)
 
--- a/maplestile/net/receive_timestamps.py
+++ b/maplestile/net/receive_timestamps.py
@@ -20,7 +20,7 @@
         self.clock = clock
         self.since_us = clock()  # from which on the events of the last select can have happened
         self.read_us = self.since_us  # the same of the select before
-        self.rested_us = 0  # when it last waited: then no input was left unread
+        self.last_idle_us = 0  # when it last waited: no input was left unread then
         self.busiest_s = 0.0  # the longest time between two selects
         self._returned_us = clock()
         self._returned_s = time.perf_counter()
@@ -60,7 +60,7 @@
             self._standstill_us = self._returned_us
         elif waited:
             self._standstill_us = 0
-            self.rested_us = now_us
+            self.last_idle_us = now_us
         # Without a wait the event may be as old as the select before, whose work has kept the loop busy; and
         # until the loop has caught up, as old as a standstill: so may be what a new connection brings.
         self.since_us = self._standstill_us or (now_us if waited else self._returned_us)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -30,7 +30,7 @@
 @dataclass
 class Timestamps:
     since_us: int = 0
-    rested_us: int = 0
+    last_idle_us: int = 0
 
 
 def wire_code(answer: dict[str, Any]) -> int:
@@ -498,13 +498,13 @@
     async def test_bytes_behind_a_flood_are_as_old_as_it_until_the_loop_has_rested(self) -> None:
         timestamps = Timestamps(100, 7)
         reader = ClientReader(4, timestamps)
-        for since_us, rested_us, data, received_us in (
+        for since_us, last_idle_us, data, received_us in (
             (100, 7, b"xxxx", 100),
             (200, 7, b"xxxx", 100),
             (300, 8, b"xxxx", 300),
             (400, 8, b"x", 300),
             (500, 8, b"x", 500),
         ):
-            timestamps.since_us, timestamps.rested_us = since_us, rested_us
+            timestamps.since_us, timestamps.last_idle_us = since_us, last_idle_us
             reader.feed_data(data)
             self.assertEqual(reader.received_us, received_us)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -319,11 +319,11 @@
         selector.select(0)  # that it took longer than a look tells of no wait
         self.assertEqual(selector.since_us, 100)
         selector.select(0.02)
-        self.assertEqual((selector.since_us, selector.rested_us), (1_520_000, 1_520_000))
+        self.assertEqual((selector.since_us, selector.last_idle_us), (1_520_000, 1_520_000))
         (reader, writer) = socket.socketpair()
         self.addCleanup(reader.close)
         self.addCleanup(writer.close)
         selector.register(reader, selectors.EVENT_READ)
         writer.send(b"x")
         selector.select(0.02)  # 0.4 s after the last one, and then another 10 ms: it was there before
-        self.assertEqual((selector.since_us, selector.rested_us), (1_520_000, 1_520_000))
+        self.assertEqual((selector.since_us, selector.last_idle_us), (1_520_000, 1_520_000))
