--- a/maplestile/net/receive_timestamps.py
+++ b/maplestile/net/receive_timestamps.py
@@ -52,11 +52,13 @@
     def _note(self, busy_s: float, overslept_s: float, may_wait: bool, waited: bool) -> None:
         """Note what the select that has just returned shows of the age of its events."""
         now_us = self.clock()
-        if busy_s > AWAY_S or overslept_s > AWAY_S:
+        was_away = busy_s > AWAY_S or overslept_s > AWAY_S
+        stood_still = overslept_s > STANDSTILL_S or (busy_s > STANDSTILL_S and not may_wait)
+        if was_away:
             self._was_away = True
         elif waited:
             self._was_away = False
-        if overslept_s > STANDSTILL_S or (busy_s > STANDSTILL_S and not may_wait):
+        if stood_still:
             self._standstill_us = self._returned_us
         elif waited:
             self._standstill_us = 0
