--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -17,9 +17,9 @@
 from maplestile.agent.process_registry import ProcessRegistry
 from maplestile.agent.supervisor import ask
 from tests.fleet import AGENTS, free_ports
+from tests.policy_fleet import PolicyFleet, PolicyTest
 from tests.rollout_fleet import Calls, HangingCall
 from tests.standins import PATIENCE_S, ROOT, Program, eventually
-from tests.test_process_policy import PolicyFleet, PolicyTest
 
 
 class AdoptTest(PolicyTest):
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -4,7 +4,6 @@
 import contextlib
 import json
 import os
-import re
 import shutil
 import signal
 import tempfile
@@ -12,141 +11,18 @@
 import time
 import tomllib
 import unittest
-from collections import defaultdict
 from pathlib import Path
 from typing import Any
 
 from maplestile.agent.supervisor import ask
-from tests.fleet import AGENTS, EACH, FOREVER, Fleet
+from tests.fleet import AGENTS, EACH, FOREVER
+from tests.policy_fleet import ROUTERS, PolicyFleet, PolicyTest
 from tests.rollout_fleet import Calls
 from tests.standins import PATIENCE_S, ROOT, eventually
 
-ROUTERS = 5
-POLICY = "stale_s = 2\nwait_s = 4\ntrace = true\n"
-BOUND_S = 5.0  # from a commit until every live, connected router has applied it; on an idle machine 0.3 s
 NODES = AGENTS * EACH  # of the relay, before the agents
 
 
-class PolicyFleet(Fleet):
-    """And what the checker reads: the events of all processes, those that have ended among them."""
-
-    def __init__(self, test: unittest.TestCase, **more: Any) -> None:
-        super().__init__(test, routers=ROUTERS, policy=POLICY, **more)
-        self.ended: list[str] = []
-
-    def file(self, **rules: Any) -> Path:
-        """A policy: that of the routers' own files, with other rules."""
-        own = (self.folder / "r0.toml").read_text()
-        classes = "".join(f"[[class]]{part.split('[[')[0]}" for part in own.split("[[class]]")[1:])
-        file = self.folder / f"policy-{len(list(self.folder.glob('policy-*')))}.toml"
-        lines = "".join(f"{name} = {json.dumps(value)}\n" for name, value in rules.items())
-        file.write_text(f"[rules]\nkeep_s = 9.7\n{lines}{classes}")
-        return file
-
-    def propose(self, number: int, *words: str, **rules: Any) -> tuple[int, str, str]:
-        return self.run(number, "policy", "propose", str(self.file(**rules)), *words)
-
-    def told(self, number: int) -> dict[str, Any]:
-        """The policy as this agent sees it; {} while it cannot tell."""
-        status: dict[str, Any] = self.command(number, "policy", "status")[0]
-        return status
-
-    def epochs(self, number: int) -> dict[str, Any]:
-        """The epoch of every instance, by what this agent knows."""
-        return {name: status.get("epoch") for name, status in self.told(number).get("instances", {}).items()}
-
-    def all_at(self, number: int, epoch: int, names: list[str] | None = None) -> bool:
-        epochs = self.epochs(number)
-        return all(epochs.get(name) == epoch for name in names or self.names)
-
-    def until_all_at(self, number: int, epoch: int, names: list[str] | None = None) -> None:
-        try:
-            eventually(lambda: self.all_at(number, epoch, names), f"epoch {epoch} everywhere")
-        except AssertionError:
-            raise AssertionError(f"waited in vain for epoch {epoch}: {self.told(number)}") from None
-
-    def events_of(self, *names: str) -> list[tuple[str, dict[str, Any]]]:
-        """The events of these names, with the instance or agent that logged each, in order of time."""
-        found = []
-        for number, program in enumerate(self.agents):
-            for line in [*list(program.log), *self.ended]:
-                match = re.match(r"(?:\[(\w+)\] )?(\{.*\"t_us\".*)", line)
-                if match is not None and (event := json.loads(match[2]))["event"] in names:
-                    found.append((match[1] or f"a{number}", event))
-        return sorted(found, key=lambda one: one[1]["t_us"])
-
-    def figure(self, name: str, figure: str) -> float:
-        number = int(name[1:]) // EACH
-        for line in self.run(number, "figures", name)[1].splitlines():
-            if line.startswith(f"svc_{figure} "):
-                return float(line.rpartition(" ")[2])
-        return -1
-
-
-class PolicyTest(unittest.TestCase):
-    def setUp(self) -> None:
-        self.fleet = self.made()
-        self.fleet.until_whole()
-        self.fleet.until_all_at(0, 0)
-
-    def made(self) -> PolicyFleet:
-        return PolicyFleet(self)
-
-    def agreed(self, result: tuple[int, str, str]) -> None:
-        code, out, err = result
-        self.assertEqual((code, err), (0, ""), out)
-
-    def check(self, calls: Calls | None = None, least: float = 0.9) -> None:
-        """The checker: what the logs of all processes have to show, whatever has failed."""
-        fleet = self.fleet
-        # First the end of the load: the logs have to show all of its calls, however late it has begun.
-        result = None if calls is None else calls.result()
-        committed = self.committed()
-        self.assertEqual(sorted(committed), list(range(len(committed))))
-        last: dict[str, int] = defaultdict(int)
-        for name, event in fleet.events_of("applied"):
-            self.assertIn(event["epoch"], committed, f"{name} applied what was never committed")
-            self.assertGreaterEqual(event["epoch"], last[name], f"{name} went back")
-            last[name] = event["epoch"]
-        # By what was logged, not by what the logger believes: the epochs of one call's attempts.
-        epochs: dict[tuple[str, int, int], set[int]] = defaultdict(set)
-        lives: dict[str, int] = defaultdict(int)
-        for name, event in fleet.events_of("attempt", "current"):
-            if event["event"] == "current" and event["before"] == "waiting":
-                lives[name] += 1  # perhaps another process, whose calls are numbered anew
-            elif event["event"] == "attempt":
-                epochs[name, lives[name], event["call"]].add(event["epoch"])
-        self.assertEqual([key for key, seen in epochs.items() if len(seen) > 1], [])
-        mixed = [fleet.figure(name, "policy_mixed_calls_total") for name in fleet.names]
-        self.assertLessEqual(max(mixed), 0, mixed)
-        if result is not None:
-            self.assertLessEqual(set(result["ends"]), {"served", "refused", "nowhere"}, result)
-            self.assertGreater(result["served_share"], least, result)
-            self.assertGreater(len(epochs), 20)
-
-    def committed(self) -> dict[int, int]:
-        """Each epoch of the agreed log, and when the first agent had it."""
-        found: dict[int, int] = {}
-        for _, event in self.fleet.events_of("committed"):
-            found.setdefault(event["epoch"], event["t_us"])
-        return found
-
-    def bound(self, names: list[str]) -> None:
-        """Every one of these, live and connected, applied each committed epoch within the bound."""
-        applied: dict[tuple[str, int], int] = {}
-        for name, event in self.fleet.events_of("applied"):
-            applied.setdefault((name, event["epoch"]), event["t_us"])
-        for epoch, at_us in self.committed().items():
-            for name in names if epoch else ():
-                self.assertLess((applied[name, epoch] - at_us) / 1e6, BOUND_S, f"{name}, epoch {epoch}")
-
-    def agents(self, *besides: int) -> list[int]:
-        return [n for n in range(AGENTS) if n not in besides]
-
-    def leader(self) -> int:
-        return int(eventually(lambda: [n for n in [self.fleet.leader()] if n is not None], "a leader")[0])
-
-
 class ChangeTest(PolicyTest):
     def test_a_change_takes_hold_on_all_under_load_and_is_rolled_back(self) -> None:
         calls = Calls(self.fleet, 8)
@@ -155,7 +31,7 @@
         self.fleet.until_all_at(1, 1)
         self.agreed(self.fleet.run(2, "policy", "rollback"))
         self.fleet.until_all_at(0, 2)
-        self.assertEqual(self.fleet.told(0)["agreed"]["epochs"][-1]["document"], None)
+        self.assertEqual(self.fleet.policy_status(0)["agreed"]["epochs"][-1]["document"], None)
         self.bound(self.fleet.names)
         self.check(calls)
         seen = {event["epoch"] for _, event in self.fleet.events_of("attempt")}
@@ -281,9 +157,9 @@
             lost = self.fleet.agents[leader]
             routers = self.fleet.routers_of(lost)
             lost.process.kill()
-            for one in routers:  # a whole machine
+            for router_pid in routers:  # a whole machine
                 with contextlib.suppress(ProcessLookupError):
-                    os.kill(one, signal.SIGKILL)
+                    os.kill(router_pid, signal.SIGKILL)
             lost.process.wait()
         finally:
             os.kill(pid, signal.SIGCONT)
@@ -299,7 +175,7 @@
         self.check()
 
     def decided(self, number: int) -> dict[str, Any] | None:
-        change = (self.fleet.told(number).get("agreed") or {}).get("change")
+        change = (self.fleet.policy_status(number).get("agreed") or {}).get("change")
         return change if change is not None and change["phase"] != "checking" else None
 
     def test_a_fifth_of_all_messages_lost_delays_a_change_and_breaks_nothing(self) -> None:
@@ -336,11 +212,11 @@
         def propose(number: int) -> None:
             codes.append(self.propose_on_first_epoch(number, {"rules": {"attempts": 3 + number}}))
 
-        both = [threading.Thread(target=propose, args=(number,)) for number in (0, 2)]
-        for one in both:
-            one.start()
-        for one in both:
-            one.join(PATIENCE_S)
+        proposals = [threading.Thread(target=propose, args=(number,)) for number in (0, 2)]
+        for proposal in proposals:
+            proposal.start()
+        for proposal in proposals:
+            proposal.join(PATIENCE_S)
         self.assertEqual(sorted(codes), [0, 1])  # of two at once one wins
         self.fleet.until_all_at(1, 1)
         _, listen = self.fleet.start_non_voter()  # an agent without a vote, whose router joins late
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -13,8 +13,6 @@
 from tests.rollout_fleet import Calls, FleetTest
 from tests.standins import PATIENCE_S, eventually
 
-__all__ = ["Calls", "RolloutTest", "StuckTest"]
-
 
 class RolloutTest(FleetTest):
     def test_all_are_restarted_under_load_within_the_budget(self) -> None:
--- a/tools/measure_policy.py
+++ b/tools/measure_policy.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from statistics import quantiles
 
-from tests.test_process_policy import PolicyFleet
-from tests.test_process_rollout import Calls
+from tests.policy_fleet import PolicyFleet
+from tests.rollout_fleet import Calls
 from tools.measure_rollout import LOAD_TOOL_START_S, Samples, record_calls, spread
 
 
@@ -76,7 +76,7 @@
         exit_code = fleet.propose(0, attempts=attempts)[0]
         if not exit_code:
             took_s.append(time.monotonic() - started_s)
-            epoch = int(fleet.told(0)["agreed"]["epochs"][-1]["number"])
+            epoch = int(fleet.policy_status(0)["agreed"]["epochs"][-1]["number"])
             epochs.append(epoch)
             fleet.until_all_at(0, epoch)
     samples.setdefault(f"abort rate{when}", []).append(1 - len(epochs) / changes)
--- a/tools/measure_rollout.py
+++ b/tools/measure_rollout.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from tests.fleet import AGENTS, Fleet
+from tests.rollout_fleet import Calls
 from tests.standins import eventually
-from tests.test_process_rollout import Calls
 
 BUDGETS = (1, 2, 3)
 STEP_S = 30.0
