--- a/benchmarks/fit.py
+++ b/benchmarks/fit.py
@@ -6,6 +6,8 @@
 from pathlib import Path
 from typing import Any
 
+from maplestile.tools.plots import load_pyplot
+
 
 @dataclass(frozen=True)
 class Line:
@@ -67,11 +69,7 @@
 
     def plot(self, folder: Path) -> Path:
         """Draw the points and the line; the file that has the plot."""
-        import matplotlib  # here, since it takes long to import and most runs draw nothing
-
-        matplotlib.use("Agg")
-        from matplotlib import pyplot
-
+        pyplot = load_pyplot()
         line = self.line()
         xs = [x for x, _ in self.points]
         figure, axes = pyplot.subplots(figsize=(5, 3.2))
--- a/maplestile/tools/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from maplestile.tools.load.client import CallEnd, Result
+from maplestile.tools.plots import load_pyplot
 
 US_PER_MS = 1000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
@@ -65,11 +66,7 @@
 
 def plot(result: Result, title: str, path: Path) -> None:
     """Draw the ends of calls by the second in which they were due, and the latencies of the served ones."""
-    import matplotlib  # here, since it takes long to import and most runs draw nothing
-
-    matplotlib.use("Agg")  # no screen: the figure goes to a file
-    from matplotlib import pyplot
-
+    pyplot = load_pyplot()
     figure, (top, bottom) = pyplot.subplots(2, 1, figsize=(8, 6))
     _plot_ends(top, result)
     latencies_ms = [_latency_ms(result, percentile) for percentile in PLOTTED_PERCENTILES]
--- a/maplestile/tools/model/report.py
+++ b/maplestile/tools/model/report.py
@@ -11,6 +11,8 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
+from maplestile.tools.plots import load_pyplot
+
 DIGITS = 6  # after the decimal point of a median
 
 Metrics = dict[str, float | None]  # of one run, by name
@@ -80,11 +82,7 @@
 
 def plot(series: TimeSeries, title: str, path: Path) -> None:
     """Draw the mean view of the sampled members with their suspects, and below it the isolated members."""
-    import matplotlib  # here, since it takes long to import and most runs draw nothing
-
-    matplotlib.use("Agg")  # no screen: the figure goes to a file
-    from matplotlib import pyplot
-
+    pyplot = load_pyplot()
     figure, (top, bottom) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 5))
     _plot_views(top, series)
     bottom.step(series.at_s, series.isolated, where="post", color="tab:red")
