--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -157,7 +157,7 @@
     core, pool = simulation.core, simulation.pool
     dispatcher = core.dispatcher
     # The dispatcher requests loads by itself, also now; only overdue ones must have been forgotten.
-    overdue_us = simulation.now_us - 2 * scenario.ORDER_US
+    overdue_us = simulation.now_us - 2 * scenario.LOAD_TIMEOUT_US
     return {
         "open": core.open,
         "flights": core.flights,
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -14,7 +14,7 @@
 STEP_US = 100 * US_PER_MS  # how far one event `time` moves the clock
 DEADLINE_US = 400 * US_PER_MS  # of every call
 DRAIN_US = 300 * US_PER_MS  # a process ends before the deadlines of the calls that it has in flight
-ORDER_US = 300 * US_PER_MS  # the timeout of a load request
+LOAD_TIMEOUT_US = 300 * US_PER_MS  # of each load request
 DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # for which a worker drops repeats of an idempotency key
 LATENCY_OBJECTIVE_US = 200 * US_PER_MS  # the latency objective of every class
 RUNNER_SILENT_US = 150 * US_PER_MS
@@ -67,7 +67,7 @@
         loads_on_miss=True,
         keep_alive_us=10_000 * US_PER_MS,
         kind_memory_mb=(("k", 4000.0),),
-        load_timeout_us=ORDER_US,
+        load_timeout_us=LOAD_TIMEOUT_US,
         load_request_window_us=0,
         load_requests_free=0,
         load_requests_per_call=0,
@@ -89,7 +89,7 @@
     """The limits of the data path."""
     return Limits(
         runners=RunnerLimits(silent_us=RUNNER_SILENT_US, streams=2),
-        control_requests=ControlRequestLimits(load_timeout_us=ORDER_US),
+        control_requests=ControlRequestLimits(load_timeout_us=LOAD_TIMEOUT_US),
     )
 
 
--- a/maplestile/tools/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -122,7 +122,7 @@
         if self.playing is None:
             self._send(target, data)
             return
-        delays_us = self.playing.fate(origin, target, self.now_us(), self._random)
+        delays_us = self.playing.delivery_delays_us(origin, target, self.now_us(), self._random)
         self.counts["udp.lost"] += not delays_us
         self.counts["udp.twice"] += len(delays_us) > 1
         for delay_us in delays_us:
--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -138,10 +138,12 @@
         """Whether nothing passes from `origin` to `target` at that moment."""
         return any(fault.cuts(origin, target, now_us) for fault in self.faults)
 
-    def fate(self, origin: int, target: int, now_us: int, draws: random.Random) -> tuple[int, ...]:
-        """The delays in microseconds after which a datagram arrives.
+    def delivery_delays_us(
+        self, origin: int, target: int, now_us: int, draws: random.Random
+    ) -> tuple[int, ...]:
+        """Draw the one-way delays in microseconds after which a datagram sent now arrives.
 
-        There are none where it is lost, and two where it comes twice.
+        There are none where it is lost, and two where the network duplicates it.
         """
         net = self.net
         if draws.random() < net.loss or self.cut(origin, target, now_us):
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -146,7 +146,7 @@
 
     def _send(self, origin: int, target: int, message: Message) -> None:
         self.measured.sent += 1
-        for delay_us in self.schedule.fate(origin, target, self._now, self._random):
+        for delay_us in self.schedule.delivery_delays_us(origin, target, self._now, self._random):
             arrival = self._env.timeout(delay_us)
             arrival.callbacks.append(functools.partial(self._arrive, target, message))
 
--- a/tests/record_faults.py
+++ b/tests/record_faults.py
@@ -46,7 +46,7 @@
         played[relative(file)] = [
             [
                 [schedule.cut(0, 9, at), schedule.cut(9, 0, at)],
-                [schedule.fate(0, 9, at, draws) for _ in range(DRAWS)],
+                [schedule.delivery_delays_us(0, 9, at, draws) for _ in range(DRAWS)],
             ]
             for at in (0, 15_000_000, 60_000_000)
         ]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -40,7 +40,7 @@
     def test_loss_and_duplicates_have_the_configured_shares(self) -> None:
         schedule = Schedule(1, 2, Net(loss=0.2, duplicate=0.1, reorder=0.3, reorder_us=1_000_000))
         draws = random.Random(1)
-        delays = [schedule.fate(0, 1, 0, draws) for _ in range(5000)]
+        delays = [schedule.delivery_delays_us(0, 1, 0, draws) for _ in range(5000)]
         self.assertAlmostEqual(sum(not arrivals for arrivals in delays) / 5000, 0.2, delta=0.03)
         self.assertAlmostEqual(sum(len(arrivals) == 2 for arrivals in delays) / 5000, 0.08, delta=0.02)
         self.assertAlmostEqual(
