--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,5 +1,7 @@
 """Arbitrary legal event sequences to one dispatcher: what it does keeps rules 1, 2, 3 and 5."""
 
+from dataclasses import dataclass, replace
+
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
@@ -9,6 +11,7 @@
 
 WORKERS = ["w0", "w1", "w2", "w3"]
 NEVER_RAN = {api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.SUPERSEDED, api.Result.MISS}
+LOAD_RESULTS = (api.Result.OK, api.Result.ERROR, api.Result.TIMEOUT, api.Result.FULL)
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["call", "end", "load", "wait", "state", "noise"]),
@@ -20,21 +23,33 @@
 )
 
 
+@dataclass(frozen=True)
+class SentAttempt:
+    """An attempt as the checker saw it sent, and its result once the checker has given one."""
+
+    worker: str
+    sent_us: int
+    result: api.Result | None = None
+
+    def may_have_run(self) -> bool:
+        return self.result not in NEVER_RAN
+
+
 class RuleChecker:
     """Plays the fleet and keeps its own account of what the rules allow."""
 
     def __init__(self, chosen: api.Settings) -> None:
         self.settings = chosen
         self.driver = Driver(chosen, [entry(worker) for worker in WORKERS])
-        self.seen = 0
-        self.due: dict[int, int] = {}
-        self.kind: dict[int, api.CallClass] = {}
-        self.answered: dict[int, int] = {}
-        self.tries: dict[int, list[tuple[str, int, api.Result | None]]] = {}
-        self.barred: set[str] = set()
-        self.load_request_times: list[int] = []
-        self.taken: list[int] = []
-        self.load_requests: list[api.RequestLoad] = []
+        self.checked = 0  # of the driver's log
+        self.due_us: dict[int, int] = {}
+        self.call_class: dict[int, api.CallClass] = {}
+        self.answered_us: dict[int, int] = {}
+        self.attempts: dict[int, list[SentAttempt]] = {}
+        self.barred: set[str] = set()  # workers that may be sent nothing
+        self.arrivals_us: list[int] = []
+        self.load_requests_us: list[int] = []  # of those that ask for copies
+        self.open_load_requests: list[api.RequestLoad] = []
 
     def give(self, event: api.Event) -> None:
         self.driver.give(event)
@@ -42,81 +57,125 @@
 
     def check(self) -> None:
         """Rules 2, 3 and 5 at each action, and nothing after a final answer."""
-        for now, action in self.driver.log[self.seen :]:
+        for now_us, action in self.driver.log[self.checked :]:
             if isinstance(action, api.SendAttempt):
-                assert action.call not in self.answered and now < self.due[action.call]
-                assert action.worker not in self.barred
-                self.check_repeat(now, action)
-                self.tries.setdefault(action.call, []).append((action.worker, now, None))
+                self.check_attempt(now_us, action)
             elif isinstance(action, api.RejectCall | api.FailCall):
-                assert action.call not in self.answered
-                self.answered[action.call] = now
-                ran = [t for t in self.tries.get(action.call, []) if t[2] not in NEVER_RAN]
-                kind = self.kind[action.call]
-                if ran and isinstance(action, api.RejectCall):
-                    assert kind.idempotency is api.Idempotency.IDEMPOTENT
+                self.check_answer(now_us, action)
             elif isinstance(action, api.RequestLoad):
-                self.load_requests.append(action)
-                if action.copies:
-                    assert action.worker not in self.barred
-                    self.load_request_times.append(now)
-                    begin = now - self.settings.load_request_window_us
-                    taken = sum(t >= begin for t in self.taken)
-                    allowed = self.settings.load_requests_free + self.settings.load_requests_per_call * taken
-                    assert sum(t >= begin for t in self.load_request_times) <= allowed
-        self.seen = len(self.driver.log)
-
-    def check_repeat(self, now: int, send: api.SendAttempt) -> None:
-        kind = self.kind[send.call]
-        ran = [t for t in self.tries.get(send.call, []) if t[2] not in NEVER_RAN]
+                self.check_load_request(now_us, action)
+        self.checked = len(self.driver.log)
+
+    def check_attempt(self, now_us: int, send: api.SendAttempt) -> None:
+        assert send.call not in self.answered_us
+        assert now_us < self.due_us[send.call]
+        assert send.worker not in self.barred
+        self.check_repeat(now_us, send)
+        self.attempts.setdefault(send.call, []).append(SentAttempt(send.worker, now_us))
+
+    def check_repeat(self, now_us: int, send: api.SendAttempt) -> None:
+        call_class = self.call_class[send.call]
+        ran = self.attempts_that_may_have_run(send.call)
         if not self.settings.may_hedge:
-            assert all(t[2] is not None for t in ran)
-        if kind.idempotency is api.Idempotency.NOT_IDEMPOTENT:
+            assert all(attempt.result is not None for attempt in ran)
+        if call_class.idempotency is api.Idempotency.NOT_IDEMPOTENT:
             assert not ran
-        if kind.idempotency is api.Idempotency.WITH_KEY and ran:
-            assert now < ran[0][1] + kind.deduplication_window_us
-        assert len(self.tries.get(send.call, [])) < self.settings.max_attempts
-
-    def step(self, what: str, a: int, b: int) -> None:
-        if what == "call":
-            call = len(self.kind)
-            self.kind[call] = CLASSES[a % len(CLASSES)]
-            budget = (50 + b * 4) * MS
-            self.due[call] = self.driver.now + budget
-            self.taken.append(self.driver.now)
-            self.give(arrival(call, f"f{a % 4}", self.kind[call].name, budget))
-        elif what == "end":
-            out = [(c, n) for c, tries in self.tries.items() for n, t in enumerate(tries) if t[2] is None]
-            if out:
-                call, number = out[a % len(out)]
-                result = list(api.Result)[b % len(api.Result)]
-                worker, sent, _ = self.tries[call][number]
-                self.tries[call][number] = (worker, sent, result)
-                if result is api.Result.OK:
-                    self.answered.setdefault(call, self.driver.now)
-                self.give(ended(call, number, worker, result, over=call in self.answered))
-        elif what == "load" and self.load_requests:
-            request = self.load_requests.pop(a % len(self.load_requests))
-            result = [api.Result.OK, api.Result.ERROR, api.Result.TIMEOUT, api.Result.FULL][b % 4]
-            copies = b % 3 if result is api.Result.OK else 0
-            self.give(api.LoadRequestEnded(request.worker, request.function, result, MS, copies))
-        elif what == "wait":
-            end = self.driver.now + b * MS
-            while due := [t for t in self.driver.timers if t[0] <= end]:
-                timer = min(due)
-                self.driver.timers.remove(timer)
-                self.driver.now = max(self.driver.now, timer[0])
-                self.give(api.TimerFired(timer[1]))
-            self.driver.now = end
-        elif what == "state":
-            worker, state = WORKERS[a % 4], list(api.WorkerState)[b % 3]
-            running = state is api.WorkerState.RUNNING
-            (self.barred.discard if running else self.barred.add)(worker)
-            self.give(fleet(entry(worker, state, self.driver.now), kind=api.ListKind.DELTA))
-        elif what == "noise":
-            self.give(api.TimerFired(10_000_000 + a))
-            self.give(ended(900_000 + a, b % 4, "unlisted", api.Result.ERROR))
-            self.give(fleet(kind=api.ListKind.FAILED))
+        if call_class.idempotency is api.Idempotency.WITH_KEY and ran:
+            assert now_us < ran[0].sent_us + call_class.deduplication_window_us
+        assert len(self.attempts.get(send.call, [])) < self.settings.max_attempts
+
+    def attempts_that_may_have_run(self, call: int) -> list[SentAttempt]:
+        return [attempt for attempt in self.attempts.get(call, []) if attempt.may_have_run()]
+
+    def check_answer(self, now_us: int, answer: api.RejectCall | api.FailCall) -> None:
+        assert answer.call not in self.answered_us
+        self.answered_us[answer.call] = now_us
+        if isinstance(answer, api.RejectCall) and self.attempts_that_may_have_run(answer.call):
+            assert self.call_class[answer.call].idempotency is api.Idempotency.IDEMPOTENT
+
+    def check_load_request(self, now_us: int, request: api.RequestLoad) -> None:
+        self.open_load_requests.append(request)
+        if not request.copies:
+            return
+        assert request.worker not in self.barred
+        self.load_requests_us.append(now_us)
+        since_us = now_us - self.settings.load_request_window_us
+        calls = sum(at_us >= since_us for at_us in self.arrivals_us)
+        allowed = self.settings.load_requests_free + self.settings.load_requests_per_call * calls
+        assert sum(at_us >= since_us for at_us in self.load_requests_us) <= allowed
+
+    def step(self, kind: str, first: int, second: int) -> None:
+        """Play one step; the two numbers choose among what is possible at the moment."""
+        if kind == "call":
+            self.call(first, second)
+        elif kind == "end":
+            self.end_attempt(first, second)
+        elif kind == "load":
+            self.end_load_request(first, second)
+        elif kind == "wait":
+            self.wait(second)
+        elif kind == "state":
+            self.change_state(first, second)
+        elif kind == "noise":
+            self.give_noise(first, second)
+
+    def call(self, first: int, second: int) -> None:
+        call = len(self.call_class)
+        self.call_class[call] = CLASSES[first % len(CLASSES)]
+        budget_us = (50 + second * 4) * MS
+        self.due_us[call] = self.driver.now + budget_us
+        self.arrivals_us.append(self.driver.now)
+        self.give(arrival(call, f"f{first % 4}", self.call_class[call].name, budget_us))
+
+    def end_attempt(self, first: int, second: int) -> None:
+        in_flight = [
+            (call, number)
+            for call, attempts in self.attempts.items()
+            for number, attempt in enumerate(attempts)
+            if attempt.result is None
+        ]
+        if not in_flight:
+            return
+        call, number = in_flight[first % len(in_flight)]
+        result = list(api.Result)[second % len(api.Result)]
+        attempt = replace(self.attempts[call][number], result=result)
+        self.attempts[call][number] = attempt
+        if result is api.Result.OK:
+            self.answered_us.setdefault(call, self.driver.now)
+        self.give(ended(call, number, attempt.worker, result, over=call in self.answered_us))
+
+    def end_load_request(self, first: int, second: int) -> None:
+        if not self.open_load_requests:
+            return
+        request = self.open_load_requests.pop(first % len(self.open_load_requests))
+        result = LOAD_RESULTS[second % len(LOAD_RESULTS)]
+        copies = second % 3 if result is api.Result.OK else 0
+        self.give(api.LoadRequestEnded(request.worker, request.function, result, MS, copies))
+
+    def wait(self, milliseconds: int) -> None:
+        """Fire every timer that is due by then, those that are set meanwhile among them."""
+        end_us = self.driver.now + milliseconds * MS
+        while due := [timer for timer in self.driver.timers if timer[0] <= end_us]:
+            timer = min(due)
+            self.driver.timers.remove(timer)
+            self.driver.now = max(self.driver.now, timer[0])
+            self.give(api.TimerFired(timer[1]))
+        self.driver.now = end_us
+
+    def change_state(self, first: int, second: int) -> None:
+        worker = WORKERS[first % len(WORKERS)]
+        state = list(api.WorkerState)[second % 3]
+        if state is api.WorkerState.RUNNING:
+            self.barred.discard(worker)
+        else:
+            self.barred.add(worker)
+        self.give(fleet(entry(worker, state, self.driver.now), kind=api.ListKind.DELTA))
+
+    def give_noise(self, first: int, second: int) -> None:
+        """Events of what the dispatcher does not know."""
+        self.give(api.TimerFired(10_000_000 + first))
+        self.give(ended(900_000 + first, second % 4, "unlisted", api.Result.ERROR))
+        self.give(fleet(kind=api.ListKind.FAILED))
 
 
 @profile(derandomize=True, deadline=None, max_examples=120)
@@ -130,5 +189,5 @@
         checker.step(*step)
     for _ in range(6):
         checker.step("wait", 0, 1_000)
-    for call, due in checker.due.items():  # rule 1: exactly one answer, in time
-        assert checker.answered[call] <= due
+    for call, due_us in checker.due_us.items():  # rule 1: exactly one answer, in time
+        assert checker.answered_us[call] <= due_us
