--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -3,7 +3,8 @@
 import heapq
 import itertools
 import math
-from dataclasses import dataclass
+from dataclasses import dataclass, field, replace
+from enum import Enum, auto
 from random import Random
 
 from maplestile.dispatch import api
@@ -34,8 +35,8 @@
     def budget(self, since_us: int) -> float:
         """The most calls that may come in the fall time that ends `since_us` after the worker's start."""
         chosen = self.settings()
-        risen = min(1.0, max(0, since_us - chosen.overload_window_us) / chosen.slow_start_us)
-        share = chosen.slow_start_share + (1 - chosen.slow_start_share) * risen
+        rise = min(1.0, max(0, since_us - chosen.overload_window_us) / chosen.slow_start_us)
+        share = chosen.slow_start_share + (1 - chosen.slow_start_share) * rise
         calls = (
             chosen.overload_multiple
             * share
@@ -62,73 +63,136 @@
     return [entry(f"w{number}") for number in range(scene.workers - 1)]
 
 
-def play_router(scene: Scene, number: int, hot: str) -> list[int]:
-    """When one router sends or requests something at the cold worker, in microseconds after that started."""
-    random, chosen = Random(f"{scene.seed}/{number}"), scene.settings()
-    rate = scene.calls_per_s * scene.workers / scene.routers
-    end_us = BEGIN_US + WARM_UP_US + scene.cold_for_us
-    slow_start_us = BEGIN_US + WARM_UP_US
-    steps: list[tuple[int, int, str, int, str]] = [(slow_start_us, 0, "cold", 0, "")]
-    if scene.restarted and number % 4:
-        steps.append((slow_start_us + SECOND_US, 0, "restart", 0, ""))
-    at_s, order = 0.0, itertools.count(1)
-    while (at_s := at_s + random.expovariate(rate)) * SECOND_US < WARM_UP_US + scene.cold_for_us:
-        steps.append((BEGIN_US + int(at_s * SECOND_US), next(order), "call", 0, ""))
-    heapq.heapify(steps)
-    driver, found = Driver(chosen, warm(scene), scene.seed * 1_000 + number), list[int]()
-    before, began = 0, False
-
-    def note() -> None:
-        nonlocal before
-        for at_us, action in driver.log[before:]:
+class StepKind(Enum):
+    """What happens to a router."""
+
+    COLD_WORKER_LISTED = auto()
+    RESTART = auto()
+    CALL = auto()
+    ATTEMPT_END = auto()
+
+
+@dataclass(frozen=True, order=True)
+class Step:
+    """Steps of one moment are played in the order in which they were added."""
+
+    at_us: int
+    order: int
+    kind: StepKind = field(compare=False)
+    attempt: tuple[int, int] = field(compare=False, default=(0, 0))  # that ends: its call and number
+    worker: str = field(compare=False, default="")  # that answers it
+
+
+class RouterPlay:
+    """One router with its calls, and the workers' answers to them."""
+
+    def __init__(self, scene: Scene, number: int, hot: str) -> None:
+        self.scene = scene
+        self.hot = hot  # the name of the hot function
+        self.random = Random(f"{scene.seed}/{number}")
+        self.driver_seeds = (
+            scene.seed * 1_000 + number,
+            scene.seed * 1_000 - number,
+        )  # before and after a restart
+        self.driver = Driver(scene.settings(), warm(scene), self.driver_seeds[0])
+        self.slow_start_us = BEGIN_US + WARM_UP_US
+        self.end_us = self.slow_start_us + scene.cold_for_us
+        self.order = itertools.count(1)
+        self.steps = [Step(self.slow_start_us, 0, StepKind.COLD_WORKER_LISTED)]
+        if scene.restarted and number % 4:
+            self.steps.append(Step(self.slow_start_us + SECOND_US, 0, StepKind.RESTART))
+        self.steps += self.arrivals()
+        heapq.heapify(self.steps)
+        self.calls = 0
+        self.noted = 0  # actions of the driver's log
+        self.cold_listed = False
+        self.sent_to_cold_us: list[int] = []  # since the cold worker's start
+
+    def arrivals(self) -> list[Step]:
+        """Calls at random, up to the end of the scene."""
+        rate_per_s = self.scene.calls_per_s * self.scene.workers / self.scene.routers
+        steps = list[Step]()
+        at_s = self.random.expovariate(rate_per_s)
+        while at_s * SECOND_US < self.end_us - BEGIN_US:
+            steps.append(Step(BEGIN_US + int(at_s * SECOND_US), next(self.order), StepKind.CALL))
+            at_s += self.random.expovariate(rate_per_s)
+        return steps
+
+    def play(self) -> list[int]:
+        """When the router sends or requests something at the cold worker, since that started."""
+        while self.steps:
+            step = heapq.heappop(self.steps)
+            if step.at_us > self.end_us:
+                break
+            self.fire_timers(step.at_us)
+            if self.steps and self.steps[0].at_us < step.at_us:  # an attempt that a timer sent ends before
+                heapq.heappush(self.steps, replace(step, order=next(self.order)))
+                continue
+            self.driver.run(max(0, step.at_us - self.driver.now))
+            self.take(step)
+            self.note_actions()
+        assert self.cold_listed
+        return self.sent_to_cold_us
+
+    def fire_timers(self, until_us: int) -> None:
+        """One by one, since what a timer sends may end before the next step."""
+        while self.driver.timers and min(self.driver.timers)[0] <= until_us:
+            self.driver.run(max(0, min(self.driver.timers)[0] - self.driver.now))
+            self.note_actions()
+
+    def take(self, step: Step) -> None:
+        match step.kind:
+            case StepKind.COLD_WORKER_LISTED:
+                self.driver.give(fleet(self.cold_worker(), kind=api.ListKind.DELTA))
+                self.cold_listed = True
+            case StepKind.RESTART:
+                self.restart(step.at_us)
+            case StepKind.CALL:
+                self.calls += 1
+                is_hot = self.random.random() < self.scene.hot_share
+                function = self.hot if is_hot else f"f{self.random.randrange(200)}"
+                self.driver.give(arrival(self.calls, function))
+            case StepKind.ATTEMPT_END:
+                self.driver.give(ended(*step.attempt, step.worker, api.Result.OK, SERVICE_US))
+
+    def restart(self, now_us: int) -> None:
+        """A new dispatcher that knows all workers; nothing comes of the old one's attempts."""
+        workers = [*warm(self.scene), self.cold_worker()]
+        self.driver = Driver(self.scene.settings(), workers, self.driver_seeds[1])
+        self.driver.now = now_us
+        self.noted = 0
+        self.steps = [step for step in self.steps if step.kind is StepKind.CALL]
+        heapq.heapify(self.steps)
+
+    def cold_worker(self) -> api.WorkerEntry:
+        return entry("cold", started_us=self.slow_start_us)
+
+    def note_actions(self) -> None:
+        """Plan the answer to each new attempt, and note what goes to the cold worker."""
+        for at_us, action in self.driver.log[self.noted :]:
             if isinstance(action, api.SendAttempt):
-                numbers = [n for call, n in driver.dispatcher.attempts if call == action.call]
-                answer = (at_us + SERVICE_US, next(order), action.worker, action.call, str(max(numbers)))
-                heapq.heappush(steps, answer)
+                numbers = [number for call, number in self.driver.dispatcher.attempts if call == action.call]
+                attempt = (action.call, max(numbers))
+                end_us = at_us + SERVICE_US
+                step = Step(end_us, next(self.order), StepKind.ATTEMPT_END, attempt, action.worker)
+                heapq.heappush(self.steps, step)
             if isinstance(action, api.SendAttempt | api.RequestLoad) and action.worker == "cold":
-                found.append(at_us - slow_start_us)
-        before = len(driver.log)
-
-    call = 0
-    while steps:
-        at_us, _, kind, ended_call, attempt = heapq.heappop(steps)
-        if at_us > end_us:
-            break
-        while driver.timers and min(driver.timers)[0] <= at_us:  # what that sends may end before this step
-            driver.run(max(0, min(driver.timers)[0] - driver.now))
-            note()
-        if steps and steps[0][0] < at_us:
-            heapq.heappush(steps, (at_us, next(order), kind, ended_call, attempt))
-            continue
-        driver.run(max(0, at_us - driver.now))
-        if kind == "cold":
-            driver.give(fleet(entry("cold", started_us=slow_start_us), kind=api.ListKind.DELTA))
-            began = True
-        elif kind == "restart":
-            workers = [*warm(scene), entry("cold", started_us=slow_start_us)]
-            driver = Driver(chosen, workers, scene.seed * 1_000 - number)
-            driver.now, before = at_us, 0
-            steps = [step for step in steps if step[2] == "call"]
-            heapq.heapify(steps)
-        elif kind == "call":
-            call += 1
-            function = hot if random.random() < scene.hot_share else f"f{random.randrange(200)}"
-            driver.give(arrival(call, function))
-        else:
-            driver.give(ended(ended_call, int(attempt), kind, api.Result.OK, SERVICE_US))
-        note()
-    assert began
-    return found
+                self.sent_to_cold_us.append(at_us - self.slow_start_us)
+        self.noted = len(self.driver.log)
 
 
 def most_over_budget(scene: Scene) -> tuple[float, int, int]:
     """The greatest part of the budget that any span of the fall time takes, with the calls in it and when."""
-    hot, chosen = hot_function(scene), scene.settings()
-    sent = sorted(at for number in range(scene.routers) for at in play_router(scene, number, hot))
-    worst, first = (0.0, 0, 0), 0
-    for last, at in enumerate(sent):
-        while sent[first] <= at - chosen.overload_window_us:
+    hot = hot_function(scene)
+    window_us = scene.settings().overload_window_us
+    sent_us = sorted(
+        at_us for number in range(scene.routers) for at_us in RouterPlay(scene, number, hot).play()
+    )
+    worst = (0.0, 0, 0)
+    first = 0
+    for last, at_us in enumerate(sent_us):
+        while sent_us[first] <= at_us - window_us:
             first += 1
         count = last - first + 1
-        worst = max(worst, (count / scene.budget(at), count, at))
+        worst = max(worst, (count / scene.budget(at_us), count, at_us))
     return worst
