--- a/tests/router_group.py
+++ b/tests/router_group.py
@@ -42,6 +42,7 @@
         test.addCleanup(self.file.close)
 
     def ask(self, do: str, **more: Any) -> Json:
+        """One command by the control port, and its reply; an error in the reply is an `AssertionError`."""
         self.socket.sendall(json.dumps({"do": do, **more}).encode() + b"\n")
         reply: Json = json.loads(self.file.readline())
         if "error" in reply:
@@ -53,10 +54,12 @@
         self.ask("begin", schedule=schedule)
 
     def link(self, origin: int, target: int, address: str) -> str:
+        """The address by which `origin` reaches `target`'s TCP `address` through the relay."""
         return str(self.ask("tcp", **{"from": origin, "to": target}, address=address)["front"])
 
 
-FOREVER = {"at_s": 0, "until_s": 3600}
+FOREVER = {"at_s": 0, "until_s": 3600}  # of a fault: until it is healed
+PORT_RANGE = (12_000, 30_000)  # below the one from which the system takes ports for connections
 
 
 class Routers:
@@ -72,10 +75,11 @@
             self.meet(number)
 
     def begin(self, number: int) -> Program:
+        """Start a router with its own operator's file."""
         text = (ROOT / "deploy" / "operator.toml").read_text()
         for old, new in (
-            *((f"127.0.0.1:808{n}", "127.0.0.1:0") for n in range(3)),
-            *((f"127.0.0.1:900{n}", f"127.0.0.1:{self.workers[n - 1].port}") for n in (1, 2)),
+            *((f"127.0.0.1:808{digit}", "127.0.0.1:0") for digit in range(3)),
+            *((f"127.0.0.1:900{digit}", f"127.0.0.1:{self.workers[digit - 1].port}") for digit in (1, 2)),
             ('name = "palash-desk"', f'name = "r{number}"'),
         ):
             text = text.replace(old, new)
@@ -96,24 +100,27 @@
         self.meet(number)
 
     def ask(self, number: int, path: str) -> str:
+        """What the router's operators' front answers to a GET of this path."""
         port = self.programs[number].port("operator")
-        link = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
+        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
         try:
-            link.request("GET", path)
-            answer = link.getresponse()
+            connection.request("GET", path)
+            answer = connection.getresponse()
             self.test.assertEqual(answer.status, 200)
             return answer.read().decode()
         finally:
-            link.close()
+            connection.close()
 
     def view(self, number: int) -> Json:
         view: Json = json.loads(self.ask(number, "/v1/members"))
         return view
 
     def statuses(self, number: int) -> dict[str, str]:
+        """The status of every member in this router's view, by name."""
         return {member["name"]: member["status"] for member in self.view(number)["members"]}
 
     def status(self, number: int, member: str) -> tuple[str, int]:
+        """A member's status and incarnation in this router's view; `("unknown", -1)` where it has none."""
         for seen in self.view(number)["members"]:
             if seen["name"] == member:
                 return seen["status"], seen["incarnation"]
@@ -127,9 +134,9 @@
         names = {f"r{number}" for number in numbers}
         for number in numbers:
             view = self.view(number)
-            seen = {m["name"] for m in view["members"] if m["status"] == "alive"}
-            doubted = any(m["status"] == "suspect" for m in view["members"])
-            if view["isolated"] or doubted or seen != names:
+            alive = {member["name"] for member in view["members"] if member["status"] == "alive"}
+            suspects = any(member["status"] == "suspect" for member in view["members"])
+            if view["isolated"] or suspects or alive != names:
                 return False
         return True
 
@@ -153,9 +160,10 @@
 
 def free_ports(count: int) -> list[int]:
     """Ports below the range that the system gives to connections, so that none is taken meanwhile."""
-    chance, found = random.Random(), list[int]()
+    draws = random.Random()
+    found = list[int]()
     while len(found) < count:
-        port = chance.randrange(12_000, 30_000)
+        port = draws.randrange(*PORT_RANGE)
         with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
             try:
                 tcp.bind(("127.0.0.1", port))
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -12,14 +12,14 @@
 
 
 @dataclass(frozen=True)
-class Entry:
+class WeightedEntry:
     weight: float
 
 
 @dataclass(eq=False)
 class Worker:
     name: str
-    entry: Entry
+    entry: WeightedEntry
 
     @property
     def salt(self) -> int:
@@ -27,6 +27,8 @@
 
 
 def sorted_names(salt: int, workers: list[Worker], count: int) -> list[str]:
+    """The first so many workers of a ranking made by sorting all."""
+
     def key(worker: Worker) -> float:
         return unit_hash(salt, worker.salt) / max(worker.entry.weight, MIN_WEIGHT)
 
@@ -50,29 +52,30 @@
 )
 
 
-def change(workers: dict[str, Worker], step: str, number: int, weight: float) -> None:
+def apply_step(workers: dict[str, Worker], step: str, number: int, weight: float) -> None:
     name = f"w{number}"
     if step == "come":
-        workers[name] = Worker(name, Entry(weight))
+        workers[name] = Worker(name, WeightedEntry(weight))
     elif step == "leave":
         workers.pop(name, None)
     elif step == "weigh" and name in workers:
-        workers[name].entry = Entry(weight)
+        workers[name].entry = WeightedEntry(weight)
     elif step == "many":
         for other in range(number, number + 80):
-            workers.setdefault(f"w{other}", Worker(f"w{other}", Entry(weight)))
+            workers.setdefault(f"w{other}", Worker(f"w{other}", WeightedEntry(weight)))
 
 
 @given(STEPS, st.booleans())
 def test_a_ranking_is_the_one_from_sorting_whatever_changes_led_there(
     steps: list[tuple[str, int, float, str, int]], looks_rarely: bool
 ) -> None:
-    index, workers = RankingIndex[Worker](), dict[str, Worker]()
+    index = RankingIndex[Worker]()
+    workers = dict[str, Worker]()
     rankings = {name: Ranking[Worker](digest(name)) for name in "fgh"}
-    for at, (step, number, weight, function, count) in enumerate(steps):
-        change(workers, step, number, weight)
+    for place, (step, number, weight, function, count) in enumerate(steps):
+        apply_step(workers, step, number, weight)
         index.update(workers.values())
-        if looks_rarely and at % 7:
+        if looks_rarely and place % 7:
             continue
         ranking = rankings[function]
         index.refresh(ranking, count)
@@ -88,12 +91,14 @@
     """Each hears of the same 40 workers one by one, and of 20 that leave, in an order of its own."""
     found = []
     for order in (first, second):
-        index, workers, ranking = RankingIndex[Worker](), dict[str, Worker](), Ranking[Worker](digest("f"))
+        index = RankingIndex[Worker]()
+        workers = dict[str, Worker]()
+        ranking = Ranking[Worker](digest("f"))
         for number in order:
-            workers[f"w{number}"] = Worker(f"w{number}", Entry(1.0 + number % 3))
+            workers[f"w{number}"] = Worker(f"w{number}", WeightedEntry(1.0 + number % 3))
             index.update(workers.values())
             index.refresh(ranking, count)
-        for number in [n for n in order if n % 2]:
+        for number in [odd for odd in order if odd % 2]:
             del workers[f"w{number}"]
             index.update(workers.values())
             index.refresh(ranking, count)
@@ -102,20 +107,25 @@
 
 
 def fleet(size: int, weights: int = 1) -> dict[str, Worker]:
-    return {f"w{n}": Worker(f"w{n}", Entry(1.0 + n % weights)) for n in range(size)}
+    """Workers of so many different weights."""
+    found = (Worker(f"w{number}", WeightedEntry(1.0 + number % weights)) for number in range(size))
+    return {worker.name: worker for worker in found}
 
 
 def test_work_of_a_change_and_memory_of_a_function_do_not_grow_with_the_fleet() -> None:
     """Counted: passes over all workers, and workers held."""
-    passes, held = list[int](), list[int]()
+    passes = list[int]()
+    held = list[int]()
     for size in (100, 1_000, 4_000):
-        index, workers, ranking = RankingIndex[Worker](), fleet(size), Ranking[Worker](digest("f"))
+        index = RankingIndex[Worker]()
+        workers = fleet(size)
+        ranking = Ranking[Worker](digest("f"))
         index.update(workers.values())
         index.refresh(ranking, 3)
         before = index.passes
         for number in range(200):
             workers.pop(f"w{number % size}", None)
-            workers[f"new-{number}"] = Worker(f"new-{number}", Entry(1.0))
+            workers[f"new-{number}"] = Worker(f"new-{number}", WeightedEntry(1.0))
             index.update(workers.values())
             index.refresh(ranking, 3)
             held.append(len(ranking.workers))
@@ -128,7 +138,8 @@
 
 def test_many_weights_are_ranked_by_their_keys_alone() -> None:
     workers = fleet(500, MAX_WEIGHT_GROUPS + 5)
-    index, ranking = RankingIndex[Worker](), Ranking[Worker](digest("f"))
+    index = RankingIndex[Worker]()
+    ranking = Ranking[Worker](digest("f"))
     index.update(workers.values())
     index.refresh(ranking, 5)
     assert names(ranking, 5) == sorted_names(ranking.salt, list(workers.values()), 5)
@@ -138,11 +149,13 @@
 
 
 def test_ranking_that_was_not_looked_at_for_long_is_made_anew_once() -> None:
-    index, workers, ranking = RankingIndex[Worker](), fleet(50), Ranking[Worker](digest("f"))
+    index = RankingIndex[Worker]()
+    workers = fleet(50)
+    ranking = Ranking[Worker](digest("f"))
     index.update(workers.values())
     index.refresh(ranking, 2)
     for number in range(9_000):  # over all changes that are kept
-        workers[f"w{number % 50}"] = Worker(f"w{number % 50}", Entry(1.0))
+        workers[f"w{number % 50}"] = Worker(f"w{number % 50}", WeightedEntry(1.0))
         index.update(workers.values())
     before = index.passes
     index.refresh(ranking, 2)
@@ -190,7 +203,8 @@
 
 def test_entries_that_are_called_and_never_looked_up_take_no_more_memory() -> None:
     """Each call of an entry left an element for good: 20 MB in 45 minutes."""
-    index, entries = AgeOrder[ListEntry](2), [ListEntry(number, tier=2) for number in range(10)]
+    index = AgeOrder[ListEntry](2)
+    entries = [ListEntry(number, tier=2) for number in range(10)]
     for number in range(5_000):
         entry = entries[number % 10]
         entry.age = number
@@ -203,9 +217,10 @@
 
 
 def test_workers_that_have_left_are_not_kept_by_the_log_of_changes() -> None:
-    index, workers = RankingIndex[Worker](), fleet(40)
+    index = RankingIndex[Worker]()
+    workers = fleet(40)
     for number in range(500):
         workers.pop(next(iter(workers)))
-        workers[f"new-{number}"] = Worker(f"new-{number}", Entry(1.0))
+        workers[f"new-{number}"] = Worker(f"new-{number}", WeightedEntry(1.0))
         index.update(workers.values())
     assert len(index.changes) <= len(workers) // 4
