--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -16,10 +16,13 @@
 from tests.standins import name_bytes, record, target
 
 KNOWN = jsonrpc.KnownNames({"review": False, "deck-make": True}, frozenset({"acme"}))
-TXN, ITEM, KEY = "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+TXN = "9b1f03aa5c7e2d41"
+ITEM = "7f3a9c21e0b4d655"
+KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
 def message(method: str = "review", **params: object) -> bytes:
+    """The body of a call; `params` replace or add to those of a good one."""
     all_params = {
         "txn": TXN,
         "limit": 900,
@@ -32,15 +35,17 @@
 
 
 def framed(body: bytes) -> bytes:
+    """With the head that gives its length."""
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 @pytest.mark.parametrize("step", [1, 3, 64, 10_000])
 def test_messages_are_the_same_in_pieces_of_any_size(step: int) -> None:
     stream = framed(message()) + framed(message(txn=TXN[::-1])) + b"content-length:2\r\nX: y\r\n\r\n{}"
-    framer, found = jsonrpc.Framer(MessageLimits()), []
-    for at in range(0, len(stream), step):
-        found += [bytes(view) for view in framer.feed(stream[at : at + step])]
+    framer = jsonrpc.Framer(MessageLimits())
+    found = list[bytes]()
+    for start in range(0, len(stream), step):
+        found += [bytes(view) for view in framer.feed(stream[start : start + step])]
     assert found == [message(), message(txn=TXN[::-1]), b"{}"]
 
 
@@ -111,11 +116,13 @@
 
 
 def test_runner_lines_in_pieces_and_with_numbers_as_strings() -> None:
-    lines, found = runner.LineFramer(1000), []
+    lines = runner.LineFramer(1000)
+    found = list[runner.Answer]()
     stream = b'{"kind":503,"call":"a"}\n\n{"kind":"200","call":"b","head":{"ahead":"2","stats":"queue:3"}}\n'
-    for at in range(len(stream)):
-        found += [runner.parse(view) for view in lines.feed(stream[at : at + 1])]
-    assert [(a.call, a.result, a.queued_ahead) for a in found] == [("a", Result.FULL, 0), ("b", Result.OK, 2)]
+    for start in range(len(stream)):
+        found += [runner.parse(view) for view in lines.feed(stream[start : start + 1])]
+    read = [(answer.call, answer.result, answer.queued_ahead) for answer in found]
+    assert read == [("a", Result.FULL, 0), ("b", Result.OK, 2)]
     assert found[1].report == (("queue", 3.0),)
     for bad in (b"{}", b"[]", b"5", b'{"kind":"9","call":"a"}', b'{"kind":"200","call":"a","bytes":"?"}'):
         with pytest.raises(runner.LineError):
@@ -125,6 +132,7 @@
 
 
 def reply(flags: int = 0x8400, target_name: bytes = b"") -> bytes:
+    """A name server's reply with one SRV target, its address and text, and the zone's serial."""
     host = name_bytes("s-1.east.hosts")
     answer = record(b"\xc0\x0c", dns.SRV, struct.pack("!3H", 1, 25, 99) + (target_name or host))
     extra = record(host, dns.A, bytes([10, 1, 0, 9]))
@@ -146,7 +154,7 @@
         dns.parse(reply(0x8600))
     whole = reply()
     broken = [reply(0x8403), reply(0), reply(target_name=b"\xc0\xff")]
-    for data in [whole[:n] for n in range(len(whole))] + broken:
+    for data in [whole[:length] for length in range(len(whole))] + broken:
         with pytest.raises(dns.DnsError):
             dns.parse(data)
 
@@ -173,10 +181,12 @@
 
 
 def test_warnings_of_one_kind_are_bounded_and_others_pass(monkeypatch: pytest.MonkeyPatch) -> None:
-    now, limit = [0.0], logs.RateLimit()
+    now = [0.0]
+    limit = logs.RateLimit()
     monkeypatch.setattr("time.monotonic", lambda: now[0])
 
     def passed(level: int, text: str) -> str:
+        """The text that comes out, empty where it is held back."""
         record = logging.LogRecord("x", level, "", 0, text, (), None)
         return record.getMessage() if limit.filter(record) else ""
 
