--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -24,6 +24,7 @@
 
 
 def _policy_status(changes: int) -> dict[str, Any]:
+    """The answer to `policy status` after so many changes of policy."""
     control = ControlState()
     for command in REGISTRATIONS + POLICY_CHANGES[:changes]:
         control.apply_encoded(command)
@@ -39,6 +40,7 @@
 
 
 def _rollout_status(commands: int) -> dict[str, Any]:
+    """The answer to `rollout status` after so many commands of the script."""
     control = ControlState()
     for command in SCRIPT[:commands]:
         control.apply_encoded(command)
@@ -102,13 +104,18 @@
 """
 
 
+def _reply_line(reply: object) -> bytes:
+    """Bytes as they are, anything else as a line of JSON."""
+    return reply if isinstance(reply, bytes) else json.dumps(reply).encode() + b"\n"
+
+
 def sent_by_command_line(folder: Path) -> dict[str, bytes]:
+    """Each command line with what it sent to the agent, its exit code and its output."""
     policy = folder / "policy.toml"
     policy.write_text(POLICY_FILE)
     exchanges = list[object]()
     for arguments, replies in command_lines(policy):
-        lines = [one if isinstance(one, bytes) else json.dumps(one).encode() + b"\n" for one in replies]
-        scripted = ScriptedAgent(lines)
+        scripted = ScriptedAgent([_reply_line(reply) for reply in replies])
         out = io.StringIO()
         err = io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
@@ -116,7 +123,7 @@
         scripted.close()
         exchanges.append(
             {
-                "arguments": [one.replace(str(policy), "POLICY") for one in arguments],
+                "arguments": [argument.replace(str(policy), "POLICY") for argument in arguments],
                 "asked": scripted.lines,
                 "exit": code,
                 "out": without_ports(out.getvalue()),
@@ -130,6 +137,7 @@
 
 
 async def sent_to_voter(folder: Path) -> dict[str, bytes]:
+    """The lines by which it submits a command and asks for the state."""
     control = control_after_script().encoded()
     reply = {"control": {"ready": True, "reply": {"ok": True, "rollout": 15}, "state": control, "told": {}}}
     scripted = ScriptedAgent([json.dumps(reply).encode() + b"\n"] * 2)
--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-import msgpack  # type: ignore[import-untyped]  # it has no marker of its types
+import msgpack  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.common import durable_file as durable
 from maplestile.control.policy import store
@@ -29,8 +29,8 @@
 from tests.recordings import RECORDED, agent_plan, as_document, as_lines
 
 FOLDER = RECORDED / "voter"
-JOURNAL_HEAD = 40
-JOURNAL_END_AT = 36
+JOURNAL_HEAD = 40  # bytes before the records
+JOURNAL_END_AT = 36  # the offset of the 4 bytes that have the end of the records
 PATIENCE_S = 30.0
 VOTER = """listen = "127.0.0.1:0"
 folder = "{folder}"
@@ -46,7 +46,10 @@
 
 
 def log_commands() -> dict[str, bytes]:
-    control, exchanges, changes = ControlState(), list[object](), list[object]()
+    """Each command of the script with its reply, what it changed, and the states before all and after all."""
+    control = ControlState()
+    exchanges = list[object]()
+    changes = list[object]()
     for command in SCRIPT:
         before = control.encoded()
         exchanges.append({"command": command, "reply": control.apply_encoded(command)})
@@ -97,6 +100,7 @@
 
 
 def voter_files() -> dict[str, bytes]:
+    """The parts of a voter's folder that do not depend on time."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         plan = voter_plan(folder)
@@ -123,6 +127,7 @@
 
 
 def disk_records() -> dict[str, bytes]:
+    """A durable record, a router's policies, and the names of suspended runners."""
     with tempfile.TemporaryDirectory() as path:
         folder = Path(path)
         durable.write(folder / "durable.json", 3, {"b": [1, None, True], "a": {"é": 1.5}})
@@ -141,7 +146,8 @@
 
 # Gossip datagrams.
 
-HERE, THERE = ("127.0.0.1", 7001), ("127.0.0.2", 65535)
+HERE = ("127.0.0.1", 7001)
+THERE = ("127.0.0.2", 65535)
 GOSSIP = [
     messages.MemberUpdate("alive", "n1", HERE, 0, "n1"),
     messages.MemberUpdate("suspect", "n2", THERE, 3, "n1"),
@@ -167,6 +173,7 @@
 
 
 def _with(place: int, value: object, values: list[Any]) -> list[Any]:
+    """A copy of the values with another one at that place."""
     return [*values[:place], value, *values[place + 1 :]]
 
 
@@ -175,7 +182,7 @@
     "ping",
     None,
     {},
-    *({key: value for key, value in REQUEST.items() if key != left} for left in "kqstar"),
+    *({key: value for key, value in REQUEST.items() if key != missing} for missing in "kqstar"),
     *(PING | {"k": kind} for kind in ("PING", "p" * 100, 1, b"ping")),
     *(PING | {"q": number} for number in (-1, 1 << 32, True, "1", 1.0)),
     *(PING | {"s": name} for name in ("", "n" * 65, "é" * 33, 7)),
@@ -183,7 +190,7 @@
     *(PING | {"r": address} for address in ("x:1", ["x"], ["x", -1], ["x", 65536], ["x" * 256, 1], [1, 1])),
     *(REQUEST | {"a": address} for address in (None, ["x", "1"])),
     *(PING | {"d": digest} for digest in (-1, None, "d", True)),
-    *(PING | {"g": rumours} for rumours in ("g", dict[str, int](), [1], [ENTRY, ENTRY[:5]])),
+    *(PING | {"g": gossip} for gossip in ("g", dict[str, int](), [1], [ENTRY, ENTRY[:5]])),
     *(PING | {"g": [_with(0, status, ENTRY)]} for status in ("lost", 1)),
     *(
         PING | {"g": [ENTRY, _with(place, bad, ENTRY)]}
@@ -220,6 +227,7 @@
 
 
 def bad_datagrams() -> list[dict[str, str]]:
+    """Each datagram that is refused, in hexadecimal, with the text of its error."""
     whole = msgpack.packb(PING)
     spoiled = [b"", b"\xc1", b"not msgpack", whole[:-1], whole + b"\0", b"\x81\xa1k\xa1\xff", b"\x91" * 600]
     refused = list[dict[str, str]]()
@@ -234,6 +242,7 @@
 
 
 def datagrams() -> dict[str, bytes]:
+    """One good datagram of each kind, the refused ones, and those with keys that are passed over."""
     files = {f"datagram-{kind}.bin": messages.encode(message) for kind, message in MESSAGES.items()}
     files["bad-datagrams.jsonl"] = as_lines(bad_datagrams())
     files["foreign-datagrams.jsonl"] = as_lines(
@@ -243,6 +252,7 @@
 
 
 def recorded() -> dict[str, bytes]:
+    """The content of every recorded file but the registry's and the voter's folder, by file name."""
     return {**log_commands(), **voter_files(), **disk_records(), **datagrams(), **agent_lines()}
 
 
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -34,10 +34,12 @@
 
 
 def content(name: str) -> bytes:
+    """A recorded file."""
     return (RECORDED / name).read_bytes()
 
 
 def lines(name: str) -> list[Any]:
+    """The JSON documents of a recorded file, one a line."""
     return [json.loads(line) for line in content(name).splitlines()]
 
 
@@ -76,9 +78,8 @@
                 self.assertEqual(change, {}, exchange)
 
     def test_each_state_is_read_back_and_takes_the_next_command_alike(self) -> None:
-        for exchange, before, after in zip(
-            lines("log-commands.jsonl"), states()[:-1], states()[1:], strict=True
-        ):
+        exchanges = lines("log-commands.jsonl")
+        for exchange, before, after in zip(exchanges, states()[:-1], states()[1:], strict=True):
             control = ControlState.decode(json.loads(json.dumps(before)))
             self.assertEqual(control.encoded(), before)
             self.assertEqual(control.apply_encoded(exchange["command"]), exchange["reply"])
@@ -154,6 +155,7 @@
         self.folder = Path(kept.name)
 
     def place(self, recording: str, name: str) -> Path:
+        """Copy a recorded file into the folder under another name."""
         path = self.folder / name
         path.write_bytes(content(recording))
         return path
@@ -166,7 +168,7 @@
             path.write_bytes(content("durable.json").replace(b"1.5", b"1.6"))
             self.assertIsNone(durable.read(path, 3))
         warning = f"{path} is of no use: another version, or not as it was written"
-        self.assertEqual([one.getMessage() for one in logged.records], [warning, warning])
+        self.assertEqual([line.getMessage() for line in logged.records], [warning, warning])
 
     def test_the_policy_of_a_router_is_read(self) -> None:
         self.place("policy-own.json", "policy.json")
@@ -214,6 +216,7 @@
     """An agent that is no voter, and the answers of one that is."""
 
     async def log_after(self, answer: bytes) -> RemoteLog:
+        """A log that submitted a command and got this answer; its reply to the command is kept."""
         voter = ScriptedAgent([answer])
         self.addCleanup(voter.close)
         with tempfile.TemporaryDirectory() as name:
@@ -224,7 +227,8 @@
         return remote_log
 
     def answers(self) -> list[bytes]:
-        answers = [one["answer"].encode() for one in lines("agent-answers.jsonl")]
+        """The recorded answers that have the state of the control plane."""
+        answers = [exchange["answer"].encode() for exchange in lines("agent-answers.jsonl")]
         return [answer for answer in answers if "control" in json.loads(answer)]
 
     async def test_a_recorded_answer_is_read(self) -> None:
