--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,7 +41,7 @@
         "overload_multiple": 2.0,
         "overload_window_us": 2_000 * MS,
     }
-    return api.Settings(**(defaults | changes))  # type: ignore[arg-type]
+    return api.Settings(**(defaults | changes))  # type: ignore[arg-type]  # the tests give any field
 
 
 def entry(
--- a/tests/test_decide_admission.py
+++ b/tests/test_decide_admission.py
@@ -38,7 +38,7 @@
     driver = Driver(settings(), WORKERS)
     served(driver, 1, "f")
     driver.dispatcher.admission.late_ratio = 0.3
-    driver.dispatcher.context.random.random = lambda: 1.0  # type: ignore[method-assign]
+    driver.dispatcher.context.random.random = lambda: 1.0  # type: ignore[method-assign]  # a draw known beforehand
     start_us = driver.now
     assert sends(driver.give(arrival(2, "f"))) and sends(driver.give(arrival(3, "g", "unsafe")))
     driver.run(1_000 * MS)
--- a/tests/test_decide_tiers.py
+++ b/tests/test_decide_tiers.py
@@ -110,7 +110,7 @@
         visited += 1
         return plain(call, worker)
 
-    driver.dispatcher.gate.may_send = counted  # type: ignore[method-assign]
+    driver.dispatcher.gate.may_send = counted  # type: ignore[method-assign]  # counts the looks
     for call in range(300, 600):
         done = sends(driver.give(arrival(call, f"f{call % 300}")))
         for send in done:
@@ -134,7 +134,7 @@
         visited += 1
         return plain(call, worker)
 
-    driver.dispatcher.gate.may_send = counted  # type: ignore[method-assign]
+    driver.dispatcher.gate.may_send = counted  # type: ignore[method-assign]  # counts the looks
     for call in range(100, 120):
         for send in sends(driver.give(arrival(call, "hot"))):
             driver.give(ended(call, 0, send.worker, api.Result.FULL, MS))
