--- a/tests/record_files.py
+++ b/tests/record_files.py
@@ -43,44 +43,49 @@
 def settings() -> str:
     """The platform's configuration: what the router is given, and what its decisions and limits get; and the
     errors for each field that is missing or of another type."""
+    whole = _whole_payload()
+    whole_result = _configured(whole)
+    least_result = _configured({"settings": params(familyInfo={}, kinds=[])})
+    lines = [f"{place}: {_short(result, whole_result)}" for place, result in _results_of_damage(whole)]
+    return as_json([{"whole": whole_result}, {"least": least_result}]) + masked("\n".join(lines)) + "\n"
+
+
+def _whole_payload() -> JsonTables:
+    """A configuration that has every field."""
     targets = [target("s-0", 9001), target("s-1", 9002, "Terminating")]
-    known = {"index": 1, "updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]}
-    whole: JsonTables = {
+    return {
         "name": "n0",
         "listen": "127.0.0.1:7000",
         "dns": "127.0.0.1:5353",
         "operator": "127.0.0.1:7001",
         "seed": "ff",
         "limits": {"sockets": 256, "memory_mb": 64},
-        "known": known,
+        "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]},
         "settings": params(zone="z", discovery="ask", tenants=[{"name": "t"}]),
     }
-    results = {
-        "whole": _configured(whole),
-        "least": _configured({"settings": params(familyInfo={}, kinds=[])}),
-    }
+
+
+def _results_of_damage(whole: JsonTables) -> Iterator[tuple[str, Any]]:
+    """What comes of each field missing, and of each of another type; the payload is whole again after it."""
+    params_tables = whole["settings"]
     for place, tables in (
         ("", whole),
-        ("settings", whole["settings"]),
-        ("limits", whole["settings"]["limits"]),
-        ("guarantees", whole["settings"]["guarantees"]),
-        ("familyInfo", whole["settings"]["familyInfo"]),
-        ("grades", whole["settings"]["grades"][0]),
+        ("settings", params_tables),
+        ("limits", params_tables["limits"]),
+        ("guarantees", params_tables["guarantees"]),
+        ("familyInfo", params_tables["familyInfo"]),
+        ("grades", params_tables["grades"][0]),
     ):
         for name in list(tables):
             kept = tables.pop(name)
-            results[f"{place}.{name} missing"] = _configured(whole)
+            yield f"{place}.{name} missing", _configured(whole)
             tables[name] = {"odd": []}
-            results[f"{place}.{name} odd"] = _configured(whole)
+            yield f"{place}.{name} odd", _configured(whole)
             tables[name] = kept
-    first, *others = results.items()
-    least = dict(others[:1])
-    lines = [f"{place}: {_short(value, results['whole'])}" for place, value in others[1:]]
-    return as_json([dict([first]), least]) + masked("\n".join(lines)) + "\n"
 
 
 def _short(value: Any, whole: Any) -> str:
-    """Only what is otherwise than in the whole, by its place."""
+    """The error, or only what differs from the whole, by its place."""
     if isinstance(value, str):
         return value
     before = dict(_leaves(whole, ""))
@@ -94,6 +99,7 @@
 
 
 def _leaves(value: Any, place: str) -> Iterator[tuple[str, Any]]:
+    """Each value within nested lists, with its place as a path of numbers."""
     if isinstance(value, list):
         for number, each in enumerate(value):
             yield from _leaves(each, f"{place}/{number}")
@@ -102,6 +108,7 @@
 
 
 def _configured(payload: JsonTables) -> Any:
+    """The configuration in plain values, or the text of its error."""
     try:
         config = config_from(payload)
     except ConfigError as fault:
