--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -69,7 +69,7 @@
 
     def start(self, *workers: Worker, **changes: Any) -> None:
         self.names = NameServer()
-        self.names.workers = [(f"s-{n}", worker.port, 0) for n, worker in enumerate(workers)]
+        self.names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
         self.program: Program = node(list(workers), self.names, **changes)
         self.addCleanup(self.program.kill)
         self.client = Client(self.program.port("platform"))
@@ -89,6 +89,7 @@
         self.client.call("review", b"abc", LIMIT_MS)
 
     def check(self, *workers: TimingWorker, least: int = 1) -> None:
+        """At least so many calls came, and each had no more time than its client has left."""
         arrivals = [arrival for worker in workers for arrival in worker.arrivals]
         self.assertGreaterEqual(len(arrivals), least)
         for arrival in arrivals:
@@ -106,7 +107,7 @@
         self.check(worker, least=2)
 
     def test_after_a_retry_at_another_worker(self) -> None:
-        workers = TimingWorker(), TimingWorker()
+        workers = (TimingWorker(), TimingWorker())
         for worker in workers:
             worker.may_answer.clear()
             worker.full.set()
@@ -175,7 +176,7 @@
                 worker.full.set()
                 self.start(worker)
                 id_ = self.client.call("review", b"abc", LIMIT_MS)
-                eventually(lambda arrivals=worker.arrivals: len(arrivals) >= 2, "attempts")  # type: ignore[misc]
+                self.wait_for_attempts(worker, 2)
                 self.suspend_process()
                 self.leave(ending, id_)
                 before = len(worker.arrivals)
@@ -185,7 +186,11 @@
                 self.assertEqual(len(worker.arrivals), before)
                 self.program.kill()
 
+    def wait_for_attempts(self, worker: TimingWorker, count: int) -> None:
+        eventually(lambda: len(worker.arrivals) >= count, "attempts")
+
     def leave(self, ending: str, id_: int) -> None:
+        """Close the client's connection, or cancel its call."""
         if ending == "close":
             self.client.close()
         else:
@@ -208,8 +213,11 @@
 
 
 class UnreadDepartureTest(unittest.TestCase):
-    """The same, in one process with the loop: an attempt is about to begin in the very turn of the loop in
-    which it was away, before anything that came meanwhile can be read."""
+    """The same, in one process with the loop.
+
+    An attempt is about to begin in the very turn of the loop in which it was away, before anything that came
+    meanwhile can be read.
+    """
 
     def play(self, leave: Callable[[Client, int], None]) -> tuple[list[str], Counter[str]]:
         """The bodies of the calls that began, and the counters."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,8 @@
 
 from tests.standins import PATIENCE_S, Client, NameServer, Worker, eventually, node, params
 
-GONE_S = 0.3  # from then on nothing may begin for a client that has closed
+CLOSE_SEEN_S = 0.3  # from then on nothing may begin for a client that has closed
+KILLED_S = 3.7  # after SIGTERM: 0.7 s after 3 s, or the longest deadline, comes SIGKILL
 
 
 class HoldingWorker(Worker):
@@ -96,7 +97,7 @@
 
     def start(self, *workers: Worker, **changes: Any) -> None:
         self.names = NameServer()
-        self.names.workers = [(f"s-{n}", worker.port, 0) for n, worker in enumerate(workers)]
+        self.names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
         self.program = node(list(workers), self.names, **changes)
         self.addCleanup(self.program.kill)
         self.client = Client(self.program.port("platform"))
@@ -113,7 +114,7 @@
                     self.client.close()
                 else:
                     self.client.send("interrupt", {"id": id_}, id_=id_)
-                time.sleep(GONE_S)
+                time.sleep(CLOSE_SEEN_S)
                 worker.hold.set()
                 worker.fill.close()
                 # What comes after it by the same connection shows that it came up, and that it was dropped.
@@ -127,18 +128,19 @@
                 self.program.kill()
 
     def test_call_is_not_tried_again_once_its_client_has_closed(self) -> None:
-        first, second = Worker(), Worker()
+        first = Worker()
+        second = Worker()
         self.start(first, second)
         for worker in (first, second):
             worker.pause.clear()  # the attempt is out, and not answered
         self.client.call("review", b"full:")
         eventually(lambda: self.program.counters().get("attempts.sent"), "the attempt")
         self.client.close()
-        time.sleep(GONE_S)
+        time.sleep(CLOSE_SEEN_S)
         for worker in (first, second):
             worker.pause.set()
         eventually(lambda: self.program.counters().get("attempts.full"), "the answer")
-        time.sleep(GONE_S)
+        time.sleep(CLOSE_SEEN_S)
         self.assertEqual(len(call_lines(first, second)), 1)
         self.assertEqual(self.program.counters()["attempts.sent"], 1)
 
@@ -148,7 +150,7 @@
         self.client.call("review", b"full:")
         eventually(lambda: self.program.counters().get("attempts.full"), "the first try")
         self.client.close()
-        time.sleep(GONE_S)
+        time.sleep(CLOSE_SEEN_S)
         before = len(call_lines(worker))
         time.sleep(3.0)  # the pause after a full answer is over by then
         self.assertEqual(len(call_lines(worker)), before)
@@ -160,7 +162,7 @@
         id_ = self.client.call("review", b"abc")
         eventually(lambda: self.program.counters().get("attempts.sent"), "the attempt")
         self.client.socket.shutdown(socket.SHUT_WR)
-        time.sleep(GONE_S)
+        time.sleep(CLOSE_SEEN_S)
         worker.pause.set()
         self.assertEqual(self.client.read(), {"jsonrpc": "2.0", "id": id_, "result": {"blob": "Y2Jh"}})
         self.assertIsNone(self.client.read())
@@ -180,7 +182,7 @@
                 other.send("interrupt", {"id": id_}, id_=id_)
             time.sleep(1.5)  # over any wait of its loop
             self.program.process.send_signal(signal.SIGCONT)
-            time.sleep(GONE_S)
+            time.sleep(CLOSE_SEEN_S)
         self.client.served("review", b"abc")
         self.assertEqual({line["bytes"] for line in call_lines(worker)}, {"YWJj"})
 
@@ -189,7 +191,8 @@
     """The process ends, and each request that it took has its one answer."""
 
     def setUp(self) -> None:
-        self.worker, self.names = Worker(), NameServer()
+        self.worker = Worker()
+        self.names = NameServer()
         self.program = node([self.worker], self.names)
         self.addCleanup(self.program.kill)
         self.port = self.program.port("platform")
@@ -274,10 +277,10 @@
         waiting = [Client(self.port) for _ in range(4)]
         for client in waiting:
             client.send("check")
-        began = time.monotonic()
+        started_s = time.monotonic()
         self.program.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
-        self.assertLess(time.monotonic() - began, 3.7)  # SIGKILL
+        self.assertLess(time.monotonic() - started_s, KILLED_S)
         for client in (*idle, *waiting):
             client.close()
 
@@ -285,12 +288,12 @@
         client = Client(self.port)
         id_ = client.call("test-submit", b"hang:", limit_ms=15_000)
         eventually(lambda: self.worker.ran, "the call")
-        began = time.monotonic()
+        started_s = time.monotonic()
         self.program.process.send_signal(signal.SIGTERM)
         answer = client.read() or {}
         self.assertEqual((answer.get("id"), "error" in answer), (id_, True))
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
-        self.assertLess(time.monotonic() - began, 3.7)  # SIGKILL: 0.7 s after 3 s, or the longest deadline
+        self.assertLess(time.monotonic() - started_s, KILLED_S)
         # Not by luck, as its parts fall: what ends a worker's connection first would bring an answer, too.
         self.program.find("(nothing is owed)")
         client.close()
@@ -303,10 +306,10 @@
         for _ in range(14):
             client.call("review", b"long:")
         eventually(lambda: self.program.counters().get("answers.served", 0) >= 14, "the answers")
-        began = time.monotonic()
+        started_s = time.monotonic()
         self.program.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
-        self.assertLess(time.monotonic() - began, 4.5)
+        self.assertLess(time.monotonic() - started_s, 4.5)
         unreading.close()
 
     def test_sigterm_at_any_moment_of_the_start_ends_the_process_soon(self) -> None:
@@ -323,9 +326,12 @@
 
 class DescriptorsTest(unittest.TestCase):
     def test_new_name_server_is_heard_though_idle_clients_hold_every_descriptor(self) -> None:
-        worker, names, other = Worker(), NameServer(), NameServer()
+        worker = Worker()
+        names = NameServer()
+        other = NameServer()
         names.workers = other.workers = [("s-0", worker.port, 0)]
-        names.serial, other.serial = 2, 3
+        names.serial = 2
+        other.serial = 3
         program = node([worker], names)
         self.addCleanup(program.kill)
         idle = [Client(program.port("platform")) for _ in range(40)]
@@ -346,8 +352,9 @@
 
 class ReloadTest(unittest.TestCase):
     def test_new_name_server_that_says_nothing_leaves_no_drain_untold(self) -> None:
-        workers, names = [Worker(), Worker()], NameServer()
-        names.workers = [(f"s-{n}", worker.port, 0) for n, worker in enumerate(workers)]
+        workers = [Worker(), Worker()]
+        names = NameServer()
+        names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
         program = node(workers, names)
         self.addCleanup(program.kill)
         port = program.port("platform")
@@ -356,59 +363,77 @@
         silent.bind(("127.0.0.1", 0))
         reloaded = program.reload(lambda text: text.replace(str(names.port), str(silent.getsockname()[1])))
         self.assertEqual(reloaded["taken"], ["dns"])
-        names.workers, names.serial = [("s-0", workers[0].port, 1), ("s-1", workers[1].port, 0)], 2
+        names.workers = [("s-0", workers[0].port, 1), ("s-1", workers[1].port, 0)]
+        names.serial = 2
         eventually(lambda: program.counters().get("names.lists"), "the list of the one before")
         client = Client(port)
-        for n in range(12):
-            client.served("review", b"x", item=f"f{n}")
+        for number in range(12):
+            client.served("review", b"x", item=f"f{number}")
         self.assertEqual((len(workers[0].ran), len(workers[1].ran)), (0, 12))
         client.close()
         silent.close()
 
 
 class FleetSlowStartTest(unittest.TestCase):
+    ROUTERS = 20
+    FUNCTIONS = 40
+    CALLS_PER_S = 24.0  # 0.6 of what three of these workers carry
+    WORKER_CALLS_PER_S = CALLS_PER_S / 0.6 / 3
+    JOIN_S = 4.0  # after the start, when the cold worker comes
+    END_S = 9.0
+
     def test_cold_worker_gets_no_more_than_its_budget_from_twenty_routers_together(self) -> None:
         """A warm worker drains just as a cold one comes: every router has homes to move, and thin traffic."""
-        routers, functions, rate = 20, 40, 24.0
-        workers, names = [Worker(), Worker(), Worker()], NameServer()
-        names.workers = [(f"s-{n}", worker.port, 0) for n, worker in enumerate(workers)]
-        programs = [node(workers, names, instances=routers) for _ in range(routers)]
+        self.workers = [Worker(), Worker(), Worker()]
+        self.names = NameServer()
+        self.names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(self.workers)]
+        programs = [node(self.workers, self.names, instances=self.ROUTERS) for _ in range(self.ROUTERS)]
         for program in programs:
             self.addCleanup(program.kill)
         clients = [Client(program.port("platform")) for program in programs]
         for client in clients:
             self.addCleanup(client.close)
-        cold = ArrivalTimesWorker()
-        began = time.time()
-        turn, joined = 0, 0.0
-        while (now := time.time()) < began + 9.0:
-            if not joined and now > began + 4.0:
-                joined = now
-                names.workers = [
-                    ("s-0", workers[0].port, 0),
-                    ("s-1", workers[1].port, 0),
-                    ("s-2", workers[2].port, 1),
-                    ("cold", cold.port, 0),
-                ]
-                names.started = {"cold": int(joined * 1000)}
-                names.serial = 2
+        self.cold = ArrivalTimesWorker()
+        joined_s = self.call_in_turns(clients)
+        self.check_budget(joined_s)
+
+    def call_in_turns(self, clients: list[Client]) -> float:
+        """Call until the end; the Unix time at which the cold worker was listed."""
+        started_s = time.time()
+        joined_s = 0.0
+        turn = 0
+        while (now_s := time.time()) < started_s + self.END_S:
+            if not joined_s and now_s > started_s + self.JOIN_S:
+                joined_s = now_s
+                self.list_cold_worker(joined_s)
             # Uneven: a third of the routers get most of the calls.
-            client = clients[turn * turn % routers]
-            item = f"{turn * 7 % functions:016x}"
-            client.call("review", b"abc", item=item)
+            client = clients[turn * turn % self.ROUTERS]
+            client.call("review", b"abc", item=f"{turn * 7 % self.FUNCTIONS:016x}")
             with contextlib.suppress(OSError):
                 client.read()
             turn += 1
-            time.sleep(max(0.0, began + turn / rate - time.time()))
-        # What a worker of this fleet carries: the traffic is 0.6 of what three of them do.
-        capacity = rate / 0.6 / 3
+            time.sleep(max(0.0, started_s + turn / self.CALLS_PER_S - time.time()))
+        return joined_s
+
+    def list_cold_worker(self, joined_s: float) -> None:
+        """The name server's second list: the last warm worker drains, and the cold one has just started."""
+        self.names.workers = [
+            ("s-0", self.workers[0].port, 0),
+            ("s-1", self.workers[1].port, 0),
+            ("s-2", self.workers[2].port, 1),
+            ("cold", self.cold.port, 0),
+        ]
+        self.names.started = {"cold": int(joined_s * 1000)}
+        self.names.serial = 2
+
+    def check_budget(self, joined_s: float) -> None:
+        """In no span of the overload window came more calls than the worker's share at its age allows."""
         guarantees = params()["guarantees"]
         span_s = guarantees["overloadForUs"] / 1e6
-        for at in cold.arrived_s:
-            age_s = max(0.0, at - span_s - joined)
-            share = guarantees["startCapacity"] + (1 - guarantees["startCapacity"]) * age_s / (
-                guarantees["coldUs"] / 1e6
-            )
-            budget = guarantees["fallMultiple"] * share * capacity * span_s
-            count = sum(at - span_s < other <= at for other in cold.arrived_s)
+        slow_start_s = guarantees["coldUs"] / 1e6
+        for at_s in self.cold.arrived_s:
+            age_s = max(0.0, at_s - span_s - joined_s)
+            share = guarantees["startCapacity"] + (1 - guarantees["startCapacity"]) * age_s / slow_start_s
+            budget = guarantees["fallMultiple"] * share * self.WORKER_CALLS_PER_S * span_s
+            count = sum(at_s - span_s < other_s <= at_s for other_s in self.cold.arrived_s)
             self.assertLessEqual(count, budget + 2 * budget**0.5 + 2)
