--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -65,7 +65,7 @@
         self.folder = Path(tempfile.mkdtemp())
         self.workers = [Worker(), Worker()]
         self.relay = Relay(test, AGENTS * EACH + AGENTS)
-        self.names = [f"r{n}" for n in range(routers)]
+        self.names = [f"r{number}" for number in range(routers)]
         ports = free_ports(2 * AGENTS + 3 * len(self.names) + 1)
         self.toy = toy
         self.runner_ports = [worker.port for worker in self.workers]
@@ -75,33 +75,42 @@
         self.listens = ports[:AGENTS]
         self.rafts = ports[AGENTS : 2 * AGENTS]
         rest = ports[2 * AGENTS :]
-        self.udp, self.invoke, self.operator = (rest[n::3] for n in range(3))
+        self.udp, self.invoke, self.operator = (rest[first::3] for first in range(3))
         self.step_s = step_s
-        for n in range(len(self.names)):
-            self._router(n)
-            self.relay.ask("udp", member=n, address=f"127.0.0.1:{self.udp[n]}")
+        for number in range(len(self.names)):
+            self._write_router_file(number)
+            self.relay.ask("udp", member=number, address=f"127.0.0.1:{self.udp[number]}")
         self.agents = [self.start(number) for number in range(AGENTS)]
 
-    def _router(self, n: int) -> None:
+    def _write_router_file(self, number: int) -> None:
         text = (ROOT / "deploy" / "operator.toml").read_text()
         for old, new in (
-            ("127.0.0.1:8080", f"127.0.0.1:{self.invoke[n]}"),
+            ("127.0.0.1:8080", f"127.0.0.1:{self.invoke[number]}"),
             ("127.0.0.1:8081", "127.0.0.1:0"),
-            ("127.0.0.1:8082", f"127.0.0.1:{self.operator[n]}"),
-            *((f"127.0.0.1:900{k}", f"127.0.0.1:{self.runner_ports[k - 1]}") for k in (1, 2)),
-            ('name = "palash-desk"', f'name = "r{n}"'),
+            ("127.0.0.1:8082", f"127.0.0.1:{self.operator[number]}"),
+            ("127.0.0.1:9001", f"127.0.0.1:{self.runner_ports[0]}"),
+            ("127.0.0.1:9002", f"127.0.0.1:{self.runner_ports[1]}"),
+            ('name = "palash-desk"', f'name = "r{number}"'),
         ):
             assert old in text, old
             text = text.replace(old, new)
         seeds = ", ".join(f'"{front}"' for front in self.relay.fronts[: len(self.names)])
-        peers = PEERS.format(advertise=self.relay.fronts[n], seeds=seeds)
-        peers = peers.replace('listen = "127.0.0.1:0"', f'listen = "127.0.0.1:{self.udp[n]}"')
+        peers = PEERS.format(advertise=self.relay.fronts[number], seeds=seeds)
+        peers = peers.replace('listen = "127.0.0.1:0"', f'listen = "127.0.0.1:{self.udp[number]}"')
         if self.policy:
-            folder = self.folder / f"policy{n}"
+            folder = self.folder / f"policy{number}"
             peers += f'[policy]\nfolder = "{folder}"\n{self.policy}'
-        (self.folder / f"r{n}.toml").write_text(text + peers)
+        (self.folder / f"r{number}.toml").write_text(text + peers)
 
     def start(self, number: int) -> Program:
+        """Start an agent with its routers; also anew, after it has ended."""
+        file = self.folder / f"agent{number}.toml"
+        file.write_text(self._agent_text(number) + self._voters_text(number) + self._instances_text(number))
+        program = Program("agent", str(file))
+        self.test.addCleanup(self._end, program)
+        return program
+
+    def _agent_text(self, number: int) -> str:
         text = CONTROL.format(
             number=number,
             listen=self.listens[number],
@@ -111,12 +120,22 @@
         )
         if self.with_registry:
             text = text.replace("[control]", f'folder = "{self.folder / f"agent{number}"}"\n[control]')
+        return text
+
+    def _voters_text(self, number: int) -> str:
+        """All voters; the others are reached through the relay."""
+        text = ""
         for other in range(AGENTS):
             address = f"127.0.0.1:{self.rafts[other]}"
             text += f'[[voter]]\nname = "a{other}"\naddress = "{address}"\n'
             if other != number:
                 reach = self.relay.link(AGENTS * EACH + number, AGENTS * EACH + other, address)
                 text += f'reach = "{reach}"\n'
+        return text
+
+    def _instances_text(self, number: int) -> str:
+        """The agent's routers, and with `toy` the runner of the first agent."""
+        text = ""
         for name in self.of(number):
             text += f'[[instance]]\nname = "{name}"\nfile = "{name}.toml"\n'
             if self.older and name == self.names[-1]:
@@ -125,11 +144,7 @@
             toy = [sys.executable, str(ROOT / "examples" / "toy_worker.py")]
             command = json.dumps([*toy, "--port", str(self.runner_ports[1])])
             text += f'[[instance]]\nname = "w2"\ncommand = {command}\n'
-        file = self.folder / f"agent{number}.toml"
-        file.write_text(text)
-        program = Program("agent", str(file))
-        self.test.addCleanup(self._end, program)
-        return program
+        return text
 
     def start_non_voter(self) -> tuple[Program, int]:
         """A fourth agent, which has no vote, with a router of its own; and its port."""
@@ -175,6 +190,7 @@
         return found
 
     def pid(self, name: str) -> int:
+        """The process of a router, as its agent has it."""
         number = int(name[1:]) // EACH
         return int(self.command(number, "status", name)[0]["instances"][name]["pid"])
 
@@ -182,11 +198,11 @@
 
     def run(self, number: int, *words: str) -> tuple[int, str, str]:
         """The exit code, and what went to standard output and to standard error."""
-        at = ["--agent", f"127.0.0.1:{self.listens[number]}"]
+        agent = ["--agent", f"127.0.0.1:{self.listens[number]}"]
         out = io.StringIO()
         err = io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
-            code = main([*words, *at])
+            code = main([*words, *agent])
         return code, out.getvalue(), err.getvalue()
 
     def command(self, number: int, *words: str) -> tuple[Json, str]:
@@ -200,6 +216,7 @@
         return status
 
     def phase(self, number: int) -> str:
+        """The rollout's phase as this agent sees it; empty where there is none."""
         rollout = self.status(number).get("rollout") or {}
         return str(rollout.get("phase", ""))
 
@@ -214,25 +231,32 @@
     def until_whole(self) -> None:
         """A leader, all instances known and ready, and one view of membership."""
         numbers = range(AGENTS)
-        eventually(lambda: all(self.run(n, "ready", *self.of(n))[0] == 0 for n in numbers), "routers ready")
-        eventually(
-            lambda: all(len(self.status(n).get("instances", {})) == len(self.names) for n in numbers),
-            "all instances registered",
-        )
+        eventually(lambda: all(self._ready(number) for number in numbers), "routers ready")
+        eventually(lambda: all(self._registered(number) for number in numbers), "all instances registered")
         eventually(lambda: self.leader() is not None, "a leader")
-        eventually(lambda: all(self.run(n, "members")[0] == 0 for n in numbers), "views that agree")
-        eventually(lambda: all(self._alive(n) for n in numbers), "all seen alive")
+        eventually(lambda: all(self.run(number, "members")[0] == 0 for number in numbers), "views that agree")
+        eventually(lambda: all(self._alive(number) for number in numbers), "all seen alive")
 
     def of(self, number: int) -> list[str]:
         """The routers of an agent."""
         return self.names[number * EACH : number * EACH + EACH]
 
+    def _ready(self, number: int) -> bool:
+        """Whether all routers of an agent are ready."""
+        return self.run(number, "ready", *self.of(number))[0] == 0
+
+    def _registered(self, number: int) -> bool:
+        """Whether an agent knows the instances of all."""
+        return len(self.status(number).get("instances", {})) == len(self.names)
+
     def _alive(self, number: int) -> bool:
+        """Whether every router of an agent sees every router alive."""
         rows = [line.split("\t") for line in self.run(number, "members")[1].splitlines()[1:]]
         cells = len(self.of(number)) * len(self.names)
         return sum(cell.startswith("alive") for row in rows for cell in row) == cells
 
     def until_phase(self, number: int, phase: str) -> None:
+        """Wait for the rollout's phase; the error has the status that the agent knew last."""
         try:
             eventually(lambda: self.phase(number) == phase, f"phase {phase}", ROLLOUT_S)
         except AssertionError:
@@ -250,6 +274,7 @@
         return sorted(found, key=lambda event: event["t_us"])
 
     def programs(self) -> list[Program]:
+        """The agents whose logs `events` reads."""
         return self.agents
 
     def worst_out(self, besides: dict[str, tuple[int, int]] | None = None) -> int:
