--- a/tests/test_process_invoke.py
+++ b/tests/test_process_invoke.py
@@ -200,16 +200,18 @@
         partial.sendall(b"ngth: 3\r\nMaplestile-Tenant: shapla-tutors\r\n\r\nabc")
         self.assertTrue(partial.recv(100).startswith(b"HTTP/1.1 200 "))
 
+    def until_sent(self, attempts: int) -> None:
+        eventually(lambda: self.program.counters().get("attempts.sent") == attempts, "the attempt")
+
     def test_no_attempt_starts_for_a_client_that_left_and_its_key_is_free_again(self) -> None:
         for worker in self.workers:
             worker.pause.clear()  # the attempt is out, and not answered
-        for n, key in enumerate((b"", b"Idempotency-Key: k1\r\n"), 1):
+        for number, key in enumerate((b"", b"Idempotency-Key: k1\r\n"), 1):
             head = b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nHost: h\r\n" + key
-            rest = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 6\r\n\r\nfull:%d" % n
-            link = self.raw(head + rest)
-            sent = {n}
-            eventually(lambda: {self.program.counters().get("attempts.sent")} == sent, "the attempt")  # noqa: B023
-            link.close()
+            rest = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 6\r\n\r\nfull:%d" % number
+            connection = self.raw(head + rest)
+            self.until_sent(number)
+            connection.close()
         time.sleep(0.3)
         for worker in self.workers:
             worker.pause.set()
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -4,6 +4,7 @@
 import resource
 import signal
 import unittest
+from typing import Any
 
 from tests.standins import ITEM, Client, NameServer, Worker, eventually, node
 
@@ -108,19 +109,23 @@
             self.assertIn("result", self.client.read() or {})
         self.assertEqual((len(self.workers[0].ran), len(self.workers[1].ran)), (0, 12))
 
+    def reload_with(self, text: str) -> dict[str, Any]:
+        """What a reload reports with this text in place of the file's."""
+        return self.program.reload(lambda _: text)
+
     def test_sighup_takes_a_new_name_server_and_keeps_the_old_one_over_a_bad_file(self) -> None:
         whole, other = self.program.file.read_text(), NameServer()
         other.workers, other.serial = [("s-1", self.workers[1].port, 0)], 2
         moved = whole.replace(f"127.0.0.1:{self.names.port}", f"127.0.0.1:{other.port}")
         late = self.client.call("test-submit", b"hang:", limit_ms=2_000)
         for bad in (moved[:-9], "[]", moved.replace("granularityUs", "odd"), moved.replace('"Ready"', "7")):
-            report = self.program.reload(lambda _, bad=bad: bad)  # type: ignore[misc]
+            report = self.reload_with(bad)
             self.assertEqual((report["ok"], report["taken"]), (False, []))
         self.assertFalse(other.queries)
         # Another customer's file, or one of settings that only a restart takes: nothing of it is taken.
         others = moved.replace('"attemptsCap": 5', '"attemptsCap": 4'), moved.replace('"review"', '"exam"')
         for place, changed in zip(("max_attempts", "classes"), others, strict=True):
-            report = self.program.reload(lambda _, new=changed: new)  # type: ignore[misc]
+            report = self.reload_with(changed)
             self.assertEqual((report["ok"], report["taken"]), (False, []))
             self.assertEqual(report["restart"], [f"settings.{place}"])
             self.assertIn(f"settings.{place}", report["fault"])
