--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -24,6 +24,8 @@
 
 
 class AnswersTwice(Core):
+    """A call stays open after its answer."""
+
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
         self.sound_finish = self.requests.finish
@@ -36,13 +38,17 @@
             self.open[call] = pending
 
 
-class KeepsFailuresBack(Core):
+class WithholdsFailures(Core):
+    """A failed call gets no answer."""
+
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
         replace_method(self.requests, "fail", lambda call: None)
 
 
 class SendsAnythingAgain(Dispatcher):
+    """Calls are sent again also where they may have run and are not idempotent."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.retry, "may_repeat", self.may_repeat)
@@ -55,7 +61,9 @@
         self.router.route(call)
 
 
-class ForgetsTheScope(Dispatcher):
+class IgnoresDeduplicationScope(Dispatcher):
+    """A call with a key is sent again outside the scope in which its key is known."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.retry, "deduplicates", self.deduplicates)
@@ -64,21 +72,26 @@
         return call.kind.idempotency is api.Idempotency.WITH_KEY
 
 
-class ForgetsTheWindow(Dispatcher):
+class IgnoresDeduplicationWindow(Dispatcher):
+    """An attempt with a key is sent however late its connection comes up."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.sound_send = self.router.send
         replace_method(self.router, "send", self.send)
 
-    def send(self, call: Call, worker: Worker) -> None:  # as it was before: checked at the decision alone
+    def send(self, call: Call, worker: Worker) -> None:  # the window is checked at the decision alone
         self.sound_send(call, worker)
         actions = self.context.actions
         actions[:] = [
-            replace(one, until_us=0) if isinstance(one, api.SendAttempt) else one for one in actions
+            replace(action, until_us=0) if isinstance(action, api.SendAttempt) else action
+            for action in actions
         ]
 
 
 class WritesToDraining(SimulatedPool):
+    """Draining workers take new attempts."""
+
     def update(self, fleet: EndpointList) -> None:
         super().update(fleet)
         for runner in self.runners.values():
@@ -86,6 +99,8 @@
 
 
 class CountsNoAttempts(Dispatcher):
+    """Any number of attempts is made."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.retry, "may_repeat", self.may_repeat)
@@ -94,20 +109,26 @@
         return self.fleet.is_running(worker)
 
 
-class DecidesByTheNewest(Dispatcher):
+class DecidesByLatestSettings(Dispatcher):
+    """A new policy changes calls that came under the one before."""
+
     def adopt(self, settings: api.Settings) -> None:
         super().adopt(settings)
         for call in self.calls.values():
             call.settings = settings
 
 
-class RefusesAnything(Dispatcher):
+class RejectsAnything(Dispatcher):
+    """Calls of every class are rejected, also those that may have run."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.admission, "may_refuse", lambda call: True)
 
 
-class LeavesCounts(Dispatcher):
+class LosesCancelledAttempts(Dispatcher):
+    """A cancelled attempt is dropped, and its worker's counts stay."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.sound_end = self.outcomes.on_attempt_ended
@@ -120,7 +141,9 @@
             self.sound_end(event)
 
 
-class KeepsBytes(Core):
+class LeaksRequestBytes(Core):
+    """The bytes of a withdrawn call are counted for good."""
+
     def withdraw(self, call: int) -> None:
         pending = self.open.get(call)
         super().withdraw(call)
@@ -128,24 +151,32 @@
             self.requests.open_bytes += pending.request.bytes()
 
 
-class EndsNothing(Core):
+class KeepsDeadlinesAtDrain(Core):
+    """Calls from before the stop keep their deadlines."""
+
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
-        replace_method(self.intake, "end_all", lambda: None)  # calls from before the stop keep their time
+        replace_method(self.intake, "end_all", lambda: None)
 
 
-class WritesForTheGone(SimulatedPool):
+class SendsForDisconnectedClients(SimulatedPool):
+    """Attempts begin also for clients that have disconnected."""
+
     def withhold(self, attempt: AttemptId) -> bool:
         return False
 
 
-class TriesForTheGone(Dispatcher):
+class RetriesForDisconnectedClients(Dispatcher):
+    """A call is tried again after its client has disconnected."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.router, "abandon", lambda call: None)
 
 
-class CallsOffLater(SimulatedPool):
+class KeepsCancelledAttempts(SimulatedPool):
+    """A cancelled attempt can still change its state."""
+
     def cancel(self, attempt: AttemptId) -> None:
         found = self.where.get(attempt)
         super().cancel(attempt)
@@ -154,7 +185,9 @@
             found[0].open[found[1].tag] = attempt
 
 
-class KnowsEverybody(SimulatedPool):
+class RaisesOnUnknownAnswers(SimulatedPool):
+    """An answer to no open attempt is an error."""
+
     def answered(self, connection: Any, answer: Answer) -> None:
         if answer.call not in connection.open and answer.call not in connection.control_tags:
             raise KeyError(answer.call)
@@ -163,19 +196,19 @@
 
 FAULTS: tuple[tuple[str, str, Components], ...] = (
     ("one-answer", "safe", Components(core=AnswersTwice)),
-    ("answer-by-deadline", "unsafe", Components(core=KeepsFailuresBack)),
+    ("answer-by-deadline", "unsafe", Components(core=WithholdsFailures)),
     ("unsafe-once", "unsafe", Components(dispatcher=SendsAnythingAgain)),
-    ("keyed-in-scope", "keyed-cell", Components(dispatcher=ForgetsTheScope)),
-    ("keyed-in-scope", "keyed-all", Components(dispatcher=ForgetsTheWindow)),
+    ("keyed-in-scope", "keyed-cell", Components(dispatcher=IgnoresDeduplicationScope)),
+    ("keyed-in-scope", "keyed-all", Components(dispatcher=IgnoresDeduplicationWindow)),
     ("nothing-after-drain", "drain", Components(pool=WritesToDraining)),
     ("attempt-limit", "safe", Components(dispatcher=CountsNoAttempts)),
-    ("one-policy", "policy", Components(dispatcher=DecidesByTheNewest)),
-    ("harmless-refusal", "unsafe", Components(dispatcher=RefusesAnything)),
-    ("counts-return", "late", Components(dispatcher=LeavesCounts)),
-    ("nothing-kept", "late", Components(core=KeepsBytes)),
-    ("drain-ends", "stop", Components(core=EndsNothing)),
-    ("nothing-for-the-gone", "away", Components(pool=WritesForTheGone)),
-    ("nothing-for-the-gone", "away-safe", Components(dispatcher=TriesForTheGone)),
-    ("no-forbidden-move", "late", Components(pool=CallsOffLater)),
-    ("no-crash", "late", Components(pool=KnowsEverybody)),
+    ("one-policy", "policy", Components(dispatcher=DecidesByLatestSettings)),
+    ("harmless-refusal", "unsafe", Components(dispatcher=RejectsAnything)),
+    ("counts-return", "late", Components(dispatcher=LosesCancelledAttempts)),
+    ("nothing-kept", "late", Components(core=LeaksRequestBytes)),
+    ("drain-ends", "stop", Components(core=KeepsDeadlinesAtDrain)),
+    ("nothing-for-the-gone", "away", Components(pool=SendsForDisconnectedClients)),
+    ("nothing-for-the-gone", "away-safe", Components(dispatcher=RetriesForDisconnectedClients)),
+    ("no-forbidden-move", "late", Components(pool=KeepsCancelledAttempts)),
+    ("no-crash", "late", Components(pool=RaisesOnUnknownAnswers)),
 )
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -19,7 +19,7 @@
 from maplestile.tools.explore.example_files import Example, read
 from maplestile.tools.explore.search import explore, play
 from maplestile.tools.explore.simulation import Components, Simulation
-from tests.faulty import FAULTS, ForgetsTheWindow
+from tests.faulty import FAULTS, IgnoresDeduplicationWindow
 from tests.standins import ROOT
 
 CLASSES = ("safe", "unsafe", "keyed-all", "keyed-zone", "keyed-cell")
@@ -105,7 +105,9 @@
         assert play(CASES[example.case], example.events).problems == [], file
         assert example.text() == file.read_text()
     example = read(FOUND / "keyed-window.json")
-    broken = play(CASES[example.case], example.events, Components(dispatcher=ForgetsTheWindow)).problems
+    broken = play(
+        CASES[example.case], example.events, Components(dispatcher=IgnoresDeduplicationWindow)
+    ).problems
     assert broken[0][0] == "keyed-in-scope"
 
 
