--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -389,7 +389,9 @@
         programs = [node(self.workers, self.names, instances=self.ROUTERS) for _ in range(self.ROUTERS)]
         for program in programs:
             self.addCleanup(program.kill)
-        clients = [Client(program.port("platform")) for program in programs]
+        # Once all have started: a connection that sends nothing for 1.5 s is closed.
+        ports = [program.port("platform") for program in programs]
+        clients = [Client(port) for port in ports]
         for client in clients:
             self.addCleanup(client.close)
         self.cold = ArrivalTimesWorker()
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -245,7 +245,7 @@
         self.until_ready(self.program)
         port = self.program.port("platform")
         client = self.client()
-        late_id = client.call("test-submit", b"hang:", limit_ms=3_000)
+        late_id = client.call_until_sent(self.program, "test-submit", b"hang:", limit_ms=3_000)
         self.names.faults = 1000 * ["lost"]
         late = self.start(port)
         late.find("(taking over)")
