--- a/tests/router_group.py
+++ b/tests/router_group.py
@@ -2,6 +2,7 @@
 
 import http.client
 import json
+import os
 import random
 import signal
 import socket
@@ -59,7 +60,6 @@
 
 
 FOREVER = {"at_s": 0, "until_s": 3600}  # of a fault: until it is healed
-PORT_RANGE = (12_000, 30_000)  # below the one from which the system takes ports for connections
 
 
 class Routers:
@@ -158,12 +158,29 @@
         self.programs[number].process.send_signal(signal.SIGCONT)
 
 
+FIRST_PORT = 12_000  # the ports from here on are below the range that the system gives to connections
+PORTS_OF_A_PROCESS = 1_000
+TEST_PROCESSES = 18
+
+
+def own_ports() -> range:
+    """The ports of this process of the test run, of which several start programs at once.
+
+    A port is free until the program that it was chosen for binds it, which takes seconds on a busy machine:
+    two processes that drew from the same ports now and then chose the same one.
+    """
+    name = os.environ.get("PYTEST_XDIST_WORKER", "gw0")
+    first = FIRST_PORT + int(name.removeprefix("gw")) % TEST_PROCESSES * PORTS_OF_A_PROCESS
+    return range(first, first + PORTS_OF_A_PROCESS)
+
+
 def free_ports(count: int) -> list[int]:
-    """Ports below the range that the system gives to connections, so that none is taken meanwhile."""
+    """Ports that nobody has bound now, and that no other process of the test run chooses."""
     draws = random.Random()
+    ports = own_ports()
     found = list[int]()
     while len(found) < count:
-        port = draws.randrange(*PORT_RANGE)
+        port = draws.choice(ports)
         with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
             try:
                 tcp.bind(("127.0.0.1", port))
