--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -1,6 +1,7 @@
 """The router of a replay on sockets: its file, and its process, `maplestile serve`."""
 
 import asyncio
+import json
 import os
 import signal
 import sys
@@ -17,6 +18,7 @@
 TIMEOUT_S = 10.0  # of the start, of the end, and of a request of an operator
 US_PER_MS = float(scenario.US_PER_MS)
 FRONTS = ("operator", "invoke")
+COUNTERS_PREFIX = '{"counters":'  # of the line that a router prints at SIGUSR1
 FILE_HEAD = f"""[invoke]
 listen = "127.0.0.1:0"
 [operation]
@@ -76,6 +78,7 @@
         self.process: Process | None = None
         self.reader: asyncio.Task[None] | None = None
         self.fronts: dict[str, Address] = {}
+        self.counters_line: asyncio.Future[str] | None = None  # the next one, where it is waited for
 
     def write_file(self, workers: Iterable[ScriptedWorker], gone: Collection[str]) -> None:
         """Write the operator's file, with those workers that are not gone."""
@@ -101,7 +104,7 @@
                 if not line:
                     raise CaseError("the program ended at its start")
                 self._note_front(line.decode())
-        self.reader = asyncio.get_running_loop().create_task(_discard(stderr))
+        self.reader = asyncio.get_running_loop().create_task(self._read(stderr))
 
     def _note_front(self, line: str) -> None:
         for front in FRONTS:
@@ -114,6 +117,16 @@
         if self.process is not None:
             os.kill(self.process.pid, signal.SIGHUP)
 
+    async def counters(self) -> dict[str, int]:
+        """Return the counters of the process. Raises `TimeoutError`."""
+        self.counters_line = asyncio.get_running_loop().create_future()
+        if self.process is not None:
+            self.process.send_signal(signal.SIGUSR1)
+        async with asyncio.timeout(TIMEOUT_S):
+            line = await self.counters_line
+        counters: dict[str, int] = json.loads(line)["counters"]
+        return counters
+
     async def request(self, method: str, path: str) -> None:
         """Send a request to the operators' front. Raises `CaseError`."""
         try:
@@ -139,7 +152,10 @@
         if self.reader is not None:
             self.reader.cancel()
 
-
-async def _discard(stream: asyncio.StreamReader) -> None:
-    while await stream.readline():
-        pass
+    async def _read(self, stderr: asyncio.StreamReader) -> None:
+        """Read the log to its end; of its lines only the counters are of use."""
+        while line := await stderr.readline():
+            text = line.decode()
+            waiting = self.counters_line
+            if text.startswith(COUNTERS_PREFIX) and waiting is not None and not waiting.done():
+                waiting.set_result(text)
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -7,11 +7,13 @@
     drain WORKER  an operator suspends it; `gone`: it leaves the file, and SIGHUP; `return`: it is back
     time          a step of real time
 
+A call that the router sheds for its own lag, as on a busy machine, is submitted again, as its client may do.
 A line that the system accepts in part cannot be had on demand, nor can a connection be kept from coming up
 once it is accepted: an `up` waits until it is there, and a `part` or an `away` is reported as left out.
 """
 
 import asyncio
+import contextlib
 import tempfile
 import time
 from collections.abc import Callable, Sequence
@@ -33,6 +35,7 @@
 POLL_INTERVAL_S = 0.005  # between two checks whether it has
 FINAL_WAIT_S = 1.5  # after the last event
 SETTLE_S = 0.03  # after every event
+SHED_PAUSE_S = 0.1  # before a call that was shed is submitted again
 ROOT = Path(maplestile.__file__).parent.parent
 
 
@@ -49,6 +52,8 @@
         self.router = RouterUnderTest(self.case, folder, root)
         self.clients = Clients()
         self.client_tasks: list[asyncio.Task[None]] = []
+        self.submissions = 0  # of calls, those that were shed included
+        self.shed = 0  # of these
         self.draining_since_s: dict[str, float] = {}
         self.gone: set[str] = set()
         self.left_out: list[str] = []  # events that cannot be had on sockets
@@ -104,7 +109,7 @@
         kind, numbers = event
         match kind:
             case EventKind.SUBMIT:
-                self._submit()
+                await self._submit()
             case EventKind.LEAVE:
                 self.clients.left.add(numbers[0])
                 self.client_tasks[numbers[0]].cancel()
@@ -162,10 +167,35 @@
                 raise CaseError(f"events: '{kind}' did not come about on sockets")
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _submit(self) -> None:
+    async def _submit(self) -> None:
+        """Submit the next call until the router takes it. Raises `CaseError` where it keeps shedding it."""
         number = len(self.client_tasks)
+        self.client_tasks.append(self._start_call(number))
+        end_s = time.monotonic() + EVENT_TIMEOUT_S
+        while await self._is_last_call_shed():
+            if time.monotonic() > end_s:
+                raise CaseError(f"events: '{EventKind.SUBMIT}' did not come about on sockets")
+            self.client_tasks[number].cancel()
+            with contextlib.suppress(asyncio.CancelledError):
+                await self.client_tasks[number]
+            await asyncio.sleep(SHED_PAUSE_S)
+            self.client_tasks[number] = self._start_call(number)
+
+    def _start_call(self, number: int) -> asyncio.Task[None]:
+        self.submissions += 1
         self.clients.statuses[number] = []
-        self.client_tasks.append(asyncio.get_running_loop().create_task(self._call(number)))
+        return asyncio.get_running_loop().create_task(self._call(number))
+
+    async def _is_last_call_shed(self) -> bool:
+        """Wait until the router has read the call submitted last; return whether it shed that one."""
+        async with asyncio.timeout(EVENT_TIMEOUT_S):
+            counters = await self.router.counters()
+            while counters.get("requests.taken", 0) < self.submissions:
+                await asyncio.sleep(POLL_INTERVAL_S)
+                counters = await self.router.counters()
+        shed_before = self.shed
+        self.shed = counters.get("requests.shed", 0)
+        return self.shed > shed_before
 
     async def _call(self, number: int) -> None:
         class_name = self.case.classes[number]
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -153,6 +153,13 @@
     assert command("--replay", str(tmp_path / "none.json"))[0] == 2
 
 
+def copy_of_program() -> Path:
+    """A folder with a copy of the program's package, to be changed."""
+    folder = Path(tempfile.mkdtemp())
+    shutil.copytree(ROOT / "maplestile", folder / "maplestile")
+    return folder
+
+
 def patch(module: Path, check: str, fault: str) -> None:
     text = module.read_text()
     assert text.count(check) == 1
@@ -164,8 +171,7 @@
     result = sockets.replay(Example("unsafe", "unsafe-once", events_of(events)))
     assert (result["broken"], len(result["attempts"]), result["answers"]) == ([], 1, {"0": [502]})
     # A build with the fault put in: what the explorer finds is met on sockets as well.
-    folder = Path(tempfile.mkdtemp())
-    shutil.copytree(ROOT / "maplestile", folder / "maplestile")
+    folder = copy_of_program()
     dispatch = folder / "maplestile" / "dispatch"
     patch(
         dispatch / "call_router.py",
@@ -181,6 +187,20 @@
     assert [name for name, _ in result["broken"]] == ["unsafe-once"], result
 
 
+def test_a_call_that_is_shed_for_lag_is_submitted_again_on_sockets() -> None:
+    folder = copy_of_program()
+    intake = folder / "maplestile" / "requests" / "request_intake.py"
+    lag = "lags = lag_us > limits.max_lag_us"
+    patch(intake, lag, 'lags = self._counters["requests.taken"] == 1')
+    example = Example("unsafe", "", events_of("submit, up 0, ok 0 0"))
+    result = sockets.replay(example, folder)
+    assert (result["broken"], result["answers"], len(result["attempts"])) == ([], {"0": [200]}, 1), result
+    patch(intake, 'lags = self._counters["requests.taken"] == 1', "lags = True")
+    short_timeout = unittest.mock.patch.object(sockets, "EVENT_TIMEOUT_S", 1.0)
+    with short_timeout, pytest.raises(CaseError, match="'submit' did not come about"):
+        sockets.replay(example, folder)
+
+
 def test_faults_of_the_list_and_of_links_replay_on_sockets() -> None:
     for case, events, statuses in (
         ("unsafe", "submit, refuse 0, up 1, ok 1 0", [200]),
