--- /dev/null
+++ b/tests/standins/router_config.py
@@ -0,0 +1,83 @@
+"""A router's configuration in the platform's form, and a router started with it."""
+
+import json
+import os
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from tests.standins.name_server import NameServer
+from tests.standins.program import Program
+from tests.standins.worker import Worker
+
+
+def params(**changes: Any) -> dict[str, Any]:
+    """Settings in the platform's form, made up here."""
+    grade = {"aimUs": 4_000_000, "deadlineUs": 15_000_000, "keyScope": "all", "windowUs": 4_000_000}
+    kinds = {"review": "free", "deck-make": "guarded", "test-submit": "single_shot"}
+    return {
+        "grades": [grade | {"name": name, "semantics": kind} for name, kind in kinds.items()],
+        "instances": 1,
+        "granularityUs": 4000,
+        "discovery": "push",
+        "kinds": ["std"],
+        "familyInfo": {
+            "orders": True,
+            "lingerIdleUs": 9_000_000,
+            "machineMb": [8000],
+            "answerWithinUs": 9_000_000,
+            "whenAbsent": "load",
+        },
+        "limits": {
+            "attemptsCap": 5,
+            "cancelling": True,
+            "mayDuplicate": True,
+            "probes": True,
+            "idleCloseUs": 15_000_000,
+            "connectTimeoutUs": 2_000_000,
+        },
+        "guarantees": {
+            "answerSlackUs": 16_000,
+            "coldUs": 9_000_000,
+            "drainGraceUs": 2_000_000,
+            "fallMultiple": 4.0,
+            "overloadForUs": 2_000_000,
+            "startCapacity": 0.16,
+        },
+    } | changes
+
+
+def target(uid: str, port: int, state: str = "Ready") -> dict[str, Any]:
+    return {
+        "uid": uid,
+        "endpoint": f"127.0.0.1:{port}",
+        "az": "east",
+        "model": "std",
+        "pod_group": 2,
+        "state": state,
+        "capacity_hint": 4,
+        "boot_ms": 0,
+    }
+
+
+def node(
+    workers: list[Worker], names: NameServer, folder: str = "", port: int = 0, **changes: Any
+) -> Program:
+    """The program as the platform starts it; with a folder of its own also an address for operators."""
+    targets = [target(f"s-{n}", worker.port) for n, worker in enumerate(workers)]
+    known = {"index": 1, "updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]}
+    config = {
+        "name": "n0",
+        "listen": f"127.0.0.1:{port}",
+        "seed": os.urandom(8).hex(),
+        "known": known,
+        "limits": {"sockets": 256},
+        "dns": f"127.0.0.1:{names.port}",
+        "settings": params(**changes),
+    }
+    file = Path(tempfile.mkdtemp()) / "config.json"
+    file.write_text(json.dumps(config))
+    environment = {"TMPDIR": folder, "NODE_OPERATOR": "127.0.0.1:0"} if folder else {}
+    program = Program(NODE_CONFIG=str(file), **environment)
+    program.file = file
+    return program
--- /dev/null
+++ b/tests/standins/waiting.py
@@ -0,0 +1,26 @@
+"""Bounded waits for what a test expects to happen."""
+
+import asyncio
+import time
+from collections.abc import Callable
+from typing import Any
+
+PATIENCE_S = 20.0  # how long a test waits for an expected event; never a measure of speed
+THREAD_POLL_S = 0.01
+LOOP_POLL_S = 0.005
+
+
+def eventually(true: Callable[[], Any], what: str = "it", patience_s: float = PATIENCE_S) -> Any:
+    end = time.monotonic() + patience_s
+    while not (found := true()):
+        if time.monotonic() > end:
+            raise AssertionError(f"waited in vain for {what}")
+        time.sleep(0.01)
+    return found
+
+
+async def wait_until(condition: Callable[[], Any], timeout_s: float = PATIENCE_S) -> None:
+    """Wait on the event loop until the condition holds; `TimeoutError` after the time."""
+    async with asyncio.timeout(timeout_s):
+        while not condition():
+            await asyncio.sleep(LOOP_POLL_S)
