--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -15,7 +15,7 @@
 from maplestile.net.platform import PlatformFront
 from maplestile.wire.jsonrpc import REFUSED
 from maplestile.wire.limits import ClientLimits, Limits
-from tests.test_core import Rig
+from tests.core_harness import CoreHarness
 from tests.test_machines import framed, message
 
 CLIENT_LIMITS = ClientLimits(connections=2, streams=2, unread_bytes=100_000, message_us=300_000)
@@ -39,7 +39,7 @@
 
 class FrontTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.rig, self.counters, self.ready = Rig(), Counter[str](), False
+        self.rig, self.counters, self.ready = CoreHarness(), Counter[str](), False
         self.timestamps = Timestamps(self.rig.now)
         self.front = PlatformFront(self.rig.core, LIMITS, self.counters, self.timestamps, lambda: self.ready)
         self.server = await self.front.start("127.0.0.1", 0, False)
