--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -3,24 +3,27 @@
 from tests.standins.client import ITEM, REFUSED, Client
 from tests.standins.name_server import NameServer, name_bytes, record
 from tests.standins.program import ROOT, Program
-from tests.standins.router_config import node, params, target
+from tests.standins.router_config import params, start_router, target
 from tests.standins.waiting import PATIENCE_S, eventually, wait_until
-from tests.standins.worker import Worker
+from tests.standins.worker import LONG_ANSWER_BYTES, HoldingWorker, Worker, call_lines
 
 __all__ = [
     "ITEM",
+    "LONG_ANSWER_BYTES",
     "PATIENCE_S",
     "REFUSED",
     "ROOT",
     "Client",
+    "HoldingWorker",
     "NameServer",
     "Program",
     "Worker",
+    "call_lines",
     "eventually",
     "name_bytes",
-    "node",
     "params",
     "record",
+    "start_router",
     "target",
     "wait_until",
 ]
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -16,40 +16,44 @@
 
 
 class Client:
-    """A JSON-RPC client of the platform's front."""
+    """One connection to the platform's front."""
 
     def __init__(self, port: int, link: socket.socket | None = None) -> None:
         self.socket = link or socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
         self.file = self.socket.makefile("rb")
         self.id = 0
-        self.held, self.holding = b"", False
+        self._unsent = b""
+        self._buffers = False  # whether `send` leaves what it encodes for `flush`
 
     def send(self, method: str, params: dict[str, Any] | None = None, id_: int | None = None) -> int:
+        """Send a message, and return its id."""
         self.id += 1
         body = {"jsonrpc": "2.0", "id": id_ or self.id, "method": method, "params": params or {}}
         text = json.dumps(body).encode()
-        self.held += b"Content-Length: %d\r\n\r\n%b" % (len(text), text)
-        if not self.holding:
+        self._unsent += b"Content-Length: %d\r\n\r\n%b" % (len(text), text)
+        if not self._buffers:
             self.flush()
         return id_ or self.id
 
     def flush(self) -> None:
-        held, self.held = self.held, b""
-        self.socket.sendall(held)
+        """Write what has been encoded."""
+        unsent, self._unsent = self._unsent, b""
+        self.socket.sendall(unsent)
 
     @contextlib.contextmanager
-    def together(self) -> Iterator[None]:
-        """What is sent within goes out in one piece at its end.
+    def in_one_write(self) -> Iterator[None]:
+        """Write all that is sent in this context in one piece at its end.
 
         The system delivers it as a whole or not at all, so that the program never takes a part of it and ends
         the connection before the rest.
         """
-        self.holding = True
+        self._buffers = True
         yield
-        self.holding = False
+        self._buffers = False
         self.flush()
 
     def call(self, class_name: str, body: bytes, limit_ms: int = 10_000, **params: Any) -> int:
+        """Send a call, and return its id."""
         defaults = {
             "txn": os.urandom(8).hex(),
             "limit": limit_ms,
@@ -59,22 +63,22 @@
         }
         return self.send(class_name, defaults | params)
 
-    def served(self, class_name: str, body: bytes, **params: Any) -> dict[str, Any]:
-        """The answer of a call that is served: one refused, as for lag on a busy machine, comes again."""
+    def call_until_served(self, class_name: str, body: bytes, **params: Any) -> dict[str, Any]:
+        """Call until it is not refused, as for lag on a busy machine, and return its result."""
 
-        def once() -> dict[str, Any] | None:
+        def call_once() -> dict[str, Any] | None:
             self.call(class_name, body, **params)
             answer = self.read() or {}
             return None if answer.get("error", {}).get("code") == REFUSED else answer
 
-        answer: dict[str, Any] = eventually(once, "service")
+        answer: dict[str, Any] = eventually(call_once, "service")
         assert "result" in answer, answer
         return answer
 
     def call_until_sent(self, program: Program, class_name: str, body: bytes, **params: Any) -> int:
-        """The id of a call that has an attempt: one refused, as for lag on a busy machine, comes again."""
+        """Call until it is sent to a worker, and not refused as for lag on a busy machine; return its id."""
 
-        def once() -> int | None:
+        def call_once() -> int | None:
             refused_before = program.counters().get("requests.shed", 0)
             id_ = self.call(class_name, body, **params)
             while not (counters := program.counters()).get("attempts.sent"):
@@ -83,10 +87,11 @@
                     return None
             return id_
 
-        id_: int = eventually(once, "an attempt")
+        id_: int = eventually(call_once, "an attempt")
         return id_
 
     def read(self) -> dict[str, Any] | None:
+        """Read one message; None where the connection has ended."""
         size = None
         while (line := self.file.readline()) not in (b"\r\n", b""):
             size = int(line.partition(b":")[2])
@@ -96,5 +101,6 @@
         return answer
 
     def close(self) -> None:
+        """Close the connection."""
         self.file.close()
         self.socket.close()
--- a/tests/standins/name_server.py
+++ b/tests/standins/name_server.py
@@ -6,15 +6,21 @@
 
 
 def name_bytes(name: str) -> bytes:
+    """Encode a domain name."""
     return b"".join(bytes([len(part)]) + part.encode() for part in name.split(".")) + b"\0"
 
 
 def record(name: bytes, kind: int, data: bytes) -> bytes:
+    """Encode a resource record of the class IN that may not be cached."""
     return name + struct.pack("!HHIH", kind, 1, 0, len(data)) + data
 
 
 class NameServer:
-    """Answers with a whole list; `faults` says what to do with the next queries instead."""
+    """Answers each query with the whole list of `workers`.
+
+    `faults` says what happens to the next queries instead: `lost` gives no answer, `cut` one that is marked
+    as truncated, and any other text none of these.
+    """
 
     def __init__(self) -> None:
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/standins/program.py
+++ b/tests/standins/program.py
@@ -17,7 +17,7 @@
 
 
 class Program:
-    """The real program as a process; its log is read all the time."""
+    """The real program as a process; a thread collects its log."""
 
     def __init__(self, *arguments: str, **environment: str) -> None:
         self.log: list[str] = []
@@ -38,29 +38,34 @@
         self.log.extend(iter(self.process.stderr.readline, ""))
 
     def find(self, pattern: str) -> str:
-        def look() -> str | None:
-            found = (re.search(pattern, line) for line in list(self.log))
-            return next((match[1] for match in found if match), None)
+        """Wait for a line of the log that matches, and return the first group of the match."""
 
-        return str(eventually(look, f"{pattern} in {self.log}"))
+        def first_match() -> str | None:
+            matches = (re.search(pattern, line) for line in list(self.log))
+            return next((match[1] for match in matches if match), None)
+
+        return str(eventually(first_match, f"{pattern} in {self.log}"))
 
     def port(self, front: str) -> int:
+        """Return the port on which a front listens, from the log."""
         if front not in self.ports:  # the log may have been cleared since
             self.ports[front] = int(self.find(rf"{front} front listens on 127\.0\.0\.1:(\d+)"))
         return self.ports[front]
 
     def counters(self) -> dict[str, int]:
+        """Have the program log its counters, and return them; clears the log."""
         self.log.clear()
         self.process.send_signal(signal.SIGUSR1)
         counters: dict[str, int] = json.loads(self.find(r'^(\{"counters".*)'))["counters"]
         return counters
 
     def stop(self) -> int:
+        """Send SIGTERM, wait for the end, and return the exit code."""
         self.process.terminate()
         return self.process.wait(PATIENCE_S)
 
     def reload(self, change: Callable[[str], str]) -> dict[str, Any]:
-        """Replace the configuration and send SIGHUP; what the program says of it."""
+        """Replace the configuration, send SIGHUP and return the program's report; clears the log."""
         self.log.clear()
         self.file.write_text(change(self.file.read_text()))
         self.process.send_signal(signal.SIGHUP)
@@ -68,6 +73,7 @@
         return report
 
     def kill(self) -> None:
+        """Send SIGKILL and wait for the end."""
         self.process.kill()
         self.process.wait()
         if self.process.stderr is not None:
--- a/tests/standins/router_config.py
+++ b/tests/standins/router_config.py
@@ -12,7 +12,7 @@
 
 
 def params(**changes: Any) -> dict[str, Any]:
-    """Settings in the platform's form, made up here."""
+    """Return settings in the platform's form; made up here, nothing comes from a deployment."""
     grade = {"aimUs": 4_000_000, "deadlineUs": 15_000_000, "keyScope": "all", "windowUs": 4_000_000}
     kinds = {"review": "free", "deck-make": "guarded", "test-submit": "single_shot"}
     return {
@@ -48,6 +48,7 @@
 
 
 def target(uid: str, port: int, state: str = "Ready") -> dict[str, Any]:
+    """Return a worker's entry in the platform's endpoint list."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -60,10 +61,10 @@
     }
 
 
-def node(
+def start_router(
     workers: list[Worker], names: NameServer, folder: str = "", port: int = 0, **changes: Any
 ) -> Program:
-    """The program as the platform starts it; with a folder of its own also an address for operators."""
+    """Start a router as the platform does; with a folder of its own it has an operators' front, too."""
     targets = [target(f"s-{n}", worker.port) for n, worker in enumerate(workers)]
     known = {"index": 1, "updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]}
     config = {
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -10,13 +10,14 @@
 LOOP_POLL_S = 0.005
 
 
-def eventually(true: Callable[[], Any], what: str = "it", patience_s: float = PATIENCE_S) -> Any:
-    end = time.monotonic() + patience_s
-    while not (found := true()):
-        if time.monotonic() > end:
+def eventually(condition: Callable[[], Any], what: str = "it", patience_s: float = PATIENCE_S) -> Any:
+    """Call `condition` until its result is true, and return that; `AssertionError` after the time."""
+    end_s = time.monotonic() + patience_s
+    while not (result := condition()):
+        if time.monotonic() > end_s:
             raise AssertionError(f"waited in vain for {what}")
-        time.sleep(0.01)
-    return found
+        time.sleep(THREAD_POLL_S)
+    return result
 
 
 async def wait_until(condition: Callable[[], Any], timeout_s: float = PATIENCE_S) -> None:
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -7,11 +7,16 @@
 import threading
 from typing import Any
 
+LONG_ANSWER_BYTES = 230_000
+
 
 class Worker:
-    """Runs what the command before the first colon of the body says: fail, hang, die, send raw bytes.
+    """Accepts connections of routers in threads of its own, and answers their messages.
 
-    Any other body is sent back in reverse. `ran` lists the calls that were run, `lines` every message.
+    What it does with a call is the part of the body before the first colon: `full` rejects it, `error`
+    fails it, `hang` never answers, `die` ends as a killed process does, `long` answers `LONG_ANSWER_BYTES`,
+    and `raw` sends the rest of the body as it is, with the call's tag for `TAG`. Any other body is sent back
+    in reverse. `ran` lists the calls that were run, `lines` every message.
     """
 
     def __init__(self) -> None:
@@ -20,10 +25,18 @@
         self.ran: list[dict[str, Any]] = []
         self.lines: list[dict[str, Any]] = []
         self.open: list[socket.socket] = []
-        self.pause = threading.Event()  # cleared, the worker reads nothing
-        self.pause.set()
+        self._may_read = threading.Event()
+        self._may_read.set()
         threading.Thread(target=self._accept, daemon=True).start()
 
+    def pause(self) -> None:
+        """Read nothing from the next line on."""
+        self._may_read.clear()
+
+    def resume(self) -> None:
+        """Read on after a pause."""
+        self._may_read.set()
+
     def _accept(self) -> None:
         while True:
             try:
@@ -36,7 +49,7 @@
     def _serve(self, peer: socket.socket) -> None:
         try:
             for line in peer.makefile("rb"):
-                self.pause.wait()
+                self._may_read.wait()
                 if not line.endswith(b"\n"):
                     return  # cut off
                 message = json.loads(line)
@@ -68,16 +81,40 @@
         if command in (b"die", b"hang"):
             return None
         if command == b"long":
-            body = 230_000 * b"x"
+            body = LONG_ANSWER_BYTES * b"x"
         if command == b"error":
             return {"kind": 500}
         return {"kind": 200, "head": {"ahead": "1"}, "bytes": base64.b64encode(body[::-1]).decode()}
 
     def die(self) -> None:
-        """What a killed process leaves: no listener, and its connections reset."""
+        """Leave what a killed process leaves: no listener, and its connections reset."""
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         for peer in self.open:
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.shutdown(socket.SHUT_RD)
             peer.close()
+
+
+class HoldingWorker(Worker):
+    """Holds each connection before its handshake, until `accept_connections` is called."""
+
+    def __init__(self) -> None:
+        self._may_accept = threading.Event()
+        super().__init__()
+
+    def accept_connections(self) -> None:
+        """Let the handshakes of the connections that wait go on."""
+        self._may_accept.set()
+        self._queued.close()
+
+    def _accept(self) -> None:
+        self.listener.listen(0)
+        self._queued = socket.create_connection(("127.0.0.1", self.port))  # the queue is full with this one
+        self._may_accept.wait()
+        super()._accept()
+
+
+def call_lines(*workers: Worker) -> list[dict[str, Any]]:
+    """Return the calls that the workers received, run or not."""
+    return [line for worker in workers for line in list(worker.lines) if line["kind"] == "CALL"]
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -25,8 +25,17 @@
 from maplestile.router.process import clock
 from maplestile.wire.limits import Limits, RunnerLimits
 from maplestile.wire.settings import settings_from
-from tests.standins import Client, NameServer, Program, Worker, eventually, node, params
-from tests.test_endings import HoldingWorker, call_lines
+from tests.standins import (
+    Client,
+    HoldingWorker,
+    NameServer,
+    Program,
+    Worker,
+    call_lines,
+    eventually,
+    params,
+    start_router,
+)
 
 LIMIT_MS = 6_000
 SLACK_MS = 150  # by how much the time sent to a worker may be over what its client has left
@@ -70,7 +79,7 @@
     def start(self, *workers: Worker, **changes: Any) -> None:
         self.names = NameServer()
         self.names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
-        self.program: Program = node(list(workers), self.names, **changes)
+        self.program: Program = start_router(list(workers), self.names, **changes)
         self.addCleanup(self.program.kill)
         self.client = Client(self.program.port("platform"))
 
@@ -126,8 +135,7 @@
         self.called_s = time.time()
         self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
         time.sleep(SUSPENDED_S)
-        worker.hold.set()
-        worker.fill.close()
+        worker.accept_connections()
         self.assertIn("result", self.client.read() or {})
         self.check(worker)
 
@@ -137,8 +145,7 @@
         self.called_s = time.time()
         self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
         self.suspend_process()
-        worker.hold.set()
-        worker.fill.close()
+        worker.accept_connections()
         time.sleep(SUSPENDED_S)
         self.resume_process()
         self.assertIn("result", self.client.read() or {})
@@ -156,14 +163,13 @@
                 self.start(worker)
                 id_ = self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
                 self.suspend_process()
-                worker.hold.set()
-                worker.fill.close()
+                worker.accept_connections()
                 time.sleep(SUSPENDED_S)  # the worker's handshake is over by now
                 self.leave(ending, id_)
                 time.sleep(SUSPENDED_S)
                 self.resume_process()
                 other = Client(self.program.port("platform"))
-                other.served("review", b"later")
+                other.call_until_served("review", b"later")
                 self.assertEqual({line["bytes"] for line in call_lines(worker)}, {"bGF0ZXI="})
                 self.program.kill()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,26 +15,22 @@
 from pathlib import Path
 from typing import Any
 
-from tests.standins import PATIENCE_S, Client, NameServer, Worker, eventually, node, params
+from tests.standins import (
+    PATIENCE_S,
+    Client,
+    HoldingWorker,
+    NameServer,
+    Worker,
+    call_lines,
+    eventually,
+    params,
+    start_router,
+)
 
 CLOSE_SEEN_S = 0.3  # from then on nothing may begin for a client that has closed
 KILLED_S = 3.7  # after SIGTERM: 0.7 s after 3 s, or the longest deadline, comes SIGKILL
 
 
-class HoldingWorker(Worker):
-    """Holds each connection before its handshake, until `hold` is set."""
-
-    def __init__(self) -> None:
-        self.hold = threading.Event()
-        super().__init__()
-
-    def _accept(self) -> None:
-        self.listener.listen(0)
-        self.fill = socket.create_connection(("127.0.0.1", self.port))  # the queue is full with this one
-        self.hold.wait()
-        super()._accept()
-
-
 class ArrivalTimesWorker(Worker):
     """Records when each call and each load request came."""
 
@@ -62,7 +58,7 @@
         self.thread.start()
 
     def _send(self) -> None:
-        with contextlib.suppress(BrokenPipeError), self.client.together():  # a close: that is read next
+        with contextlib.suppress(BrokenPipeError), self.client.in_one_write():  # a close: that is read next
             for _ in range(max(1, self.ahead // 4)):
                 check = self.method == "check"
                 self.open.add(self.client.send("check") if check else self.client.call(self.method, b"abc"))
@@ -88,17 +84,13 @@
         return self.faults + (["it has not ended"] if self.thread.is_alive() else [])
 
 
-def call_lines(*workers: Worker) -> list[dict[str, Any]]:
-    return [line for worker in workers for line in list(worker.lines) if line["kind"] == "CALL"]
-
-
 class ClientGoneTest(unittest.TestCase):
     """Nothing begins for a client that has closed its connection, whatever its call waits for."""
 
     def start(self, *workers: Worker, **changes: Any) -> None:
         self.names = NameServer()
         self.names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
-        self.program = node(list(workers), self.names, **changes)
+        self.program = start_router(list(workers), self.names, **changes)
         self.addCleanup(self.program.kill)
         self.client = Client(self.program.port("platform"))
 
@@ -114,11 +106,10 @@
                 else:
                     self.client.send("interrupt", {"id": id_}, id_=id_)
                 time.sleep(CLOSE_SEEN_S)
-                worker.hold.set()
-                worker.fill.close()
+                worker.accept_connections()
                 # What comes after it by the same connection shows that it came up, and that it was dropped.
                 other = Client(self.program.port("platform"))
-                other.served("review", b"later")
+                other.call_until_served("review", b"later")
                 self.assertEqual([line["bytes"] for line in call_lines(worker)], ["bGF0ZXI="])
                 counters = self.program.counters()
                 self.assertEqual(counters.get("attempts.moot", 0) + counters.get("attempts.cancelled", 0), 1)
@@ -131,13 +122,13 @@
         second = Worker()
         self.start(first, second)
         for worker in (first, second):
-            worker.pause.clear()  # the attempt is out, and not answered
+            worker.pause()  # the attempt is out, and not answered
         self.client.call("review", b"full:")
         eventually(lambda: self.program.counters().get("attempts.sent"), "the attempt")
         self.client.close()
         time.sleep(CLOSE_SEEN_S)
         for worker in (first, second):
-            worker.pause.set()
+            worker.resume()
         eventually(lambda: self.program.counters().get("attempts.full"), "the answer")
         time.sleep(CLOSE_SEEN_S)
         self.assertEqual(len(call_lines(first, second)), 1)
@@ -157,12 +148,12 @@
     def test_client_that_ended_its_side_alone_gets_the_answer_of_what_is_out(self) -> None:
         worker = Worker()
         self.start(worker)
-        worker.pause.clear()
+        worker.pause()
         id_ = self.client.call("review", b"abc")
         eventually(lambda: self.program.counters().get("attempts.sent"), "the attempt")
         self.client.socket.shutdown(socket.SHUT_WR)
         time.sleep(CLOSE_SEEN_S)
-        worker.pause.set()
+        worker.resume()
         self.assertEqual(self.client.read(), {"jsonrpc": "2.0", "id": id_, "result": {"blob": "Y2Jh"}})
         self.assertIsNone(self.client.read())
         self.client.close()
@@ -170,7 +161,7 @@
     def test_what_came_and_was_called_off_while_the_process_stood_still_is_not_begun(self) -> None:
         worker = Worker()
         self.start(worker)
-        self.client.served("review", b"abc")
+        self.client.call_until_served("review", b"abc")
         for ending in ("close", "interrupt"):
             self.program.process.send_signal(signal.SIGSTOP)
             other = Client(self.program.port("platform"))
@@ -182,7 +173,7 @@
             time.sleep(1.5)  # over any wait of its loop
             self.program.process.send_signal(signal.SIGCONT)
             time.sleep(CLOSE_SEEN_S)
-        self.client.served("review", b"abc")
+        self.client.call_until_served("review", b"abc")
         self.assertEqual({line["bytes"] for line in call_lines(worker)}, {"YWJj"})
 
 
@@ -192,7 +183,7 @@
     def setUp(self) -> None:
         self.worker = Worker()
         self.names = NameServer()
-        self.program = node([self.worker], self.names)
+        self.program = start_router([self.worker], self.names)
         self.addCleanup(self.program.kill)
         self.port = self.program.port("platform")
 
@@ -313,7 +304,7 @@
 
     def test_sigterm_at_any_moment_of_the_start_ends_the_process_soon(self) -> None:
         for delay_s in (0.0, 0.1, 0.2, 0.3, 0.4, 0.6):
-            program = node([self.worker], NameServer())
+            program = start_router([self.worker], NameServer())
             time.sleep(delay_s)
             program.process.send_signal(signal.SIGTERM)
             try:
@@ -331,7 +322,7 @@
         names.workers = other.workers = [("s-0", worker.port, 0)]
         names.serial = 2
         other.serial = 3
-        program = node([worker], names)
+        program = start_router([worker], names)
         self.addCleanup(program.kill)
         idle = [Client(program.port("platform")) for _ in range(40)]
         for client in idle:
@@ -354,7 +345,7 @@
         workers = [Worker(), Worker()]
         names = NameServer()
         names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
-        program = node(workers, names)
+        program = start_router(workers, names)
         self.addCleanup(program.kill)
         port = program.port("platform")
         eventually(lambda: names.queries, "a query")
@@ -367,7 +358,7 @@
         eventually(lambda: program.counters().get("names.lists"), "the list of the one before")
         client = Client(port)
         for number in range(12):
-            client.served("review", b"x", item=f"f{number}")
+            client.call_until_served("review", b"x", item=f"f{number}")
         self.assertEqual((len(workers[0].ran), len(workers[1].ran)), (0, 12))
         client.close()
         silent.close()
@@ -386,7 +377,9 @@
         self.workers = [Worker(), Worker(), Worker()]
         self.names = NameServer()
         self.names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(self.workers)]
-        programs = [node(self.workers, self.names, instances=self.ROUTERS) for _ in range(self.ROUTERS)]
+        programs = [
+            start_router(self.workers, self.names, instances=self.ROUTERS) for _ in range(self.ROUTERS)
+        ]
         for program in programs:
             self.addCleanup(program.kill)
         # Once all have started: a connection that sends nothing for 1.5 s is closed.
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -249,11 +249,11 @@
                 await asyncio.sleep(0.005)
         (connection,) = self.pool.runners["s-0"].connections
         self.pool.limits = replace(self.pool.limits, stall_us=60_000_000)
-        self.worker.pause.clear()  # reads nothing, so what comes stays in the buffers
+        self.worker.pause()  # reads nothing, so what comes stays in the buffers
         big = Request("t2", "f", "review", 5_000_000, body=b"error:" + bytes(30_000_000))
         self.pool.send((2, 0), "s-0", big, 5_000_000)
         self.assertIsNotNone(connection.partial)
-        self.worker.pause.set()
+        self.worker.resume()
         self.pool.close(connection, Result.RESET)
         self.assertEqual(self.core.ended, {(1, 0): Result.RESET})
         await self.until(2)
@@ -266,7 +266,7 @@
         async with asyncio.timeout(20):
             while not self.worker.ran:
                 await asyncio.sleep(0.005)
-        self.worker.pause.clear()
+        self.worker.pause()
         big = Request("t2", "f", "review", 5_000_000, body=bytes(30_000_000))
         self.pool.send((2, 0), "s-0", big, 5_000_000)
         self.send(3, b"abc")  # behind it
@@ -274,7 +274,7 @@
         never_ran = Result.CONNECT_FAILED
         self.assertEqual(self.core.ended, {(1, 0): Result.RESET, (2, 0): never_ran, (3, 0): never_ran})
         self.assertEqual((self.counters["runners.stalled"], self.pool.connections), (1, 0))
-        self.worker.pause.set()
+        self.worker.resume()
 
     async def test_silent_connection_carries_nothing_new_until_it_is_heard(self) -> None:
         self.send(1, b"hang:")
--- a/tests/test_process_invoke.py
+++ b/tests/test_process_invoke.py
@@ -205,7 +205,7 @@
 
     def test_no_attempt_starts_for_a_client_that_left_and_its_key_is_free_again(self) -> None:
         for worker in self.workers:
-            worker.pause.clear()  # the attempt is out, and not answered
+            worker.pause()  # the attempt is out, and not answered
         for number, key in enumerate((b"", b"Idempotency-Key: k1\r\n"), 1):
             head = b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nHost: h\r\n" + key
             rest = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 6\r\n\r\nfull:%d" % number
@@ -214,7 +214,7 @@
             connection.close()
         time.sleep(0.3)
         for worker in self.workers:
-            worker.pause.set()
+            worker.resume()
         eventually(lambda: self.program.counters().get("attempts.full"), "the answer to the second")
         time.sleep(0.5)
         counters = self.program.counters()
@@ -227,7 +227,7 @@
 
     def test_call_under_a_key_goes_on_for_the_client_that_still_waits(self) -> None:
         for worker in self.workers:
-            worker.pause.clear()
+            worker.pause()
         head = b"POST /v1/functions/score-bangla/invocations HTTP/1.1\r\nHost: h\r\nIdempotency-Key: k2\r\n"
         rest = b"Maplestile-Tenant: shapla-tutors\r\nContent-Length: 3\r\n\r\nabc"
         first = self.raw(head + rest)
@@ -237,7 +237,7 @@
         first.close()
         time.sleep(0.3)
         for worker in self.workers:
-            worker.pause.set()
+            worker.resume()
         self.assertTrue(second.recv(100).startswith(b"HTTP/1.1 200 "))
         self.assertEqual(self.runs(b"abc"), 1)
 
@@ -350,13 +350,13 @@
     def deferred(self) -> str:
         """A call that is open, and ends 1.2 s after SIGTERM."""
         for worker in self.workers:
-            worker.pause.clear()
+            worker.pause()
         code, _, headers = self.post("make-cards", b"abc", Prefer="respond-async")
         self.assertEqual(code, 202)
         self.program.process.terminate()
         time.sleep(1.2)
         for worker in self.workers:
-            worker.pause.set()
+            worker.resume()
         return headers["location"]
 
     def test_deferred_result_of_a_drain_waits_for_a_caller_that_keeps_to_retry_after(self) -> None:
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -16,7 +16,17 @@
 from pathlib import Path
 
 from maplestile.tools.cli import main
-from tests.standins import ITEM, PATIENCE_S, REFUSED, Client, NameServer, Program, Worker, eventually, node
+from tests.standins import (
+    ITEM,
+    PATIENCE_S,
+    REFUSED,
+    Client,
+    NameServer,
+    Program,
+    Worker,
+    eventually,
+    start_router,
+)
 
 NEVER_REPEATED = "test-submit"
 
@@ -67,7 +77,7 @@
             try:
                 # In one piece: with a pause of this thread between them, as on a busy machine, the program
                 # may answer the first, find the connection quiet and rightly end it before the others come.
-                with client.together():
+                with client.in_one_write():
                     for n in range(3):
                         body = b"%d %d" % (self.rounds, n)
                         once = self.idempotency_key(self.rounds, n)
@@ -120,7 +130,7 @@
         self.names.workers = [(f"s-{n}", worker.port, 0) for n, worker in enumerate(self.workers)]
 
     def start(self, port: int = 0) -> Program:
-        program = node(self.workers, self.names, self.folder, port)
+        program = start_router(self.workers, self.names, self.folder, port)
         self.addCleanup(program.kill)
         return program
 
@@ -169,7 +179,7 @@
 
         def calls(count: int) -> None:
             for n in range(count):
-                client.served("review", b"x", item=f"f{n}")
+                client.call_until_served("review", b"x", item=f"f{n}")
 
         calls(12)
         self.assertTrue(all(worker.ran for worker in self.workers))
@@ -247,9 +257,9 @@
 
         def stand_still() -> list[str]:
             for worker in self.workers:
-                worker.pause.clear()
+                worker.pause()
                 time.sleep(0.1)
-                worker.pause.set()
+                worker.resume()
                 time.sleep(0.1)
             return hedged_keys()
 
@@ -283,7 +293,7 @@
             first.process.terminate()
             self.assertEqual(first.process.wait(PATIENCE_S), 0)
             client = Client(late.port("platform"))
-            client.served("review", b"abc")
+            client.call_until_served("review", b"abc")
             client.close()
 
     def test_a_successor_killed_before_its_yes_changes_nothing(self) -> None:
@@ -296,11 +306,11 @@
         late.kill()
         self.program.find("(budgets for 1 processes)")
         self.names.faults = []
-        client.served("review", b"abc")
+        client.call_until_served("review", b"abc")
         self.program.process.terminate()  # and a stop without a successor drains as ever
         self.program.find("(asked to stop)")
         other = self.client()
-        other.served("review", b"abc")
+        other.call_until_served("review", b"abc")
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assertFalse([line for line in self.program.log if "hands over" in line])
 
@@ -314,11 +324,11 @@
         late.find("(taking over)")
         self.program.process.terminate()
         self.program.find("(asked to stop)")
-        client.served("review", b"abc")
+        client.call_until_served("review", b"abc")
         self.names.faults = []
         self.program.find("(hands over)")
         other = Client(port)
-        other.served("review", b"abc")
+        other.call_until_served("review", b"abc")
         other.close()
         self.assertEqual((client.read() or {})["id"], late_id)  # the pending call was answered
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
@@ -340,7 +350,7 @@
 
         eventually(ended, "the answers")
         client = self.client()
-        client.served("review", b"abc")
+        client.call_until_served("review", b"abc")
         self.program.process.terminate()  # what is pending goes out before the end
         file, sizes = slow.makefile("rb"), list[int]()
         for _ in range(8):
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -6,13 +6,13 @@
 import unittest
 from typing import Any
 
-from tests.standins import ITEM, Client, NameServer, Worker, eventually, node
+from tests.standins import ITEM, Client, NameServer, Worker, eventually, start_router
 
 
 class PlatformTest(unittest.TestCase):
     def setUp(self) -> None:
         self.workers, self.names = [Worker(), Worker()], NameServer()
-        self.program = node(self.workers, self.names)
+        self.program = start_router(self.workers, self.names)
         self.addCleanup(self.program.kill)
         self.client = Client(self.program.port("platform"))
         self.addCleanup(self.client.close)
@@ -59,16 +59,16 @@
         port = self.program.port("platform")
         resource.prlimit(self.program.process.pid, resource.RLIMIT_NOFILE, (256, 256))
         stays = Client(port)
-        stays.served("review", b"abc")
+        stays.call_until_served("review", b"abc")
         late = stays.call("test-submit", b"hang:", limit_ms=4_000)  # its answer is pending all the while
         silent = [Client(port) for _ in range(300)]
         other = Client(port)
-        other.served("review", b"abc")
+        other.call_until_served("review", b"abc")
         for client in silent:  # each is let go long before a client would wonder
             with contextlib.suppress(ConnectionError):
                 self.assertIsNone((client.read() or {}).get("id"))
             client.close()
-        other.served("review", b"abc")
+        other.call_until_served("review", b"abc")
         self.assertEqual((stays.read() or {})["id"], late)
         counters = self.program.counters()
         self.assertGreater(counters["clients.idle_evicted"], 100)
