--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,6 +1,6 @@
 """Test doubles of what surrounds the program (workers, name server, clients), and the program itself."""
 
-from tests.standins.client import ITEM, REFUSED, Client
+from tests.standins.client import ITEM, REFUSED, Client, connect_idle_clients
 from tests.standins.name_server import NameServer, name_bytes, record
 from tests.standins.program import ROOT, Program
 from tests.standins.router_config import params, start_router, target
@@ -19,6 +19,7 @@
     "Program",
     "Worker",
     "call_lines",
+    "connect_idle_clients",
     "eventually",
     "name_bytes",
     "params",
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -104,3 +104,12 @@
         """Close the connection."""
         self.file.close()
         self.socket.close()
+
+
+def connect_idle_clients(port: int, count: int) -> list[Client]:
+    """Connect clients that have sent one request each, and have its answer."""
+    clients = [Client(port) for _ in range(count)]
+    for client in clients:
+        client.send("check")
+        client.read()
+    return clients
--- a/tests/standins/name_server.py
+++ b/tests/standins/name_server.py
@@ -3,6 +3,9 @@
 import socket
 import struct
 import threading
+from collections.abc import Iterable
+
+from tests.standins.worker import Worker
 
 
 def name_bytes(name: str) -> bytes:
@@ -32,6 +35,10 @@
         self.queries = 0
         threading.Thread(target=self._run, daemon=True).start()
 
+    def list_workers(self, workers: Iterable[Worker]) -> None:
+        """List these workers alone, as `s-0`, `s-1` and so on, each with the priority of a running one."""
+        self.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
+
     def _run(self) -> None:
         while True:
             query, peer = self.socket.recvfrom(512)
--- a/tests/standins/program.py
+++ b/tests/standins/program.py
@@ -3,10 +3,12 @@
 import json
 import os
 import re
+import resource
 import signal
 import subprocess
 import sys
 import threading
+import time
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
@@ -14,6 +16,7 @@
 from tests.standins.waiting import PATIENCE_S, eventually
 
 ROOT = Path(__file__).parents[2]
+DESCRIPTOR_LIMIT = 256  # the hard limit where a test lowers the soft one
 
 
 class Program:
@@ -72,6 +75,16 @@
         report: dict[str, Any] = json.loads(self.find(r'^(\{"reload".*)'))["reload"]
         return report
 
+    def terminate_and_wait(self) -> tuple[int, float]:
+        """Send SIGTERM; return the exit code, and the seconds until the end."""
+        started_s = time.monotonic()
+        return self.stop(), time.monotonic() - started_s
+
+    def forbid_new_descriptors(self) -> None:
+        """Lower the limit of open descriptors to the number of those that are open."""
+        open_count = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
+        resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (open_count, DESCRIPTOR_LIMIT))
+
     def kill(self) -> None:
         """Send SIGKILL and wait for the end."""
         self.process.kill()
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -5,7 +5,6 @@
 """
 
 import asyncio
-import signal
 import socket
 import threading
 import time
@@ -25,16 +24,14 @@
 from maplestile.router.process import clock
 from maplestile.wire.limits import Limits, RunnerLimits
 from maplestile.wire.settings import settings_from
+from tests.router_fixture import RouterTestCase
 from tests.standins import (
     Client,
     HoldingWorker,
-    NameServer,
-    Program,
     Worker,
     call_lines,
     eventually,
     params,
-    start_router,
 )
 
 LIMIT_MS = 6_000
@@ -73,23 +70,6 @@
     """The same, with its connections held before their handshake."""
 
 
-class RouterTestCase(unittest.TestCase):
-    """One router between a client and workers, with a name server."""
-
-    def start(self, *workers: Worker, **changes: Any) -> None:
-        self.names = NameServer()
-        self.names.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
-        self.program: Program = start_router(list(workers), self.names, **changes)
-        self.addCleanup(self.program.kill)
-        self.client = Client(self.program.port("platform"))
-
-    def suspend_process(self) -> None:
-        self.program.process.send_signal(signal.SIGSTOP)
-
-    def resume_process(self) -> None:
-        self.program.process.send_signal(signal.SIGCONT)
-
-
 class DeadlineTest(RouterTestCase):
     """A worker is sent no more time than its client has left."""
 
@@ -165,7 +145,7 @@
                 self.suspend_process()
                 worker.accept_connections()
                 time.sleep(SUSPENDED_S)  # the worker's handshake is over by now
-                self.leave(ending, id_)
+                self.give_up(ending, id_)
                 time.sleep(SUSPENDED_S)
                 self.resume_process()
                 other = Client(self.program.port("platform"))
@@ -183,7 +163,7 @@
                 id_ = self.client.call("review", b"abc", LIMIT_MS)
                 self.wait_for_attempts(worker, 2)
                 self.suspend_process()
-                self.leave(ending, id_)
+                self.give_up(ending, id_)
                 before = len(worker.arrivals)
                 time.sleep(SUSPENDED_S + 1.0)  # the next try is due by now
                 self.resume_process()
@@ -194,13 +174,6 @@
     def wait_for_attempts(self, worker: TimingWorker, count: int) -> None:
         eventually(lambda: len(worker.arrivals) >= count, "attempts")
 
-    def leave(self, ending: str, id_: int) -> None:
-        """Close the client's connection, or cancel its call."""
-        if ending == "close":
-            self.client.close()
-        else:
-            self.client.send("interrupt", {"id": id_}, id_=id_)
-
 
 class HoldingRunnerPool(RunnerPool):
     """Connections that have come up are reported to the pool when the test says so."""
--- /dev/null
+++ b/tests/test_endings_drain.py
@@ -0,0 +1,204 @@
+"""The end of the real program while clients go on: each request that it took has its one answer.
+
+`docs/endings.md` lists the moments.
+"""
+
+import contextlib
+import json
+import select
+import signal
+import socket
+import threading
+import time
+import unittest
+
+from tests.standins import (
+    PATIENCE_S,
+    Client,
+    NameServer,
+    Worker,
+    connect_idle_clients,
+    eventually,
+    start_router,
+)
+
+KILLED_S = 3.7  # after SIGTERM: 0.7 s after 3 s, or the longest deadline, comes SIGKILL
+END_WITH_UNREAD_ANSWERS_S = 4.5
+LONG_LIMIT_MS = 15_000  # longer than any process here lives after SIGTERM
+
+
+class SequentialCaller(threading.Thread):
+    """A client that calls again as soon as it has its answer, until its connection is closed."""
+
+    def __init__(self, port: int) -> None:
+        super().__init__(daemon=True)
+        self.client = Client(port)
+        self.sent = 0
+        self.faults = list[str]()
+
+    def run(self) -> None:
+        while True:
+            try:
+                id_ = self.client.call("test-submit", b"abc")
+                self.sent += 1
+                answer = self.client.read()
+            except OSError as fault:
+                self.faults.append(repr(fault))
+                return
+            if answer is None:  # a clean end, which the request has crossed
+                return
+            if answer.get("id") != id_:
+                self.faults.append(repr(answer))
+
+
+class PersistentClient:
+    """A client with a thread of its own that keeps `ahead` requests open, until it finds a close."""
+
+    def __init__(self, port: int, method: str, ahead: int) -> None:
+        self.client = Client(port)
+        self.method = method
+        self.ahead = ahead
+        self.open = set[int]()
+        self.answered = 0
+        self.faults = list[str]()
+        self.thread = threading.Thread(target=self._run, daemon=True)
+        self.thread.start()
+
+    def _send(self) -> None:
+        with contextlib.suppress(BrokenPipeError), self.client.in_one_write():  # a close: that is read next
+            for _ in range(max(1, self.ahead // 4)):
+                check = self.method == "check"
+                self.open.add(self.client.send("check") if check else self.client.call(self.method, b"abc"))
+
+    def _run(self) -> None:
+        try:
+            while len(self.open) < self.ahead:
+                self._send()
+            while (answer := self.client.read()) is not None:
+                if answer.get("id") not in self.open:
+                    self.faults.append(repr(answer))
+                self.open.discard(answer["id"])
+                self.answered += 1
+                if len(self.open) < self.ahead:
+                    self._send()
+        except OSError as fault:
+            self.faults.append(repr(fault))
+
+    def end(self) -> list[str]:
+        """Wait for the close of the connection, and return what was wrong before it."""
+        self.thread.join(PATIENCE_S)
+        self.client.close()
+        return self.faults + (["it has not ended"] if self.thread.is_alive() else [])
+
+
+class DrainTest(unittest.TestCase):
+    """The process ends, and each request that it took has its one answer."""
+
+    def setUp(self) -> None:
+        self.worker = Worker()
+        self.names = NameServer()
+        self.program = start_router([self.worker], self.names)
+        self.addCleanup(self.program.kill)
+        self.port = self.program.port("platform")
+
+    def test_request_that_comes_when_nothing_is_owed_is_answered_or_finds_a_clean_close(self) -> None:
+        """Clients that call again the moment they have their answer, up to the very end of the process."""
+        callers = [SequentialCaller(self.port) for _ in range(8)]
+        for caller in callers:
+            caller.start()
+        eventually(lambda: sum(caller.sent for caller in callers) > 100, "calls")
+        self.program.process.send_signal(signal.SIGTERM)
+        for caller in callers:
+            caller.join(PATIENCE_S)
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
+        self.assertEqual([fault for caller in callers for fault in caller.faults], [])
+        self.assert_answered()
+
+    def assert_answered(self) -> None:
+        """Check that whatever was taken had its one answer."""
+        counters = json.loads(self.program.find(r'^(\{"counters".*)'))["counters"]
+        answered = sum(count for name, count in counters.items() if name.startswith("answers."))
+        self.assertEqual((counters["requests.taken"], counters.get("requests.withdrawn", 0)), (answered, 0))
+
+    def keep_sending(self, method: str, ahead: int) -> PersistentClient:
+        """Start a client that never stops, and has always about so many requests open."""
+        persistent = PersistentClient(self.port, method, ahead)
+        eventually(lambda: persistent.answered > ahead, "answers")
+        return persistent
+
+    def pending_call(self) -> Client:
+        """Send a call that stays open until the process ends, so that until then something is pending."""
+        client = Client(self.port)
+        client.call("test-submit", b"hang:", limit_ms=LONG_LIMIT_MS)
+        self.addCleanup(client.close)
+        return client
+
+    def test_clients_that_never_stop_are_parted_with_while_another_is_still_owed_its_answer(self) -> None:
+        waiting_client = self.pending_call()
+        persistent = [self.keep_sending(*kind) for kind in (("review", 4), ("review", 1), ("test-submit", 2))]
+        self.program.process.send_signal(signal.SIGTERM)
+        self.assertEqual([client.end() for client in persistent], [[], [], []])
+        self.assertEqual(select.select([waiting_client.socket], [], [], 0)[0], [])
+        self.assertIn("error", waiting_client.read() or {})
+        self.assertIsNone(waiting_client.read())
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
+        self.assert_answered()
+
+    def test_clients_whose_connections_are_never_read_to_their_end_find_a_clean_close(self) -> None:
+        waiting_client = self.pending_call()
+        persistent = [self.keep_sending("check", 2000), self.keep_sending("check", 2000)]
+        self.program.process.send_signal(signal.SIGTERM)
+        self.assertEqual([client.end() for client in persistent], [[], []])
+        self.assertIn("error", waiting_client.read() or {})
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
+        self.assert_answered()
+
+    def test_connections_that_wait_to_be_accepted_do_not_keep_a_process_without_a_descriptor(self) -> None:
+        idle = connect_idle_clients(self.port, 8)
+        self.program.forbid_new_descriptors()
+        waiting = [Client(self.port) for _ in range(4)]
+        for client in waiting:
+            client.send("check")
+        exit_code, elapsed_s = self.program.terminate_and_wait()
+        self.assertEqual(exit_code, 0)
+        self.assertLess(elapsed_s, KILLED_S)
+        for client in (*idle, *waiting):
+            client.close()
+
+    def test_call_that_outlasts_the_process_is_answered_before_it_is_killed(self) -> None:
+        client = Client(self.port)
+        id_ = client.call("test-submit", b"hang:", limit_ms=LONG_LIMIT_MS)
+        eventually(lambda: self.worker.ran, "the call")
+        started_s = time.monotonic()
+        self.program.process.send_signal(signal.SIGTERM)
+        answer = client.read() or {}
+        self.assertEqual((answer.get("id"), "error" in answer), (id_, True))
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
+        self.assertLess(time.monotonic() - started_s, KILLED_S)
+        # Not by luck, as its parts fall: what ends a worker's connection first would bring an answer, too.
+        self.program.find("(nothing is owed)")
+        client.close()
+
+    def test_client_that_never_reads_its_answers_does_not_keep_the_process(self) -> None:
+        unreading = socket.socket()
+        unreading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        unreading.connect(("127.0.0.1", self.port))
+        client = Client(self.port, unreading)
+        for _ in range(14):
+            client.call("review", b"long:")
+        eventually(lambda: self.program.counters().get("answers.served", 0) >= 14, "the answers")
+        exit_code, elapsed_s = self.program.terminate_and_wait()
+        self.assertEqual(exit_code, 0)
+        self.assertLess(elapsed_s, END_WITH_UNREAD_ANSWERS_S)
+        unreading.close()
+
+    def test_sigterm_at_any_moment_of_the_start_ends_the_process_soon(self) -> None:
+        for delay_s in (0.0, 0.1, 0.2, 0.3, 0.4, 0.6):
+            program = start_router([self.worker], NameServer())
+            time.sleep(delay_s)
+            program.process.send_signal(signal.SIGTERM)
+            try:
+                self.assertIn(program.process.wait(PATIENCE_S), (0, -signal.SIGTERM))
+                self.assertFalse([line for line in program.log if "Traceback" in line])
+            finally:
+                program.kill()
