--- a/tests/standins/name_server.py
+++ b/tests/standins/name_server.py
@@ -7,6 +7,8 @@
 
 from tests.standins.worker import Worker
 
+MANY_QUERIES = 1000  # more than a test lasts
+
 
 def name_bytes(name: str) -> bytes:
     """Encode a domain name."""
@@ -39,6 +41,14 @@
         """List these workers alone, as `s-0`, `s-1` and so on, each with the priority of a running one."""
         self.workers = [(f"s-{number}", worker.port, 0) for number, worker in enumerate(workers)]
 
+    def lose_queries(self) -> None:
+        """Answer no query from now on, for longer than a test lasts."""
+        self.faults = MANY_QUERIES * ["lost"]
+
+    def answer_queries(self) -> None:
+        """Answer each query again."""
+        self.faults = []
+
     def _run(self) -> None:
         while True:
             query, peer = self.socket.recvfrom(512)
--- /dev/null
+++ b/tests/test_process_handover.py
@@ -0,0 +1,145 @@
+"""One process of the real program after the other, under load, and cordons that hold at both."""
+
+import tempfile
+import time
+
+from tests.operation_fixture import (
+    CALLS_AT_A_TIME,
+    OperationTestCase,
+    RepeatingCaller,
+    change_runner,
+    scrape_metrics,
+    start_callers,
+    stop_callers,
+    until_ready,
+)
+from tests.standins import PATIENCE_S, Client, Program, eventually
+
+PAUSE_S = 0.1  # of a worker: long enough for a call at it to be hedged
+
+
+class ReplacedProcessTest(OperationTestCase):
+    """Calls that may be repeated may be hedged; the others never run twice."""
+
+    def test_a_process_is_replaced_twice_under_load_with_no_request_lost_or_run_twice(self) -> None:
+        until_ready(self.program)
+        port = self.program.port("platform")
+        callers = start_callers(port)
+        program = self.program
+        self.assertEqual(change_runner(program, "s-0", "suspend"), 204)
+        # From here on one worker is left: no call may be hedged.
+        first_rounds = [caller.rounds + 1 for caller in callers]
+        for _ in range(2):
+            program = self.replace(program, port)
+            self.assertEqual(scrape_metrics(program)["svc_hosts_down"], 1)  # the cordon holds
+        served = sum(caller.served for caller in callers)
+        eventually(lambda: sum(caller.served for caller in callers) > served + 50, "service by the last one")
+        self.assertEqual(stop_callers(callers), [])
+        self.assert_repeats_are_allowed()
+        for caller, first in zip(callers, first_rounds, strict=True):
+            self.assert_ran_once(caller, first)
+
+    def replace(self, program: Program, port: int) -> Program:
+        """Start a process on the same port, have it take over from this one, and return it."""
+        successor = self.start_router(port)
+        successor.find("(taking over)")
+        until_ready(successor)
+        program.process.terminate()
+        self.assertEqual(program.process.wait(PATIENCE_S), 0)
+        program.find("(hands over)")
+        successor.find("(n0: alone)")
+        return successor
+
+    def assert_ran_once(self, caller: RepeatingCaller, first_round: int) -> None:
+        """Check that no call of a caller ran twice from this round on."""
+        counts = self.run_counts()
+        rounds = range(first_round, caller.rounds)
+        keys = [caller.idempotency_key(number, n) for number in rounds for n in range(CALLS_AT_A_TIME)]
+        self.assertGreater(len(keys), CALLS_AT_A_TIME)
+        self.assertEqual([key for key in keys if counts[key] > 1], [])
+
+    def test_calls_at_a_worker_that_stands_still_are_hedged_where_a_repeat_is_allowed(self) -> None:
+        until_ready(self.program)
+        callers = start_callers(self.program.port("platform"))
+        eventually(self.pause_workers_in_turn, "a hedged call")
+        self.assertEqual(stop_callers(callers), [])
+        eventually(lambda: scrape_metrics(self.program)["svc_inflight"] == 0, "the end of all attempts")
+        self.assert_repeats_are_allowed()
+        sent = scrape_metrics(self.program)["svc_backend_calls_total"]
+        eventually(lambda: sum(self.run_counts().values()) >= sent, "the runs of all attempts")
+        self.assertEqual(sum(self.run_counts().values()), sent)
+
+    def pause_workers_in_turn(self) -> list[str]:
+        """Pause one worker after the other, and return the keys of calls that ran twice."""
+        for worker in self.workers:
+            worker.pause()
+            time.sleep(PAUSE_S)
+            worker.resume()
+            time.sleep(PAUSE_S)
+        return [key for key, count in self.run_counts().items() if count > 1]
+
+
+class SuccessorTest(OperationTestCase):
+    """Two processes at a time, of which one is to follow the other."""
+
+    def test_a_cordon_set_at_either_process_holds_at_both(self) -> None:
+        until_ready(self.program)
+        successor = self.start_router(self.program.port("platform"))
+        until_ready(successor)
+        self.assertEqual(change_runner(successor, "s-0", "suspend"), 204)
+        eventually(lambda: scrape_metrics(self.program)["svc_hosts_down"] == 1, "the cordon at the first")
+        self.assertEqual(change_runner(self.program, "s-0", "resume"), 204)
+        eventually(lambda: scrape_metrics(successor)["svc_hosts_down"] == 0, "its end at the second")
+
+    def test_without_a_folder_of_use_two_processes_still_serve_side_by_side(self) -> None:
+        with tempfile.NamedTemporaryFile() as file:
+            self.folder = file.name  # a file, where a folder is due
+            first = self.start_router()
+            first.find("(cannot be replaced while it serves)")
+            successor = self.start_router(first.port("platform"))
+            for program in (first, successor):
+                until_ready(program)
+                self.assertEqual(change_runner(program, "s-0", "suspend"), 204)  # it holds in this process
+                self.assertEqual(scrape_metrics(program)["svc_hosts_down"], 1)
+            first.process.terminate()
+            self.assertEqual(first.process.wait(PATIENCE_S), 0)
+            client = Client(successor.port("platform"))
+            client.call_until_served("review", b"abc")
+            client.close()
+
+    def test_a_successor_killed_before_its_yes_changes_nothing(self) -> None:
+        until_ready(self.program)
+        client = self.connect()
+        self.names.lose_queries()
+        successor = self.start_router(self.program.port("platform"))
+        successor.find("(taking over)")
+        self.program.find("(budgets for 2 processes)")
+        successor.kill()
+        self.program.find("(budgets for 1 processes)")
+        self.names.answer_queries()
+        client.call_until_served("review", b"abc")
+        self.program.process.terminate()  # and a stop without a successor drains as ever
+        self.program.find("(asked to stop)")
+        other = self.connect()
+        other.call_until_served("review", b"abc")
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
+        self.assertFalse([line for line in self.program.log if "hands over" in line])
+
+    def test_stopped_before_its_successor_is_ready_a_process_drains_until_it_is(self) -> None:
+        until_ready(self.program)
+        port = self.program.port("platform")
+        client = self.connect()
+        pending_id = client.call_until_sent(self.program, "test-submit", b"hang:", limit_ms=3_000)
+        self.names.lose_queries()
+        successor = self.start_router(port)
+        successor.find("(taking over)")
+        self.program.process.terminate()
+        self.program.find("(asked to stop)")
+        client.call_until_served("review", b"abc")
+        self.names.answer_queries()
+        self.program.find("(hands over)")
+        other = Client(port)
+        other.call_until_served("review", b"abc")
+        other.close()
+        self.assertEqual((client.read() or {})["id"], pending_id)  # the pending call was answered
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
