--- /dev/null
+++ b/tests/test_handover.py
@@ -0,0 +1,78 @@
+"""The handover between two processes, by their locks alone: stages, and the budgets of both."""
+
+import tempfile
+import unittest
+from pathlib import Path
+
+from maplestile.operation.handover import Handover, Stage
+from maplestile.operation.state_folder import ProcessLocks
+from maplestile.wire.limits import Limits
+from tests.helpers import settings
+
+
+def release_all(locks: ProcessLocks) -> None:
+    """Do what the kernel does with the locks of a process that ends."""
+    for name in list(locks.descriptors):
+        locks.release(name)
+
+
+class HandoverTest(unittest.TestCase):
+    """Processes with one folder, each of which is to follow the one before."""
+
+    def setUp(self) -> None:
+        self.folder = Path(tempfile.mkdtemp())
+
+    def start_process(self) -> tuple[Handover, ProcessLocks]:
+        """Return the handover of one more process, and its locks."""
+        locks = ProcessLocks(self.folder)
+        return Handover(locks), locks
+
+    def test_two_upgrades_in_a_row(self) -> None:
+        first, first_locks = self.start_process()
+        self.assertEqual((first.stage, first.live), (Stage.ALONE, 1))
+        for _ in range(2):
+            second, second_locks = self.start_process()
+            third, third_locks = self.start_process()
+            first.look()
+            self.assertEqual((second.stage, third.stage), (Stage.TAKING, Stage.WAITING))
+            self.assertEqual((first.live, second.live, first.successor_ready), (2, 2, False))
+            release_all(third_locks)
+            second.ready()
+            first.look()
+            self.assertTrue(first.successor_ready)
+            release_all(first_locks)
+            second.look()
+            self.assertEqual((second.stage, second.live), (Stage.ALONE, 1))
+            first, first_locks = second, second_locks
+
+    def test_a_successor_that_dies_leaves_nothing_behind(self) -> None:
+        first, _ = self.start_process()
+        second, locks = self.start_process()
+        second.ready()
+        release_all(locks)
+        first.look()
+        self.assertEqual((first.live, first.successor_ready), (1, False))
+        second, _ = self.start_process()
+        first.look()
+        self.assertEqual((second.stage, first.successor_ready), (Stage.TAKING, False))
+
+    def test_no_process_yields_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
+        first, _ = self.start_process()
+        second, _ = self.start_process()
+        second.ready()
+        first.look()
+        self.assertTrue(first.successor_ready)
+        second.leaving()
+        first.look()
+        self.assertEqual((first.successor, first.successor_ready), (True, False))
+
+    def test_budgets_are_divided_while_two_live(self) -> None:
+        chosen = settings()
+        for descriptors in (256, 384, 1024):
+            alone = Limits.from_settings(chosen, descriptors, 80)
+            both = alone.shared(2)
+            held = 2 * (both.clients.connections + both.runners.connections + both.operators.connections)
+            self.assertLess(held, descriptors - 40)
+            self.assertGreaterEqual(2 * both.clients.connections, descriptors // 3)
+            self.assertLess(both.requests.open_bytes, alone.requests.open_bytes)
+            self.assertEqual(both.shared(1), alone)
