--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -6,7 +6,8 @@
 import unittest
 import unittest.mock
 from collections import Counter
-from typing import cast
+from collections.abc import Callable, Iterable
+from typing import Any, cast
 
 from maplestile.dispatch.api import WorkerState
 from maplestile.net.dns_client import HOST_TRIES
@@ -14,207 +15,266 @@
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire import dns
 from maplestile.wire.limits import NameServerLimits
-from tests.standins import name_bytes, record
+from tests.standins import name_bytes, record, wait_until
+
+Address = tuple[str, int]
 
 WORKERS = 60
+FIRST_SERIAL = 7
+DISCOVERY_S = 30.0  # how long a test waits for what the name server lists
+DRAIN_BINDS_S = 1.9  # from when it is listed; a little less than the two seconds within which it binds
+
+# Of a query: its name stands between the head and the type and class, and an answer points back to it.
+NAME_START = 12
+NAME_END = -4
+SAME_NAME = b"\xc0\x0c"
 
 
-class Server(asyncio.DatagramProtocol):
-    """Lists 60 workers without their hosts. It answers about hosts once `together` queries wait, and never
-    about those in `mute`."""
+class TruncatingDnsServer(asyncio.DatagramProtocol):
+    """Lists workers without the records of their hosts, as where one answer does not hold those.
 
-    def __init__(self, together: int) -> None:
-        self.together, self.mute, self.queries = together, set[bytes](), Counter[bytes]()
-        self.waiting: list[tuple[bytes, tuple[str, int]]] = []
-        self.serial, self.listed, self.draining, self.polls = 7, WORKERS, set[int](), 0
-        self.foreign, self.spoilt = False, set[bytes]()
+    Queries for hosts wait until there are `host_batch` of them, and are then answered together.
+    """
+
+    def __init__(self, host_batch: int, serial: int) -> None:
+        self.host_batch = host_batch
+        self.serial = serial
+        self.worker_count = WORKERS
+        self.draining = set[int]()  # numbers of workers
+        self.unanswered_hosts = set[bytes]()
+        self.malformed_hosts = set[bytes]()  # their TXT records hold no number where one is due
+        self.repeats_question = True  # if not, its lists answer another question
+        self.queries = Counter[bytes]()  # by name
+        self.list_queries = 0
+        self._waiting: list[tuple[bytes, Address]] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        name, kind = data[12:-4], int.from_bytes(data[-4:-2])
+    def datagram_received(self, data: bytes, addr: Address) -> None:
+        name = data[NAME_START:NAME_END]
         self.queries[name] += 1
-        if kind == dns.SRV:
-            self.polls += 1
-            if self.foreign:
-                data = data[:12] + name_bytes("_other._tcp.cluster.lan") + data[-4:]
-            targets = [
-                struct.pack("!3H", n in self.draining, 40, 99) + name_bytes(f"s-{n}.east.hosts")
-                for n in range(self.listed)
-            ]
-            answer = b"".join(record(b"\xc0\x0c", dns.SRV, target) for target in targets)
-            soa = record(b"\xc0\x0c", dns.SOA, b"\0\0" + struct.pack("!5I", self.serial, 0, 0, 0, 0))
-            self.reply(data, addr, self.listed, 1, answer + soa)
-        elif name not in self.mute:
-            self.waiting.append((data, addr))
-            if len(self.waiting) >= self.together:
-                for query, peer in self.waiting:
-                    texts = b"\x08kind=std\x06cell=2\x09started=0"
-                    if query[12:-4] in self.spoilt:
-                        texts = texts.replace(b"cell=2", b"cell=x")
-                    contents = bytes([10, 0, 0, 1]), texts
-                    kind = int.from_bytes(query[-4:-2])
-                    self.reply(query, peer, 1, 0, record(b"\xc0\x0c", kind, contents[kind != dns.A]))
-                self.waiting.clear()
-
-    def reply(self, query: bytes, peer: tuple[str, int], answers: int, authority: int, data: bytes) -> None:
+        if query_kind(data) == dns.SRV:
+            self.list_queries += 1
+            self._answer_list(data, addr)
+        elif name not in self.unanswered_hosts:
+            self._waiting.append((data, addr))
+            if len(self._waiting) >= self.host_batch:
+                self._answer_waiting()
+
+    def _answer_list(self, query: bytes, peer: Address) -> None:
+        if not self.repeats_question:
+            query = query[:NAME_START] + name_bytes("_other._tcp.cluster.lan") + query[NAME_END:]
+        targets = [
+            struct.pack("!3H", number in self.draining, 40, 99) + host(number)
+            for number in range(self.worker_count)
+        ]
+        answer = b"".join(record(SAME_NAME, dns.SRV, target) for target in targets)
+        soa = record(SAME_NAME, dns.SOA, b"\0\0" + struct.pack("!5I", self.serial, 0, 0, 0, 0))
+        self._reply(query, peer, self.worker_count, 1, answer + soa)
+
+    def _answer_waiting(self) -> None:
+        for query, peer in self._waiting:
+            kind = query_kind(query)
+            texts = b"\x08kind=std\x06cell=2\x09started=0"
+            if query[NAME_START:NAME_END] in self.malformed_hosts:
+                texts = texts.replace(b"cell=2", b"cell=x")
+            data = bytes([10, 0, 0, 1]) if kind == dns.A else texts
+            self._reply(query, peer, 1, 0, record(SAME_NAME, kind, data))
+        self._waiting.clear()
+
+    def _reply(self, query: bytes, peer: Address, answers: int, authority: int, data: bytes) -> None:
         head = struct.pack("!6H", int.from_bytes(query[:2]), 0x8400, 1, answers, authority, 0)
-        self.transport.sendto(head + query[12:] + data, peer)
+        self.transport.sendto(head + query[NAME_START:] + data, peer)
+
 
+def host(number: int) -> bytes:
+    """Encode the name of a worker's host."""
+    return name_bytes(f"s-{number}.east.hosts")
+
+
+def query_kind(query: bytes) -> int:
+    """Return the type of the record that is queried."""
+    return int.from_bytes(query[-4:-2])
+
+
+class DiscoveryTestCase(unittest.IsolatedAsyncioTestCase):
+    """Starts a name server and the discovery that polls it."""
 
-class NamesTest(unittest.IsolatedAsyncioTestCase):
     async def start(
-        self, together: int, timeout_us: int, serial: int = 7, restart_us: int = 60_000_000
-    ) -> tuple[Server, EndpointList, Counter[str]]:
-        loop, fleet, counters = asyncio.get_running_loop(), EndpointList(), Counter[str]()
-        transport, server = await loop.create_datagram_endpoint(
-            lambda: Server(together), local_addr=("127.0.0.1", 0)
+        self,
+        host_batch: int = 1,
+        timeout_us: int = 100_000,
+        serial: int = FIRST_SERIAL,
+        restart_us: int = 60_000_000,
+    ) -> None:
+        """Poll a server that lists `WORKERS` workers, until the test ends."""
+        loop = asyncio.get_running_loop()
+        self.endpoints = EndpointList()
+        self.counters = Counter[str]()
+        transport, self.server = await loop.create_datagram_endpoint(
+            lambda: TruncatingDnsServer(host_batch, serial), local_addr=("127.0.0.1", 0)
         )
         self.addCleanup(transport.close)
-        server.serial = serial
         limits = NameServerLimits(timeout_us=timeout_us, restart_us=restart_us, poll_us=20_000)
-        self.names = DnsDiscovery(
-            transport.get_extra_info("sockname")[:2], fleet, limits, counters, lambda: None
+        self.discovery = DnsDiscovery(
+            transport.get_extra_info("sockname")[:2], self.endpoints, limits, self.counters, lambda: None
         )
-        polling = loop.create_task(self.names.run())
+        polling = loop.create_task(self.discovery.run())
         self.addAsyncCleanup(asyncio.wait, [polling])
         self.addCleanup(polling.cancel)
-        return server, fleet, counters
+
+    async def until(self, condition: Callable[[], Any]) -> None:
+        """Wait until the condition holds."""
+        await wait_until(condition, DISCOVERY_S)
+
+    async def until_complete(self) -> None:
+        """Wait until every worker is in the endpoint list."""
+        await self.until(lambda: len(self.endpoints.entries) >= WORKERS)
+
+    async def until_version(self, version: int) -> None:
+        """Wait until the endpoint list is the one with this serial."""
+        await self.until(lambda: self.endpoints.version == version)
+
+    async def until_state(self, worker: str, state: WorkerState) -> None:
+        """Wait until the endpoint list has a worker in this state."""
+        await self.until(lambda: self.endpoints.entries[worker].state is state)
+
+    async def until_polled(self, count: int) -> None:
+        """Wait for so many further queries of the list."""
+        polls_before = self.server.list_queries
+        await self.until(lambda: self.server.list_queries >= polls_before + count)
+
+    def publish(self, serial: int, draining: Iterable[int] = (), worker_count: int = WORKERS) -> None:
+        """Have the server answer with another list."""
+        self.server.serial = serial
+        self.server.draining = set(draining)
+        self.server.worker_count = worker_count
+
+    def assert_list_is(self, version: int, worker_count: int) -> None:
+        """Check the endpoint list's serial and its number of workers."""
+        self.assertEqual((self.endpoints.version, len(self.endpoints.entries)), (version, worker_count))
+
+
+class HostsTest(DiscoveryTestCase):
+    """Records of hosts that the list's answer does not hold."""
 
     async def test_hosts_that_one_answer_does_not_hold_are_queried_together(self) -> None:
-        _, fleet, _ = await self.start(8, 60_000_000)  # one by one, the first would wait for a minute
-        async with asyncio.timeout(30):
-            while len(fleet.entries) < WORKERS:
-                await asyncio.sleep(0.005)
-        self.assertEqual(fleet.version, 7)
+        await self.start(host_batch=8, timeout_us=60_000_000)  # one by one, the first would wait for a minute
+        await self.until_complete()
+        self.assertEqual(self.endpoints.version, FIRST_SERIAL)
 
     async def test_host_that_never_resolves_keeps_back_nothing_else_and_is_queried_again(self) -> None:
-        server, fleet, counters = await self.start(1, 100_000)
-        mute = name_bytes("s-33.east.hosts")
-        server.mute = {mute}
-        async with asyncio.timeout(30):
-            while server.queries[mute] < 4 * HOST_TRIES:  # its two records, in two rounds
-                await asyncio.sleep(0.005)
-        self.assertEqual((fleet.version, len(fleet.entries), counters["names.lists"]), (7, WORKERS - 1, 1))
-        self.assertNotIn("s-33", fleet.entries)
-        server.mute = set()
-        async with asyncio.timeout(30):
-            while len(fleet.entries) < WORKERS:
-                await asyncio.sleep(0.005)
-        server.mute, server.draining, server.serial = {mute}, {12, 33}, 8
-        async with asyncio.timeout(30):
-            while fleet.version < 8:
-                await asyncio.sleep(0.005)
+        await self.start()
+        unanswered = host(33)
+        self.server.unanswered_hosts = {unanswered}
+        # Its two records, in two rounds.
+        await self.until(lambda: self.server.queries[unanswered] >= 4 * HOST_TRIES)
+        self.assert_list_is(FIRST_SERIAL, WORKERS - 1)
+        self.assertEqual(self.counters["names.lists"], 1)
+        self.assertNotIn("s-33", self.endpoints.entries)
+        self.server.unanswered_hosts = set()
+        await self.until_complete()
+        self.server.unanswered_hosts = {unanswered}
+        self.publish(FIRST_SERIAL + 1, draining={12, 33})
+        await self.until(lambda: self.endpoints.version >= FIRST_SERIAL + 1)
         # What was known of it holds, and the list itself shows its drain.
-        self.assertEqual(len(fleet.entries), WORKERS)
-        drained = {uid for uid, e in fleet.entries.items() if e.state is WorkerState.DRAINING}
-        self.assertEqual(drained, {"s-12", "s-33"})
-        self.assertEqual(fleet.addresses["s-33"], ("10.0.0.1", 99))
+        self.assertEqual(len(self.endpoints.entries), WORKERS)
+        entries = self.endpoints.entries.items()
+        draining = {uid for uid, entry in entries if entry.state is WorkerState.DRAINING}
+        self.assertEqual(draining, {"s-12", "s-33"})
+        self.assertEqual(self.endpoints.addresses["s-33"], ("10.0.0.1", 99))
 
     async def test_drains_are_obeyed_while_many_hosts_do_not_resolve(self) -> None:
-        """The list tells the drain at once; the hosts that it lacks may not keep it back until it binds."""
-        server, fleet, _ = await self.start(1, 150_000)
-        async with asyncio.timeout(30):
-            while len(fleet.entries) < WORKERS:
-                await asyncio.sleep(0.005)
-        server.mute = {name_bytes(f"s-{n}.east.hosts") for n in range(WORKERS)}
-        server.draining, server.serial = {5}, 9
-        began = asyncio.get_running_loop().time()
-        async with asyncio.timeout(30):
-            while fleet.entries["s-5"].state is WorkerState.RUNNING:
-                await asyncio.sleep(0.005)
-        self.assertLess(asyncio.get_running_loop().time() - began, 1.9)
+        """The list shows the drain at once; the hosts that it lacks may not keep it back until it binds."""
+        await self.start(timeout_us=150_000)
+        await self.until_complete()
+        self.server.unanswered_hosts = {host(number) for number in range(WORKERS)}
+        self.publish(9, draining={5})
+        started_s = asyncio.get_running_loop().time()
+        await self.until_state("s-5", WorkerState.DRAINING)
+        self.assertLess(asyncio.get_running_loop().time() - started_s, DRAIN_BINDS_S)
+
+    async def test_answer_to_another_question_and_spoilt_records_replace_nothing(self) -> None:
+        await self.start(timeout_us=500_000)
+        await self.until_complete()
+        self.server.repeats_question = False
+        self.server.serial = FIRST_SERIAL + 1
+        await self.until_polled(4)
+        self.assert_list_is(FIRST_SERIAL, WORKERS)
+        self.server.repeats_question = True
+        self.server.malformed_hosts = {host(8)}
+        await self.until_version(FIRST_SERIAL + 1)
+        self.assertEqual((len(self.endpoints.entries), self.endpoints.entries["s-8"].cell), (WORKERS, 2))
+
+
+class SerialsTest(DiscoveryTestCase):
+    """Which lists are newer than the one before."""
 
     async def test_serials_that_wrap_are_news_and_late_ones_are_not(self) -> None:
-        server, fleet, _ = await self.start(1, 100_000, serial=2**32 - 2)
-        async with asyncio.timeout(30):
-            while len(fleet.entries) < WORKERS:
-                await asyncio.sleep(0.005)
-            server.serial, server.draining = 1, {3}
-            while fleet.version != 1:
-                await asyncio.sleep(0.005)
-            server.serial, server.draining = 2**32 - 1, set()
-            polls_before = server.polls
-            while server.polls < polls_before + 4:
-                await asyncio.sleep(0.005)
-        self.assertEqual((fleet.version, fleet.entries["s-3"].state), (1, WorkerState.DRAINING))
+        await self.start(serial=2**32 - 2)
+        await self.until_complete()
+        self.publish(1, draining={3})
+        await self.until_version(1)
+        self.publish(2**32 - 1)
+        await self.until_polled(4)
+        state = self.endpoints.entries["s-3"].state
+        self.assertEqual((self.endpoints.version, state), (1, WorkerState.DRAINING))
 
     async def test_server_that_numbers_anew_is_heard_again_and_its_drains_at_once(self) -> None:
-        server, fleet, counters = await self.start(1, 100_000, restart_us=2_000_000, serial=70)
-        async with asyncio.timeout(30):
-            while len(fleet.entries) < WORKERS:
-                await asyncio.sleep(0.005)
-            server.serial, server.draining, server.listed = 1, {3}, WORKERS - 1
-            while fleet.entries["s-3"].state is WorkerState.RUNNING:
-                await asyncio.sleep(0.005)
-            self.assertEqual((fleet.version, len(fleet.entries)), (70, WORKERS))  # nothing else of it yet
-            while fleet.version != 1:
-                await asyncio.sleep(0.005)
-            self.assertEqual((len(fleet.entries), counters["names.serial_restarts"]), (WORKERS - 1, 1))
-            self.assertGreaterEqual(counters["names.outdated"], NameServerLimits().restart_replies)
-            server.serial, server.draining = 2, {3, 4}
-            while fleet.version != 2:
-                await asyncio.sleep(0.005)
-        self.assertEqual(fleet.entries["s-4"].state, WorkerState.DRAINING)
+        await self.start(restart_us=2_000_000, serial=70)
+        await self.until_complete()
+        self.publish(1, draining={3}, worker_count=WORKERS - 1)
+        await self.until_state("s-3", WorkerState.DRAINING)
+        self.assert_list_is(70, WORKERS)  # nothing else of it yet
+        await self.until_version(1)
+        self.assertEqual(
+            (len(self.endpoints.entries), self.counters["names.serial_restarts"]), (WORKERS - 1, 1)
+        )
+        self.assertGreaterEqual(self.counters["names.outdated"], NameServerLimits().restart_replies)
+        self.publish(2, draining={3, 4}, worker_count=WORKERS - 1)
+        await self.until_version(2)
+        self.assertEqual(self.endpoints.entries["s-4"].state, WorkerState.DRAINING)
 
     async def test_stale_server_takes_nothing_back_and_its_next_good_list_counts(self) -> None:
-        """Behind for a while: what it tells is old, but for drains; the next list sets all right."""
-        server, fleet, counters = await self.start(1, 100_000, serial=70)
-        async with asyncio.timeout(30):
-            while len(fleet.entries) < WORKERS:
-                await asyncio.sleep(0.005)
-            server.serial, server.draining, server.listed = 60, {3}, 20
-            while fleet.entries["s-3"].state is WorkerState.RUNNING:
-                await asyncio.sleep(0.005)
-            self.assertEqual((fleet.version, len(fleet.entries)), (70, WORKERS))
-            server.serial, server.draining, server.listed = 70, set(), WORKERS
-            while fleet.entries["s-3"].state is WorkerState.DRAINING:
-                await asyncio.sleep(0.005)
-        self.assertEqual((len(fleet.entries), counters["names.serial_restarts"]), (WORKERS, 0))
+        """Behind for a while: what it lists is old, but for drains; the next list sets all right."""
+        await self.start(serial=70)
+        await self.until_complete()
+        self.publish(60, draining={3}, worker_count=20)
+        await self.until_state("s-3", WorkerState.DRAINING)
+        self.assert_list_is(70, WORKERS)
+        self.publish(70)
+        await self.until_state("s-3", WorkerState.RUNNING)
+        self.assertEqual((len(self.endpoints.entries), self.counters["names.serial_restarts"]), (WORKERS, 0))
 
-    async def test_answer_to_another_question_and_spoilt_records_replace_nothing(self) -> None:
-        server, fleet, _ = await self.start(1, 500_000)
-        async with asyncio.timeout(30):
-            while len(fleet.entries) < WORKERS:
-                await asyncio.sleep(0.005)
-            server.foreign, server.serial = True, 8
-            polls = server.polls
-            while server.polls < polls + 4:
-                await asyncio.sleep(0.005)
-            self.assertEqual((fleet.version, len(fleet.entries)), (7, WORKERS))
-            server.foreign, server.spoilt = False, {name_bytes("s-8.east.hosts")}
-            while fleet.version != 8:
-                await asyncio.sleep(0.005)
-        self.assertEqual((len(fleet.entries), fleet.entries["s-8"].cell), (WORKERS, 2))
+
+class SocketTest(DiscoveryTestCase):
+    """The socket from which the name server is queried."""
 
     async def test_socket_for_which_there_is_no_descriptor_asks_for_room(self) -> None:
-        loop, room = asyncio.get_running_loop(), list[int]()
+        loop = asyncio.get_running_loop()
+        requests_for_room = list[int]()
         no_descriptor = OSError(errno.EMFILE, "Too many open files")
-        names = DnsDiscovery(
+        discovery = DnsDiscovery(
             ("127.0.0.1", 9),
             EndpointList(),
             NameServerLimits(),
             Counter(),
             lambda: None,
-            lambda: room.append(1),
+            lambda: requests_for_room.append(1),
         )
         with unittest.mock.patch.object(loop, "create_datagram_endpoint", side_effect=no_descriptor):
-            polling = loop.create_task(names.run())
-            async with asyncio.timeout(30):
-                while not room:
-                    await asyncio.sleep(0.005)
+            polling = loop.create_task(discovery.run())
+            await self.until(lambda: requests_for_room)
             polling.cancel()
             await asyncio.wait([polling])
 
     async def test_socket_that_is_lost_is_opened_again(self) -> None:
-        _, fleet, counters = await self.start(1, 100_000)
-        async with asyncio.timeout(30):
-            while not fleet.entries or self.names.client.transport is None:
-                await asyncio.sleep(0.005)
-            self.names.client.transport.abort()
-            queries_before = counters["names.queries"]
-            self.names.has_answered = False
-            while not self.names.has_answered:
-                await asyncio.sleep(0.005)
-        self.assertGreater(counters["names.queries"], queries_before)
+        await self.start()
+        await self.until(lambda: self.endpoints.entries and self.discovery.client.transport is not None)
+        assert self.discovery.client.transport is not None
+        self.discovery.client.transport.abort()
+        queries_before = self.counters["names.queries"]
+        self.discovery.has_answered = False
+        await self.until(lambda: self.discovery.has_answered)
+        self.assertGreater(self.counters["names.queries"], queries_before)
