--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -32,16 +32,23 @@
     call_lines,
     eventually,
     params,
+    wait_until,
 )
 
 LIMIT_MS = 6_000
 SLACK_MS = 150  # by how much the time sent to a worker may be over what its client has left
 SUSPENDED_S = 0.6
+BACKOFF_S = 1.0  # after a second rejection by a worker the next attempt is due by then
+BUSY_S = 0.2  # how long the loop reads nothing
+CALL_ARRIVED_S = 0.3  # a call that is written is at the worker by then
+SEED = 7
+LATER_IN_BASE64 = "bGF0ZXI="
+ABC_IN_BASE64 = "YWJj"
 
 
 @dataclass
 class Arrival:
-    """A call that came whole: when, and the time that its line says its client waits."""
+    """When a call came whole, and the time that its line says its client waits."""
 
     at_s: float  # Unix time
     wait_ms: int
@@ -67,18 +74,24 @@
 
 
 class HoldingTimingWorker(HoldingWorker, TimingWorker):
-    """The same, with its connections held before their handshake."""
+    """A `TimingWorker` whose connections are held before their handshake."""
 
 
 class DeadlineTest(RouterTestCase):
     """A worker is sent no more time than its client has left."""
 
     def call(self) -> None:
+        """Send a call, and note when."""
         self.called_s = time.time()
         self.client.call("review", b"abc", LIMIT_MS)
 
-    def check(self, *workers: TimingWorker, least: int = 1) -> None:
-        """At least so many calls came, and each had no more time than its client has left."""
+    def call_until_sent(self) -> None:
+        """Send calls until one has an attempt, and note when the first was sent."""
+        self.called_s = time.time()
+        self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
+
+    def assert_time_left(self, *workers: TimingWorker, least: int = 1) -> None:
+        """Check that so many calls came, and that each had no more time than its client has left."""
         arrivals = [arrival for worker in workers for arrival in worker.arrivals]
         self.assertGreaterEqual(len(arrivals), least)
         for arrival in arrivals:
@@ -93,7 +106,7 @@
         eventually(lambda: len(worker.arrivals) >= 2, "a second attempt")
         worker.full.clear()
         self.assertIn("result", self.client.read() or {})
-        self.check(worker, least=2)
+        self.assert_time_left(worker, least=2)
 
     def test_after_a_retry_at_another_worker(self) -> None:
         workers = (TimingWorker(), TimingWorker())
@@ -107,29 +120,27 @@
         for worker in workers:
             worker.may_answer.set()
         eventually(lambda: all(worker.arrivals for worker in workers), "a retry at the other worker")
-        self.check(*workers, least=2)
+        self.assert_time_left(*workers, least=2)
 
     def test_after_its_connection_was_held(self) -> None:
         worker = HoldingTimingWorker()
         self.start(worker)
-        self.called_s = time.time()
-        self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
+        self.call_until_sent()
         time.sleep(SUSPENDED_S)
         worker.accept_connections()
         self.assertIn("result", self.client.read() or {})
-        self.check(worker)
+        self.assert_time_left(worker)
 
     def test_after_the_process_stood_still(self) -> None:
         worker = HoldingTimingWorker()
         self.start(worker)
-        self.called_s = time.time()
-        self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
+        self.call_until_sent()
         self.suspend_process()
         worker.accept_connections()
         time.sleep(SUSPENDED_S)
         self.resume_process()
         self.assertIn("result", self.client.read() or {})
-        self.check(worker)
+        self.assert_time_left(worker)
 
 
 class DepartureTest(RouterTestCase):
@@ -150,7 +161,7 @@
                 self.resume_process()
                 other = Client(self.program.port("platform"))
                 other.call_until_served("review", b"later")
-                self.assertEqual({line["bytes"] for line in call_lines(worker)}, {"bGF0ZXI="})
+                self.assertEqual({line["bytes"] for line in call_lines(worker)}, {LATER_IN_BASE64})
                 self.program.kill()
 
     def test_try_that_was_due_before_the_close_or_cancel_was_read(self) -> None:
@@ -165,78 +176,81 @@
                 self.suspend_process()
                 self.give_up(ending, id_)
                 before = len(worker.arrivals)
-                time.sleep(SUSPENDED_S + 1.0)  # the next try is due by now
+                time.sleep(SUSPENDED_S + BACKOFF_S)
                 self.resume_process()
                 time.sleep(SUSPENDED_S)
                 self.assertEqual(len(worker.arrivals), before)
                 self.program.kill()
 
     def wait_for_attempts(self, worker: TimingWorker, count: int) -> None:
+        """Wait until a worker has got so many attempts."""
         eventually(lambda: len(worker.arrivals) >= count, "attempts")
 
 
 class HoldingRunnerPool(RunnerPool):
-    """Connections that have come up are reported to the pool when the test says so."""
+    """Reports connections that have come up only once the test says so."""
 
     def __init__(self, limits: RunnerLimits, counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
-        self.ready: list[tuple[Connection, Socket]] = []
+        self.connected: list[tuple[Connection, Socket]] = []
 
     def up(self, connection: Connection, socket: Socket) -> None:
-        self.ready.append((connection, socket))
+        self.connected.append((connection, socket))
 
-    def release(self) -> None:
-        for connection, socket_ in self.ready:
+    def report_connections(self) -> None:
+        """Report all connections that have come up."""
+        for connection, socket_ in self.connected:
             super().up(connection, socket_)
 
 
 class UnreadDepartureTest(unittest.TestCase):
     """The same, in one process with the loop.
 
-    An attempt is about to begin in the very turn of the loop in which it was away, before anything that came
+    An attempt is about to begin in the very turn of the loop in which it was busy, before anything that came
     meanwhile can be read.
     """
 
     def play(self, leave: Callable[[Client, int], None]) -> tuple[list[str], Counter[str]]:
-        """The bodies of the calls that began, and the counters."""
+        """Have a client call and leave while the loop is busy; return what began, and the counters."""
         selector = TimestampingSelector(clock)
         with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
-            return runner.run(self.away(selector, leave))
+            return runner.run(self.leave_while_busy(selector, leave))
 
-    async def away(
+    async def leave_while_busy(
         self, selector: TimestampingSelector, leave: Callable[[Client, int], None]
     ) -> tuple[list[str], Counter[str]]:
         worker = Worker()
         counters = Counter[str]()
-        limits = Limits()
+        pool = HoldingRunnerPool(Limits().runners, counters)
+        pool.writer.input_is_old = selector.input_is_old
+        core = self.start_core(pool, worker, counters)
+        front = PlatformFront(core, Limits(), counters, selector, lambda: True)
+        listener = await front.start("127.0.0.1", 0, False)
+        client = Client(listener.address[1])
+        id_ = client.call("review", b"abc", LIMIT_MS)
+        await wait_until(lambda: pool.connected)
+        leave(client, id_)
+        time.sleep(BUSY_S)
+        pool.report_connections()
+        await asyncio.sleep(CALL_ARRIVED_S)
+        listener.close()
+        return [line["bytes"] for line in call_lines(worker)], counters
+
+    def start_core(self, pool: HoldingRunnerPool, worker: Worker, counters: Counter[str]) -> Core:
+        """Connect a core to the pool, with one worker on its list."""
         loop = asyncio.get_running_loop()
-        settings = settings_from(params())
-        pool = HoldingRunnerPool(limits.runners, counters)
 
-        def alarm(due_us: int) -> None:
+        def set_alarm(due_us: int) -> None:
             loop.call_later(max(0.0, (due_us - clock()) / 1e6), core.tick)
 
-        core = Core(settings, limits, 7, pool, clock, alarm, counters)
+        core = Core(settings_from(params()), Limits(), SEED, pool, clock, set_alarm, counters)
         pool.core = core
-        pool.writer.input_is_old = selector.input_is_old
         endpoints = EndpointList()
         entry = api.WorkerEntry("s-0", "east", "std", 2, api.WorkerState.RUNNING, 4.0, 0)
         endpoints.apply_whole(1, [(entry, ("127.0.0.1", worker.port))])
         pool.update(endpoints)
         core.list_changed(endpoints.event())
-        front = PlatformFront(core, limits, counters, selector, lambda: True)
-        listener = await front.start("127.0.0.1", 0, False)
-        client = Client(listener.address[1])
-        id_ = client.call("review", b"abc", LIMIT_MS)
-        async with asyncio.timeout(20):
-            while not pool.ready:
-                await asyncio.sleep(0.005)
-        leave(client, id_)
-        time.sleep(0.2)  # the loop is away
-        pool.release()
-        await asyncio.sleep(0.3)
-        listener.close()
-        return [line["bytes"] for line in call_lines(worker)], counters
+        return core
 
     def test_cancel_that_is_not_read_yet(self) -> None:
         started, counters = self.play(
@@ -255,14 +269,16 @@
 
     def test_client_that_waits_is_served_after_the_loop_was_away(self) -> None:
         started, _ = self.play(lambda client, _: None)
-        self.assertEqual(started, ["YWJj"])
+        self.assertEqual(started, [ABC_IN_BASE64])
 
 
 def discard(_: object) -> None:
-    """For a call whose result is of no use."""
+    """Take a result that is of no use."""
 
 
 class SettingsTest(unittest.TestCase):
+    """What the other tests of this file rely on."""
+
     def test_the_settings_let_a_connection_come_up_as_late_as_these_tests_hold_it(self) -> None:
         connect_timeout_s = params()["limits"]["connectTimeoutUs"] / 1e6
         self.assertGreater(connect_timeout_s, 2 * SUSPENDED_S + 0.5)
--- a/tests/test_listen.py
+++ b/tests/test_listen.py
@@ -12,27 +12,28 @@
 Address = tuple[str, int]
 
 
-def asking(address: Address) -> socket.socket:
-    """A connection with a request on it. The system completes it, whether or not it is ever accepted."""
-    link = socket.create_connection(address, timeout=PATIENCE_S)
-    link.sendall(b"?")
-    return link
+def send_request(address: Address) -> socket.socket:
+    """Open a connection and write a request. The system completes it, whether or not it is ever accepted."""
+    connection = socket.create_connection(address, timeout=PATIENCE_S)
+    connection.sendall(b"?")
+    return connection
 
 
-def answer(link: socket.socket) -> bytes:
-    with link:
-        return link.recv(1)
+def read_answer(connection: socket.socket) -> bytes:
+    """Read one byte, and close the connection."""
+    with connection:
+        return connection.recv(1)
 
 
 def test_the_system_resets_what_a_listener_has_not_accepted_as_it_closes() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        accepted, waiting = (asking(listener.getsockname()) for _ in range(2))
+        accepted, waiting = (send_request(listener.getsockname()) for _ in range(2))
         server_side, _ = listener.accept()
     with server_side:
         server_side.sendall(b"!")
-        assert answer(accepted) == b"!"
+        assert read_answer(accepted) == b"!"
     with pytest.raises(ConnectionResetError):
-        answer(waiting)
+        read_answer(waiting)
 
 
 def test_finish_loses_nobody_but_who_comes_between_its_last_accept_and_its_close() -> None:
@@ -46,19 +47,19 @@
             writer.close()
 
         listener = await listen("127.0.0.1", 0, serve, asyncio.StreamReader, burst=16, queue=64)
-        waiting = [asking(listener.address) for _ in range(20)]
+        waiting = [send_request(listener.address) for _ in range(20)]
         late = list[socket.socket]()
         close = listener.close
 
         def close_as_another_comes() -> None:
-            late.append(asking(listener.address))
+            late.append(send_request(listener.address))
             close()
 
         with mock.patch.object(listener, "close", close_as_another_comes):
             await listener.finish(PATIENCE_S)
-        answers = [await asyncio.to_thread(answer, link) for link in waiting]
+        answers = [await asyncio.to_thread(read_answer, connection) for connection in waiting]
         assert answers == [b"!"] * 20 and requests == [b"?"] * 20
         with pytest.raises(ConnectionResetError):
-            answer(late[0])
+            read_answer(late[0])
 
     asyncio.run(play())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,11 +13,11 @@
     async def fail_twice() -> None:
         starts.append(1)
         if len(starts) < 3:
-            raise RuntimeError("a bad moment")
+            raise RuntimeError("a failure of the test")
 
-    async def play() -> None:
+    async def run_to_its_end() -> None:
         async with asyncio.timeout(30):
             await TaskSupervisor(counters).start(fail_twice)
 
-    asyncio.run(play())
+    asyncio.run(run_to_its_end())
     assert (len(starts), counters["parts.failed"]) == (3, 2)
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -1,4 +1,4 @@
-"""The real program as the platform runs it, among stand-ins."""
+"""The real program as the platform runs it, between fake workers, a fake name server and clients."""
 
 import contextlib
 import resource
@@ -6,17 +6,42 @@
 import unittest
 from typing import Any
 
-from tests.standins import ITEM, Client, NameServer, Worker, eventually, start_router
+from tests.standins import ITEM, PATIENCE_S, Client, NameServer, Worker, eventually, start_router
 
+DESCRIPTOR_LIMIT = 256
+MALFORMED_CALLS: tuple[tuple[str, dict[str, Any]], ...] = (
+    ("review", {"blob": "%%%"}),
+    ("review", {"limit": "NaN"}),
+    ("review", {"blob": "A" * 24_000}),
+    ("nobody", {}),
+    ("review", {"txn": 5}),
+)
+MALFORMED_HEADS = (b"Content-Length: 99999999\r\n\r\n", b"Content-Length: -1\r\n\r\n", b"x" * 2_000)
+
+
+class PlatformTestCase(unittest.TestCase):
+    """Starts a router with two workers, and connects a client."""
 
-class PlatformTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.workers, self.names = [Worker(), Worker()], NameServer()
+        self.workers = [Worker(), Worker()]
+        self.names = NameServer()
         self.program = start_router(self.workers, self.names)
         self.addCleanup(self.program.kill)
         self.client = Client(self.program.port("platform"))
         self.addCleanup(self.client.close)
 
+    def connect(self) -> Client:
+        """Connect one more client."""
+        return Client(self.program.port("platform"))
+
+    def cancel_lines(self) -> list[dict[str, Any]]:
+        """Return the cancellations that the workers received."""
+        return [line for worker in self.workers for line in worker.lines if line["kind"] == "CANCEL"]
+
+
+class CallsTest(PlatformTestCase):
+    """What calls, and what is not one, end with."""
+
     def test_check_is_ready_and_calls_are_answered_by_their_ids_in_any_order(self) -> None:
         check = self.client.send("check")
         self.assertEqual(self.client.read(), {"jsonrpc": "2.0", "id": check, "result": {"ready": True}})
@@ -30,22 +55,16 @@
         received = next(call for worker in self.workers for call in worker.ran if call["bytes"] == "YWJj")
         self.assertEqual((received["head"]["class"], received["head"]["key"]), ("review", ITEM))
         self.assertEqual(received["head"]["once"], "5c0f")
-        eventually(lambda: [m for w in self.workers for m in w.lines if m["kind"] == "CANCEL"], "a CANCEL")
+        eventually(self.cancel_lines, "a CANCEL")
 
     def test_malformed_input_gets_an_error_or_a_close_and_the_program_goes_on(self) -> None:
-        for class_name, params in (
-            ("review", {"blob": "%%%"}),
-            ("review", {"limit": "NaN"}),
-            ("review", {"blob": "A" * 24_000}),
-            ("nobody", {}),
-            ("review", {"txn": 5}),
-        ):
+        for class_name, params in MALFORMED_CALLS:
             id_ = self.client.call(class_name, b"", **params)
             answer = self.client.read()
             assert answer is not None
             self.assertEqual((answer["id"], "error" in answer), (id_, True))
-        for head in (b"Content-Length: 99999999\r\n\r\n", b"Content-Length: -1\r\n\r\n", b"x" * 2_000):
-            other = Client(self.program.port("platform"))
+        for head in MALFORMED_HEADS:
+            other = self.connect()
             other.socket.sendall(head)
             answer = other.read()
             self.assertTrue(answer is None or "error" in answer)
@@ -53,29 +72,50 @@
             other.close()
         self.client.call("review", b"abc")
         self.assertIn("result", self.client.read() or {})
-        self.assertEqual(self.program.counters()["clients.malformed"], 8)
+        self.assertEqual(
+            self.program.counters()["clients.malformed"], len(MALFORMED_CALLS) + len(MALFORMED_HEADS)
+        )
+
+    def test_interrupt_ends_a_call_without_an_answer(self) -> None:
+        id_ = self.client.call("test-submit", b"hang:")
+        eventually(lambda: [call for worker in self.workers for call in worker.ran], "the call")
+        self.client.send("interrupt", {"id": id_}, id_=id_)
+        eventually(self.cancel_lines, "a CANCEL")
+        check = self.client.send("check")
+        answer = self.client.read()
+        self.assertEqual((answer or {})["id"], check)
+        counters = self.program.counters()
+        self.assertEqual(counters["requests.withdrawn"], 1)
+        self.assertGreater(counters["loop.longest_us"], 0)
+
+
+class ConnectionsTest(PlatformTestCase):
+    """Crowds of connections and floods on one."""
 
     def test_hundreds_of_silent_connections_lock_nobody_out(self) -> None:
-        port = self.program.port("platform")
-        resource.prlimit(self.program.process.pid, resource.RLIMIT_NOFILE, (256, 256))
-        stays = Client(port)
-        stays.call_until_served("review", b"abc")
-        late = stays.call("test-submit", b"hang:", limit_ms=4_000)  # its answer is pending all the while
-        silent = [Client(port) for _ in range(300)]
-        other = Client(port)
+        resource.prlimit(
+            self.program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT)
+        )
+        waiting = self.connect()
+        waiting.call_until_served("review", b"abc")
+        pending_id = waiting.call(
+            "test-submit", b"hang:", limit_ms=4_000
+        )  # its answer is pending all the while
+        silent = [self.connect() for _ in range(300)]
+        other = self.connect()
         other.call_until_served("review", b"abc")
         for client in silent:  # each is let go long before a client would wonder
             with contextlib.suppress(ConnectionError):
                 self.assertIsNone((client.read() or {}).get("id"))
             client.close()
         other.call_until_served("review", b"abc")
-        self.assertEqual((stays.read() or {})["id"], late)
+        self.assertEqual((waiting.read() or {})["id"], pending_id)
         counters = self.program.counters()
         self.assertGreater(counters["clients.idle_evicted"], 100)
         self.assertNotIn("clients.rejected", counters)
 
     def test_flood_on_one_connection_ends_it_and_spares_the_others(self) -> None:
-        flood = Client(self.program.port("platform"))
+        flood = self.connect()
         body = b'{"id":1,"method":"nobody"}'
         flood.socket.sendall(2_000 * (b"Content-Length: %d\r\n\r\n%b" % (len(body), body)))
         self.client.call("review", b"abc")
@@ -87,17 +127,9 @@
         self.assertLess(answers, 100)
         self.assertLess(len([line for line in self.program.log if "unknown class" in line]), 6)
 
-    def test_interrupt_ends_a_call_without_an_answer(self) -> None:
-        id_ = self.client.call("test-submit", b"hang:")
-        eventually(lambda: [c for w in self.workers for c in w.ran], "the call")
-        self.client.send("interrupt", {"id": id_}, id_=id_)
-        eventually(lambda: [m for w in self.workers for m in w.lines if m["kind"] == "CANCEL"], "a CANCEL")
-        check = self.client.send("check")
-        answer = self.client.read()
-        self.assertEqual((answer or {})["id"], check)
-        counters = self.program.counters()
-        self.assertEqual(counters["requests.withdrawn"], 1)
-        self.assertGreater(counters["loop.longest_us"], 0)
+
+class NameServerTest(PlatformTestCase):
+    """Lists of workers, and a reload that names another server."""
 
     def test_lost_and_cut_replies_are_queried_again_and_a_gone_worker_gets_nothing(self) -> None:
         self.names.workers = [("s-1", self.workers[1].port, 0), ("s-0", self.workers[0].port, 1)]
@@ -110,27 +142,21 @@
         self.assertEqual((len(self.workers[0].ran), len(self.workers[1].ran)), (0, 12))
 
     def reload_with(self, text: str) -> dict[str, Any]:
-        """What a reload reports with this text in place of the file's."""
+        """Reload with this text in place of the file's, and return the report."""
         return self.program.reload(lambda _: text)
 
     def test_sighup_takes_a_new_name_server_and_keeps_the_old_one_over_a_bad_file(self) -> None:
-        whole, other = self.program.file.read_text(), NameServer()
-        other.workers, other.serial = [("s-1", self.workers[1].port, 0)], 2
-        moved = whole.replace(f"127.0.0.1:{self.names.port}", f"127.0.0.1:{other.port}")
-        late = self.client.call("test-submit", b"hang:", limit_ms=2_000)
-        for bad in (moved[:-9], "[]", moved.replace("granularityUs", "odd"), moved.replace('"Ready"', "7")):
-            report = self.reload_with(bad)
-            self.assertEqual((report["ok"], report["taken"]), (False, []))
+        other = NameServer()
+        other.workers = [("s-1", self.workers[1].port, 0)]
+        other.serial = 2
+        text = self.program.file.read_text()
+        moved = text.replace(f"127.0.0.1:{self.names.port}", f"127.0.0.1:{other.port}")
+        pending_id = self.client.call("test-submit", b"hang:", limit_ms=2_000)
+        self.check_malformed_files(moved)
         self.assertFalse(other.queries)
-        # Another customer's file, or one of settings that only a restart takes: nothing of it is taken.
-        others = moved.replace('"attemptsCap": 5', '"attemptsCap": 4'), moved.replace('"review"', '"exam"')
-        for place, changed in zip(("max_attempts", "classes"), others, strict=True):
-            report = self.reload_with(changed)
-            self.assertEqual((report["ok"], report["taken"]), (False, []))
-            self.assertEqual(report["restart"], [f"settings.{place}"])
-            self.assertIn(f"settings.{place}", report["fault"])
+        self.check_files_that_need_a_restart(moved)
         self.assertFalse(other.queries)
-        report = self.program.reload(lambda _: moved)
+        report = self.reload_with(moved)
         self.assertEqual((report["ok"], report["taken"], report["restart"]), (True, ["dns"], []))
         eventually(lambda: self.program.counters().get("names.lists"), "the list of the new name server")
         before = self.names.queries
@@ -139,17 +165,45 @@
         for n in range(8):
             self.client.call("review", b"x", item=f"f{n}")
         answers = [self.client.read() or {} for _ in range(9)]
-        self.assertEqual([a["id"] for a in answers if "error" in a], [late])  # what was open goes on
-        self.assertEqual(len([c for c in self.workers[0].ran if c["bytes"] == "eA=="]), 0)
+        self.assertEqual(
+            [answer["id"] for answer in answers if "error" in answer], [pending_id]
+        )  # what was open goes on
+        self.assertEqual(len([call for call in self.workers[0].ran if call["bytes"] == "eA=="]), 0)
+
+    def check_malformed_files(self, text: str) -> None:
+        """Check that nothing is taken of a file that is cut, or has a value of a wrong name or type."""
+        for malformed in (
+            text[:-9],
+            "[]",
+            text.replace("granularityUs", "odd"),
+            text.replace('"Ready"', "7"),
+        ):
+            report = self.reload_with(malformed)
+            self.assertEqual((report["ok"], report["taken"]), (False, []))
+
+    def check_files_that_need_a_restart(self, text: str) -> None:
+        """Check that nothing is taken of another customer's file, or one of settings that need a restart."""
+        for place, changed in (
+            ("max_attempts", text.replace('"attemptsCap": 5', '"attemptsCap": 4')),
+            ("classes", text.replace('"review"', '"exam"')),
+        ):
+            report = self.reload_with(changed)
+            self.assertEqual((report["ok"], report["taken"]), (False, []))
+            self.assertEqual(report["restart"], [f"settings.{place}"])
+            self.assertIn(f"settings.{place}", report["fault"])
+
+
+class StopTest(PlatformTestCase):
+    """The end of the process."""
 
     def test_sigterm_serves_what_comes_and_then_ends(self) -> None:
         self.program.process.send_signal(signal.SIGTERM)
         self.program.find("(asked to stop)")
         self.client.call("review", b"abc")
         self.assertIn("result", self.client.read() or {})
-        other = Client(self.program.port("platform"))
+        other = self.connect()
         other.call("review", b"abc")
         self.assertIn("result", other.read() or {})
         other.close()
-        self.assertEqual(self.program.process.wait(20), 0)
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assertIn('"requests.taken": 2', self.program.find('^(.*"counters".*)'))
