--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -8,17 +8,15 @@
 from random import Random
 
 from maplestile.dispatch import api
-from tests.helpers import MS, Driver, arrival, ended, entry, fleet, settings
+from tests.helpers import MS, SERVICE_US, START_US, Driver, arrival, ended, entry, settings, worker_list
 
-SERVICE_US = 100 * MS
 SECOND_US = 1_000 * MS
-BEGIN_US = 1_000_000 * MS  # where a `Driver`'s clock begins
 WARM_UP_US = 4 * SECOND_US  # calls before the cold worker is listed
 
 
 @dataclass(frozen=True)
-class Scene:
-    """One fleet: its size, its traffic, and which of its calls ask for one function alone."""
+class Scenario:
+    """One fleet: its size, its traffic, and the share of its calls that is for one function alone."""
 
     routers: int
     workers: int
@@ -30,13 +28,14 @@
     seed: int = 1
 
     def settings(self) -> api.Settings:
+        """Return the settings of each router."""
         return settings(router_count=self.routers, load_request_window_us=0)
 
     def budget(self, since_us: int) -> float:
-        """The most calls that may come in the fall time that ends `since_us` after the worker's start."""
+        """Return the most calls that may come in the overload window that ends so long after the start."""
         chosen = self.settings()
-        rise = min(1.0, max(0, since_us - chosen.overload_window_us) / chosen.slow_start_us)
-        share = chosen.slow_start_share + (1 - chosen.slow_start_share) * rise
+        risen = min(1.0, max(0, since_us - chosen.overload_window_us) / chosen.slow_start_us)
+        share = chosen.slow_start_share + (1 - chosen.slow_start_share) * risen
         calls = (
             chosen.overload_multiple
             * share
@@ -48,9 +47,9 @@
         return calls + slack
 
 
-def hot_function(scene: Scene) -> str:
-    """One whose first replica is the cold worker, by the ranking that all share."""
-    probe = Driver(scene.settings(), [*warm(scene), entry("cold")])
+def hot_function(scenario: Scenario) -> str:
+    """Return a function whose first replica is the cold worker, by the ranking that all share."""
+    probe = Driver(scenario.settings(), [*warm_workers(scenario), entry("cold")])
     for number in itertools.count():
         name = f"hot-{number}"
         probe.give(arrival(number + 1, name))
@@ -59,8 +58,9 @@
     raise AssertionError
 
 
-def warm(scene: Scene) -> list[api.WorkerEntry]:
-    return [entry(f"w{number}") for number in range(scene.workers - 1)]
+def warm_workers(scenario: Scenario) -> list[api.WorkerEntry]:
+    """Return all workers but the cold one."""
+    return [entry(f"w{number}") for number in range(scenario.workers - 1)]
 
 
 class StepKind(Enum):
@@ -83,43 +83,41 @@
     worker: str = field(compare=False, default="")  # that answers it
 
 
-class RouterPlay:
+class SimulatedRouter:
     """One router with its calls, and the workers' answers to them."""
 
-    def __init__(self, scene: Scene, number: int, hot: str) -> None:
-        self.scene = scene
+    def __init__(self, scenario: Scenario, number: int, hot: str) -> None:
+        self.scenario = scenario
         self.hot = hot  # the name of the hot function
-        self.random = Random(f"{scene.seed}/{number}")
-        self.driver_seeds = (
-            scene.seed * 1_000 + number,
-            scene.seed * 1_000 - number,
-        )  # before and after a restart
-        self.driver = Driver(scene.settings(), warm(scene), self.driver_seeds[0])
-        self.slow_start_us = BEGIN_US + WARM_UP_US
-        self.end_us = self.slow_start_us + scene.cold_for_us
+        self.random = Random(f"{scenario.seed}/{number}")
+        # Before and after a restart.
+        self.driver_seeds = (scenario.seed * 1_000 + number, scenario.seed * 1_000 - number)
+        self.driver = Driver(scenario.settings(), warm_workers(scenario), self.driver_seeds[0])
+        self.slow_start_us = START_US + WARM_UP_US
+        self.end_us = self.slow_start_us + scenario.cold_for_us
         self.order = itertools.count(1)
         self.steps = [Step(self.slow_start_us, 0, StepKind.COLD_WORKER_LISTED)]
-        if scene.restarted and number % 4:
+        if scenario.restarted and number % 4:
             self.steps.append(Step(self.slow_start_us + SECOND_US, 0, StepKind.RESTART))
         self.steps += self.arrivals()
         heapq.heapify(self.steps)
         self.calls = 0
-        self.noted = 0  # actions of the driver's log
+        self.processed = 0  # actions of the driver's log
         self.cold_listed = False
         self.sent_to_cold_us: list[int] = []  # since the cold worker's start
 
     def arrivals(self) -> list[Step]:
-        """Calls at random, up to the end of the scene."""
-        rate_per_s = self.scene.calls_per_s * self.scene.workers / self.scene.routers
+        """Return calls at random times, up to the end of the scenario."""
+        rate_per_s = self.scenario.calls_per_s * self.scenario.workers / self.scenario.routers
         steps = list[Step]()
         at_s = self.random.expovariate(rate_per_s)
-        while at_s * SECOND_US < self.end_us - BEGIN_US:
-            steps.append(Step(BEGIN_US + int(at_s * SECOND_US), next(self.order), StepKind.CALL))
+        while at_s * SECOND_US < self.end_us - START_US:
+            steps.append(Step(START_US + int(at_s * SECOND_US), next(self.order), StepKind.CALL))
             at_s += self.random.expovariate(rate_per_s)
         return steps
 
-    def play(self) -> list[int]:
-        """When the router sends or requests something at the cold worker, since that started."""
+    def run(self) -> list[int]:
+        """Return when the router sends or requests something at the cold worker, since that started."""
         while self.steps:
             step = heapq.heappop(self.steps)
             if step.at_us > self.end_us:
@@ -129,47 +127,49 @@
                 heapq.heappush(self.steps, replace(step, order=next(self.order)))
                 continue
             self.driver.run(max(0, step.at_us - self.driver.now))
-            self.take(step)
-            self.note_actions()
+            self.apply(step)
+            self.process_new_actions()
         assert self.cold_listed
         return self.sent_to_cold_us
 
     def fire_timers(self, until_us: int) -> None:
-        """One by one, since what a timer sends may end before the next step."""
+        """Fire the timers one by one, since what a timer sends may end before the next step."""
         while self.driver.timers and min(self.driver.timers)[0] <= until_us:
             self.driver.run(max(0, min(self.driver.timers)[0] - self.driver.now))
-            self.note_actions()
+            self.process_new_actions()
 
-    def take(self, step: Step) -> None:
+    def apply(self, step: Step) -> None:
+        """Have what the step says happen to the router."""
         match step.kind:
             case StepKind.COLD_WORKER_LISTED:
-                self.driver.give(fleet(self.cold_worker(), kind=api.ListKind.DELTA))
+                self.driver.give(worker_list(self.cold_worker(), kind=api.ListKind.DELTA))
                 self.cold_listed = True
             case StepKind.RESTART:
                 self.restart(step.at_us)
             case StepKind.CALL:
                 self.calls += 1
-                is_hot = self.random.random() < self.scene.hot_share
+                is_hot = self.random.random() < self.scenario.hot_share
                 function = self.hot if is_hot else f"f{self.random.randrange(200)}"
                 self.driver.give(arrival(self.calls, function))
             case StepKind.ATTEMPT_END:
                 self.driver.give(ended(*step.attempt, step.worker, api.Result.OK, SERVICE_US))
 
     def restart(self, now_us: int) -> None:
-        """A new dispatcher that knows all workers; nothing comes of the old one's attempts."""
-        workers = [*warm(self.scene), self.cold_worker()]
-        self.driver = Driver(self.scene.settings(), workers, self.driver_seeds[1])
+        """Replace the dispatcher by one that knows all workers; the attempts of the old one never end."""
+        workers = [*warm_workers(self.scenario), self.cold_worker()]
+        self.driver = Driver(self.scenario.settings(), workers, self.driver_seeds[1])
         self.driver.now = now_us
-        self.noted = 0
+        self.processed = 0
         self.steps = [step for step in self.steps if step.kind is StepKind.CALL]
         heapq.heapify(self.steps)
 
     def cold_worker(self) -> api.WorkerEntry:
+        """Return the entry of the worker in slow start."""
         return entry("cold", started_us=self.slow_start_us)
 
-    def note_actions(self) -> None:
-        """Plan the answer to each new attempt, and note what goes to the cold worker."""
-        for at_us, action in self.driver.log[self.noted :]:
+    def process_new_actions(self) -> None:
+        """Schedule the answer to each new attempt, and record what goes to the cold worker."""
+        for at_us, action in self.driver.log[self.processed :]:
             if isinstance(action, api.SendAttempt):
                 numbers = [number for call, number in self.driver.dispatcher.attempts if call == action.call]
                 attempt = (action.call, max(numbers))
@@ -178,15 +178,15 @@
                 heapq.heappush(self.steps, step)
             if isinstance(action, api.SendAttempt | api.RequestLoad) and action.worker == "cold":
                 self.sent_to_cold_us.append(at_us - self.slow_start_us)
-        self.noted = len(self.driver.log)
+        self.processed = len(self.driver.log)
 
 
-def most_over_budget(scene: Scene) -> tuple[float, int, int]:
-    """The greatest part of the budget that any span of the fall time takes, with the calls in it and when."""
-    hot = hot_function(scene)
-    window_us = scene.settings().overload_window_us
+def worst_window(scenario: Scenario) -> tuple[float, int, int]:
+    """Return the greatest part of the budget that any overload window takes, with its calls and its end."""
+    hot = hot_function(scenario)
+    window_us = scenario.settings().overload_window_us
     sent_us = sorted(
-        at_us for number in range(scene.routers) for at_us in RouterPlay(scene, number, hot).play()
+        at_us for number in range(scenario.routers) for at_us in SimulatedRouter(scenario, number, hot).run()
     )
     worst = (0.0, 0, 0)
     first = 0
@@ -194,5 +194,5 @@
         while sent_us[first] <= at_us - window_us:
             first += 1
         count = last - first + 1
-        worst = max(worst, (count / scene.budget(at_us), count, at_us))
+        worst = max(worst, (count / scenario.budget(at_us), count, at_us))
     return worst
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -10,7 +10,7 @@
 from maplestile.operation.state_folder import FileCordonStore
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire.limits import OperatorLimits
-from tests.helpers import Driver, arrival, ended, entry, fleet, sends, settings
+from tests.helpers import Driver, arrival, ended, entry, sends, settings, worker_list
 from tests.standins import target
 
 
@@ -91,13 +91,13 @@
     def test_with_every_runner_out_calls_are_refused_at_once(self) -> None:
         driver = Driver(settings(), [entry("a", api.WorkerState.DRAINING)])
         actions = driver.give(arrival(1))
-        self.assertIn(api.RejectCall, [type(a) for a in actions])
+        self.assertIn(api.RejectCall, [type(action) for action in actions])
 
     def test_a_runner_put_back_is_used_again(self) -> None:
         driver = Driver(settings(), [entry("a")])
-        driver.give(fleet(entry("a", api.WorkerState.DRAINING), kind=api.ListKind.FULL))
+        driver.give(worker_list(entry("a", api.WorkerState.DRAINING), kind=api.ListKind.FULL))
         self.assertEqual(sends(driver.give(arrival(1))), [])
-        driver.give(fleet(entry("a"), kind=api.ListKind.FULL))
+        driver.give(worker_list(entry("a"), kind=api.ListKind.FULL))
         self.assertEqual(sends(driver.give(arrival(2)))[0].worker, "a")
 
     def test_a_worker_that_the_decisions_leave_out_is_shown_as_avoided(self) -> None:
--- a/tests/test_decide_admission.py
+++ b/tests/test_decide_admission.py
@@ -5,7 +5,12 @@
 from maplestile.dispatch import api
 from maplestile.dispatch.call_router import RETRY_AFTER_US
 from maplestile.dispatch.state import Attempt, Call
-from tests.helpers import MS, WORKERS, Driver, arrival, finals, sends, served, settings
+from tests.helpers import MS, WORKERS, Driver, arrival, final_answers, sends, serve_call, settings
+
+
+def timed_answers(driver: Driver) -> list[tuple[int, api.Action]]:
+    """Return the final answers so far, each with its time."""
+    return [(at_us, action) for at_us, action in driver.log if final_answers([action])]
 
 
 def test_call_without_any_worker_is_answered_before_its_own_budget() -> None:
@@ -13,15 +18,15 @@
     driver.give(arrival(1, budget_us=700 * MS))
     start_us = driver.now
     driver.run(700 * MS)
-    answers = [(t, a) for t, a in driver.log if isinstance(a, api.RejectCall | api.FailCall)]
+    answers = timed_answers(driver)
     assert len(answers) == 1 and answers[0][0] < start_us + 700 * MS
 
 
 def test_last_answer_leaves_little_of_a_short_budget_unused() -> None:
     driver = Driver(settings(), WORKERS[:1])
     driver.give(arrival(1, "f", budget_us=200 * MS))
-    assert not finals(driver.run(190 * MS))
-    assert len(finals(driver.run(8 * MS))) == 1  # and still before the client's time is up
+    assert not final_answers(driver.run(190 * MS))
+    assert len(final_answers(driver.run(8 * MS))) == 1  # and still before the client's time is up
 
 
 def test_late_answers_have_new_calls_refused_and_marked_repeats_first() -> None:
@@ -29,24 +34,23 @@
     driver.dispatcher.admission.late_ratio = 0.5
     fresh = repeats = 0
     for call in range(200):
-        fresh += len(finals(driver.give(arrival(2 * call, f"f{call}"))))
-        repeats += len(finals(driver.give(replace(arrival(2 * call + 1, f"f{call}"), repeat=True))))
+        fresh += len(final_answers(driver.give(arrival(2 * call, f"f{call}"))))
+        repeats += len(final_answers(driver.give(replace(arrival(2 * call + 1, f"f{call}"), repeat=True))))
     assert 0 < fresh < repeats <= 200
 
 
 def test_in_overload_a_safe_call_is_given_up_at_its_latency_objective_and_an_unsafe_one_is_not() -> None:
     driver = Driver(settings(), WORKERS)
-    served(driver, 1, "f")
+    serve_call(driver, 1, "f")
     driver.dispatcher.admission.late_ratio = 0.3
     driver.dispatcher.context.random.random = lambda: 1.0  # type: ignore[method-assign]  # a draw known beforehand
     start_us = driver.now
     assert sends(driver.give(arrival(2, "f"))) and sends(driver.give(arrival(3, "g", "unsafe")))
     driver.run(1_000 * MS)
-    early = [(t, a) for t, a in driver.log if isinstance(a, api.RejectCall | api.FailCall)]
-    ((rejected_us, rejection),) = early
+    ((rejected_us, rejection),) = timed_answers(driver)
     assert rejection == api.RejectCall(2, RETRY_AFTER_US) and rejected_us <= start_us + 1_000 * MS
     driver.run(2_500 * MS)
-    assert finals([a for _, a in driver.log]) == [api.RejectCall(2, RETRY_AFTER_US), api.FailCall(3)]
+    assert final_answers(driver.actions()) == [api.RejectCall(2, RETRY_AFTER_US), api.FailCall(3)]
 
 
 def test_last_answer_leaves_time_for_a_busy_process() -> None:
@@ -54,17 +58,20 @@
     start_us = driver.now
     driver.give(arrival(1, "f", "unsafe", 1_000 * MS))
     driver.run(2_000 * MS)
-    (at,) = [t for t, a in driver.log if isinstance(a, api.FailCall)]
-    assert at <= start_us + 900 * MS
+    (failed_us,) = [at_us for at_us, action in driver.log if isinstance(action, api.FailCall)]
+    assert failed_us <= start_us + 900 * MS
 
 
 def test_calls_that_only_loads_made_late_have_no_others_refused() -> None:
     """After a release half of the functions wait for loads; the others' copies stand, and answer in time."""
     driver = Driver(settings(router_count=1), WORKERS[:1])
-    served(driver, 1, "f")
-    dispatcher, now = driver.dispatcher, driver.now
-    context, admission = dispatcher.context, dispatcher.admission
-    function, worker = dispatcher.tiers.functions["f"], dispatcher.workers["w0"]
+    serve_call(driver, 1, "f")
+    dispatcher = driver.dispatcher
+    now = driver.now
+    context = dispatcher.context
+    admission = dispatcher.admission
+    function = dispatcher.tiers.functions["f"]
+    worker = dispatcher.workers["w0"]
     for attempts, counts in (
         ([], False),  # never sent: it waited for a load
         ([Attempt(0, worker, now, True, api.Result.FULL), Attempt(1, worker, now, True)], False),
--- a/tests/test_many_routers.py
+++ b/tests/test_many_routers.py
@@ -22,7 +22,7 @@
 
 
 def answer(driver: Driver, send: api.SendAttempt, result: api.Result = api.Result.OK) -> list[api.Action]:
-    """The end of a send's attempt, whichever of its call that is; the actions that it brings about."""
+    """End the latest attempt of a send's call, and return the actions that this brings about."""
     attempts = [attempt for call, attempt in driver.dispatcher.attempts if call == send.call]
     if not attempts:
         return []
@@ -30,17 +30,18 @@
 
 
 def number_of(worker: str) -> int:
+    """Return the number in a worker's name."""
     return int(worker.removeprefix("w"))
 
 
 def zone_of(worker: str) -> str:
-    """The zone of a worker of `zoned`."""
+    """Return the zone of a worker of `workers_in_zones`."""
     return f"z{number_of(worker) % 3}"
 
 
-def zoned(workers: int) -> list[api.WorkerEntry]:
-    """Workers in three zones."""
-    return [entry(f"w{number}", zone=zone_of(f"w{number}")) for number in range(workers)]
+def workers_in_zones(count: int) -> list[api.WorkerEntry]:
+    """Return workers in three zones."""
+    return [entry(f"w{number}", zone=zone_of(f"w{number}")) for number in range(count)]
 
 
 def test_zone_that_falls_silent_is_left_after_a_few_calls_and_met_again_after_one_probe() -> None:
@@ -49,7 +50,7 @@
     sent_to_lost = 0
     probes = 0
     for seed in range(20):
-        driver = Driver(router_settings, zoned(36), seed)
+        driver = Driver(router_settings, workers_in_zones(36), seed)
         for call in range(200):
             actions = driver.run(80 * MS) + driver.give(arrival(call, f"f{call % 20}"))
             for send in sends(actions):
@@ -68,7 +69,7 @@
 
 
 def test_hung_workers_in_zones_that_answer_lose_no_zone() -> None:
-    driver = Driver(settings(router_count=40, may_probe=True), zoned(36))
+    driver = Driver(settings(router_count=40, may_probe=True), workers_in_zones(36))
     for call in range(300):
         actions = driver.run(80 * MS) + driver.give(arrival(call, f"f{call % 30}"))
         for send in sends(actions):
@@ -79,7 +80,7 @@
 
 def test_silent_workers_are_no_overload() -> None:
     """Calls that a lost zone made late had others refused, and for seconds after it was back."""
-    driver = Driver(settings(router_count=40), zoned(36))
+    driver = Driver(settings(router_count=40), workers_in_zones(36))
     rejected = 0
     for call in range(300):
         actions = driver.run(80 * MS) + driver.give(arrival(call, f"f{call % 30}", budget_us=1_200 * MS))
@@ -117,7 +118,7 @@
     used: dict[str, set[str]] = {"z0": set(), "z1": set(), "z2": set()}
     for zone, workers in used.items():
         for seed in range(6):
-            driver = Driver(settings(router_count=18, zone=zone), zoned(36), seed)
+            driver = Driver(settings(router_count=18, zone=zone), workers_in_zones(36), seed)
             for call in range(60):
                 function = "hot" if call % 2 else f"rare-{call}"
                 actions = driver.run(80 * MS) + driver.give(arrival(call, function))
@@ -136,7 +137,7 @@
     refused_by_count = {1: 0, 12: 0}  # one worker of the zone, or all twelve, refuse connections
     for count in refused_by_count:
         for seed in range(10):
-            driver = Driver(router_settings, zoned(36), seed)
+            driver = Driver(router_settings, workers_in_zones(36), seed)
             for call in range(200):
                 waiting = sends(driver.run(80 * MS) + driver.give(arrival(call, f"f{call % 20}")))
                 while waiting:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from maplestile.dispatch import api
-from tests.helpers import CLASSES, MS, Driver, arrival, ended, entry, fleet, settings
+from tests.helpers import CLASSES, MS, Driver, arrival, ended, entry, settings, worker_list
 
 WORKERS = ["w0", "w1", "w2", "w3"]
 NEVER_RAN = {api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.SUPERSEDED, api.Result.MISS}
@@ -32,11 +32,12 @@
     result: api.Result | None = None
 
     def may_have_run(self) -> bool:
+        """Return whether the worker may have run the call."""
         return self.result not in NEVER_RAN
 
 
 class RuleChecker:
-    """Plays the fleet and keeps its own account of what the rules allow."""
+    """Plays the workers and the clients, and keeps its own account of what the rules allow."""
 
     def __init__(self, chosen: api.Settings) -> None:
         self.settings = chosen
@@ -52,11 +53,12 @@
         self.open_load_requests: list[api.RequestLoad] = []
 
     def give(self, event: api.Event) -> None:
+        """Give the dispatcher an event, and check its actions."""
         self.driver.give(event)
         self.check()
 
     def check(self) -> None:
-        """Rules 2, 3 and 5 at each action, and nothing after a final answer."""
+        """Check rules 2, 3 and 5 at each new action, and that nothing follows a final answer."""
         for now_us, action in self.driver.log[self.checked :]:
             if isinstance(action, api.SendAttempt):
                 self.check_attempt(now_us, action)
@@ -169,13 +171,13 @@
             self.barred.discard(worker)
         else:
             self.barred.add(worker)
-        self.give(fleet(entry(worker, state, self.driver.now), kind=api.ListKind.DELTA))
+        self.give(worker_list(entry(worker, state, self.driver.now), kind=api.ListKind.DELTA))
 
     def give_noise(self, first: int, second: int) -> None:
-        """Events of what the dispatcher does not know."""
+        """Give events of what the dispatcher does not know."""
         self.give(api.TimerFired(10_000_000 + first))
         self.give(ended(900_000 + first, second % 4, "unlisted", api.Result.ERROR))
-        self.give(fleet(kind=api.ListKind.FAILED))
+        self.give(worker_list(kind=api.ListKind.FAILED))
 
 
 @profile(derandomize=True, deadline=None, max_examples=120)
