--- /dev/null
+++ b/tests/standins/program.py
@@ -0,0 +1,93 @@
+"""The program as a child process of a test."""
+
+import json
+import os
+import re
+import resource
+import signal
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from tests.standins.waiting import PATIENCE_S, eventually
+
+ROOT = Path(__file__).parents[2]
+DESCRIPTOR_LIMIT = 256  # the hard limit where a test lowers the soft one
+
+
+class Program:
+    """The real program as a process; a thread collects its log."""
+
+    def __init__(self, *arguments: str, **environment: str) -> None:
+        self.log: list[str] = []
+        self.ports: dict[str, int] = {}
+        self.file = Path(arguments[-1] if arguments else "")
+        env = {**os.environ, **environment, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "maplestile", *arguments],
+            stderr=subprocess.PIPE,
+            text=True,
+            env=env,
+            cwd=ROOT,
+        )
+        threading.Thread(target=self._read, daemon=True).start()
+
+    def _read(self) -> None:
+        assert self.process.stderr is not None
+        self.log.extend(iter(self.process.stderr.readline, ""))
+
+    def find(self, pattern: str) -> str:
+        """Wait for a line of the log that matches, and return the first group of the match."""
+
+        def first_match() -> str | None:
+            matches = (re.search(pattern, line) for line in list(self.log))
+            return next((match[1] for match in matches if match), None)
+
+        return str(eventually(first_match, f"{pattern} in {self.log}"))
+
+    def port(self, front: str) -> int:
+        """Return the port on which a front listens, from the log."""
+        if front not in self.ports:  # the log may have been cleared since
+            self.ports[front] = int(self.find(rf"{front} front listens on 127\.0\.0\.1:(\d+)"))
+        return self.ports[front]
+
+    def counters(self) -> dict[str, int]:
+        """Have the program log its counters, and return them; clears the log."""
+        self.log.clear()
+        self.process.send_signal(signal.SIGUSR1)
+        counters: dict[str, int] = json.loads(self.find(r'^(\{"counters".*)'))["counters"]
+        return counters
+
+    def stop(self) -> int:
+        """Send SIGTERM, wait for the end, and return the exit code."""
+        self.process.terminate()
+        return self.process.wait(PATIENCE_S)
+
+    def reload(self, change: Callable[[str], str]) -> dict[str, Any]:
+        """Replace the configuration, send SIGHUP and return the program's report; clears the log."""
+        self.log.clear()
+        self.file.write_text(change(self.file.read_text()))
+        self.process.send_signal(signal.SIGHUP)
+        report: dict[str, Any] = json.loads(self.find(r'^(\{"reload".*)'))["reload"]
+        return report
+
+    def terminate_and_wait(self) -> tuple[int, float]:
+        """Send SIGTERM; return the exit code, and the seconds until the end."""
+        started_s = time.monotonic()
+        return self.stop(), time.monotonic() - started_s
+
+    def forbid_new_descriptors(self) -> None:
+        """Lower the limit of open descriptors to the number of those that are open."""
+        open_count = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
+        resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (open_count, DESCRIPTOR_LIMIT))
+
+    def kill(self) -> None:
+        """Send SIGKILL and wait for the end."""
+        self.process.kill()
+        self.process.wait()
+        if self.process.stderr is not None:
+            self.process.stderr.close()
