--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -5,6 +5,7 @@
 import socket
 import struct
 import threading
+from collections.abc import Iterable
 from typing import Any
 
 LONG_ANSWER_BYTES = 230_000
@@ -48,7 +49,7 @@
 
     def _serve(self, peer: socket.socket) -> None:
         try:
-            for line in peer.makefile("rb"):
+            for line in self._read_lines(peer):
                 self._may_read.wait()
                 if not line.endswith(b"\n"):
                     return  # cut off
@@ -62,6 +63,10 @@
         except OSError:
             return
 
+    def _read_lines(self, peer: socket.socket) -> Iterable[bytes]:
+        """Return the lines of a connection, up to its end."""
+        return peer.makefile("rb")
+
     def _answer(self, message: dict[str, Any]) -> dict[str, Any] | bytes | None:
         if message["kind"] == "LOAD":
             return {"kind": "200", "head": {"units": str(max(1, message["head"]["units"]))}}
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -6,11 +6,12 @@
 
 import asyncio
 import socket
+import struct
 import threading
 import time
 import unittest
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from typing import Any
 
@@ -22,7 +23,7 @@
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.pool import Connection, Socket
 from maplestile.router.process import clock
-from maplestile.wire.limits import Limits, RunnerLimits
+from maplestile.wire.limits import Limits, RequestLimits, RunnerLimits
 from maplestile.wire.settings import settings_from
 from tests.router_fixture import RouterTestCase
 from tests.standins import (
@@ -42,6 +43,12 @@
 BUSY_S = 0.2  # how long the loop reads nothing
 CALL_ARRIVED_S = 0.3  # a call that is written is at the worker by then
 SEED = 7
+# Of a router in the process of the test: it sheds nothing for lag, however long the machine keeps it waiting.
+LIMITS = Limits(requests=RequestLimits(max_lag_us=60_000_000))
+# Of Linux, and not in the module `socket`: the time at which the system received the data of a read.
+SO_TIMESTAMPNS = 35
+TIMESPEC = struct.Struct("ll")
+READ_BYTES = 1 << 16
 LATER_IN_BASE64 = "bGF0ZXI="
 ABC_IN_BASE64 = "YWJj"
 
@@ -55,18 +62,35 @@
 
 
 class TimingWorker(Worker):
-    """Records when each call came whole, answers once it may, and while it is `full` rejects calls."""
+    """Records when each call came whole, answers once it may, and while it is `full` rejects calls.
+
+    A call comes when the system has its last byte: this process may read it much later on a busy machine.
+    """
 
     def __init__(self) -> None:
         self.arrivals: list[Arrival] = []
         self.full = threading.Event()
         self.may_answer = threading.Event()
         self.may_answer.set()
+        self._read = threading.local()  # by the thread of each connection: `at_s`, of the last read
         super().__init__()
+        self.listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # connections inherit it
+
+    def _read_lines(self, peer: socket.socket) -> Iterator[bytes]:
+        incomplete = b""
+        while True:
+            data, ancillary, _, _ = peer.recvmsg(READ_BYTES, socket.CMSG_SPACE(TIMESPEC.size))
+            if not data:
+                return
+            ((_, _, timestamp),) = ancillary
+            seconds, nanoseconds = TIMESPEC.unpack(timestamp)
+            self._read.at_s = seconds + nanoseconds / 1e9
+            *lines, incomplete = (incomplete + data).split(b"\n")
+            yield from (line + b"\n" for line in lines)
 
     def _answer(self, message: dict[str, Any]) -> dict[str, Any] | bytes | None:
         if message["kind"] == "CALL":
-            self.arrivals.append(Arrival(time.time(), int(message["head"]["wait"])))
+            self.arrivals.append(Arrival(self._read.at_s, int(message["head"]["wait"])))
             self.may_answer.wait()
             if self.full.is_set():
                 return {"kind": "503"}
@@ -210,21 +234,24 @@
     meanwhile can be read.
     """
 
-    def play(self, leave: Callable[[Client, int], None]) -> tuple[list[str], Counter[str]]:
-        """Have a client call and leave while the loop is busy; return what began, and the counters."""
+    def play(self, leave: Callable[[Client, int], None], least: int = 0) -> tuple[list[str], Counter[str]]:
+        """Have a client call and leave while the loop is busy; return what began, and the counters.
+
+        At least so many calls are waited for.
+        """
         selector = TimestampingSelector(clock)
         with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
-            return runner.run(self.leave_while_busy(selector, leave))
+            return runner.run(self.leave_while_busy(selector, leave, least))
 
     async def leave_while_busy(
-        self, selector: TimestampingSelector, leave: Callable[[Client, int], None]
+        self, selector: TimestampingSelector, leave: Callable[[Client, int], None], least: int
     ) -> tuple[list[str], Counter[str]]:
         worker = Worker()
         counters = Counter[str]()
-        pool = HoldingRunnerPool(Limits().runners, counters)
+        pool = HoldingRunnerPool(LIMITS.runners, counters)
         pool.writer.input_is_old = selector.input_is_old
         core = self.start_core(pool, worker, counters)
-        front = PlatformFront(core, Limits(), counters, selector, lambda: True)
+        front = PlatformFront(core, LIMITS, counters, selector, lambda: True)
         listener = await front.start("127.0.0.1", 0, False)
         client = Client(listener.address[1])
         id_ = client.call("review", b"abc", LIMIT_MS)
@@ -233,6 +260,7 @@
         time.sleep(BUSY_S)
         pool.report_connections()
         await asyncio.sleep(CALL_ARRIVED_S)
+        await wait_until(lambda: len(call_lines(worker)) >= least)
         listener.close()
         return [line["bytes"] for line in call_lines(worker)], counters
 
@@ -243,7 +271,7 @@
         def set_alarm(due_us: int) -> None:
             loop.call_later(max(0.0, (due_us - clock()) / 1e6), core.tick)
 
-        core = Core(settings_from(params()), Limits(), SEED, pool, clock, set_alarm, counters)
+        core = Core(settings_from(params()), LIMITS, SEED, pool, clock, set_alarm, counters)
         pool.core = core
         endpoints = EndpointList()
         entry = api.WorkerEntry("s-0", "east", "std", 2, api.WorkerState.RUNNING, 4.0, 0)
@@ -268,7 +296,7 @@
         self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
     def test_client_that_waits_is_served_after_the_loop_was_away(self) -> None:
-        started, _ = self.play(lambda client, _: None)
+        started, _ = self.play(lambda client, _: None, least=1)
         self.assertEqual(started, [ABC_IN_BASE64])
 
 
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -173,8 +173,9 @@
         self.program.process.send_signal(signal.SIGTERM)
         answer = client.read() or {}
         self.assertEqual((answer.get("id"), "error" in answer), (id_, True))
-        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
+        self.assertIsNone(client.read())  # a clean close
         self.assertLess(time.monotonic() - started_s, KILLED_S)
+        self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         # Not by luck, as its parts fall: what ends a worker's connection first would bring an answer, too.
         self.program.find("(nothing is owed)")
         client.close()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from maplestile.router.clock import POLL_S
 from maplestile.wire.limits import Limits
 from maplestile.wire.settings import settings_from
 from tests.standins import params
@@ -24,6 +25,7 @@
     "stand-in": Limits.from_settings(NOTIFIED, 384, 80.5),
     "tiny": Limits.from_settings(BARE, 64, 20),
 }
+EXIT_US = 100_000  # for the exit of the interpreter, which takes 10 to 40 ms where a core is free
 DEFAULTS = {
     "clients.connections": 512,
     "clients.streams": 32,
@@ -263,6 +265,13 @@
 }
 
 
+def test_a_process_has_time_to_exit_between_its_last_answers_and_its_kill() -> None:
+    """What is pending is answered `spare_us` before SIGKILL; then connections are closed, and it ends."""
+    handover = Limits().handover
+    closing_us = handover.linger_us + 2 * POLL_S * 1e6
+    assert handover.spare_us - closing_us >= EXIT_US
+
+
 def numbers(limits: Limits) -> dict[str, float]:
     return {f"{part}.{name}": value for part, each in asdict(limits).items() for name, value in each.items()}
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -107,6 +107,7 @@
         timeout_us: int = 100_000,
         serial: int = FIRST_SERIAL,
         restart_us: int = 60_000_000,
+        complete_us: int = 600_000,
     ) -> None:
         """Poll a server that lists `WORKERS` workers, until the test ends."""
         loop = asyncio.get_running_loop()
@@ -116,7 +117,9 @@
             lambda: TruncatingDnsServer(host_batch, serial), local_addr=("127.0.0.1", 0)
         )
         self.addCleanup(transport.close)
-        limits = NameServerLimits(timeout_us=timeout_us, restart_us=restart_us, poll_us=20_000)
+        limits = NameServerLimits(
+            timeout_us=timeout_us, restart_us=restart_us, complete_us=complete_us, poll_us=20_000
+        )
         self.discovery = DnsDiscovery(
             transport.get_extra_info("sockname")[:2], self.endpoints, limits, self.counters, lambda: None
         )
@@ -165,7 +168,8 @@
         self.assertEqual(self.endpoints.version, FIRST_SERIAL)
 
     async def test_host_that_never_resolves_keeps_back_nothing_else_and_is_queried_again(self) -> None:
-        await self.start()
+        # A busy machine, on which replies take longer than usual, must not make other hosts late, too.
+        await self.start(timeout_us=500_000, complete_us=60_000_000)
         unanswered = host(33)
         self.server.unanswered_hosts = {unanswered}
         # Its two records, in two rounds.
--- a/tests/test_process_runners.py
+++ b/tests/test_process_runners.py
@@ -4,8 +4,8 @@
 import unittest
 
 from tests.fleet import AGENTS
-from tests.rollout_fleet import Calls, FleetTest, HangingCall
-from tests.standins import PATIENCE_S, eventually
+from tests.rollout_fleet import Calls, FleetTest
+from tests.standins import eventually
 
 
 class RunnerTest(FleetTest):
@@ -38,9 +38,11 @@
         self.assertEqual(self.calls(), before)
         self.assertEqual(self.fleet.run(0, "rollout", "undo")[0], 0)
         self.fleet.until_phase(1, "undone")
-        result = calls.result()
-        self.assertLessEqual(set(result["ends"]), {"served", "refused"}, result)
-        eventually(lambda: self.called_again(before), "calls there again")
+        # On a busy machine the first calls may be over by now.
+        later_calls = Calls(self.fleet, 3)
+        eventually(lambda: self.calls() > before, "calls there again")
+        for result in (calls.result(), later_calls.result()):
+            self.assertLessEqual(set(result["ends"]), {"served", "refused"}, result)
 
     def test_a_runner_is_restarted_while_no_router_uses_it(self) -> None:
         eventually(lambda: self.fleet.status(0)["runners"] == {"w1": "", "w2": "a0"}, "the runners")
@@ -64,11 +66,6 @@
     def calls(self) -> int:
         return sum(line["kind"] == "CALL" for line in list(self.fleet.workers[0].lines))
 
-    def called_again(self, before: int) -> bool:
-        client = HangingCall(self.fleet.invoke[3], b"again:")
-        client.join(PATIENCE_S)
-        return self.calls() > before
-
 
 if __name__ == "__main__":
     unittest.main()
