--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -24,12 +24,12 @@
 SEEDS = (1, 2, 3)
 EVENTS = 15_000
 EVENTS_PER_CHUNK = 1_000
-EVENTS_PER_LOOK = 50  # at the workers that the dispatcher avoids
+EVENTS_PER_AVOIDED = 50  # between two lines with the workers that the dispatcher avoids
 
 
 @dataclass(slots=True)
 class Recording:
-    """What a trace gave; the counts are by the names that the simulator's wire has for the actions."""
+    """Counts and digests of a trace's actions; the counts are by the names of the simulator's wire."""
 
     events: int = 0
     actions: Counter[str] = field(default_factory=Counter)
@@ -37,6 +37,7 @@
     digest: str = ""
 
     def as_json(self, variant: str, seed: int) -> dict[str, Any]:
+        """Return the form in which it is recorded."""
         return {
             "variant": variant,
             "seed": seed,
@@ -48,7 +49,7 @@
 
 
 class ActionDigest:
-    """Digests of the actions' wire lines, with the time and the number of the event that brought them."""
+    """Digests the actions' wire lines, each with the time and the number of its event."""
 
     def __init__(self) -> None:
         self.recording = Recording()
@@ -56,6 +57,7 @@
         self.chunk = hashlib.sha256()
 
     def add(self, now_us: int, actions: list[api.Action]) -> None:
+        """Add the actions of one event."""
         for action in actions:
             line = action_line("d", action)
             self.recording.actions[line.partition(" ")[0]] += 1
@@ -68,10 +70,12 @@
             self.chunk = hashlib.sha256()
 
     def add_line(self, line: str) -> None:
+        """Add a line to both digests."""
         self.whole.update(f"{line}\n".encode())
         self.chunk.update(f"{line}\n".encode())
 
     def finished(self) -> Recording:
+        """Return the recording with the digest of the whole trace."""
         self.recording.digest = self.whole.hexdigest()
         return self.recording
 
@@ -84,8 +88,9 @@
         self.digest = ActionDigest()
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+        """Have the dispatcher handle an event, and record its actions."""
         actions = self.dispatcher.handle(now_us, event)
-        if self.digest.recording.events % EVENTS_PER_LOOK == 0:
+        if self.digest.recording.events % EVENTS_PER_AVOIDED == 0:
             workers = self.dispatcher.workers.items()
             avoided = [name for name, worker in workers if self.dispatcher.avoids(worker)]
             self.digest.add_line(f"avoided {' '.join(avoided)}")
@@ -94,6 +99,7 @@
 
 
 def replayed(variant: str, seed: int, events: int = EVENTS) -> Recording:
+    """Play a trace of one variant, and return what it gave."""
     dispatcher = RecordedDispatcher(VARIANTS[variant], seed)
     environment = Environment(VARIANTS[variant], seed, dispatcher.handle)
     environment.run(events, Episodes(environment).start_one)
@@ -101,6 +107,7 @@
 
 
 def main() -> None:
+    """Print or write the digests of the present decisions."""
     parser = argparse.ArgumentParser(description="Record the decisions that generated traces bring about.")
     parser.add_argument("--write", action="store_true", help=f"write {FIXTURE.name} instead of printing it")
     recorded = [replayed(variant, seed).as_json(variant, seed) for variant in VARIANTS for seed in SEEDS]
--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -149,8 +149,8 @@
     def assert_repeats_are_allowed(self) -> None:
         """Check that no call that may not be repeated ran twice, and no other one twice at the same worker.
 
-        A call that may be repeated is hedged at another worker where its own stands still, be it by a pause
-        of a thread of this test.
+        A call that may be repeated is hedged at another worker where its own does not answer, for example
+        since a thread of this test was paused.
         """
         twice = [key for key, count in self.run_counts().items() if count > 1]
         self.assertEqual([key for key in twice if key.startswith(NEVER_REPEATED)], [])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -101,6 +101,7 @@
 
 
 def fail() -> None:
+    """Raise, as a timer of a faulty program."""
     raise ValueError("a fault of the program")
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -219,6 +219,7 @@
     async def leave_while_busy(
         self, selector: TimestampingSelector, leave: Callable[[Client, int], None]
     ) -> tuple[list[str], Counter[str]]:
+        """Start a front with one worker, and have its client leave before the loop reads on."""
         worker = Worker()
         counters = Counter[str]()
         pool = HoldingRunnerPool(Limits().runners, counters)
--- a/tests/test_decide_worker_health.py
+++ b/tests/test_decide_worker_health.py
@@ -67,7 +67,7 @@
         assert sends(driver.give(arrival(call, "f", "unsafe")))[0].worker == home
     for call in (2, 3):
         assert final_answers(driver.give(ended(call, 0, home, api.Result.RESET))) == [api.FailCall(call)]
-    assert sends(driver.give(arrival(4, "f")))[0].worker == home  # its copy stands, and it is healthy
+    assert sends(driver.give(arrival(4, "f")))[0].worker == home  # its copy is loaded, and it is healthy
     driver.give(ended(4, 0, home, api.Result.OK))
     for call in (5, 6, 7):  # a worker whose connections break again and again is left all the same
         for send in sends(driver.give(arrival(call, "f", "unsafe"))):
@@ -106,7 +106,7 @@
     pauses = []
     for call in range(3):
         driver.run(60_000 * MS)
-        driver.give(replace(arrival(10 + call, "f"), tenant="b"))  # a copy stands: what is full is no load
+        driver.give(replace(arrival(10 + call, "f"), tenant="b"))  # a copy is loaded: what is full is no load
         driver.give(ended(10 + call, 0, "w0", api.Result.OK, MS))
         driver.give(replace(arrival(call, "f"), tenant="a"))
         driver.give(ended(call, 0, "w0", api.Result.FULL, MS))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""Clients that leave at an awkward moment: the real program, and workers that hold or pause when told to.
+"""Clients that leave at an awkward moment: the real program, and workers that hold connections or pause.
 
 `docs/endings.md` lists the moments.
 """
--- a/tests/test_endings_reload.py
+++ b/tests/test_endings_reload.py
@@ -10,6 +10,8 @@
 
 
 class DescriptorsExhaustedTest(unittest.TestCase):
+    """A process whose idle clients have every descriptor."""
+
     def test_new_name_server_is_heard_though_idle_clients_hold_every_descriptor(self) -> None:
         worker = Worker()
         names = NameServer()
@@ -32,6 +34,8 @@
 
 
 class ReloadTest(unittest.TestCase):
+    """A new name server that does not answer."""
+
     def test_new_name_server_that_says_nothing_leaves_no_drain_untold(self) -> None:
         workers = [Worker(), Worker()]
         names = NameServer()
--- a/tests/test_endings_slow_start.py
+++ b/tests/test_endings_slow_start.py
@@ -25,6 +25,8 @@
 
 
 class FleetSlowStartTest(unittest.TestCase):
+    """The budget of a cold worker, summed over all routers."""
+
     ROUTERS = 20
     FUNCTIONS = 40
     CALLS_PER_S = 24.0  # 0.6 of what three of these workers carry
--- a/tests/test_front_closing.py
+++ b/tests/test_front_closing.py
@@ -12,7 +12,7 @@
 
 
 class MessageTimeTest(FrontTestCase):
-    """A message that was begun has `CLIENT_LIMITS.message_us` to come whole."""
+    """A message that has started has `CLIENT_LIMITS.message_us` to come whole."""
 
     async def test_connection_without_a_whole_message_in_time_is_closed_and_a_quiet_one_is_not(self) -> None:
         quiet = await self.connect()
@@ -44,7 +44,7 @@
             await self.until_disconnected()
 
     async def test_connection_that_is_owed_an_answer_is_read_on_past_the_time_for_a_message(self) -> None:
-        """What its client sends while the answer is on its way was written to a connection that stands."""
+        """What its client sends while the answer is on its way was written to a connection that was open."""
         client = await self.connect()
         second_call = call_frame(2)
         client.send(call_frame(1) + second_call[:-1])
@@ -60,7 +60,7 @@
     """The process ends, and each connection closes behind its last answer."""
 
     async def test_connection_ends_with_its_last_answer_and_not_in_the_midst_of_what_was_read(self) -> None:
-        """The process begins to close between two messages of one read, and a call stands behind them."""
+        """The process begins to close between two messages of one read, and a call is behind them."""
 
         def close_and_be_ready() -> bool:
             self.front.close_gracefully(0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,10 +8,10 @@
 from maplestile.wire.settings import settings_from
 from tests.standins import params
 
-NOTIFIED = settings_from(params())
-BARE = replace(NOTIFIED, max_open=0, connect_timeout_us=0, idle_close_us=0, load_timeout_us=0)
+STAND_IN = settings_from(params())
+BARE = replace(STAND_IN, max_open=0, connect_timeout_us=0, idle_close_us=0, load_timeout_us=0)
 FULL = replace(
-    NOTIFIED,
+    STAND_IN,
     max_open=77,
     streams_per_connection=5,
     connect_timeout_us=90_000,
@@ -21,7 +21,7 @@
 ALONE = {
     "bare": Limits.from_settings(BARE, 1024, 192),
     "full": Limits.from_settings(FULL, 256, 64),
-    "stand-in": Limits.from_settings(NOTIFIED, 384, 80.5),
+    "stand-in": Limits.from_settings(STAND_IN, 384, 80.5),
     "tiny": Limits.from_settings(BARE, 64, 20),
 }
 DEFAULTS = {
@@ -264,6 +264,7 @@
 
 
 def numbers(limits: Limits) -> dict[str, float]:
+    """Return each number by its part and its name."""
     return {f"{part}.{name}": value for part, each in asdict(limits).items() for name, value in each.items()}
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -24,6 +24,7 @@
 
 
 def imported(file: Path) -> set[str]:
+    """Return the names of the modules that a file imports; it may call nothing that reads or writes."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
@@ -42,6 +43,7 @@
 
 
 def run_link(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+    """Run the simulator adapter with this input."""
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     command = [sys.executable, "-m", "maplestile.wire.simulator_adapter"]
     return subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, check=False)
@@ -59,6 +61,7 @@
 
 
 def script(names: list[str]) -> str:
+    """Return input by which these dispatchers get a list of workers and calls."""
     lines = []
     for name in names:
         frame = 1000 * int(name[-1])
--- a/tests/test_process_runners.py
+++ b/tests/test_process_runners.py
@@ -7,6 +7,9 @@
 from tests.rollout_fleet import Calls, FleetTest, HangingCall
 from tests.standins import PATIENCE_S, eventually
 
+DRAIN_BINDS_S = 2.0  # within which routers obey a drain that they are notified of
+QUIET_S = 1.0
+
 
 class RunnerTest(FleetTest):
     """Runners taken out at all routers, one of them a process of the first agent."""
@@ -18,24 +21,20 @@
         code, _, err = self.fleet.run(1, "rollout", "start", "--runners", "--budget", "1", "w1")
         self.assertEqual((code, "no agent manages w1" in err), (1, True))
         calls = Calls(self.fleet, 12)
-        eventually(lambda: self.calls() > 10, "calls there")
+        eventually(lambda: self.call_count() > 10, "calls there")
         self.start(1, "--runners", "--action", "drain", "--budget", "1", "w1")
         self.until_event("begin", "w1")
         self.fleet.until_phase(2, "done")
         eventually(lambda: len(self.events_named("out")) == AGENTS, "the reports of all agents")
         out = self.events_named("out")
-        # All routers were notified before the last agent said so, and the rule gives them two seconds.
-        time.sleep(max(0.0, 2.0 - (time.monotonic() - out[-1]["t_us"] / 1e6)))
-        before = self.calls()
-        time.sleep(1.0)
-        self.assertEqual(self.calls(), before)
+        # All routers were notified before the last agent said so.
+        time.sleep(max(0.0, DRAIN_BINDS_S - (time.monotonic() - out[-1]["t_us"] / 1e6)))
+        self.assert_no_calls_come()
         # A router that is started anew does not know of it, and is notified at once.
         self.assertEqual(self.fleet.run(0, "restart", "r0")[0], 0)
         eventually(lambda: self.fleet.run(0, "ready", "r0")[0] == 0, "r0 back")
-        time.sleep(2.0)
-        before = self.calls()
-        time.sleep(1.0)
-        self.assertEqual(self.calls(), before)
+        time.sleep(DRAIN_BINDS_S)
+        before = self.assert_no_calls_come()
         self.assertEqual(self.fleet.run(0, "rollout", "undo")[0], 0)
         self.fleet.until_phase(1, "undone")
         result = calls.result()
@@ -52,22 +51,32 @@
         eventually(lambda: len(self.events_named("in")) == AGENTS, "the reports of all agents")
         order = [event["event"] for event in self.fleet.events() if event.get("instance") == "w2"]
         self.assertEqual(
-            [e for e in order if e in ("out", "renewed", "in")],
+            [event for event in order if event in ("out", "renewed", "in")],
             AGENTS * ["out"] + ["renewed"] + AGENTS * ["in"],
         )
         result = calls.result()
         self.assertLessEqual(set(result["ends"]), {"served", "refused"}, result)
 
+    def assert_no_calls_come(self) -> int:
+        """Check that the first worker gets no call for a while, and return how many it has got."""
+        before = self.call_count()
+        time.sleep(QUIET_S)
+        self.assertEqual(self.call_count(), before)
+        return before
+
     def pid(self) -> int:
+        """Return the process of the first agent's worker."""
         return int(self.fleet.command(0, "status", "w2")[0]["instances"]["w2"]["pid"])
 
-    def calls(self) -> int:
+    def call_count(self) -> int:
+        """Return how many calls the first worker has got."""
         return sum(line["kind"] == "CALL" for line in list(self.fleet.workers[0].lines))
 
     def called_again(self, before: int) -> bool:
+        """Call, and return whether the first worker has got more calls than before."""
         client = HangingCall(self.fleet.invoke[3], b"again:")
         client.join(PATIENCE_S)
-        return self.calls() > before
+        return self.call_count() > before
 
 
 if __name__ == "__main__":
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -13,11 +13,15 @@
 
 @dataclass(frozen=True)
 class WeightedEntry:
+    """The part of a worker's list entry that counts for rankings."""
+
     weight: float
 
 
 @dataclass(eq=False)
 class Worker:
+    """A worker as the rankings see it."""
+
     name: str
     entry: WeightedEntry
 
@@ -27,7 +31,7 @@
 
 
 def sorted_names(salt: int, workers: list[Worker], count: int) -> list[str]:
-    """The first so many workers of a ranking made by sorting all."""
+    """Return the first so many workers of a ranking made by sorting all."""
 
     def key(worker: Worker) -> float:
         return unit_hash(salt, worker.salt) / max(worker.entry.weight, MIN_WEIGHT)
@@ -36,6 +40,7 @@
 
 
 def names(ranking: Ranking[Worker], count: int) -> list[str]:
+    """Return the names of the first so many workers of a ranking."""
     return [worker.name for worker in ranking.workers[:count]]
 
 
@@ -53,6 +58,7 @@
 
 
 def apply_step(workers: dict[str, Worker], step: str, number: int, weight: float) -> None:
+    """Change the list of workers."""
     name = f"w{number}"
     if step == "come":
         workers[name] = Worker(name, WeightedEntry(weight))
@@ -106,10 +112,10 @@
     assert found[0] == found[1]
 
 
-def fleet(size: int, weights: int = 1) -> dict[str, Worker]:
-    """Workers of so many different weights."""
-    found = (Worker(f"w{number}", WeightedEntry(1.0 + number % weights)) for number in range(size))
-    return {worker.name: worker for worker in found}
+def make_workers(size: int, weights: int = 1) -> dict[str, Worker]:
+    """Return workers of so many different weights."""
+    workers = (Worker(f"w{number}", WeightedEntry(1.0 + number % weights)) for number in range(size))
+    return {worker.name: worker for worker in workers}
 
 
 def test_work_of_a_change_and_memory_of_a_function_do_not_grow_with_the_fleet() -> None:
@@ -118,7 +124,7 @@
     held = list[int]()
     for size in (100, 1_000, 4_000):
         index = RankingIndex[Worker]()
-        workers = fleet(size)
+        workers = make_workers(size)
         ranking = Ranking[Worker](digest("f"))
         index.update(workers.values())
         index.refresh(ranking, 3)
@@ -137,7 +143,7 @@
 
 
 def test_many_weights_are_ranked_by_their_keys_alone() -> None:
-    workers = fleet(500, MAX_WEIGHT_GROUPS + 5)
+    workers = make_workers(500, MAX_WEIGHT_GROUPS + 5)
     index = RankingIndex[Worker]()
     ranking = Ranking[Worker](digest("f"))
     index.update(workers.values())
@@ -150,7 +156,7 @@
 
 def test_ranking_that_was_not_looked_at_for_long_is_made_anew_once() -> None:
     index = RankingIndex[Worker]()
-    workers = fleet(50)
+    workers = make_workers(50)
     ranking = Ranking[Worker](digest("f"))
     index.update(workers.values())
     index.refresh(ranking, 2)
@@ -166,6 +172,8 @@
 
 @dataclass(eq=False)
 class ListEntry:
+    """An entry of a gap-ranked list whose age a test sets."""
+
     name: int
     tier: int = 0
     settled: int = 0
@@ -218,7 +226,7 @@
 
 def test_workers_that_have_left_are_not_kept_by_the_log_of_changes() -> None:
     index = RankingIndex[Worker]()
-    workers = fleet(40)
+    workers = make_workers(40)
     for number in range(500):
         workers.pop(next(iter(workers)))
         workers[f"new-{number}"] = Worker(f"new-{number}", WeightedEntry(1.0))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -69,6 +69,7 @@
         self.checked = len(self.driver.log)
 
     def check_attempt(self, now_us: int, send: api.SendAttempt) -> None:
+        """Check rules 2 and 3 for an attempt that is sent."""
         assert send.call not in self.answered_us
         assert now_us < self.due_us[send.call]
         assert send.worker not in self.barred
@@ -76,6 +77,7 @@
         self.attempts.setdefault(send.call, []).append(SentAttempt(send.worker, now_us))
 
     def check_repeat(self, now_us: int, send: api.SendAttempt) -> None:
+        """Check that the call may be sent again, if it may have run."""
         call_class = self.call_class[send.call]
         ran = self.attempts_that_may_have_run(send.call)
         if not self.settings.may_hedge:
@@ -87,15 +89,18 @@
         assert len(self.attempts.get(send.call, [])) < self.settings.max_attempts
 
     def attempts_that_may_have_run(self, call: int) -> list[SentAttempt]:
+        """Return the attempts of a call that a worker may have run."""
         return [attempt for attempt in self.attempts.get(call, []) if attempt.may_have_run()]
 
     def check_answer(self, now_us: int, answer: api.RejectCall | api.FailCall) -> None:
+        """Check that the call has no other answer, and that a rejection is harmless."""
         assert answer.call not in self.answered_us
         self.answered_us[answer.call] = now_us
         if isinstance(answer, api.RejectCall) and self.attempts_that_may_have_run(answer.call):
             assert self.call_class[answer.call].idempotency is api.Idempotency.IDEMPOTENT
 
     def check_load_request(self, now_us: int, request: api.RequestLoad) -> None:
+        """Check rule 5 for a load request."""
         self.open_load_requests.append(request)
         if not request.copies:
             return
@@ -122,6 +127,7 @@
             self.give_noise(first, second)
 
     def call(self, first: int, second: int) -> None:
+        """Have a call arrive."""
         call = len(self.call_class)
         self.call_class[call] = CLASSES[first % len(CLASSES)]
         budget_us = (50 + second * 4) * MS
@@ -130,6 +136,7 @@
         self.give(arrival(call, f"f{first % 4}", self.call_class[call].name, budget_us))
 
     def end_attempt(self, first: int, second: int) -> None:
+        """End an attempt that is out."""
         in_flight = [
             (call, number)
             for call, attempts in self.attempts.items()
@@ -147,6 +154,7 @@
         self.give(ended(call, number, attempt.worker, result, over=call in self.answered_us))
 
     def end_load_request(self, first: int, second: int) -> None:
+        """End a load request that is out."""
         if not self.open_load_requests:
             return
         request = self.open_load_requests.pop(first % len(self.open_load_requests))
@@ -165,6 +173,7 @@
         self.driver.now = end_us
 
     def change_state(self, first: int, second: int) -> None:
+        """List a worker in another state."""
         worker = WORKERS[first % len(WORKERS)]
         state = list(api.WorkerState)[second % 3]
         if state is api.WorkerState.RUNNING:
--- a/tests/trace_episodes.py
+++ b/tests/trace_episodes.py
@@ -4,26 +4,30 @@
 from dataclasses import replace
 
 from maplestile.dispatch import api
-from tests.trace_environment import EPISODE_GAP_US, ZONES, Environment, Machine
+from tests.trace_environment import EPISODE_GAP_US, Environment
 from tests.trace_variants import CLASSES, MS
+from tests.trace_workers import ZONES, Machine
 
 
 class Episodes:
     """Starts a random episode at random intervals."""
 
     def __init__(self, environment: Environment) -> None:
-        self.environment = environment
+        self.simulation = environment.simulation
+        self.workers = environment.workers
 
     def announce(self, machine: Machine, state: api.WorkerState, started_us: int) -> None:
+        """List a worker in another state."""
         machine.entry = replace(machine.entry, state=state, started_us=started_us)
-        self.environment.list_version += 1
-        self.environment.give(
-            api.WorkerListReceived(api.ListKind.DELTA, self.environment.list_version, (machine.entry,))
+        self.workers.list_version += 1
+        self.simulation.give(
+            api.WorkerListReceived(api.ListKind.DELTA, self.workers.list_version, (machine.entry,))
         )
 
     def start_one(self) -> None:
-        self.environment.after(self.environment.around(EPISODE_GAP_US), self.start_one)
-        machine = self.environment.random.choice(list(self.environment.machines.values()))
+        """Start an episode, and schedule the next one."""
+        self.simulation.after(self.simulation.around(EPISODE_GAP_US), self.start_one)
+        machine = self.simulation.random.choice(list(self.workers.machines.values()))
         episodes: tuple[tuple[int, Callable[[], None]], ...] = (
             (20, lambda: self.drain(machine)),
             (20, lambda: self.crash(machine)),
@@ -35,87 +39,96 @@
             (10, self.list_again),
             (6, self.overload),
             (6, self.change_policy),
-            (4, lambda: self.environment.give(api.PeerMessage(1, b"hello"))),
+            (4, lambda: self.simulation.give(api.PeerMessage(1, b"hello"))),
             (10, lambda: self.break_connection(machine)),
         )
         weights = [weight for weight, _ in episodes]
-        self.environment.random.choices([start for _, start in episodes], weights)[0]()
+        self.simulation.random.choices([start for _, start in episodes], weights)[0]()
 
     def drain(self, machine: Machine) -> None:
+        """Drain a worker, and end its process a while later."""
         if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
             return
         self.announce(machine, api.WorkerState.DRAINING, machine.entry.started_us)
-        self.environment.after(self.environment.around(1_500 * MS), lambda: self.end_process(machine))
+        self.simulation.after(self.simulation.around(1_500 * MS), lambda: self.end_process(machine))
 
     def end_process(self, machine: Machine) -> None:
+        """End a process, take it from the list, and start another one later."""
         machine.down = True
         machine.loaded.clear()
         self.announce(machine, api.WorkerState.GONE, machine.entry.started_us)
-        self.environment.after(self.environment.around(2_000 * MS), lambda: self.come_up(machine))
+        self.simulation.after(self.simulation.around(2_000 * MS), lambda: self.come_up(machine))
 
     def come_up(self, machine: Machine) -> None:
+        """Start a process that is well."""
         machine.down = False
         machine.hangs_until_us = machine.slow_until_us = machine.fails_until_us = 0
-        self.announce(machine, api.WorkerState.RUNNING, self.environment.now_us)
+        self.announce(machine, api.WorkerState.RUNNING, self.simulation.now_us)
 
     def crash(self, machine: Machine) -> None:
+        """End a process without notice."""
         if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
             return
         machine.down = True
         machine.loaded.clear()
         self.break_connection(machine)
-        if self.environment.chance(0.5):  # else it is back before it is missed
-            self.environment.after(self.environment.around(300 * MS), lambda: self.end_process(machine))
+        if self.simulation.chance(0.5):  # else it is back before it is missed
+            self.simulation.after(self.simulation.around(300 * MS), lambda: self.end_process(machine))
         else:
-            self.environment.after(self.environment.around(4_000 * MS), lambda: self.come_up(machine))
+            self.simulation.after(self.simulation.around(4_000 * MS), lambda: self.come_up(machine))
 
     def break_connection(self, machine: Machine) -> None:
-        """All that the connection carries ends at once, by a reset."""
+        """End all that a worker's connection carries by a reset."""
         name = machine.entry.worker
-        for attempt, event in list(self.environment.pending.items()):
-            if event.worker == name and self.environment.pending.pop(attempt, None) is not None:
-                self.environment.give(
+        for attempt, event in list(self.workers.pending.items()):
+            if event.worker == name and self.workers.pending.pop(attempt, None) is not None:
+                self.simulation.give(
                     replace(event, result=api.Result.RESET, call_ended=False, elapsed_us=50 * MS)
                 )
 
     def hang(self, machine: Machine) -> None:
-        machine.hangs_until_us = self.environment.now_us + self.environment.around(4_000 * MS)
+        """Have a worker answer nothing for a while."""
+        machine.hangs_until_us = self.simulation.now_us + self.simulation.around(4_000 * MS)
 
     def slow(self, machine: Machine) -> None:
-        machine.slow_until_us = self.environment.now_us + self.environment.around(5_000 * MS)
+        """Have a worker be slow for a while."""
+        machine.slow_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
 
     def fail(self, machine: Machine) -> None:
-        machine.fails_until_us = self.environment.now_us + self.environment.around(5_000 * MS)
-        machine.failing_class = self.environment.random.choice(CLASSES).name
+        """Have a worker fail the calls of one class for a while."""
+        machine.fails_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
+        machine.failing_class = self.simulation.random.choice(CLASSES).name
 
     def lose_zones(self, count: int) -> None:
-        lost = [f"zone-{number}" for number in self.environment.random.sample(range(ZONES), count)]
-        for machine in self.environment.machines.values():
+        """Have the workers of some zones answer nothing for a while."""
+        lost = [f"zone-{number}" for number in self.simulation.random.sample(range(ZONES), count)]
+        for machine in self.workers.machines.values():
             if machine.entry.zone in lost:
-                machine.hangs_until_us = self.environment.now_us + 5_000 * MS
+                machine.hangs_until_us = self.simulation.now_us + 5_000 * MS
 
     def list_again(self) -> None:
-        kind = self.environment.random.choice((api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED))
+        """Give the dispatcher a list that brings nothing new, or the failure to get one."""
+        kind = self.simulation.random.choice((api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED))
         failed = kind is api.ListKind.FAILED
-        self.environment.give(
-            api.WorkerListReceived(kind, 0, ()) if failed else self.environment.whole_list(kind)
-        )
+        self.simulation.give(api.WorkerListReceived(kind, 0, ()) if failed else self.workers.whole_list(kind))
 
     def overload(self) -> None:
-        self.environment.overload_until_us = self.environment.now_us + 3_000 * MS
+        """Have more calls arrive, and each take longer, for a while."""
+        self.simulation.overload_until_us = self.simulation.now_us + 3_000 * MS
 
     def change_policy(self) -> None:
-        longer = self.environment.settings.epoch % 2 == 0
+        """Change the settings."""
+        longer = self.simulation.settings.epoch % 2 == 0
         factor = 2 if longer else 1
         classes = tuple(
             replace(call_class, latency_objective_us=call_class.latency_objective_us * factor)
             for call_class in CLASSES
         )
-        self.environment.settings = replace(
-            self.environment.settings,
+        self.simulation.settings = replace(
+            self.simulation.settings,
             classes=classes,
             overload_window_us=(1_000 if longer else 2_000) * MS,
             max_attempts=5 if longer else 3,
-            epoch=self.environment.settings.epoch + 1,
+            epoch=self.simulation.settings.epoch + 1,
         )
-        self.environment.give(api.PolicyChanged(self.environment.settings))
+        self.simulation.give(api.PolicyChanged(self.simulation.settings))
