--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -28,12 +28,12 @@
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
-        self.sound_finish = self.requests.finish
+        self.original_finish = self.requests.finish
         replace_method(self.requests, "finish", self.finish)
 
-    def finish(self, call: int, outcome: Outcome) -> None:  # the popping left out
+    def finish(self, call: int, outcome: Outcome) -> None:  # the call stays in the table
         pending = self.open.get(call)
-        self.sound_finish(call, outcome)
+        self.original_finish(call, outcome)
         if pending is not None and outcome.ran:
             self.open[call] = pending
 
@@ -54,7 +54,7 @@
         replace_method(self.retry, "may_repeat", self.may_repeat)
         replace_method(self.router, "retry_after", self.retry_after)
 
-    def may_repeat(self, call: Call, worker: Worker) -> bool:  # the unsafe check left out
+    def may_repeat(self, call: Call, worker: Worker) -> bool:  # without the check of idempotency
         return len(call.attempts) < call.settings.max_attempts and self.fleet.is_running(worker)
 
     def retry_after(self, call: Call, result: Result) -> None:
@@ -77,11 +77,11 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.sound_send = self.router.send
+        self.original_send = self.router.send
         replace_method(self.router, "send", self.send)
 
     def send(self, call: Call, worker: Worker) -> None:  # the window is checked at the decision alone
-        self.sound_send(call, worker)
+        self.original_send(call, worker)
         actions = self.context.actions
         actions[:] = [
             replace(action, until_us=0) if isinstance(action, api.SendAttempt) else action
@@ -131,14 +131,14 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.sound_end = self.outcomes.on_attempt_ended
+        self.original_end = self.outcomes.on_attempt_ended
         replace_method(self.outcomes, "on_attempt_ended", self.on_attempt_ended)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
         if event.result is Result.CANCELLED:
             self.attempts.pop((event.call, event.attempt), None)
         else:
-            self.sound_end(event)
+            self.original_end(event)
 
 
 class LeaksRequestBytes(Core):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -164,7 +164,7 @@
                 self.assertEqual({line["bytes"] for line in call_lines(worker)}, {LATER_IN_BASE64})
                 self.program.kill()
 
-    def test_try_that_was_due_before_the_close_or_cancel_was_read(self) -> None:
+    def test_retry_that_was_due_before_the_close_or_cancel_was_read(self) -> None:
         """A timer that is due is handled before what comes is read, once the process goes on."""
         for ending in ("close", "interrupt"):
             with self.subTest(ending):
--- a/tests/test_decide_tiers.py
+++ b/tests/test_decide_tiers.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_functions_rise_one_tier_a_call_and_caching_demands_a_better_gap() -> None:
+def test_functions_are_promoted_one_tier_a_call_and_caching_demands_a_better_gap() -> None:
     driver = Driver(settings(), WORKERS)
     tiers = []
     for call in range(3):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -86,7 +86,7 @@
         self.assertIsNone(self.client.read())
         self.client.close()
 
-    def test_what_came_and_was_called_off_while_the_process_stood_still_is_not_begun(self) -> None:
+    def test_call_that_came_and_was_cancelled_while_the_process_stood_still_is_not_sent(self) -> None:
         worker = Worker()
         self.start(worker)
         self.client.call_until_served("review", b"abc")
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -101,7 +101,7 @@
         self.addCleanup(self.program.kill)
         self.port = self.program.port("platform")
 
-    def test_request_that_comes_when_nothing_is_owed_is_answered_or_finds_a_clean_close(self) -> None:
+    def test_request_that_comes_when_nothing_is_pending_is_answered_or_finds_a_clean_close(self) -> None:
         """Clients that call again the moment they have their answer, up to the very end of the process."""
         callers = [SequentialCaller(self.port) for _ in range(8)]
         for caller in callers:
@@ -133,7 +133,7 @@
         self.addCleanup(client.close)
         return client
 
-    def test_clients_that_never_stop_are_parted_with_while_another_is_still_owed_its_answer(self) -> None:
+    def test_clients_that_never_stop_are_closed_while_another_still_waits_for_its_answer(self) -> None:
         waiting_client = self.pending_call()
         persistent = [self.keep_sending(*kind) for kind in (("review", 4), ("review", 1), ("test-submit", 2))]
         self.program.process.send_signal(signal.SIGTERM)
--- a/tests/test_endings_reload.py
+++ b/tests/test_endings_reload.py
@@ -12,7 +12,7 @@
 class DescriptorsExhaustedTest(unittest.TestCase):
     """A process whose idle clients have every descriptor."""
 
-    def test_new_name_server_is_heard_though_idle_clients_hold_every_descriptor(self) -> None:
+    def test_new_name_server_is_queried_though_idle_clients_hold_every_descriptor(self) -> None:
         worker = Worker()
         names = NameServer()
         other = NameServer()
@@ -36,7 +36,7 @@
 class ReloadTest(unittest.TestCase):
     """A new name server that does not answer."""
 
-    def test_new_name_server_that_says_nothing_leaves_no_drain_untold(self) -> None:
+    def test_new_name_server_that_does_not_answer_hides_no_drain(self) -> None:
         workers = [Worker(), Worker()]
         names = NameServer()
         names.list_workers(workers)
--- a/tests/test_front_closing.py
+++ b/tests/test_front_closing.py
@@ -43,7 +43,7 @@
             client.close()
             await self.until_disconnected()
 
-    async def test_connection_that_is_owed_an_answer_is_read_on_past_the_time_for_a_message(self) -> None:
+    async def test_connection_that_waits_for_an_answer_is_read_on_past_the_time_for_a_message(self) -> None:
         """What its client sends while the answer is on its way was written to a connection that was open."""
         client = await self.connect()
         second_call = call_frame(2)
--- a/tests/test_front_eviction.py
+++ b/tests/test_front_eviction.py
@@ -53,7 +53,7 @@
         self.assertIn(accepted, self.front.clients)
         await self.until_open()
 
-    async def test_connection_that_is_yet_to_ask_outlives_one_that_asked_once(self) -> None:
+    async def test_connection_that_is_yet_to_send_a_request_outlives_one_that_sent_one(self) -> None:
         """A request that is on its way met a close after 0.2 s, though others only stayed."""
         early = await self.connect()
         await early.check()
@@ -69,7 +69,7 @@
         self.assertTrue(self.front.evict_idle())  # the one that never sent a request, and has had its time
         self.assertEqual((await late.check(3))["id"], 3)
 
-    async def test_client_that_comes_back_stays_and_strangers_that_asked_once_make_room(self) -> None:
+    async def test_client_that_comes_back_stays_and_strangers_that_sent_one_request_make_room(self) -> None:
         """A crowd that asks once and stays put out each client in use, whose requests crossed the close."""
         regular = await self.connect()
         for id_ in (1, 2):
@@ -95,7 +95,9 @@
         self.assertTrue(self.front.evict_idle())  # the one whose rest never came
         self.assertEqual((self.counters["clients.unfinished_evicted"], len(self.harness.core.open)), (1, 1))
 
-    async def test_at_the_cap_the_one_silent_longest_makes_room_and_none_that_is_owed_an_answer(self) -> None:
+    async def test_at_the_cap_the_one_silent_longest_makes_room_and_none_that_waits_for_an_answer(
+        self,
+    ) -> None:
         first = await self.connect()
         await first.check()
         second = await self.connect()
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -12,14 +12,14 @@
 PURE = {"bisect", "collections", "collections.abc", "dataclasses", "enum", "hashlib", "heapq", "itertools"}
 PURE |= {"math", "typing"}
 SEEDED = {"random"}  # with the dispatcher's own seed, in the dispatcher alone
-LINES_MOST = 400  # of one module
+MAX_LINES = 400  # of one module
 
 
 def test_modules_stay_short() -> None:
     assert MODULES
     for file in MODULES:
         lines = file.read_text().splitlines()
-        assert len(lines) <= LINES_MOST, file
+        assert len(lines) <= MAX_LINES, file
         assert max(map(len, lines), default=0) <= 110, file
 
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -195,7 +195,7 @@
         await self.until_state("s-5", WorkerState.DRAINING)
         self.assertLess(asyncio.get_running_loop().time() - started_s, DRAIN_BINDS_S)
 
-    async def test_answer_to_another_question_and_spoilt_records_replace_nothing(self) -> None:
+    async def test_answer_to_another_question_and_malformed_records_replace_nothing(self) -> None:
         await self.start(timeout_us=500_000)
         await self.until_complete()
         self.server.repeats_question = False
@@ -221,7 +221,7 @@
         state = self.endpoints.entries["s-3"].state
         self.assertEqual((self.endpoints.version, state), (1, WorkerState.DRAINING))
 
-    async def test_server_that_numbers_anew_is_heard_again_and_its_drains_at_once(self) -> None:
+    async def test_server_that_numbers_anew_is_followed_again_and_its_drains_at_once(self) -> None:
         await self.start(restart_us=2_000_000, serial=70)
         await self.until_complete()
         self.publish(1, draining={3}, worker_count=WORKERS - 1)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -91,7 +91,7 @@
         (answer,) = answers
         return answer
 
-    def test_ready_says_what_is_lacking(self) -> None:
+    def test_readiness_says_what_is_missing(self) -> None:
         self.assertEqual(self.request("GET", "/v1/readyz").status, 200)
         self.router.not_ready_reason = "no runner is listed"
         answer = self.request("GET", "/v1/readyz")
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -238,7 +238,7 @@
             self.assertEqual(self.pool.connections, 0)
         self.assertEqual(self.counters["runners.malformed"], 5)
 
-    async def test_second_copies_and_unknown_ids_are_dropped_and_the_connection_goes_on(self) -> None:
+    async def test_duplicate_answers_and_unknown_ids_are_dropped_and_the_connection_goes_on(self) -> None:
         good = b'{"kind":"200","call":"TAG"}\n'
         self.send(1, b"raw:" + good.replace(b"TAG", b"nobody") + 2 * good)
         await self.until_ended(1)
@@ -247,7 +247,7 @@
         self.assertEqual((self.core.ended[1, 0], self.core.ended[2, 0]), (Result.OK, Result.OK))
         self.assertEqual((self.counters["runners.late"], self.pool.connections), (2, 1))
 
-    async def test_try_after_a_full_answer_does_not_take_the_second_copy_of_that_for_its_own(self) -> None:
+    async def test_retry_after_a_full_answer_does_not_take_a_duplicate_of_that_for_its_own(self) -> None:
         self.send(1, b"full:")
         await self.until_ended(1)
         self.send(1, b"abc", attempt=1)
@@ -282,7 +282,7 @@
         self.assertEqual((self.counters["runners.stalled"], self.pool.connections), (1, 0))
         self.worker.resume()
 
-    async def test_silent_connection_carries_nothing_new_until_it_is_heard(self) -> None:
+    async def test_silent_connection_carries_nothing_new_until_it_answers(self) -> None:
         self.send(1, b"hang:")
         await self.until_run()
         self.now += 600_000
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -107,7 +107,7 @@
             client.call_until_served("review", b"abc")
             client.close()
 
-    def test_a_successor_killed_before_its_yes_changes_nothing(self) -> None:
+    def test_a_successor_killed_before_it_is_ready_changes_nothing(self) -> None:
         until_ready(self.program)
         client = self.connect()
         self.names.lose_queries()
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -72,7 +72,7 @@
         self.names.answer_queries()
         until_ready(late)
 
-    def test_figures_are_what_client_and_runners_saw(self) -> None:
+    def test_metrics_are_what_client_and_runners_saw(self) -> None:
         self.assertEqual(scrape_metrics(self.program)['svc_success_total{tier="deck-make"}'], 0)
         seen = self.call_and_count_outcomes()
         self.reset_with_a_call_in_flight()
