--- a/tests/invoke_fixture.py
+++ b/tests/invoke_fixture.py
@@ -1,13 +1,12 @@
 """One real process with the platform's front and the invoke API, from the operator's file."""
 
-import base64
 import http.client
 import socket
 import tempfile
 import unittest
 from pathlib import Path
 
-from tests.standins import PATIENCE_S, ROOT, Program, Worker, eventually
+from tests.standins import PATIENCE_S, ROOT, Program, Worker, eventually, in_base64
 
 Answer = tuple[int, bytes, dict[str, str]]  # status, body, headers in lower case
 
@@ -91,7 +90,7 @@
 
     def run_count(self, body: bytes) -> int:
         """Return how often a call with this body ran, at all workers."""
-        text = base64.b64encode(body).decode()
+        text = in_base64(body)
         return sum(call["bytes"] == text for worker in self.workers for call in worker.ran)
 
     def pause_workers(self) -> None:
--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -1,6 +1,5 @@
 """Operators' requests to the real program, clients that keep calling it, and a fixture for both."""
 
-import base64
 import http.client
 import tempfile
 import threading
@@ -8,7 +7,17 @@
 import unittest
 from collections import Counter
 
-from tests.standins import PATIENCE_S, REFUSED, Client, NameServer, Program, Worker, eventually, start_router
+from tests.standins import (
+    PATIENCE_S,
+    REFUSED,
+    Client,
+    NameServer,
+    Program,
+    Worker,
+    eventually,
+    in_base64,
+    start_router,
+)
 
 NEVER_REPEATED = "test-submit"  # the class whose calls may not be repeated
 CALLS_AT_A_TIME = 3
@@ -97,7 +106,7 @@
                 break
             body = bodies.pop(answer["id"])
             self.served += "result" in answer
-            expected = base64.b64encode(body[::-1]).decode()
+            expected = in_base64(body[::-1])
             refused = answer.get("error", {}).get("code") == REFUSED
             if not refused and answer.get("result", {}).get("blob") != expected:
                 self.faults.append(str(answer))
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -5,7 +5,7 @@
 from tests.standins.program import ROOT, Program
 from tests.standins.router_config import params, start_router, target
 from tests.standins.waiting import PATIENCE_S, eventually, wait_until
-from tests.standins.worker import LONG_ANSWER_BYTES, HoldingWorker, Worker, call_lines
+from tests.standins.worker import LONG_ANSWER_BYTES, HoldingWorker, Worker, call_lines, in_base64
 
 __all__ = [
     "ITEM",
@@ -21,6 +21,7 @@
     "call_lines",
     "connect_idle_clients",
     "eventually",
+    "in_base64",
     "name_bytes",
     "params",
     "record",
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -1,6 +1,5 @@
 """A JSON-RPC client of the platform's front, on a blocking socket."""
 
-import base64
 import contextlib
 import json
 import os
@@ -10,6 +9,7 @@
 
 from tests.standins.program import Program
 from tests.standins.waiting import PATIENCE_S, eventually
+from tests.standins.worker import in_base64
 
 ITEM = "7f3a9c21e0b4d655"
 REFUSED = -32050  # the JSON-RPC error code of a call that was rejected and may be retried
@@ -59,7 +59,7 @@
             "limit": limit_ms,
             "item": ITEM,
             "info": "memory_mb:100;lanes:4",
-            "blob": base64.b64encode(body).decode(),
+            "blob": in_base64(body),
         }
         return self.send(class_name, defaults | params)
 
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -10,6 +10,11 @@
 LONG_ANSWER_BYTES = 230_000
 
 
+def in_base64(data: bytes) -> str:
+    """Encode as clients and workers encode bodies and results."""
+    return base64.b64encode(data).decode()
+
+
 class Worker:
     """Accepts connections of routers in threads of its own, and answers their messages.
 
@@ -84,7 +89,7 @@
             body = LONG_ANSWER_BYTES * b"x"
         if command == b"error":
             return {"kind": 500}
-        return {"kind": 200, "head": {"ahead": "1"}, "bytes": base64.b64encode(body[::-1]).decode()}
+        return {"kind": 200, "head": {"ahead": "1"}, "bytes": in_base64(body[::-1])}
 
     def die(self) -> None:
         """Leave what a killed process leaves: no listener, and its connections reset."""
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -31,6 +31,7 @@
     Worker,
     call_lines,
     eventually,
+    in_base64,
     params,
     wait_until,
 )
@@ -42,8 +43,6 @@
 BUSY_S = 0.2  # how long the loop reads nothing
 CALL_ARRIVED_S = 0.3  # a call that is written is at the worker by then
 SEED = 7
-LATER_IN_BASE64 = "bGF0ZXI="
-ABC_IN_BASE64 = "YWJj"
 
 
 @dataclass
@@ -161,7 +160,7 @@
                 self.resume_process()
                 other = Client(self.program.port("platform"))
                 other.call_until_served("review", b"later")
-                self.assertEqual({line["bytes"] for line in call_lines(worker)}, {LATER_IN_BASE64})
+                self.assertEqual({line["bytes"] for line in call_lines(worker)}, {in_base64(b"later")})
                 self.program.kill()
 
     def test_retry_that_was_due_before_the_close_or_cancel_was_read(self) -> None:
@@ -270,7 +269,7 @@
 
     def test_client_that_waits_is_served_after_the_loop_was_away(self) -> None:
         started, _ = self.play(lambda client, _: None)
-        self.assertEqual(started, [ABC_IN_BASE64])
+        self.assertEqual(started, [in_base64(b"abc")])
 
 
 def discard(_: object) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -3,23 +3,17 @@
 `docs/endings.md` lists the moments.
 """
 
-import base64
 import socket
 import time
 
 from tests.router_fixture import RouterTestCase
-from tests.standins import HoldingWorker, Worker, call_lines, eventually, params
+from tests.standins import HoldingWorker, Worker, call_lines, eventually, in_base64, params
 
 CLOSE_SEEN_S = 0.3  # from then on nothing may begin for a client that has closed
 BACKOFF_OVER_S = 3.0  # the backoff after a rejection by a worker is over by then
 LOOP_WAIT_OVER_S = 1.5  # longer than any wait of the program's loop
 
 
-def in_base64(data: bytes) -> str:
-    """Encode as the platform and the workers do."""
-    return base64.b64encode(data).decode()
-
-
 class DisconnectTest(RouterTestCase):
     """Nothing begins for a client that has closed its connection, whatever its call waits for."""
 
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -29,6 +29,7 @@
     Program,
     call_lines,
     eventually,
+    in_base64,
 )
 
 LONG_CALLS = 8
@@ -43,7 +44,7 @@
 
 def long_call_frame(id_: int) -> bytes:
     """Encode a call with a long answer."""
-    blob = base64.b64encode(b"long:").decode()
+    blob = in_base64(b"long:")
     params = {"txn": f"{id_ - 1:016x}", "limit": 10_000, "item": ITEM, "blob": blob}
     text = json.dumps({"jsonrpc": "2.0", "id": id_, "method": "review", "params": params}).encode()
     return b"Content-Length: %d\r\n\r\n%b" % (len(text), text)
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -6,7 +6,17 @@
 import unittest
 from typing import Any
 
-from tests.standins import ITEM, PATIENCE_S, Client, NameServer, Worker, eventually, start_router
+from tests.standins import (
+    ITEM,
+    PATIENCE_S,
+    REFUSED,
+    Client,
+    NameServer,
+    Worker,
+    eventually,
+    in_base64,
+    start_router,
+)
 
 DESCRIPTOR_LIMIT = 256
 MALFORMED_CALLS: tuple[tuple[str, dict[str, Any]], ...] = (
@@ -47,12 +57,16 @@
         self.assertEqual(self.client.read(), {"jsonrpc": "2.0", "id": check, "result": {"ready": True}})
         slow = self.client.call("test-submit", b"hang:", limit_ms=600)
         quick = self.client.call("review", b"abc", unique="5c0f")
-        self.assertEqual(self.client.read(), {"jsonrpc": "2.0", "id": quick, "result": {"blob": "Y2Jh"}})
+        self.assertEqual(
+            self.client.read(), {"jsonrpc": "2.0", "id": quick, "result": {"blob": in_base64(b"cba")}}
+        )
         late = self.client.read()
         assert late is not None
         self.assertEqual(late["id"], slow)
-        self.assertNotEqual(late["error"]["code"], -32050)  # it may have run, so it is not refused
-        received = next(call for worker in self.workers for call in worker.ran if call["bytes"] == "YWJj")
+        self.assertNotEqual(late["error"]["code"], REFUSED)  # it may have run, so it is not refused
+        received = next(
+            call for worker in self.workers for call in worker.ran if call["bytes"] == in_base64(b"abc")
+        )
         self.assertEqual((received["head"]["class"], received["head"]["key"]), ("review", ITEM))
         self.assertEqual(received["head"]["once"], "5c0f")
         eventually(self.cancel_lines, "a CANCEL")
@@ -168,7 +182,7 @@
         self.assertEqual(
             [answer["id"] for answer in answers if "error" in answer], [pending_id]
         )  # what was open goes on
-        self.assertEqual(len([call for call in self.workers[0].ran if call["bytes"] == "eA=="]), 0)
+        self.assertEqual(len([call for call in self.workers[0].ran if call["bytes"] == in_base64(b"x")]), 0)
 
     def check_malformed_files(self, text: str) -> None:
         """Check that nothing is taken of a file that is cut, or has a value of a wrong name or type."""
