--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -1,6 +1,5 @@
 """Operators' requests to the real program, clients that keep calling it, and a fixture for both."""
 
-import base64
 import http.client
 import tempfile
 import threading
@@ -8,7 +7,17 @@
 import unittest
 from collections import Counter
 
-from tests.standins import PATIENCE_S, REFUSED, Client, NameServer, Program, Worker, eventually, start_router
+from tests.standins import (
+    PATIENCE_S,
+    REFUSED,
+    Client,
+    NameServer,
+    Program,
+    Worker,
+    eventually,
+    in_base64,
+    start_router,
+)
 
 NEVER_REPEATED = "test-submit"  # the class whose calls may not be repeated
 CALLS_AT_A_TIME = 3
@@ -97,7 +106,7 @@
                 break
             body = bodies.pop(answer["id"])
             self.served += "result" in answer
-            expected = base64.b64encode(body[::-1]).decode()
+            expected = in_base64(body[::-1])
             refused = answer.get("error", {}).get("code") == REFUSED
             if not refused and answer.get("result", {}).get("blob") != expected:
                 self.faults.append(str(answer))
@@ -149,8 +158,8 @@
     def assert_repeats_are_allowed(self) -> None:
         """Check that no call that may not be repeated ran twice, and no other one twice at the same worker.
 
-        A call that may be repeated is hedged at another worker where its own stands still, be it by a pause
-        of a thread of this test.
+        A call that may be repeated is hedged at another worker where its own does not answer, for example
+        since a thread of this test was paused.
         """
         twice = [key for key, count in self.run_counts().items() if count > 1]
         self.assertEqual([key for key in twice if key.startswith(NEVER_REPEATED)], [])
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -32,6 +32,7 @@
     Worker,
     call_lines,
     eventually,
+    in_base64,
     params,
     wait_until,
 )
@@ -49,8 +50,6 @@
 SO_TIMESTAMPNS = 35
 TIMESPEC = struct.Struct("ll")
 READ_BYTES = 1 << 16
-LATER_IN_BASE64 = "bGF0ZXI="
-ABC_IN_BASE64 = "YWJj"
 
 
 @dataclass
@@ -185,10 +184,10 @@
                 self.resume_process()
                 other = Client(self.program.port("platform"))
                 other.call_until_served("review", b"later")
-                self.assertEqual({line["bytes"] for line in call_lines(worker)}, {LATER_IN_BASE64})
+                self.assertEqual({line["bytes"] for line in call_lines(worker)}, {in_base64(b"later")})
                 self.program.kill()
 
-    def test_try_that_was_due_before_the_close_or_cancel_was_read(self) -> None:
+    def test_retry_that_was_due_before_the_close_or_cancel_was_read(self) -> None:
         """A timer that is due is handled before what comes is read, once the process goes on."""
         for ending in ("close", "interrupt"):
             with self.subTest(ending):
@@ -246,6 +245,7 @@
     async def leave_while_busy(
         self, selector: TimestampingSelector, leave: Callable[[Client, int], None], least: int
     ) -> tuple[list[str], Counter[str]]:
+        """Start a front with one worker, and have its client leave before the loop reads on."""
         worker = Worker()
         counters = Counter[str]()
         pool = HoldingRunnerPool(LIMITS.runners, counters)
@@ -297,7 +297,7 @@
 
     def test_client_that_waits_is_served_after_the_loop_was_away(self) -> None:
         started, _ = self.play(lambda client, _: None, least=1)
-        self.assertEqual(started, [ABC_IN_BASE64])
+        self.assertEqual(started, [in_base64(b"abc")])
 
 
 def discard(_: object) -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,10 +9,10 @@
 from maplestile.wire.settings import settings_from
 from tests.standins import params
 
-NOTIFIED = settings_from(params())
-BARE = replace(NOTIFIED, max_open=0, connect_timeout_us=0, idle_close_us=0, load_timeout_us=0)
+STAND_IN = settings_from(params())
+BARE = replace(STAND_IN, max_open=0, connect_timeout_us=0, idle_close_us=0, load_timeout_us=0)
 FULL = replace(
-    NOTIFIED,
+    STAND_IN,
     max_open=77,
     streams_per_connection=5,
     connect_timeout_us=90_000,
@@ -22,7 +22,7 @@
 ALONE = {
     "bare": Limits.from_settings(BARE, 1024, 192),
     "full": Limits.from_settings(FULL, 256, 64),
-    "stand-in": Limits.from_settings(NOTIFIED, 384, 80.5),
+    "stand-in": Limits.from_settings(STAND_IN, 384, 80.5),
     "tiny": Limits.from_settings(BARE, 64, 20),
 }
 EXIT_US = 100_000  # for the exit of the interpreter, which takes 10 to 40 ms where a core is free
@@ -273,6 +273,7 @@
 
 
 def numbers(limits: Limits) -> dict[str, float]:
+    """Return each number by its part and its name."""
     return {f"{part}.{name}": value for part, each in asdict(limits).items() for name, value in each.items()}
 
 
