--- a/benchmarks/hollow_check.py
+++ b/benchmarks/hollow_check.py
@@ -25,7 +25,7 @@
     test = unittest.TestCase()
     try:
         routers = Routers(test, members)
-        routers.until_whole()
+        routers.wait_until_converged()
         time.sleep(SETTLE_S)
         sent_before = _sent(routers)
         started_s = time.monotonic()
--- /dev/null
+++ b/tests/test_process_unrecorded.py
@@ -0,0 +1,83 @@
+"""An agent that is killed after it has started a process, and before that is on record."""
+
+import asyncio
+import contextlib
+import os
+import signal
+import subprocess
+import tempfile
+import unittest
+from pathlib import Path
+from typing import Any
+
+from maplestile.agent.supervisor import ask
+from tests.free_ports import free_ports
+from tests.standins import ROOT, Program, eventually
+
+
+class UnrecordedProcessTest(unittest.TestCase):
+    """An agent with one router, whose successors find the registry missing or damaged."""
+
+    def setUp(self) -> None:
+        self.folder = Path(tempfile.mkdtemp())
+        ports = free_ports(4)
+        self.agent_port = ports.pop()
+        router_text = (ROOT / "deploy" / "operator.toml").read_text()
+        for digit, port in enumerate(ports):
+            router_text = router_text.replace(f"127.0.0.1:808{digit}", f"127.0.0.1:{port}")
+        (self.folder / "r.toml").write_text(router_text)
+        agent_folder = self.folder / "agent"
+        self.registry_file = agent_folder / "roster.json"
+        (self.folder / "agent.toml").write_text(
+            f'[agent]\nlisten = "127.0.0.1:{self.agent_port}"\nfolder = "{agent_folder}"\n'
+            '[[instance]]\nname = "r"\nfile = "r.toml"\n'
+        )
+        self.start_agent()
+
+    def start_agent(self) -> None:
+        """Start the agent, or its successor."""
+        self.agent = Program("agent", str(self.folder / "agent.toml"))
+        self.addCleanup(self.end_program, self.agent)
+
+    def end_program(self, program: Program) -> None:
+        """Stop an agent with its router."""
+        with contextlib.suppress(subprocess.TimeoutExpired):
+            program.stop()
+        program.kill()
+
+    def end_orphan(self, pid: int) -> None:
+        """Kill the router if no agent has it, unless its pid is another process's by now."""
+        with contextlib.suppress(OSError):
+            if str(self.folder) in Path(f"/proc/{pid}/cmdline").read_text():
+                os.kill(pid, signal.SIGKILL)
+
+    def status(self) -> dict[str, Any]:
+        """The router as the agent has it; no pid while the agent cannot be reached."""
+        try:
+            reply = asyncio.run(ask(("127.0.0.1", self.agent_port), "status", []))
+        except OSError:
+            return {"state": "", "pid": None}
+        found: dict[str, Any] = reply["instances"]["r"]
+        return found
+
+    def test_process_that_is_not_on_record_is_adopted_and_not_started_again(self) -> None:
+        pid = eventually(lambda: self.status()["pid"], "the router")
+        self.addCleanup(self.end_orphan, pid)
+        for content in (None, b"{", b'{"version": 1, "sum": "", "body": {"r": [1, 2]}}'):
+            with self.subTest(content=content):
+                self.agent.process.kill()
+                self.agent.process.wait()
+                self.registry_file.unlink()
+                if content is not None:
+                    self.registry_file.write_bytes(content)
+                self.start_agent()
+                self.agent.find("(adopted, pid)")
+                status = self.status()
+                self.assertEqual((status["state"], status["pid"]), ("running", pid))
+        asyncio.run(ask(("127.0.0.1", self.agent_port), "restart", ["r"]))
+        eventually(lambda: self.status()["pid"] not in (None, pid), "another process")
+        self.assertEqual(self.status()["state"], "running")
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -53,7 +53,7 @@
     test = unittest.TestCase()
     try:
         routers = Routers(test, ROUTERS)
-        routers.until_whole()
+        routers.wait_until_converged()
         sent_before = _sent(routers)
         time.sleep(COUNTED_S)
         messages = (_sent(routers) - sent_before) / ROUTERS / (COUNTED_S / PERIOD_S)
--- a/tools/measure_rollout.py
+++ b/tools/measure_rollout.py
@@ -16,7 +16,7 @@
 import unittest
 from typing import Any
 
-from tests.fleet import AGENTS, Fleet
+from tests.fleet import AGENTS, Fleet, FleetOptions
 from tests.rollout_fleet import Calls
 from tests.standins import eventually
 
@@ -39,8 +39,8 @@
     """Measure one fleet, and add to the samples."""
     test = unittest.TestCase()
     try:
-        fleet = Fleet(test, STEP_S)
-        fleet.until_whole()
+        fleet = Fleet(test, FleetOptions(step_s=STEP_S))
+        fleet.wait_until_ready()
         record_calls(samples, "none", Calls(fleet, seconds).result())
         for budget in BUDGETS:
             calls = Calls(fleet, seconds)
@@ -48,7 +48,7 @@
             took_s = roll_out(fleet, budget)
             samples.setdefault(f"seconds, budget {budget}", []).append(took_s)
             record_calls(samples, f"budget {budget}", calls.result())
-            samples.setdefault(f"most out, budget {budget}", []).append(fleet.worst_out())
+            samples.setdefault(f"most out, budget {budget}", []).append(fleet.max_instances_out())
             for agent in fleet.agents:
                 agent.log.clear()
         samples.setdefault("last begin after halt ms", []).append(last_begin_after_halt_ms(fleet))
@@ -89,7 +89,7 @@
     late_us = [event["t_us"] - halted_us for event in fleet.events() if event["event"] == "begin"]
     eventually(lambda: fleet.status(0)["leases"] == [], "what was under way")
     assert fleet.run(1, "rollout", "resume")[0] == 0
-    fleet.until_phase(0, "done")
+    fleet.wait_for_phase(0, "done")
     return float(max([0, *late_us])) / 1000
 
 
@@ -97,7 +97,7 @@
     """From the kill of the leader's machine until another voter leads and has had a command agreed on."""
     leader = eventually(lambda: [number for number in [fleet.leader()] if number is not None], "a leader")[0]
     lost = fleet.agents[leader]
-    routers = fleet.routers_of(lost)
+    routers = fleet.live_router_pids(lost)
     started_s = time.monotonic()
     lost.process.kill()
     for pid in routers:
