--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -2,6 +2,7 @@
 
 import random
 import unittest
+from typing import NamedTuple
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -10,17 +11,24 @@
 from maplestile.control.commands import GrantLease, Rejected
 from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
 from maplestile.control.state import ACTIVE, ControlState, Phase, Stage
-from tests.test_control import NAMES, S, control
+from tests.control_rig import NAMES, SECOND_US, registered_control
 
 
-class Machine(RuleBasedStateMachine):
-    """Any order of operators, agents, losses and elections: the properties hold after each event."""
+class UnusedRunner(NamedTuple):
+    """A runner that no router of an agent uses."""
+
+    agent: str
+    runner: str
+
+
+class RolloutMachine(RuleBasedStateMachine):
+    """Operators, agents, losses and elections in any order: the invariants hold after each event."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.control = control()
-        self.now = 100 * S
-        self.planner = RolloutPlanner(Rules(settle_us=0, step_us=20 * S), self.now)
+        self.control = registered_control()
+        self.now_us = 100 * SECOND_US
+        self.planner = RolloutPlanner(Rules(settle_us=0, step_us=20 * SECOND_US), self.now_us)
         self.chance = random.Random(1)
         self.lost = set[str]()  # out without a lease
         for agent, managed in (("a0", True), ("a1", False)):
@@ -28,9 +36,8 @@
             runners = {"w0": managed, "w1": False}
             command = {"do": "register", "agent": agent, "instances": names, "runners": runners}
             assert self.control.apply_encoded(command)["ok"]
-        self.unused = set[tuple[str, str]]()  # (agent, runner) where its routers have nothing with the runner
-        self.begun = set[str]()  # what agents really have in hand or down: the truth beside the state
-        self.released = set[str]()
+        self.unused = set[UnusedRunner]()
+        self.begun = set[str]()  # the instances whose steps agents really have begun, whatever the state says
 
     @rule(
         action=st.sampled_from(("restart", "drain", "replace")),
@@ -38,6 +45,7 @@
         chosen=st.lists(st.sampled_from(NAMES), max_size=4),
     )
     def start(self, action: str, budget: int, chosen: list[str]) -> None:
+        """An operator starts a rollout of routers."""
         self.control.apply_encoded({"do": "start", "action": action, "targets": chosen, "budget": budget})
 
     @rule(
@@ -46,6 +54,7 @@
         chosen=st.sampled_from((["w0"], ["w1"], ["w0", "w1"])),
     )
     def start_runners(self, action: str, budget: int, chosen: list[str]) -> None:
+        """An operator starts a rollout of runners."""
         command = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
         self.control.apply_encoded(command)
 
@@ -55,39 +64,44 @@
         agent=st.sampled_from(("a0", "a1")),
         did=st.sampled_from(("begun", "out", "in", "renewed")),
     )
-    def part(self, pick: int, agent: str, did: str) -> None:
+    def report_runner(self, pick: int, agent: str, did: str) -> None:
+        """An agent reports on a leased runner."""
         out = self.control.out("runners")
         lease = self.control.leases[out[pick % len(out)]]
         fields = {"agent": agent, "instance": lease.instance, "lease": lease.number}
         if did == "renewed":
             if self.control.apply_encoded({"do": did, **fields})["ok"]:
                 # Its process is touched only while no router anywhere uses it.
-                assert {(one, lease.instance) for one in ("a0", "a1")} <= self.unused
+                assert {UnusedRunner(one, lease.instance) for one in ("a0", "a1")} <= self.unused
             return
         if self.control.apply_encoded({"do": "part", "did": did, **fields})["ok"]:
             if did == "out":
-                self.unused.add((agent, lease.instance))
+                self.unused.add(UnusedRunner(agent, lease.instance))
             elif did == "in":
-                self.unused.discard((agent, lease.instance))
+                self.unused.discard(UnusedRunner(agent, lease.instance))
 
     @rule(what=st.sampled_from(("halt", "resume", "undo")))
-    def operator(self, what: str) -> None:
+    def operate(self, what: str) -> None:
+        """An operator halts, resumes or undoes the rollout."""
         self.control.apply_encoded({"do": what})
 
     @rule(name=st.sampled_from(NAMES), is_lost=st.booleans())
     def lose(self, name: str, is_lost: bool) -> None:
+        """A router is lost without a lease, or is back."""
         (self.lost.add if is_lost else self.lost.discard)(name)
 
     @rule()
     def elect(self) -> None:
-        self.planner = RolloutPlanner(self.planner.rules, self.now)
+        """A new leader starts with a planner that knows nothing."""
+        self.planner = RolloutPlanner(self.planner.rules, self.now_us)
 
-    @rule(pause=st.sampled_from((0, S, 7 * S)))
-    def lead(self, pause: int) -> None:
-        self.now += pause
+    @rule(pause_us=st.sampled_from((0, SECOND_US, 7 * SECOND_US)))
+    def decide(self, pause_us: int) -> None:
+        """The leader decides on its next command, which the state accepts."""
+        self.now_us += pause_us
         reports = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
-        self.planner.hear(reports, self.now)
-        command = self.planner.next_command(self.control, frozenset(), 1, self.now)
+        self.planner.hear(reports, self.now_us)
+        command = self.planner.next_command(self.control, frozenset(), 1, self.now_us)
         if command is None:
             return
         reply = self.control.apply(command)
@@ -101,7 +115,8 @@
 
     @precondition(lambda self: self.control.out("routers"))
     @rule(pick=st.integers(0, 9), do=st.sampled_from(("begin", "back", "out")))
-    def agent(self, pick: int, do: str) -> None:
+    def report_router(self, pick: int, do: str) -> None:
+        """The holder of a router's lease reports on its step."""
         out = self.control.out("routers")
         lease = self.control.leases[out[pick % len(out)]]
         fields = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
@@ -111,14 +126,14 @@
     @precondition(lambda self: self.control.leases)
     @rule(pick=st.integers(0, 9))
     def release(self, pick: int) -> None:
-        """An operator vouches that it serves."""
+        """An operator releases a lease, and with that says that the instance serves."""
         name = sorted(self.control.leases)[pick % len(self.control.leases)]
         assert self.control.apply_encoded({"do": "release", "instance": name})["ok"]
         self.begun.discard(name)
-        self.unused = {(agent, runner) for agent, runner in self.unused if runner != name}
+        self.unused = {unused for unused in self.unused if unused.runner != name}
 
     @invariant()
-    def what_is_out_is_counted(self) -> None:
+    def begun_steps_have_leases(self) -> None:
         assert self.begun <= set(self.control.leases), (self.begun, self.control.leases)
 
     @invariant()
@@ -130,7 +145,7 @@
             assert len(self.control.out(kind)) <= max(budgets, default=0)
 
     @invariant()
-    def ends_are_ends(self) -> None:
+    def ended_rollouts_are_complete(self) -> None:
         rollout = self.control.rollout
         if rollout is None:
             return
@@ -142,11 +157,11 @@
             assert not set(rollout.done) & set(self.control.leases)
 
     @invariant()
-    def it_is_read_back_whole(self) -> None:
+    def the_wire_form_is_decoded_to_the_same_state(self) -> None:
         assert ControlState.decode(self.control.encoded()).encoded() == self.control.encoded()
 
 
-RandomTest = Machine.TestCase
+RandomTest = RolloutMachine.TestCase
 RandomTest.settings = settings(max_examples=150, stateful_step_count=60, deadline=None, derandomize=True)
 
 
--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -15,12 +15,12 @@
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
 from tests.standins import ROOT
 
-S = 1_000_000  # microseconds
+SECOND_US = 1_000_000
 OPERATOR = (ROOT / "deploy" / "operator.toml").read_text()
-ONE: dict[str, Any] = {"rules": {"attempts": 1}}
+ONE_ATTEMPT: dict[str, Any] = {"rules": {"attempts": 1}}
 
 
-def test_a_document_takes_the_place_of_the_files_policy_whole() -> None:
+def test_a_document_replaces_the_whole_policy_of_the_file() -> None:
     text = OPERATOR.replace("[rules]", '[policy]\nfolder = "x"\n[rules]')
     tables = operator.tables_of(text)
     document = Document.of({"rules": {"attempts": 2}, "class": tables["class"], "limits": {"records": 7}})
@@ -64,45 +64,45 @@
         Document.of({"rules": {"x": "y" * DOCUMENT_BYTES}})
 
 
-def test_a_record_is_read_whole_or_not_at_all() -> None:
+def test_a_damaged_record_is_not_read() -> None:
     folder = Path(tempfile.mkdtemp())
     assert store.read(folder) is None
-    for adopted in (AdoptedPolicy(0, None), AdoptedPolicy(3, Document.of(ONE))):
+    for adopted in (AdoptedPolicy(0, None), AdoptedPolicy(3, Document.of(ONE_ATTEMPT))):
         store.write(folder, adopted)
         assert store.read(folder) == adopted
-    whole = (folder / store.NAME).read_bytes()
-    for damaged in (b"", whole[:-5], whole.replace(b'"epoch": 3', b'"epoch": 4'), b"[]", b"\xff"):
+    undamaged = (folder / store.NAME).read_bytes()
+    for damaged in (b"", undamaged[:-5], undamaged.replace(b'"epoch": 3', b'"epoch": 4'), b"[]", b"\xff"):
         (folder / store.NAME).write_bytes(damaged)
         assert store.read(folder) is None
 
 
-def test_a_call_keeps_the_rules_that_it_came_under() -> None:
+def test_a_call_keeps_the_rules_that_were_in_force_when_it_came() -> None:
     workers = [entry(f"w{n}") for n in range(4)]
     for before, after, more in ((1, 4, False), (4, 1, True)):
-        d = Driver(settings(max_attempts=before, epoch=1), workers)
-        (first,) = sends(d.give(arrival(1)))
-        d.give(api.PolicyChanged(settings(max_attempts=after, epoch=2)))
-        d.give(ended(1, 0, first.worker, api.Result.ERROR))
-        d.run(200 * MS)
-        again = [a for _, a in d.log if isinstance(a, api.SendAttempt)][1:]
+        driver = Driver(settings(max_attempts=before, epoch=1), workers)
+        (first,) = sends(driver.give(arrival(1)))
+        driver.give(api.PolicyChanged(settings(max_attempts=after, epoch=2)))
+        driver.give(ended(1, 0, first.worker, api.Result.ERROR))
+        driver.run(200 * MS)
+        again = [a for _, a in driver.log if isinstance(a, api.SendAttempt)][1:]
         assert bool(again) is more and all(a.epoch == 1 for a in (first, *again))
-        (new,) = sends(d.give(arrival(2)))
+        (new,) = sends(driver.give(arrival(2)))
         assert new.epoch == 2
 
 
 def test_another_policy_changes_the_classes_and_windows_of_new_calls() -> None:
-    d = Driver(settings(), [entry("w0")])
+    driver = Driver(settings(), [entry("w0")])
     kind = api.CallClass(
         "exam", 500 * MS, 900 * MS, api.Idempotency.NOT_IDEMPOTENT, api.DeduplicationScope.ALL, 0
     )
-    d.give(
+    driver.give(
         api.PolicyChanged(
             settings(classes=(kind,), load_request_window_us=7, overload_window_us=9, keep_alive_us=0)
         )
     )
-    assert sends(d.give(arrival(1, "f", "exam")))
-    dispatcher = d.dispatcher
+    assert sends(driver.give(arrival(1, "f", "exam")))
+    dispatcher = driver.dispatcher
     ration = dispatcher.load_requests
     windows = ration.arrivals.span_us, ration.requests.span_us, dispatcher.workers["w0"].sends.span_us
     assert windows == (7, 8, 9)
-    assert dispatcher.calls[1].kind is kind and dispatcher.context.keep_alive_us == 2 * S
+    assert dispatcher.calls[1].kind is kind and dispatcher.context.keep_alive_us == 2 * SECOND_US
--- a/tests/test_policy_random.py
+++ b/tests/test_policy_random.py
@@ -16,88 +16,98 @@
 from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.control.state import ControlState
 
-S = 1_000_000  # microseconds
+SECOND_US = 1_000_000
+ROUTERS = {"r0": "a0", "r1": "a0", "r2": "a1"}  # each with its agent
 
 
-class Machine(RuleBasedStateMachine):
-    """Three routers of two agents, in any order of changes, reads, losses, restarts and late announcements.
+class PolicyMachine(RuleBasedStateMachine):
+    """Three routers of two agents: changes, reads, restarts, elections and late announcements in any order.
 
-    A router is sent what its agent read, perhaps long ago; the truth beside it is the log's.
+    A router is sent what its agent read, perhaps long ago; it is compared with what the log committed.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.control = ControlState()
-        self.now = 100 * S
-        self.names = {"r0": "a0", "r1": "a0", "r2": "a1"}
+        self.now_us = 100 * SECOND_US
         for agent in ("a0", "a1"):
-            mine = [name for name, owner in self.names.items() if owner == agent]
-            assert self.control.apply_encoded({"do": "register", "agent": agent, "instances": mine})["ok"]
+            instances = [name for name, owner in ROUTERS.items() if owner == agent]
+            command = {"do": "register", "agent": agent, "instances": instances}
+            assert self.control.apply_encoded(command)["ok"]
         self.planner = PolicyPlanner()
-        self.routers = {name: Follower(Rules(), NO_EPOCH, self.now) for name in self.names}
-        self.announcements = dict.fromkeys(self.names, PolicyAnnouncement(0, 0, whole=True))
-        self.record = dict.fromkeys(self.names, NO_EPOCH)
-        self.committed = [0]  # the truth
-        self.at = {0: 0}  # when each epoch was committed
-        self.applied = dict.fromkeys(self.names, NO_EPOCH)
-        self.document = 0
+        self.routers = {name: Follower(Rules(), NO_EPOCH, self.now_us) for name in ROUTERS}
+        self.announcements = dict.fromkeys(ROUTERS, PolicyAnnouncement(0, 0, whole=True))
+        self.recorded_epoch = dict.fromkeys(ROUTERS, NO_EPOCH)
+        self.committed = [0]  # the epochs of the log
+        self.committed_us = {0: 0}  # when each epoch was committed
+        self.applied_epoch = dict.fromkeys(ROUTERS, NO_EPOCH)
+        self.documents = 0
 
     @rule(base=st.integers(0, 1))
     def propose(self, base: int) -> None:
-        self.document += 1
+        """An operator proposes a new document on the last epoch, or on the one before."""
+        self.documents += 1
         command = {"do": "policy propose", "agent": "a0", "base": self.control.policy.epoch.number - base}
-        self.control.apply_encoded({**command, "document": {"rules": {"attempts": self.document}}})
+        self.control.apply_encoded({**command, "document": {"rules": {"attempts": self.documents}}})
 
     @rule()
     def rollback(self) -> None:
+        """An operator rolls the policy back."""
         epoch = self.control.policy.epoch.number
         self.control.apply_encoded({"do": "policy rollback", "agent": "a1", "base": epoch})
 
-    @rule(agent=st.sampled_from(("a0", "a1")), named=st.sets(st.sampled_from(("r0", "r1", "r2"))))
+    @rule(agent=st.sampled_from(("a0", "a1")), named=st.sets(st.sampled_from(tuple(ROUTERS))))
     def read(self, agent: str, named: set[str]) -> None:
-        mine = [name for name in sorted(named) if self.names[name] == agent]
-        reply = self.control.apply_encoded({"do": "policy read", "agent": agent, "instances": mine})
+        """An agent reads the policy for some of its routers."""
+        instances = [name for name in sorted(named) if ROUTERS[name] == agent]
+        reply = self.control.apply_encoded({"do": "policy read", "agent": agent, "instances": instances})
         change = self.control.policy.checking()
-        for name in mine:
+        for name in instances:
             self.announcements[name] = PolicyAnnouncement(
-                reply["epoch"], self.now, change.number if change else 0, True
+                reply["epoch"], self.now_us, change.number if change else 0, True
             )
 
-    @rule(name=st.sampled_from(("r0", "r1", "r2")))
-    def hear(self, name: str) -> None:
+    @rule(name=st.sampled_from(tuple(ROUTERS)))
+    def deliver(self, name: str) -> None:
+        """A router gets the announcement that its agent read last, perhaps again."""
         router = self.routers[name]
         announcement = self.announcements[name]
-        if router.hear(announcement, self.now) is Step.ADOPT:
-            router.adopted(announcement, self.now)
-            assert announcement.epoch >= self.record[name]
-            self.record[name] = announcement.epoch
-
-    @rule(name=st.sampled_from(("r0", "r1", "r2")), refuses=st.integers(0, 9))
-    def judge(self, name: str, refuses: int) -> None:
+        if router.hear(announcement, self.now_us) is Step.ADOPT:
+            router.adopted(announcement, self.now_us)
+            assert announcement.epoch >= self.recorded_epoch[name]
+            self.recorded_epoch[name] = announcement.epoch
+
+    @rule(name=st.sampled_from(tuple(ROUTERS)), refuses=st.integers(0, 9))
+    def check(self, name: str, refuses: int) -> None:
+        """A router checks the change, and refuses one in ten."""
         if (change := self.control.policy.checking()) is not None:
-            verdict = {"agent": self.names[name], "instance": name, "reason": "no" if not refuses else ""}
+            verdict = {"agent": ROUTERS[name], "instance": name, "reason": "no" if not refuses else ""}
             self.control.apply_encoded({"do": "policy verdict", "change": change.number, **verdict})
 
-    @rule(name=st.sampled_from(("r0", "r1", "r2")))
+    @rule(name=st.sampled_from(tuple(ROUTERS)))
     def restart(self, name: str) -> None:
-        self.routers[name] = Follower(Rules(), self.record[name], self.now)
-
-    @rule(pause=st.sampled_from((S // 10, S, 3 * S, 12 * S)))
-    def wait(self, pause: int) -> None:
-        end = self.now + pause
-        while self.now < end:  # none of them stands still
-            self.now = min(end, self.now + S)
+        """A router starts again with the epoch on its record."""
+        self.routers[name] = Follower(Rules(), self.recorded_epoch[name], self.now_us)
+
+    @rule(pause_us=st.sampled_from((SECOND_US // 10, SECOND_US, 3 * SECOND_US, 12 * SECOND_US)))
+    def wait(self, pause_us: int) -> None:
+        """Time passes, with a tick of each router in every second."""
+        end_us = self.now_us + pause_us
+        while self.now_us < end_us:
+            self.now_us = min(end_us, self.now_us + SECOND_US)
             for router in self.routers.values():
-                router.tick(self.now)
+                router.tick(self.now_us)
 
     @rule()
     def elect(self) -> None:
+        """A new leader starts with a planner that knows nothing."""
         self.planner = PolicyPlanner()
 
     @precondition(lambda self: self.control.policy.checking() is not None)
     @rule()
-    def lead(self) -> None:
-        decided = self.planner.next_command(self.control.policy, self.control.instances, self.now)
+    def decide(self) -> None:
+        """The leader decides on its next command, which the state accepts."""
+        decided = self.planner.next_command(self.control.policy, self.control.instances, self.now_us)
         command = None if decided is None else encode(decided)
         if command is None:
             return
@@ -107,34 +117,36 @@
             change = self.control.policy.change
             assert change is not None
             self.committed.append(reply["epoch"])
-            self.at[reply["epoch"]] = self.now
-            yes = {name for name, reason in change.verdicts.items() if reason == ""}
-            assert yes | set(command["absent"]) >= set(self.names)
-            for name in command["absent"]:  # it hears of the commit before it is let serve again
+            self.committed_us[reply["epoch"]] = self.now_us
+            accepted = {name for name, reason in change.verdicts.items() if reason == ""}
+            assert accepted | set(command["absent"]) >= set(ROUTERS)
+            for name in command["absent"]:  # it learns of the commit before it may serve again
                 assert self.announcements[name].epoch < reply["epoch"]
 
     @invariant()
-    def only_committed_epochs_and_never_back(self) -> None:
+    def routers_apply_only_committed_epochs_and_never_go_back(self) -> None:
         assert self.committed == list(range(len(self.committed)))
         for name, router in self.routers.items():
             assert router.epoch in (NO_EPOCH, *self.committed)
-            assert router.epoch >= self.applied[name]
-            self.applied[name] = router.epoch
+            assert router.epoch >= self.applied_epoch[name]
+            self.applied_epoch[name] = router.epoch
 
     @invariant()
-    def one_that_is_current_has_what_was_committed_when_its_announcement_was_read(self) -> None:
+    def a_current_router_has_what_was_committed_when_its_announcement_was_read(self) -> None:
         for router in self.routers.values():
             if router.status is PolicyStatus.CURRENT:
-                assert self.now - router.confirmed_us <= router.rules.stale_us
+                assert self.now_us - router.confirmed_us <= router.rules.stale_us
                 assert router.confirmed_us >= router.since_us
-                assert router.epoch >= max(epoch for epoch, at in self.at.items() if at < router.confirmed_us)
+                assert router.epoch >= max(
+                    epoch for epoch, at_us in self.committed_us.items() if at_us < router.confirmed_us
+                )
 
     @invariant()
-    def the_wire_form_is_read_back(self) -> None:
+    def the_wire_form_is_decoded_to_the_same_state(self) -> None:
         assert ControlState.decode(self.control.encoded()).encoded() == self.control.encoded()
 
 
-RandomTest = Machine.TestCase
+RandomTest = PolicyMachine.TestCase
 RandomTest.settings = hypothesis_settings(
     max_examples=120, stateful_step_count=60, deadline=None, derandomize=True
 )
