--- a/tests/swim_group.py
+++ b/tests/swim_group.py
@@ -1,15 +1,15 @@
-"""Members whose datagrams are delivered at once, without a network."""
+"""Members of the gossip group whose datagrams are delivered at once, without a network."""
 
 from collections.abc import Callable, Sequence
 
 from maplestile.membership.swim import Swim
 
 
-def nothing() -> None:
+def do_nothing() -> None:
     """The default of `after_each`."""
 
 
-def deliver_all(swims: Sequence[Swim], now_us: int, after_each: Callable[[], None] = nothing) -> None:
+def deliver_all(swims: Sequence[Swim], now_us: int, after_each: Callable[[], None] = do_nothing) -> None:
     """Deliver what members send, and what they send in reply, until none has anything to send.
 
     Member `n` has the address `(host, n)`. `after_each` is called after each member's datagrams.
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -17,9 +17,10 @@
 # through others, and the counts would show that.
 PERIOD_US = 500_000
 POLL_S = 0.05
+PATIENCE_S = 30.0
 
 
-def test_a_line_is_found_with_the_spread_of_its_slope() -> None:
+def test_a_line_is_fitted_with_the_error_of_its_slope() -> None:
     exact = fit([1, 2, 4, 8], [5, 7, 11, 19])
     assert (round(exact.intercept, 9), round(exact.slope, 9), round(exact.slope_error, 9)) == (3, 2, 0)
     assert fit([1, 2, 3, 4], [1, 3, 2, 4]).slope_error > 0
@@ -32,7 +33,7 @@
     assert series.rows() == ["| list bytes (B a second) | workers | 10: 100, 20: 200, 40: 400 | 0 | 10 ± 0 |"]
 
 
-def test_calls_cost_no_more_looks_at_workers_in_a_larger_fleet() -> None:
+def test_calls_cost_no_more_passes_over_workers_in_a_larger_fleet() -> None:
     """Passes over all workers, and workers held by a row, at 60 and 600 workers with a list each second."""
     passes = list[int]()
     held = list[float]()
@@ -49,27 +50,31 @@
 
 
 def pings_of(fleet: HollowFleet) -> int:
+    """The pings that all routers have sent."""
     return sum(router.counters["peers.out.ping"] for router in fleet.routers)
 
 
 def messages_of(fleet: HollowFleet) -> int:
+    """The messages that all routers have sent."""
     return sum(router.sent() for router in fleet.routers)
 
 
-async def until_pings(fleet: HollowFleet, count: int) -> None:
+async def wait_for_pings(fleet: HollowFleet, count: int) -> None:
+    """Wait until the routers have sent more than this number of pings."""
     while pings_of(fleet) <= count:
         await asyncio.sleep(POLL_S)
 
 
 async def messages_per_ping(members: int) -> float:
+    """The messages for each ping in a group of so many members, once it has formed."""
     fleet = HollowFleet(members, PERIOD_US)
     try:
         await fleet.start()
-        async with asyncio.timeout(30):
-            await until_pings(fleet, 4 * members)  # the joins' rumours are out
+        async with asyncio.timeout(PATIENCE_S):
+            await wait_for_pings(fleet, 4 * members)  # the updates of the joins have been sent
             pings_before = pings_of(fleet)
             messages_before = messages_of(fleet)
-            await until_pings(fleet, pings_before + 12 * members - 1)
+            await wait_for_pings(fleet, pings_before + 12 * members - 1)
         return (messages_of(fleet) - messages_before) / (pings_of(fleet) - pings_before)
     finally:
         await fleet.stop()
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -7,6 +7,7 @@
 import tempfile
 import unittest.mock
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 from hypothesis import settings, strategies
@@ -22,6 +23,7 @@
 from tests.faulty import FAULTS, IgnoresDeduplicationWindow
 from tests.standins import ROOT
 
+STATES_LEAST = 500  # that a small case visits
 CLASSES = ("safe", "unsafe", "keyed-all", "keyed-zone", "keyed-cell")
 FAULT_EVENTS = (
     EventKind.ERROR,
@@ -39,7 +41,7 @@
     EventKind.RETURN,
     EventKind.STOP,
 )
-FOUND = ROOT / "examples" / "explore"  # counterexamples of the past: each holds now
+COUNTEREXAMPLES = ROOT / "examples" / "explore"  # found in the past, and all mended
 
 
 def events_of(text: str) -> tuple[Event, ...]:
@@ -52,13 +54,13 @@
 
 
 @pytest.mark.parametrize(("name", "case", "components"), FAULTS, ids=[fault[0] for fault in FAULTS])
-def test_a_deliberate_fault_is_found_and_shrunk_to_what_it_needs(
+def test_a_deliberate_fault_is_found_and_its_counterexample_is_minimal(
     name: str, case: str, components: Components
 ) -> None:
     report = explore(CASES[case], depth=7, components=components)
     example = report.example
     assert example is not None and example.property == name
-    for index in range(len(example.events)):  # no event is there without need
+    for index in range(len(example.events)):  # every event is needed
         fewer = example.events[:index] + example.events[index + 1 :]
         assert name not in dict(play(CASES[case], fewer, components).problems)
     assert not play(CASES[case], example.events).problems  # the shipped components hold
@@ -69,16 +71,16 @@
 def test_small_cases_hold(name: str) -> None:
     report = explore(CASES[name], depth=SMALL[name])
     assert report.example is None, report.as_json()
-    assert report.visited > 500
+    assert report.visited > STATES_LEAST
 
 
-def test_a_case_is_explored_to_its_end_or_says_that_it_was_not() -> None:
+def test_a_case_is_explored_to_its_end_or_reported_as_incomplete() -> None:
     small = Case("small", "", ("unsafe",), (EventKind.ERROR, EventKind.RESET), 1, workers=1, max_time_steps=4)
-    whole = explore(small)
-    assert whole.complete and whole.example is None and whole.visited > 20
-    for cut in (explore(small, depth=4), explore(small, states=10), explore(small, seconds=1e-9)):
-        assert not cut.complete and cut.visited < whole.visited
-    assert explore(small, depth=whole.depth + 1).complete
+    complete = explore(small)
+    assert complete.complete and complete.example is None and complete.visited > 20
+    for bounded in (explore(small, depth=4), explore(small, states=10), explore(small, seconds=1e-9)):
+        assert not bounded.complete and bounded.visited < complete.visited
+    assert explore(small, depth=complete.depth + 1).complete
 
 
 def test_states_that_differ_in_names_alone_are_one_and_others_are_not() -> None:
@@ -97,14 +99,14 @@
 # Counterexamples.
 
 
-def test_what_was_found_holds_now() -> None:
-    files = sorted(FOUND.glob("*.json"))
+def test_counterexamples_of_the_past_are_mended() -> None:
+    files = sorted(COUNTEREXAMPLES.glob("*.json"))
     assert files
     for file in files:
         example = read(file)
         assert play(CASES[example.case], example.events).problems == [], file
         assert example.text() == file.read_text()
-    example = read(FOUND / "keyed-window.json")
+    example = read(COUNTEREXAMPLES / "keyed-window.json")
     broken = play(
         CASES[example.case], example.events, Components(dispatcher=IgnoresDeduplicationWindow)
     ).problems
@@ -128,32 +130,42 @@
 def test_a_damaged_file_is_reported_with_its_place(text: str, place: str, tmp_path: Path) -> None:
     file = tmp_path / "found.json"
     file.write_text(text)
-    code, _, err = command("--replay", str(file))
+    code, _, err = run_explore("--replay", str(file))
     assert code == 2 and place in err and "Traceback" not in err
 
 
-def command(*arguments: str) -> tuple[int, str, str]:
+class CommandResult(NamedTuple):
+    """The exit code of a command, and what went to standard output and to standard error."""
+
+    exit_code: int
+    output: str
+    error: str
+
+
+def run_explore(*arguments: str) -> CommandResult:
+    """Run `maplestile explore` with these arguments."""
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         code = main(["explore", *arguments])
-    return code, out.getvalue(), err.getvalue()
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
-def test_the_command(tmp_path: Path) -> None:
-    code, out, _ = command("--case", "late", "--depth", "4", "--json")
+def test_the_explore_command_reports_cases_and_replays(tmp_path: Path) -> None:
+    code, out, _ = run_explore("--case", "late", "--depth", "4", "--json")
     (report,) = json.loads(out)
     assert (code, report["held"], report["complete"], report["bound"]) == (0, True, False, 4)
     assert report["visited"] > 20 and report["peak_mb"] > 1
-    assert "INCOMPLETE" in command("--case", "late", "--depth", "3")[1]
-    assert command("--case", "nope")[0] == 2 and command("--depth", "99")[0] == 2
-    out = command("--list")[1]
+    assert "INCOMPLETE" in run_explore("--case", "late", "--depth", "3").output
+    assert run_explore("--case", "nope").exit_code == 2 and run_explore("--depth", "99").exit_code == 2
+    out = run_explore("--list").output
     assert all(name in out for name in (*CASES, *properties.NAMES))
-    code, out, _ = command("--replay", str(FOUND / "keyed-window.json"))
+    code, out, _ = run_explore("--replay", str(COUNTEREXAMPLES / "keyed-window.json"))
     assert code == 0 and "held" in out
-    assert command("--replay", str(tmp_path / "none.json"))[0] == 2
+    assert run_explore("--replay", str(tmp_path / "none.json")).exit_code == 2
 
 
-def patch(module: Path, check: str, fault: str) -> None:
+def put_fault_in(module: Path, check: str, fault: str) -> None:
+    """Replace a check in a copy of the program by a fault."""
     text = module.read_text()
     assert text.count(check) == 1
     module.write_text(text.replace(check, fault))
@@ -167,12 +179,12 @@
     folder = Path(tempfile.mkdtemp())
     shutil.copytree(ROOT / "maplestile", folder / "maplestile")
     dispatch = folder / "maplestile" / "dispatch"
-    patch(
+    put_fault_in(
         dispatch / "call_router.py",
         "unsafe = call.kind.idempotency is Idempotency.NOT_IDEMPOTENT",
         "unsafe = False",
     )
-    patch(
+    put_fault_in(
         dispatch / "retry.py",
         "not ran\n            or call.kind.idempotency is Idempotency.IDEMPOTENT",
         "True",
@@ -194,30 +206,33 @@
         sockets.replay(Example("safe", "", events_of("up 3")))
 
 
-class Machine(RuleBasedStateMachine):
-    """Beyond the bounds of the cases: three calls of any classes, three workers, many faults, long times."""
+class ExplorerMachine(RuleBasedStateMachine):
+    """Three calls of any classes, three workers, many faults and long times, past the bounds of the cases."""
 
     @initialize(classes=strategies.lists(strategies.sampled_from(CLASSES), min_size=3, max_size=3))
-    def begin(self, classes: list[str]) -> None:
+    def start(self, classes: list[str]) -> None:
+        """Start a simulation with calls of these classes."""
         case = Case("random", "", tuple(classes), FAULT_EVENTS, 12, 3, ("a", "a", "b"), (1, 2, 2), 40)
         self.simulation = Simulation(case, properties)
 
     @precondition(lambda self: hasattr(self, "simulation") and self.simulation.enabled())
     @rule(pick=strategies.integers(0, 999))
-    def happen(self, pick: int) -> None:
+    def play_event(self, pick: int) -> None:
+        """Play one of the events that are enabled."""
         enabled = self.simulation.enabled()
         self.simulation.play(enabled[pick % len(enabled)])
         properties.at_each(self.simulation)
 
     @invariant()
-    def all_hold(self) -> None:
+    def no_property_is_violated(self) -> None:
         assert not hasattr(self, "simulation") or self.simulation.problems == []
 
     def teardown(self) -> None:
+        """Check what has to hold once nothing is pending."""
         if hasattr(self, "simulation"):
             properties.at_rest(self.simulation)
             assert self.simulation.problems == []
 
 
-RandomTest = Machine.TestCase
+RandomTest = ExplorerMachine.TestCase
 RandomTest.settings = settings(max_examples=150, stateful_step_count=50, deadline=None, derandomize=True)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,19 +4,24 @@
 import json
 import random
 import unittest
-from collections.abc import Callable
 from typing import Any
 
 from maplestile.common.toml_table import TomlTable
 from maplestile.tools.faults.control_port import ControlPort
 from maplestile.tools.faults.relay import Relay
 from maplestile.tools.faults.schedule import Fault, FaultKind, Net, Schedule, ScheduleError, schedule_from
+from tests.polling import wait_until
 
+PATIENCE_S = 10.0
+PAYLOAD_BYTES = 100_000
+DATAGRAMS = 5000  # for a share to be near what is configured
 FLAP = Fault(FaultKind.FLAP, 100, 1000, frozenset({0}), frozenset({1}), down_us=30, up_us=70)
 
 
 class ScheduleTest(unittest.TestCase):
-    def test_what_a_fault_cuts_and_when(self) -> None:
+    """What a schedule does to single datagrams, and how a bad one is refused."""
+
+    def test_each_fault_cuts_its_links_in_its_time(self) -> None:
         split = Fault(FaultKind.SPLIT, 10, 20, sides=(frozenset({0, 1}), frozenset({2})))
         cut = Fault(FaultKind.CUT, 10, 20, frozenset({0}), frozenset({1}))
         for fault, origin, target, now, expected in (
@@ -39,12 +44,12 @@
 
     def test_loss_and_duplicates_have_the_configured_shares(self) -> None:
         schedule = Schedule(1, 2, Net(loss=0.2, duplicate=0.1, reorder=0.3, reorder_us=1_000_000))
-        draws = random.Random(1)
-        delays = [schedule.delivery_delays_us(0, 1, 0, draws) for _ in range(5000)]
-        self.assertAlmostEqual(sum(not arrivals for arrivals in delays) / 5000, 0.2, delta=0.03)
-        self.assertAlmostEqual(sum(len(arrivals) == 2 for arrivals in delays) / 5000, 0.08, delta=0.02)
+        chooser = random.Random(1)
+        delays = [schedule.delivery_delays_us(0, 1, 0, chooser) for _ in range(DATAGRAMS)]
+        self.assertAlmostEqual(sum(not arrivals for arrivals in delays) / DATAGRAMS, 0.2, delta=0.03)
+        self.assertAlmostEqual(sum(len(arrivals) == 2 for arrivals in delays) / DATAGRAMS, 0.08, delta=0.02)
         self.assertAlmostEqual(
-            sum(max(arrivals, default=0) >= 1_000_000 for arrivals in delays) / 5000, 0.24, delta=0.03
+            sum(max(arrivals, default=0) >= 1_000_000 for arrivals in delays) / DATAGRAMS, 0.24, delta=0.03
         )
 
     def test_a_bad_schedule_names_its_field(self) -> None:
@@ -63,82 +68,89 @@
             self.assertTrue(str(caught.exception).startswith(place), str(caught.exception))
 
 
-class Echo(asyncio.DatagramProtocol):
+class DatagramRecorder(asyncio.DatagramProtocol):
+    """Records the datagrams that it receives."""
+
     def __init__(self) -> None:
         self.received: list[bytes] = []
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Record a datagram."""
         self.received.append(data)
 
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
+    """A relay between two members, whose sockets are the test's."""
+
     async def asyncSetUp(self) -> None:
         self.relay = Relay(Schedule(1, 2))
         self.control_port = ControlPort(self.relay)
         self.fronts = await self.relay.open()
         loop = asyncio.get_running_loop()
-        self.ends = [await loop.create_datagram_endpoint(Echo, local_addr=("127.0.0.1", 0)) for _ in range(2)]
-        for transport, _ in self.ends:
+        self.member_sockets = [
+            await loop.create_datagram_endpoint(DatagramRecorder, local_addr=("127.0.0.1", 0))
+            for _ in range(2)
+        ]
+        for transport, _ in self.member_sockets:
             self.addCleanup(transport.close)
         for front in self.relay.fronts:
             self.addCleanup(front.transport.close)
 
-    async def send(self, **command: Any) -> dict[str, Any]:
+    async def send_command(self, **command: Any) -> dict[str, Any]:
+        """Execute a command of the control port; its reply."""
         return await self.control_port.execute(json.dumps(command).encode())
 
-    async def register(self) -> None:
-        for number, (transport, _) in enumerate(self.ends):
+    async def register_members(self) -> None:
+        """Register the members' sockets at the relay."""
+        for number, (transport, _) in enumerate(self.member_sockets):
             host, port = transport.get_extra_info("sockname")
-            self.assertTrue((await self.send(do="udp", member=number, address=f"{host}:{port}"))["ok"])
-
-    async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(10):
-            while not condition():
-                await asyncio.sleep(0.01)
+            self.assertTrue(
+                (await self.send_command(do="udp", member=number, address=f"{host}:{port}"))["ok"]
+            )
 
-    async def test_datagrams_pass_are_cut_one_way_and_pass_again(self) -> None:
-        (one, _), (_, other) = self.ends
+    async def test_datagrams_are_passed_then_cut_in_one_direction_and_passed_again(self) -> None:
+        (one, _), (_, other) = self.member_sockets
         one.sendto(b"unknown", self.fronts[1])
-        await self.until(lambda: self.relay.counts["udp.unknown"] == 1)
-        await self.register()
+        await wait_until(lambda: self.relay.counts["udp.unknown"] == 1, PATIENCE_S)
+        await self.register_members()
         one.sendto(b"a", self.fronts[1])
-        await self.until(lambda: other.received == [b"a"])
+        await wait_until(lambda: other.received == [b"a"], PATIENCE_S)
         cut = {"at_s": 0, "until_s": 100, "from": [0], "to": [1]}
-        await self.send(do="begin", schedule={"cut": [cut]})
+        await self.send_command(do="begin", schedule={"cut": [cut]})
         one.sendto(b"b", self.fronts[1])
-        await self.until(lambda: self.relay.counts["udp.lost"] == 1)
-        self.ends[1][0].sendto(b"back", self.fronts[0])
-        await self.until(lambda: self.ends[0][1].received == [b"back"])
-        await self.send(do="heal")
+        await wait_until(lambda: self.relay.counts["udp.lost"] == 1, PATIENCE_S)
+        self.member_sockets[1][0].sendto(b"back", self.fronts[0])
+        await wait_until(lambda: self.member_sockets[0][1].received == [b"back"], PATIENCE_S)
+        await self.send_command(do="heal")
         one.sendto(b"c", self.fronts[1])
-        await self.until(lambda: other.received == [b"a", b"c"])
+        await wait_until(lambda: other.received == [b"a", b"c"], PATIENCE_S)
 
     async def test_tcp_bytes_wait_at_a_cut_and_arrive_complete_and_in_order(self) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.write(await reader.readexactly(100_000))
+            writer.write(await reader.readexactly(PAYLOAD_BYTES))
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
-        reply = await self.send(do="tcp", **{"from": 0, "to": 1}, address=f"127.0.0.1:{port}")
+        reply = await self.send_command(do="tcp", **{"from": 0, "to": 1}, address=f"127.0.0.1:{port}")
         host, _, front = reply["front"].rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(front))
         self.addCleanup(writer.close)
-        data = random.Random(1).randbytes(100_000)
+        data = random.Random(1).randbytes(PAYLOAD_BYTES)
         split = {"at_s": 0, "until_s": 100, "sides": [[0], [1]]}
-        await self.send(do="begin", schedule={"net": {"loss": 0.1, "jitter_ms": 0}, "split": [split]})
+        await self.send_command(do="begin", schedule={"net": {"loss": 0.1, "jitter_ms": 0}, "split": [split]})
         writer.write(data)
-        await self.until(lambda: self.relay.counts["tcp.held"] > 0)
+        await wait_until(lambda: self.relay.counts["tcp.held"] > 0, PATIENCE_S)
         self.assertEqual(self.relay.counts["tcp.chunks"], 0)
-        await self.send(do="heal")
-        async with asyncio.timeout(10):
+        await self.send_command(do="heal")
+        async with asyncio.timeout(PATIENCE_S):
             received = bytearray()
             while chunk := await reader.read(65_536):
                 received += chunk
         self.assertEqual(bytes(received), data)
 
-    async def test_what_cannot_be_done_is_answered_with_the_field(self) -> None:
+    async def test_a_bad_command_is_answered_with_its_field(self) -> None:
         for line, place in (
             (b"no json", "not JSON"),
             (b"[]", "file"),
--- a/tests/test_hangs.py
+++ b/tests/test_hangs.py
@@ -1,4 +1,4 @@
-"""A test that hangs is ended and named, and the others are played."""
+"""A test that hangs is ended and named, and the others are run."""
 
 import subprocess
 import sys
@@ -24,7 +24,7 @@
 """
 
 
-def test_hang_is_told_by_name_also_where_a_task_ignores_its_cancellation(tmp_path: Path) -> None:
+def test_hang_is_reported_by_name_also_if_a_task_ignores_its_cancellation(tmp_path: Path) -> None:
     options = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["pytest"]["ini_options"]
     assert options["timeout"] > 0
     (tmp_path / "pytest.ini").write_text(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,8 +1,9 @@
-"""Tests that are known to fail: they are passed over and printed, and nothing else is."""
+"""Tests that are known to fail are expected to, and printed; all other failures count."""
 
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
@@ -12,18 +13,26 @@
 TESTS = "def test_fails():\n    assert False\n\ndef test_passes():\n    pass\n"
 
 
-def played(folder: Path, lines: list[str]) -> tuple[int, str]:
+class PytestRun(NamedTuple):
+    """The exit code of pytest, and its output on both streams."""
+
+    exit_code: int
+    output: str
+
+
+def run_pytest(folder: Path, lines: list[str]) -> PytestRun:
+    """Run pytest with a test that fails, one that passes, and these lines as known failures."""
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "conftest.py").write_text((ROOT / "tests" / "known_red.py").read_text())
     (folder / "test_a.py").write_text(TESTS)
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
     found = subprocess.run(command, cwd=folder, text=True, capture_output=True)
-    return found.returncode, found.stdout + found.stderr
+    return PytestRun(found.returncode, found.stdout + found.stderr)
 
 
-def test_known_red_is_passed_over_and_printed(tmp_path: Path) -> None:
-    code, output = played(tmp_path, [RED])
+def test_known_failure_is_expected_and_printed(tmp_path: Path) -> None:
+    code, output = run_pytest(tmp_path, [RED])
     assert code == 0 and "1 passed, 1 xfailed" in output
     assert "known red: test_a.py::test_fails: it is broken (Issue nine)" in output
 
@@ -39,6 +48,6 @@
         (["test_a.py::test_fails | x"], "line 1: must be test | cause | issue"),
     ],
 )
-def test_all_else_is_red(tmp_path: Path, lines: list[str], why: str) -> None:
-    code, output = played(tmp_path, lines)
+def test_everything_else_fails_the_run(tmp_path: Path, lines: list[str], why: str) -> None:
+    code, output = run_pytest(tmp_path, lines)
     assert code != 0 and why in output
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports point from higher layers to lower ones, and modules import each other in no circle."""
+"""Imports point from higher layers to lower ones, and there are no import cycles."""
 
 import ast
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
     "agent",
     "tools",
 )
-ENTRIES_MOST = 12  # that a newcomer sees in the package, beside `__init__` and `__main__`
+ENTRIES_MOST = 12  # of the package, without `__init__` and `__main__`
 
 
 def modules() -> dict[str, Path]:
@@ -37,15 +37,15 @@
 MODULES = modules()
 
 
-def for_typing_alone(node: ast.AST) -> bool:
+def is_typing_block(node: ast.AST) -> bool:
     """Whether it is an `if TYPE_CHECKING:`, whose imports do not exist at run time."""
     return isinstance(node, ast.If) and ast.unparse(node.test) == "TYPE_CHECKING"
 
 
 def imports_of(file: Path, typing: bool = True) -> Iterator[str]:
-    """The project's modules that a file imports, also lazily; and, with `typing`, those for typing alone."""
+    """The project's modules that a file imports, also lazily; and, with `typing`, for type checking."""
     tree = ast.parse(file.read_text())
-    typed = {inner for node in ast.walk(tree) if for_typing_alone(node) for inner in ast.walk(node)}
+    typed = {inner for node in ast.walk(tree) if is_typing_block(node) for inner in ast.walk(node)}
     for node in ast.walk(tree):
         if node in typed and not typing:
             continue
@@ -80,7 +80,7 @@
         assert other is None or LAYERS.index(other) <= LAYERS.index(layer), f"{module} imports {imported}"
 
 
-def test_modules_import_each_other_in_no_circle() -> None:
+def test_modules_do_not_import_each_other_in_a_cycle() -> None:
     """Types of one package may name each other (`TYPE_CHECKING`); what runs may not."""
     graph = {
         module: {other for other in imports_of(file, typing=False) if other != module}
@@ -89,6 +89,7 @@
     finished: set[str] = set()
 
     def visit(module: str, path: tuple[str, ...]) -> None:
+        """Visit what a module imports, depth first; `path` are the modules that lead to it."""
         assert module not in path, " -> ".join((*path, module))
         if module not in finished:
             for other in sorted(graph[module]):
--- a/tests/test_left_processes.py
+++ b/tests/test_left_processes.py
@@ -1,8 +1,9 @@
-"""A test that leaves processes behind is red by its name, and none of them stays."""
+"""A test that leaves processes behind is reported by name as an error, and they are killed."""
 
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
@@ -23,8 +24,16 @@
 """
 
 
-def played(folder: Path, test: str) -> tuple[int, str, int]:
-    """The exit code and output of pytest with that test and one more, and the process that it started."""
+class PytestRun(NamedTuple):
+    """The exit code and output of pytest, and the process that the test started."""
+
+    exit_code: int
+    output: str
+    pid: int
+
+
+def run_pytest(folder: Path, test: str) -> PytestRun:
+    """Run pytest with that test and one more that passes."""
     pid_file = folder / "pid"
     print_pid = f"def print_pid(pid):\n    open({str(pid_file)!r}, 'w').write(str(pid))\n"
     (folder / "pytest.ini").write_text("[pytest]\n")
@@ -32,11 +41,11 @@
     (folder / "test_a.py").write_text(f"{HEAD}{print_pid}{test}\ndef test_passes():\n    pass\n")
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
     found = subprocess.run(command, cwd=folder, text=True, capture_output=True, timeout=60)
-    return found.returncode, found.stdout, int(pid_file.read_text())
+    return PytestRun(found.returncode, found.stdout, int(pid_file.read_text()))
 
 
-def runs(pid: int) -> bool:
-    """Whether it is there, and has not ended with nobody to wait for it yet."""
+def is_running(pid: int) -> bool:
+    """Whether a process runs; a zombie does not."""
     try:
         state = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except OSError:
@@ -45,14 +54,14 @@
 
 
 @pytest.mark.parametrize("test", [CHILD, BARE_CHILD, ORPHAN], ids=["child", "bare child", "orphan"])
-def test_process_that_is_left_behind_is_red_by_name_and_ended(tmp_path: Path, test: str) -> None:
-    code, output, pid = played(tmp_path, test)
+def test_process_that_is_left_behind_is_reported_by_name_and_killed(tmp_path: Path, test: str) -> None:
+    code, output, pid = run_pytest(tmp_path, test)
     assert code == 1 and "2 passed, 1 error" in output and "ERROR test_a.py::test_leaves" in output
     assert f"processes were left behind: pid {pid}: " in output
-    assert not runs(pid)
+    assert not is_running(pid)
 
 
-def test_process_that_its_test_ends_is_none_that_is_left_behind(tmp_path: Path) -> None:
-    code, output, pid = played(tmp_path, ENDED)
+def test_process_that_its_test_ends_is_not_left_behind(tmp_path: Path) -> None:
+    code, output, pid = run_pytest(tmp_path, ENDED)
     assert code == 0 and "2 passed" in output
-    assert not runs(pid)
+    assert not is_running(pid)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,6 +10,7 @@
 import threading
 import unittest
 from pathlib import Path
+from typing import NamedTuple
 
 from maplestile.tools.cli import main
 from maplestile.tools.load import arrivals, client, report
@@ -17,47 +18,63 @@
 from maplestile.tools.traces import Trace
 
 Arrival = arrivals.Arrival
+Address = tuple[str, int]
+CALLS_MOST = 100  # that are kept of a trace
+PATIENCE_S = 5.0
+
+
+class RecordedTrace(NamedTuple):
+    """A trace, and the recorder of its calls."""
+
+    recorder: arrivals.Recorder
+    trace: Trace
 
 
 class ArrivalsTest(unittest.TestCase):
+    """When calls are made, by a rate and by traces."""
+
     def test_a_rate_and_its_weights(self) -> None:
-        made = list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2))
-        self.assertEqual(made, list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2)))
-        self.assertAlmostEqual(len(made) / 2000, 1.0, delta=0.1)
-        self.assertAlmostEqual(sum(arrival.function == "f" for arrival in made) / len(made), 0.75, delta=0.05)
-        self.assertEqual(made, sorted(made))
-        due = sum(arrival.at_s <= 10.0 for arrival in made)
-        self.assertEqual(len(list(arrivals.bounded(made, 10.0, 100_000))), due)
-        self.assertEqual(len(list(arrivals.bounded(made, 40.0, 7))), 7)
+        planned = list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2))
+        self.assertEqual(planned, list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2)))
+        self.assertAlmostEqual(len(planned) / 2000, 1.0, delta=0.1)
+        self.assertAlmostEqual(
+            sum(arrival.function == "f" for arrival in planned) / len(planned), 0.75, delta=0.05
+        )
+        self.assertEqual(planned, sorted(planned))
+        due = sum(arrival.at_s <= 10.0 for arrival in planned)
+        self.assertEqual(len(list(arrivals.bounded(planned, 10.0, 100_000))), due)
+        self.assertEqual(len(list(arrivals.bounded(planned, 40.0, 7))), 7)
 
     def test_traces_of_both_kinds_are_replayed_from_their_first_call(self) -> None:
         calls = "app,func,end_timestamp,duration\na,f,10.5,0.5\na,g,12.0,1.0\nb,f,14.0,1.0\n"
         recorder, trace = self.read(calls)
         names = arrivals.names_of(trace)
         self.assertEqual(len(set(names.values())), 3)  # two apps have a function of one name
-        made = arrivals.replay(recorder, names, 2.0)
-        self.assertEqual([arrival.at_s for arrival in made], [0.0, 0.5, 1.5])
+        planned = arrivals.replay(recorder, names, 2.0)
+        self.assertEqual([arrival.at_s for arrival in planned], [0.0, 0.5, 1.5])
         recorder, trace = self.read("HashOwner,HashApp,HashFunction,Trigger,1,2\no,a,f,http,3,2\n")
-        made = arrivals.replay(recorder, arrivals.names_of(trace, "only"), 1.0)
-        self.assertEqual({arrival.function for arrival in made}, {"only"})
-        self.assertEqual(len(made), 5)
-        self.assertLess(made[-1].at_s, 120.0)
-
-    def read(self, text: str, most: int = 100) -> tuple[arrivals.Recorder, Trace]:
-        recorder = arrivals.Recorder(1, most)
+        planned = arrivals.replay(recorder, arrivals.names_of(trace, "only"), 1.0)
+        self.assertEqual({arrival.function for arrival in planned}, {"only"})
+        self.assertEqual(len(planned), 5)
+        self.assertLess(planned[-1].at_s, 120.0)
+
+    def read(self, text: str) -> "RecordedTrace":
+        """Read a trace, and record its calls."""
+        recorder = arrivals.Recorder(1, CALLS_MOST)
         trace = Trace(keep=recorder.keep)
         trace.read(io.StringIO(text), "t.csv")
-        return recorder, trace
+        return RecordedTrace(recorder, trace)
 
 
 class ScriptedFront:
-    """A front that gives some answers in turn, the last for good; an empty one ends the connection."""
+    """A front that gives its answers in turn and repeats the last; an empty one ends the connection."""
 
     def __init__(self, answers: tuple[bytes, ...], requests: list[bytes]) -> None:
         self._answers = list(answers)
         self._requests = requests
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while head := await reader.readuntil(b"\r\n\r\n"):
                 length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
@@ -73,18 +90,22 @@
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
+    """The load at scripted fronts: how each call is counted."""
+
     async def asyncSetUp(self) -> None:
         self.requests: list[bytes] = []
 
-    async def start_front(self, *answers: bytes) -> tuple[str, int]:
+    async def start_front(self, *answers: bytes) -> Address:
+        """Start a front with these answers; its address."""
         front = ScriptedFront(answers, self.requests)
         server = await asyncio.start_server(front.serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()[:2]
         return host, port
 
-    async def load(self, targets: list[tuple[str, int]], count: int, keys: bool = False) -> client.Result:
-        load = client.Load(targets, client.CallTemplate(b"body", "t", keys=keys), wait_s=5.0)
+    async def load(self, targets: list[Address], count: int, keys: bool = False) -> client.Result:
+        """Make so many calls at these fronts, one every 5 ms."""
+        load = client.Load(targets, client.CallTemplate(b"body", "t", keys=keys), wait_s=PATIENCE_S)
         return await load.run([Arrival(n * 0.005, "f") for n in range(count)], 100)
 
     async def test_each_call_is_counted_by_its_end(self) -> None:
@@ -116,7 +137,7 @@
 
 
 class EndedConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """Connections that the front ends while the tool's loop is busy, so that it has not read of their end."""
+    """Connections that the front ends while the tool's loop is busy, so that it has not read their end."""
 
     def setUp(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -125,7 +146,7 @@
         self.addCleanup(self.target.close)
         self.may_end = threading.Event()
         thread = threading.Thread(target=self.serve, args=(listener,), daemon=True)
-        self.addCleanup(thread.join, 5.0)
+        self.addCleanup(thread.join, PATIENCE_S)
         thread.start()
 
     def serve(self, listener: socket.socket) -> None:
@@ -137,18 +158,19 @@
                 peer.recv(4096)
                 peer.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             if ends:
-                self.may_end.wait(5.0)
+                self.may_end.wait(PATIENCE_S)
                 peer.close()
 
     def block_until_ended(self, connection: Connection) -> None:
-        """Wait without the loop: the system knows of the end, and nothing has read of it."""
+        """Wait without the loop until the system knows of the end, which nothing has read yet."""
         peer = connection._writer.get_extra_info("socket")
-        self.assertEqual(select.select([peer], [], [], 5.0)[0], [peer])
+        self.assertEqual(select.select([peer], [], [], PATIENCE_S)[0], [peer])
 
     async def call(self, connection: Connection) -> int:
+        """Make a call; the status of its answer."""
         return await connection.call("front", "/", [], b"x")
 
-    async def test_a_connection_that_ended_gets_no_call(self) -> None:
+    async def test_a_connection_that_has_ended_gets_no_call(self) -> None:
         idle = await self.target.connect()
         self.assertEqual(await self.call(idle), 200)
         self.assertFalse(idle.is_closed())
@@ -167,6 +189,8 @@
 
 
 class CommandTest(unittest.TestCase):
+    """The command `maplestile load`."""
+
     def test_unusable_arguments_are_named(self) -> None:
         for arguments, reason in (
             (["127.0.0.1:1"], "either --rate or --trace"),
--- a/tests/test_log_storage.py
+++ b/tests/test_log_storage.py
@@ -14,7 +14,7 @@
 
 
 class FolderTest(unittest.TestCase):
-    """What a voter has on disk is taken whole or not at all, and the place is named."""
+    """A voter's folder is accepted if it is undamaged, and else refused with the place of the damage."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -26,10 +26,11 @@
         with gzip.open(self.folder / "snapshot", "wb") as file:
             file.write(bytes(1000))
         check(self.folder, "a1")
-        self.whole = {path.name: path.read_bytes() for path in self.folder.iterdir()}
+        self.undamaged = {path.name: path.read_bytes() for path in self.folder.iterdir()}
 
-    def refused(self, name: str, content: bytes | None) -> str:
-        for known, before in self.whole.items():
+    def refusal(self, name: str, content: bytes | None) -> str:
+        """Damage one file, or with None remove it; the text of the error by which the folder is refused."""
+        for known, before in self.undamaged.items():
             (self.folder / known).write_bytes(before)
         if content is None:
             (self.folder / name).unlink()
@@ -40,12 +41,12 @@
         self.assertEqual((self.folder / name).exists(), content is not None)  # nothing is changed
         return str(caught.exception).replace(str(self.folder), "")
 
-    def test_whole_folder_is_taken_again_and_a_new_one_as_well(self) -> None:
+    def test_undamaged_folder_is_accepted_again_and_a_new_one_as_well(self) -> None:
         check(self.folder, "a1")
         check(Path(tempfile.mkdtemp()), "a1")
 
     def test_journal_that_is_cut_or_of_other_bytes_is_refused(self) -> None:
-        journal = self.whole["journal"]
+        journal = self.undamaged["journal"]
         for content, place in (
             (b"", "/journal: no journal"),
             (b"x" * 500, "/journal: no journal"),
@@ -57,7 +58,7 @@
             (journal[:83] + b"\xff" * 8 + journal[91:], "/journal: byte 71: entry 2 of term"),
         ):
             with self.subTest(place):
-                self.assertIn(place, self.refused("journal", content))
+                self.assertIn(place, self.refusal("journal", content))
 
     def test_voter_that_forgot_its_term_might_vote_twice_and_is_refused(self) -> None:
         old = pickle.dumps({"currentTerm": 2, "votedForNodeId": "127.0.0.1:1"})
@@ -65,17 +66,17 @@
             (None, "its term is 0, and the journal has one of 3"),
             (old, "its term is 2"),
             (b"", "of no use"),
-            (self.whole["journal.meta"][:-9], "of no use"),
+            (self.undamaged["journal.meta"][:-9], "of no use"),
             (pickle.dumps({"currentTerm": "3"}), "currentTerm"),
             (pickle.dumps(Path("x")), "of no use"),
         ):
             with self.subTest(place):
-                self.assertIn(f"/journal.meta: {place}", self.refused("journal.meta", content))
+                self.assertIn(f"/journal.meta: {place}", self.refusal("journal.meta", content))
 
     def test_snapshot_that_is_cut_and_another_voters_folder_are_refused(self) -> None:
-        snapshot = self.whole["snapshot"]
+        snapshot = self.undamaged["snapshot"]
         for content in (b"", snapshot[:-3], b"x" * 50, snapshot[:-8] + b"\0" * 8):
-            self.assertIn("/snapshot: not whole", self.refused("snapshot", content))
+            self.assertIn("/snapshot: not whole", self.refusal("snapshot", content))
         with self.assertRaisesRegex(CommandRejected, "the folder is of voter 'a1'"):
             check(self.folder, "a2")
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The wire's state machines, fed bytes in odd pieces."""
+"""The wire's state machines, fed bytes in pieces of any size."""
 
 import json
 import logging
@@ -35,7 +35,7 @@
 
 
 def framed(body: bytes) -> bytes:
-    """With the head that gives its length."""
+    """The body after a head that gives its length."""
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
@@ -131,7 +131,7 @@
         list(lines.feed(b"x" * 1001))
 
 
-def reply(flags: int = 0x8400, target_name: bytes = b"") -> bytes:
+def dns_reply(flags: int = 0x8400, target_name: bytes = b"") -> bytes:
     """A name server's reply with one SRV target, its address and text, and the zone's serial."""
     host = name_bytes("s-1.east.hosts")
     answer = record(b"\xc0\x0c", dns.SRV, struct.pack("!3H", 1, 25, 99) + (target_name or host))
@@ -143,18 +143,18 @@
 
 
 def test_list_is_read_with_compressed_names() -> None:
-    found = dns.parse(reply())
+    found = dns.parse(dns_reply())
     entry = api.WorkerEntry("s-1", "east", "std", 2, api.WorkerState.DRAINING, 2.5, 5000)
     assert [dns.worker_entry(found, target) for target in found.targets] == [(entry, ("10.1.0.9", 99))]
     assert found.serial == 41 and not list(found.lacking(found.targets))
 
 
-def test_cut_looped_and_broken_replies_are_faults() -> None:
+def test_truncated_looped_and_broken_replies_are_refused() -> None:
     with pytest.raises(dns.Truncated):
-        dns.parse(reply(0x8600))
-    whole = reply()
-    broken = [reply(0x8403), reply(0), reply(target_name=b"\xc0\xff")]
-    for data in [whole[:length] for length in range(len(whole))] + broken:
+        dns.parse(dns_reply(0x8600))
+    complete = dns_reply()
+    broken = [dns_reply(0x8403), dns_reply(0), dns_reply(target_name=b"\xc0\xff")]
+    for data in [complete[:length] for length in range(len(complete))] + broken:
         with pytest.raises(dns.DnsError):
             dns.parse(data)
 
@@ -172,7 +172,7 @@
     )
     assert list(endpoints.entries) == ["b"] and endpoints.version == 3
     assert not endpoints.apply_whole(3, []) and endpoints.entries
-    found = dns.parse(reply())
+    found = dns.parse(dns_reply())
     assert endpoints.apply_whole(4, [dns.worker_entry(found, target) for target in found.targets])
     assert list(endpoints.entries) == ["s-1"]
     with pytest.raises(EndpointListError):
@@ -180,21 +180,21 @@
         endpoints.apply_known({"updates": [{"index": 5, "endpoints": odd}]})
 
 
-def test_warnings_of_one_kind_are_bounded_and_others_pass(monkeypatch: pytest.MonkeyPatch) -> None:
-    now = [0.0]
+def test_warnings_of_one_kind_are_rate_limited_and_others_are_not(monkeypatch: pytest.MonkeyPatch) -> None:
+    now_s = [0.0]
     limit = logs.RateLimit()
-    monkeypatch.setattr("time.monotonic", lambda: now[0])
+    monkeypatch.setattr("time.monotonic", lambda: now_s[0])
 
-    def passed(level: int, text: str) -> str:
-        """The text that comes out, empty where it is held back."""
+    def logged(level: int, text: str) -> str:
+        """The text that is logged, empty if it is suppressed."""
         record = logging.LogRecord("x", level, "", 0, text, (), None)
         return record.getMessage() if limit.filter(record) else ""
 
-    assert [bool(passed(logging.WARNING, "odd")) for _ in range(8)] == [True] * 5 + [False] * 3
-    assert passed(logging.WARNING, "other") and passed(logging.ERROR, "odd")
-    now[0] = 10.0
-    assert passed(logging.WARNING, "odd") == "odd (and 3 more like it, not shown)"
-    assert passed(logging.WARNING, "odd") == "odd"
+    assert [bool(logged(logging.WARNING, "odd")) for _ in range(8)] == [True] * 5 + [False] * 3
+    assert logged(logging.WARNING, "other") and logged(logging.ERROR, "odd")
+    now_s[0] = 10.0
+    assert logged(logging.WARNING, "odd") == "odd (and 3 more like it, not shown)"
+    assert logged(logging.WARNING, "odd") == "odd"
 
 
 def test_unusable_weight_is_replaced_by_a_very_small_one() -> None:
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol: encoded and decoded whole, or refused with the wrong place named."""
+"""Datagrams of the membership protocol: encoded and decoded, or refused with the place of the error."""
 
 import unittest
 
@@ -6,13 +6,15 @@
 from maplestile.membership.messages import DatagramError, MemberUpdate, Message, decode, encode
 
 
-class WireTest(unittest.TestCase):
-    def test_a_message_goes_whole_there_and_back(self) -> None:
+class MessageTest(unittest.TestCase):
+    """Messages, updates and findings, encoded and decoded."""
+
+    def test_a_message_is_decoded_as_it_was_encoded(self) -> None:
         update = MemberUpdate("suspect", "r2", ("127.0.0.1", 7001), 3, "r1")
         sent = Message("req", 9, "r1", "r2", ("127.0.0.1", 7001), ("127.0.0.1", 7000), [update])
         self.assertEqual(decode(encode(sent)), sent)
 
-    def test_a_finding_goes_there_and_back_and_a_bad_one_names_its_place(self) -> None:
+    def test_a_finding_is_decoded_as_it_was_encoded_and_a_bad_one_is_refused_with_its_place(self) -> None:
         sent = Message(
             "ack", 1, "r1", reply_to=("h", 1), digest=7, findings=[HealthFinding("w1", True, 3, "r1")]
         )
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -11,17 +11,23 @@
 from maplestile.tools.model.report import as_csv, as_json
 from maplestile.tools.model.run import metrics, run, with_seeds
 
+# A round of probes, then a suspicion of at most 24 periods, shortened by confirmations.
+DETECTED_WITHIN_PERIODS = 26
+MISSING = 99  # in place of a metric that a run does not have
+
 
 def run_model(members: int = 10, seconds: int = 60, **faults: Any) -> MembershipMetrics:
+    """The metrics of one run with these faults."""
     return run(parse({"seed": 5, "members": members, "duration_s": seconds, **faults}))[0]
 
 
 class DetectionTest(unittest.TestCase):
+    """Which members are declared dead, and how soon."""
+
     def test_a_killed_member_is_declared_dead_by_all_within_the_bound(self) -> None:
         metrics = run_model(kill=[{"at_s": 10, "member": 3}])
         self.assertEqual(metrics.undetected, 0)
-        # A round of probes, then a suspicion of at most 24 periods shortened by confirmations.
-        self.assertLess(metrics.detection_p99_periods or 99, 26)
+        self.assertLess(metrics.detection_p99_periods or MISSING, DETECTED_WITHIN_PERIODS)
         self.assertEqual(metrics.false_positives, 0)
 
     def test_heavy_loss_declares_no_live_member_dead(self) -> None:
@@ -39,13 +45,15 @@
 
 
 class SplitTest(unittest.TestCase):
-    def test_the_small_side_calls_itself_isolated_and_views_converge_after_healing(self) -> None:
+    """Groups that are split and heal."""
+
+    def test_the_small_side_reports_itself_isolated_and_views_converge_after_healing(self) -> None:
         split = {"at_s": 10, "until_s": 50, "sides": [[0, 1, 2, 3], [4, 5, 6, 7, 8, 9]]}
         metrics = run_model(seconds=90, split=[split])
         self.assertEqual(metrics.ever_isolated, 4)
         self.assertEqual(metrics.isolated_at_end, 0)
         self.assertEqual(metrics.not_converged, 0)
-        self.assertLess(metrics.converged_after_heal_s or 99, 15)
+        self.assertLess(metrics.converged_after_heal_s or MISSING, 15)
         # The healing's full exchanges carry the other side's old deaths: taken as such, they were 27 here.
         self.assertEqual(metrics.false_positives, 0)
 
@@ -55,10 +63,12 @@
         self.assertEqual(metrics.ever_isolated, 40)
         # With another member's report of a death believed at once this was 1243, and 18 s.
         self.assertEqual(metrics.false_positives, 0)
-        self.assertLess(metrics.converged_after_heal_s or 99, 10)
+        self.assertLess(metrics.converged_after_heal_s or MISSING, 10)
 
 
 class ModelTest(unittest.TestCase):
+    """The model's files, seeds and reports."""
+
     def test_the_same_file_and_seed_give_the_same_metrics(self) -> None:
         faults: dict[str, Any] = {"net": {"loss": 0.05}, "kill": [{"at_s": 5, "member": 1}]}
         first, second = (as_json(run_model(seconds=20, **faults).by_name()) for _ in range(2))
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 
@@ -26,7 +26,7 @@
 from maplestile.wire.http import Response
 from tests.standins import ROOT, Program
 
-TEXT = (ROOT / "deploy" / "operator.toml").read_text()
+OPERATOR_FILE = (ROOT / "deploy" / "operator.toml").read_text()
 
 
 @pytest.mark.parametrize(
@@ -42,27 +42,35 @@
         ("records = 1000", "records = true", "limits.records: must be a whole number"),
     ],
 )
-def test_mistake_in_the_operators_file_is_named(old: str, new: str, named: str) -> None:
-    assert parse(TEXT).functions["make-cards"].lanes == 2
+def test_mistake_in_the_operators_file_is_reported_with_its_field(old: str, new: str, named: str) -> None:
+    assert parse(OPERATOR_FILE).functions["make-cards"].lanes == 2
     with pytest.raises(OperatorError, match=named):
-        parse(TEXT.replace(old, new, 1))
+        parse(OPERATOR_FILE.replace(old, new, 1))
 
 
-class StoreOnHandClock:
-    """A store with timers that are run by hand."""
+class Timer(NamedTuple):
+    """What the store has to run, and when."""
+
+    due: int
+    then: Callable[[], object]
+
+
+class StoreOnManualClock:
+    """A store of invocations whose timers the test runs."""
 
     def __init__(self) -> None:
-        self.timers: list[tuple[int, Callable[[], object]]] = []
-        self.store = InvocationStore(2, 50, lambda due, then: self.timers.append((due, then)), Counter())
+        self.timers: list[Timer] = []
+        self.store = InvocationStore(2, 50, lambda due, then: self.timers.append(Timer(due, then)), Counter())
 
-    def pass_to(self, now: int) -> None:
-        while due := [timer for timer in self.timers if timer[0] <= now]:
+    def advance_to(self, now: int) -> None:
+        """Run the timers that are due by then, in their order."""
+        while due := [timer for timer in self.timers if timer.due <= now]:
             self.timers.remove(due[0])
-            due[0][1]()
+            due[0].then()
 
 
 def test_delivered_answer_never_changes_and_an_uncollected_one_is_failed_and_dropped() -> None:
-    clock = StoreOnHandClock()
+    clock = StoreOnManualClock()
     delivered = InvocationRecord("a", None, b"", 100)
     uncollected = InvocationRecord("b", ("f", "t", "k"), b"", 100)
     for record in (delivered, uncollected):
@@ -71,27 +79,27 @@
         clock.store.finish(record, Response(502))
     assert clock.store.full()
     first = clock.store.deliver(delivered)
-    clock.pass_to(100)
+    clock.advance_to(100)
     assert clock.store.deliver(delivered) is first and first.status == 200
     assert (
         clock.store.deliver(uncollected).status == 504 and clock.store.deliver(uncollected).body != b"result"
     )
-    clock.pass_to(150)
+    clock.advance_to(150)
     assert not clock.store.records and not clock.store.by_scope
 
 
 def test_pending_call_is_answered_to_its_waiters_once_at_its_deadline() -> None:
-    clock = StoreOnHandClock()
+    clock = StoreOnManualClock()
     statuses: list[int] = []
     record = InvocationRecord("a", None, b"", 100)
     clock.store.add(record)
     record.waiting.append(lambda response: statuses.append(response.status))
-    clock.pass_to(100)
+    clock.advance_to(100)
     clock.store.finish(record, Response(200))
     assert statuses == [504] and clock.store.deliver(record).status == 504
 
 
-STAYS = """import signal, sys
+STAYING_PROGRAM = """import signal, sys
 def tell(*_):
     print('{"counters": {"n": 3}}', file=sys.stderr, flush=True)
 signal.signal(signal.SIGUSR1, tell)
@@ -102,11 +110,13 @@
 
 
 class AgentTest(unittest.IsolatedAsyncioTestCase):
+    """An agent with a process that stays, one that fails at once, and a router."""
+
     def setUp(self) -> None:
         folder = Path(tempfile.mkdtemp())
-        (folder / "stays.py").write_text(STAYS)
+        (folder / "stays.py").write_text(STAYING_PROGRAM)
         self.operator = folder / "operator.toml"
-        self.operator.write_text(re.sub(r"127.0.0.1:808\d", "127.0.0.1:0", TEXT))
+        self.operator.write_text(re.sub(r"127.0.0.1:808\d", "127.0.0.1:0", OPERATOR_FILE))
         file = folder / "agent.toml"
         file.write_text(f"""[agent]
 listen = "127.0.0.1:0"
@@ -151,19 +161,19 @@
 
 
 class SelfReference:
-    """Points at itself, as a connection does."""
+    """Garbage that only a collection finds, as a closed connection is."""
 
     def __init__(self) -> None:
         self.self = self
 
 
-def test_old_garbage_is_found_by_the_full_passes_and_the_longest_pause_is_kept() -> None:
+def test_old_garbage_is_found_by_full_collections_and_the_longest_pause_is_counted() -> None:
     counters, before = Counter[str](), gc.get_threshold()
     collector = GcScheduler(counters)
     collector.start()
     try:
         objects = [SelfReference() for _ in range(3)]
-        gc.collect()  # they have stood for a while: the oldest generation
+        gc.collect()  # they are in the oldest generation now
         dead = weakref.ref(objects[0])
         del objects
         gc.collect(1)
@@ -188,7 +198,7 @@
 MINUTES = "HashOwner,HashApp,HashFunction,Trigger," + ",".join(map(str, range(1, 1441)))
 
 
-def test_traces_of_one_day_are_put_together_and_bad_rows_are_named() -> None:
+def test_traces_of_one_day_are_joined_and_bad_rows_are_named() -> None:
     counts = ["0"] * 1440
     counts[0], counts[10] = "60", "1380"
     trace = traces.Trace()
@@ -205,7 +215,7 @@
     assert (row["calls"], row["rate_per_s"], row["longest_gap_s"]) == (1440, 0.01667, 600.0)
     assert (row["mean_ms"], row["most_ms"], row["memory_mb"]) == (250.0, 900.0, 150.0)
     table = "\n".join(trace_output.functions(trace, "review", 64))
-    assert parse(TEXT.replace("[[kind]]", table + "\n[[kind]]", 1)).functions["f"].memory_mb == 150.0
+    assert parse(OPERATOR_FILE.replace("[[kind]]", table + "\n[[kind]]", 1)).functions["f"].memory_mb == 150.0
 
 
 def test_trace_of_single_calls_and_an_unknown_file(tmp_path: Path, capsys: Any) -> None:
@@ -220,7 +230,7 @@
     assert "no trace known here" in capsys.readouterr().err
 
 
-def test_command_line_says_what_is_wrong_without_a_traceback() -> None:
+def test_command_line_reports_errors_without_a_traceback() -> None:
     for arguments in (["serve", "no-file"], ["status", "--agent", "127.0.0.1:1"], ["agent", "no-file"]):
         command = [sys.executable, "-m", "maplestile", *arguments]
         done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, check=False)
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -34,6 +34,7 @@
             swim.add_known([(f"r{n}", ("h", n)) for n in range(count) if n != number])
 
     def advance(self, steps: int) -> None:
+        """Let time pass in steps of `STEP_US`; due checks find the runners of `silent` silent."""
         for _ in range(steps):
             self.now_us += self.STEP_US
             for swim, checks in zip(self.swims, self.checks, strict=True):
@@ -44,6 +45,8 @@
 
 
 class AssignmentTest(unittest.TestCase):
+    """Which member makes which checks."""
+
     def test_a_member_that_ends_moves_only_its_own_checks(self) -> None:
         names = [f"probe-{n}" for n in range(200)]
         members = [f"r{n}" for n in range(5)]
@@ -67,9 +70,9 @@
 
 
 class SharedHealthChecksTest(unittest.TestCase):
-    """Runners probed by their owners, on the model and by themselves."""
+    """Checks and findings of members, in the model and singly."""
 
-    def test_the_fleet_sends_about_one_probe_a_duty_also_when_an_owner_dies(self) -> None:
+    def test_the_fleet_sends_about_one_probe_for_each_check_also_when_an_owner_dies(self) -> None:
         kill = {"at_s": 20, "member": 3}
         tables = {"seed": 5, "members": 10, "duration_s": 60, "duties": 20, "kill": [kill]}
         metrics = run(parse(tables))[0]
@@ -77,7 +80,7 @@
         self.assertAlmostEqual(metrics.probes_per_duty_per_period or 0, 1.0, delta=0.1)
         self.assertLess(metrics.longest_gap_of_a_duty_periods or 99, 12)  # detected, then taken over
 
-    def test_the_later_finding_wins_and_one_miss_is_none(self) -> None:
+    def test_the_later_finding_is_kept_and_a_single_miss_is_no_finding(self) -> None:
         one = SharedHealthChecks("r0", 1000)
         other = SharedHealthChecks("r1", 1000)
         for checks in (one, other):
@@ -132,7 +135,7 @@
         sent = [finding.runner for _ in range(9) for finding in checks.piggyback(1, transmit_limit)]
         self.assertEqual(sent, ["new", "new", "new", "back", "silent"])
 
-    def test_a_finding_reaches_all_also_where_its_transmissions_all_missed_one(self) -> None:
+    def test_a_finding_reaches_all_also_if_all_its_transmissions_missed_a_member(self) -> None:
         """Without repeats, a member in each of these groups never learned of it; no datagram is lost."""
         for seed in MISSED_ONCE:
             group = HealthCheckGroup(5, seed)
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -8,11 +8,19 @@
 
 TUNING = Tuning(period_us=100_000, ack_us=40_000)
 STEP_US = 10_000
+MEMBERS = 3
+
+
+def new_members() -> list[Swim]:
+    """Members that do not know each other."""
+    return [Swim(f"r{number}", ("h", number), TUNING, number, 0) for number in range(MEMBERS)]
 
 
 class JoinTest(unittest.TestCase):
+    """Members that join by a seed."""
+
     def test_a_joiner_is_learned_by_all_also_where_the_seeds_update_about_it_died_out(self) -> None:
-        swims = [Swim(f"r{n}", ("h", n), TUNING, n, 0) for n in range(3)]
+        swims = new_members()
         swims[1].join([("h", 0)])
         swims[2].join([("h", 0)])
         now_us = 0
@@ -25,15 +33,18 @@
                 deliver_all(swims, now_us, after_each=swims[0].update_queue.clear)
             else:
                 deliver_all(swims, now_us)
-        self.assertEqual([swim.live() for swim in swims], [["r0", "r1", "r2"]] * 3)
+        self.assertEqual([swim.live() for swim in swims], [["r0", "r1", "r2"]] * MEMBERS)
 
 
 class ReturnTest(unittest.TestCase):
+    """Members that leave and come back."""
+
     def setUp(self) -> None:
         self.now_us = 0
-        self.swims = [Swim(f"r{n}", ("h", n), TUNING, n, 0) for n in range(3)]
+        self.swims = new_members()
 
     def advance(self, steps: int) -> None:
+        """Let time pass in steps of `STEP_US`, and deliver all datagrams at each."""
         for _ in range(steps):
             self.now_us += STEP_US
             for swim in self.swims:
@@ -50,7 +61,7 @@
         # Its file names no seed: it was the first.
         self.swims[0] = Swim("r0", ("h", 0), TUNING, 9, self.now_us)
         self.advance(300)
-        self.assertEqual([swim.live() for swim in self.swims], [["r0", "r1", "r2"]] * 3)
+        self.assertEqual([swim.live() for swim in self.swims], [["r0", "r1", "r2"]] * MEMBERS)
 
 
 if __name__ == "__main__":
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""A cancellation ends what it is sent to, also in the turn in which the wait would have ended by itself."""
+"""A cancelled task ends, also if its wait would have ended by itself in the same turn of the event loop."""
 
 import asyncio
 from collections import Counter
@@ -10,22 +10,24 @@
 from maplestile.net.gossip import GossipDriver
 
 LONG_S = 30.0
-TURNS = 5  # of the event loop: enough for a task to be at its wait
+TURNS = 5  # of the event loop, after which a task has reached its wait
 END_S = 2.0  # for a cancelled task to end
 
 
-def member() -> GossipDriver:
-    plan = membership_settings_from({"listen": "127.0.0.1:0"})
-    return GossipDriver("r0", plan, 1, Counter(), lambda runner: None)
+def new_member() -> GossipDriver:
+    """A member of the gossip group that knows nobody."""
+    settings = membership_settings_from({"listen": "127.0.0.1:0"})
+    return GossipDriver("r0", settings, 1, Counter(), lambda runner: None)
 
 
-async def turns() -> None:
+async def let_tasks_reach_their_waits() -> None:
+    """Give the other tasks some turns of the event loop."""
     for _ in range(TURNS):
         await asyncio.sleep(0)
 
 
-async def cancelled_as_it_is_set(event: asyncio.Event, task: asyncio.Task[Any]) -> bool:
-    """Set the event and cancel the task that waits for it in one turn; whether the task ends by that."""
+async def ends_when_set_and_cancelled(event: asyncio.Event, task: asyncio.Task[Any]) -> bool:
+    """Set the event and cancel the task that waits for it in one turn; whether that ends the task."""
     event.set()
     task.cancel()
     done, _ = await asyncio.wait((task,), timeout=END_S)
@@ -35,17 +37,17 @@
 
 
 def test_wait_ends_by_a_cancellation_in_the_turn_in_which_its_event_is_set() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         event = asyncio.Event()
         task = asyncio.create_task(wait_until_set(event, LONG_S))
-        await turns()
-        assert await cancelled_as_it_is_set(event, task)
+        await let_tasks_reach_their_waits()
+        assert await ends_when_set_and_cancelled(event, task)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_wait_tells_whether_its_event_was_set_in_time() -> None:
-    async def play() -> list[bool]:
+def test_wait_reports_whether_its_event_was_set_in_time() -> None:
+    async def scenario() -> list[bool]:
         event = asyncio.Event()
         asyncio.get_running_loop().call_later(0.01, event.set)
         waits: tuple[Coroutine[Any, Any, bool], ...] = (
@@ -54,17 +56,17 @@
         )
         return [await wait for wait in waits] + [await wait_until_set(event, LONG_S)]
 
-    assert asyncio.run(play()) == [False, True, True]
+    assert asyncio.run(scenario()) == [False, True, True]
 
 
 def test_member_ends_by_a_cancellation_in_the_turn_in_which_a_datagram_wakes_it() -> None:
-    async def play() -> None:
-        peers = member()
+    async def scenario() -> None:
+        peers = new_member()
         task = asyncio.create_task(peers.run())
         async with asyncio.timeout(LONG_S):
             while peers.transport is None:
                 await asyncio.sleep(0)
-        await turns()
-        assert await cancelled_as_it_is_set(peers.wake, task)
+        await let_tasks_reach_their_waits()
+        assert await ends_when_set_and_cancelled(peers.wake, task)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
