--- a/tests/test_process_runners.py
+++ b/tests/test_process_runners.py
@@ -22,9 +22,9 @@
         self.assertEqual((code, "no agent manages w1" in err), (1, True))
         calls = Calls(self.fleet, 12)
         eventually(lambda: self.call_count() > 10, "calls there")
-        self.start(1, "--runners", "--action", "drain", "--budget", "1", "w1")
-        self.until_event("begin", "w1")
-        self.fleet.until_phase(2, "done")
+        self.start_rollout(1, "--runners", "--action", "drain", "--budget", "1", "w1")
+        self.wait_for_event("begin", "w1")
+        self.fleet.wait_for_phase(2, "done")
         eventually(lambda: len(self.events_named("out")) == AGENTS, "the reports of all agents")
         out = self.events_named("out")
         # All routers were notified before the last agent said so.
@@ -36,7 +36,7 @@
         time.sleep(DRAIN_BINDS_S)
         before = self.assert_no_calls_come()
         self.assertEqual(self.fleet.run(0, "rollout", "undo")[0], 0)
-        self.fleet.until_phase(1, "undone")
+        self.fleet.wait_for_phase(1, "undone")
         # On a busy machine the first calls may be over by now.
         later_calls = Calls(self.fleet, 3)
         eventually(lambda: self.call_count() > before, "calls there again")
@@ -47,8 +47,8 @@
         eventually(lambda: self.fleet.status(0)["runners"] == {"w1": "", "w2": "a0"}, "the runners")
         pid = self.pid()
         calls = Calls(self.fleet, 8)
-        self.start(2, "--runners", "--budget", "1", "w2")
-        self.fleet.until_phase(1, "done")
+        self.start_rollout(2, "--runners", "--budget", "1", "w2")
+        self.fleet.wait_for_phase(1, "done")
         self.assertNotEqual(self.pid(), pid)
         eventually(lambda: len(self.events_named("in")) == AGENTS, "the reports of all agents")
         order = [event["event"] for event in self.fleet.events() if event.get("instance") == "w2"]
