--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -40,8 +40,8 @@
     LEFT = "left"
 
 
-KINDS = tuple(kind.value for kind in MessageKind)
-STATUSES = tuple(status.value for status in Status)
+KIND_BY_TEXT = {kind.value: kind for kind in MessageKind}
+STATUS_BY_TEXT = {status.value: status for status in Status}
 KINDS_WITH_TARGET = (MessageKind.PING, MessageKind.PING_REQ)
 
 NAME_BYTES = 64
@@ -65,7 +65,7 @@
 class MemberUpdate:
     """One piece of gossip: `name` at `address` has `status` in its `incarnation`, as `by` reports."""
 
-    status: str
+    status: Status
     name: str
     address: Address
     incarnation: int
@@ -76,7 +76,7 @@
 class Message:
     """One message of the protocol; `sequence` ties an answer to its probe."""
 
-    kind: str
+    kind: MessageKind
     sequence: int
     source: str
     target: str = ""
@@ -120,7 +120,7 @@
     )
     if kind in KINDS_WITH_TARGET:
         message.target = _name(payload.get("t"), "t")
-    if kind == MessageKind.PING_REQ:
+    if kind is MessageKind.PING_REQ:
         message.target_address = _address(payload.get("a"), "a")
     if "d" in payload:
         message.digest = _number(payload, "d", DIGEST_BITS)
@@ -148,12 +148,13 @@
     return payload
 
 
-def _kind(payload: dict[str, Any]) -> str:
-    kind = payload.get("k")
-    if not isinstance(kind, str):
+def _kind(payload: dict[str, Any]) -> MessageKind:
+    text = payload.get("k")
+    if not isinstance(text, str):
         raise DatagramError("k: not a text")
-    if kind not in KINDS:
-        raise DatagramError(f"k: unknown kind {kind[:NAME_BYTES]!r}")
+    kind = KIND_BY_TEXT.get(text)
+    if kind is None:
+        raise DatagramError(f"k: unknown kind {text[:NAME_BYTES]!r}")
     return kind
 
 
@@ -180,8 +181,9 @@
 def _update(item: Any, place: str) -> MemberUpdate:
     if not isinstance(item, list) or len(item) != UPDATE_FIELDS:
         raise DatagramError(f"{place}: not a list of six")
-    status, name, host, port, incarnation, by = item
-    if status not in STATUSES:
+    status_text, name, host, port, incarnation, by = item
+    status = STATUS_BY_TEXT.get(status_text) if isinstance(status_text, str) else None
+    if status is None:
         raise DatagramError(f"{place}[0]: unknown status")
     address = _address([host, port], place)
     if not _is_unsigned(incarnation, COUNTER_BITS):
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -127,7 +127,7 @@
 
     @property
     def agreed(self) -> frozenset[str]:
-        """The names of the last view that stood without a suspicion."""
+        """The names of the last view that held no suspicion."""
         return self._isolation.agreed
 
     def view(self) -> list[Member]:
@@ -145,7 +145,7 @@
         self._exchange.join(seeds)
 
     def add_known(self, members: list[tuple[str, Address]]) -> None:
-        """Take members as alive in incarnation 0 without spreading updates: a group that stands already."""
+        """Take members as alive in incarnation 0 without spreading updates: a group that exists already."""
         for name, address in members:
             if self.member_list.get(name) is None:
                 self.member_list.add(Member(name, address, 0, Status.ALIVE, 0))
@@ -209,15 +209,15 @@
         known = self.member_list.get(update.name)
         if known is None or known.incarnation != update.incarnation:
             return False
-        if update.status == Status.SUSPECT:
+        if update.status is Status.SUSPECT:
             return may_be_old
-        return known.status == update.status
+        return known.status is update.status
 
     def _weakened(self, update: MemberUpdate) -> MemberUpdate:
         """Return a death of a newer incarnation than the known one as a suspicion."""
         known = self.member_list.get(update.name)
-        if update.status == Status.DEAD and (known is None or update.incarnation > known.incarnation):
-            return replace(update, status=Status.SUSPECT.value)
+        if update.status is Status.DEAD and (known is None or update.incarnation > known.incarnation):
+            return replace(update, status=Status.SUSPECT)
         return update
 
     def _send_refutation(self, message: Message) -> None:
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -50,7 +50,7 @@
         if member is None:
             self._add_member(update, now_us)
             return
-        status = Status(update.status)
+        status = update.status
         same_incarnation = update.incarnation == member.incarnation
         if status is Status.SUSPECT and same_incarnation and member.status is Status.SUSPECT:
             self._confirm_suspicion(member, update)
@@ -75,7 +75,7 @@
         self._death_notices = 0
 
     def _add_member(self, update: MemberUpdate, now_us: int) -> None:
-        status = Status(update.status)
+        status = update.status
         if status not in STATUSES_IN_VIEW or len(self._members) >= self._tuning.members_max:
             return  # a member that was never known matters only while it is in view
         member = self._members.add(Member(update.name, update.address, update.incarnation, status, now_us))
@@ -139,14 +139,14 @@
 
         Only this member changes its own state: its old updates come back by gossip, and are ignored.
         """
-        if update.status == Status.ALIVE or self.leaving:
+        if update.status is Status.ALIVE or self.leaving:
             return
         own = self._members.own
         if update.incarnation < own.incarnation:
             self.refuted_update_heard = True
             return
         self._members.set_status(own, Status.ALIVE, update.incarnation + 1)
-        if update.status == Status.SUSPECT:
+        if update.status is Status.SUSPECT:
             self._health.worsen()  # Lifeguard: being suspected is a sign of being slow
         self._queue.add(self._members.own_update())
         self._log.add_about(EventKind.REFUTE, own, update.by)
--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -149,20 +149,24 @@
 HERE = ("127.0.0.1", 7001)
 THERE = ("127.0.0.2", 65535)
 GOSSIP = [
-    messages.MemberUpdate("alive", "n1", HERE, 0, "n1"),
-    messages.MemberUpdate("suspect", "n2", THERE, 3, "n1"),
-    messages.MemberUpdate("dead", "né", ("::1", 0), (1 << 63) - 1, "n2"),
-    messages.MemberUpdate("left", "n" * 64, HERE, 70_000, "n3"),
+    messages.MemberUpdate(messages.Status.ALIVE, "n1", HERE, 0, "n1"),
+    messages.MemberUpdate(messages.Status.SUSPECT, "n2", THERE, 3, "n1"),
+    messages.MemberUpdate(messages.Status.DEAD, "né", ("::1", 0), (1 << 63) - 1, "n2"),
+    messages.MemberUpdate(messages.Status.LEFT, "n" * 64, HERE, 70_000, "n3"),
 ]
 FINDINGS = [HealthFinding("w0", True, 5, "n1"), HealthFinding("w" * 128, False, 1 << 40, "n2")]
 MESSAGES = {
-    "ping": messages.Message("ping", 1, "n1", "n2", reply_to=HERE, digest=2**64 - 1),
-    "ack": messages.Message("ack", 2**32 - 1, "n2", reply_to=THERE, digest=0, gossip=GOSSIP),
-    "req": messages.Message("req", 300, "n1", "n3", THERE, HERE, GOSSIP[:1]),
-    "nack": messages.Message("nack", 0, "n3", reply_to=HERE),
-    "join": messages.Message("join", 0, "n4", reply_to=HERE, gossip=GOSSIP[:1]),
-    "sync": messages.Message("sync", 9, "n1", reply_to=HERE, gossip=GOSSIP, findings=FINDINGS, digest=77),
-    "word": messages.Message("word", 10, "n1", reply_to=HERE, findings=FINDINGS),
+    "ping": messages.Message(messages.MessageKind.PING, 1, "n1", "n2", reply_to=HERE, digest=2**64 - 1),
+    "ack": messages.Message(
+        messages.MessageKind.ACK, 2**32 - 1, "n2", reply_to=THERE, digest=0, gossip=GOSSIP
+    ),
+    "req": messages.Message(messages.MessageKind.PING_REQ, 300, "n1", "n3", THERE, HERE, GOSSIP[:1]),
+    "nack": messages.Message(messages.MessageKind.NACK, 0, "n3", reply_to=HERE),
+    "join": messages.Message(messages.MessageKind.JOIN, 0, "n4", reply_to=HERE, gossip=GOSSIP[:1]),
+    "sync": messages.Message(
+        messages.MessageKind.SYNC, 9, "n1", reply_to=HERE, gossip=GOSSIP, findings=FINDINGS, digest=77
+    ),
+    "word": messages.Message(messages.MessageKind.GOSSIP, 10, "n1", reply_to=HERE, findings=FINDINGS),
 }
 
 
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -3,18 +3,33 @@
 import unittest
 
 from maplestile.membership.health_checks import HealthFinding
-from maplestile.membership.messages import DatagramError, MemberUpdate, Message, decode, encode
+from maplestile.membership.messages import (
+    DatagramError,
+    MemberUpdate,
+    Message,
+    MessageKind,
+    Status,
+    decode,
+    encode,
+)
 
 
 class WireTest(unittest.TestCase):
     def test_a_message_goes_whole_there_and_back(self) -> None:
-        update = MemberUpdate("suspect", "r2", ("127.0.0.1", 7001), 3, "r1")
-        sent = Message("req", 9, "r1", "r2", ("127.0.0.1", 7001), ("127.0.0.1", 7000), [update])
+        update = MemberUpdate(Status.SUSPECT, "r2", ("127.0.0.1", 7001), 3, "r1")
+        sent = Message(
+            MessageKind.PING_REQ, 9, "r1", "r2", ("127.0.0.1", 7001), ("127.0.0.1", 7000), [update]
+        )
         self.assertEqual(decode(encode(sent)), sent)
 
     def test_a_finding_goes_there_and_back_and_a_bad_one_names_its_place(self) -> None:
         sent = Message(
-            "ack", 1, "r1", reply_to=("h", 1), digest=7, findings=[HealthFinding("w1", True, 3, "r1")]
+            MessageKind.ACK,
+            1,
+            "r1",
+            reply_to=("h", 1),
+            digest=7,
+            findings=[HealthFinding("w1", True, 3, "r1")],
         )
         self.assertEqual(decode(encode(sent)), sent)
         for bad, index in (
@@ -22,12 +37,15 @@
             (HealthFinding("w1", True, -1, "r1"), 2),
         ):
             with self.assertRaisesRegex(DatagramError, rf"^f\[0\]\[{index}\]"):
-                decode(encode(Message("ack", 1, "r1", reply_to=("h", 1), findings=[bad])))
+                decode(encode(Message(MessageKind.ACK, 1, "r1", reply_to=("h", 1), findings=[bad])))
 
     def test_a_bad_datagram_is_refused_with_its_place(self) -> None:
-        good = encode(Message("ping", 1, "r1", "r2", reply_to=("127.0.0.1", 1)))
-        update = MemberUpdate("gone", "r3", ("h", 1), 0, "r1")
-        unknown_status = encode(Message("ping", 1, "r1", "r2", reply_to=("127.0.0.1", 1), gossip=[update]))
+        good = encode(Message(MessageKind.PING, 1, "r1", "r2", reply_to=("127.0.0.1", 1)))
+        update = MemberUpdate(Status.DEAD, "r3", ("h", 1), 0, "r1")
+        with_update = encode(
+            Message(MessageKind.PING, 1, "r1", "r2", reply_to=("127.0.0.1", 1), gossip=[update])
+        )
+        unknown_status = with_update.replace(b"dead", b"gone")
         for datagram, place in (
             (b"\xc1", "datagram"),
             (b"\x93\x01\x02\x03", "datagram"),
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -195,7 +195,7 @@
 
 class DatagramTest(unittest.TestCase):
     def test_each_kind_is_read(self) -> None:
-        self.assertEqual(set(record.MESSAGES), set(messages.KINDS))
+        self.assertEqual(set(record.MESSAGES), set(messages.KIND_BY_TEXT))
         for kind, message in record.MESSAGES.items():
             with self.subTest(kind):
                 self.assertEqual(messages.decode(content(f"datagram-{kind}.bin")), message)
