--- a/maplestile/membership/view.py
+++ b/maplestile/membership/view.py
@@ -28,6 +28,27 @@
     skipped_probes: int  # probes of this router's own that were left to a runner's owner
 
 
+@dataclass(slots=True, frozen=True)
+class HealthCheckMetrics:
+    """The numbers of one member's part in the shared health checks."""
+
+    assigned: int  # runners that this member probes for all
+    overlap: int  # checks done here while the last agreed view gave them to another member
+
+
+@dataclass(slots=True, frozen=True)
+class MembershipMetrics:
+    """The numbers of one member's view: how many members it knows by status, and its own state."""
+
+    alive: int  # this member among them
+    suspect: int
+    dead: int
+    left: int
+    isolated: int  # 1 while it sees less than a majority of the last view that it agreed with, else 0
+    local_health: int
+    health_checks: HealthCheckMetrics | None  # None where the members share none
+
+
 @dataclass(slots=True, frozen=True)
 class MembershipView:
     """What a member knows of its group."""
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -16,7 +16,13 @@
 from maplestile.membership.messages import DatagramError, decode, encode
 from maplestile.membership.settings import MembershipSettings
 from maplestile.membership.swim import Status, Swim
-from maplestile.membership.view import HealthChecksView, MembershipView, MemberView
+from maplestile.membership.view import (
+    HealthCheckMetrics,
+    HealthChecksView,
+    MembershipMetrics,
+    MembershipView,
+    MemberView,
+)
 
 log = logging.getLogger("maplestile.peers")
 
@@ -136,20 +142,19 @@
             health_checks=None if checks is None else _health_checks_view(checks),
         )
 
-    def metrics(self) -> dict[str, int]:
-        """Return the values of the metrics in `operation.metrics.MEMBERSHIP`, by name.
-
-        Those of the shared health checks are left out where the members share none.
-        """
-        metrics = {f"members_{status.value}": 0 for status in Status}
-        for member in self.swim.members.values():
-            metrics[f"members_{member.status.value}"] += 1
-        metrics["isolated"] = int(self.swim.isolated)
-        metrics["health"] = self.swim.local_health
-        if self.health_checks is not None:
-            metrics["duties"] = len(self.health_checks.next_probe_us)
-            metrics["duties_overlap"] = self.health_checks.assignment.overlap
-        return metrics
+    def metrics(self) -> MembershipMetrics:
+        """Return the numbers of this member's view."""
+        by_status = Counter(member.status for member in self.swim.members.values())
+        checks = self.health_checks
+        return MembershipMetrics(
+            alive=by_status[Status.ALIVE],
+            suspect=by_status[Status.SUSPECT],
+            dead=by_status[Status.DEAD],
+            left=by_status[Status.LEFT],
+            isolated=int(self.swim.isolated),
+            local_health=self.swim.local_health,
+            health_checks=None if checks is None else _health_check_metrics(checks),
+        )
 
     # Steps of the loop.
 
@@ -201,6 +206,10 @@
     return MemberView(member.name, member.address, member.status, member.incarnation)
 
 
+def _health_check_metrics(checks: SharedHealthChecks) -> HealthCheckMetrics:
+    return HealthCheckMetrics(len(checks.next_probe_us), checks.assignment.overlap)
+
+
 def _health_checks_view(checks: SharedHealthChecks) -> HealthChecksView:
     silent = sorted(runner for runner, finding in checks.findings.items() if not finding.answers)
     return HealthChecksView(
--- a/maplestile/operation/metrics.py
+++ b/maplestile/operation/metrics.py
@@ -2,9 +2,14 @@
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
+from maplestile.operation.policy import PolicyMetrics
 from maplestile.wire.messages import Verdict
 
+if TYPE_CHECKING:  # a router without membership loads none of it: start time and memory
+    from maplestile.membership.view import MembershipMetrics
+
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "svc_"
 COUNTER = "counter"
@@ -17,28 +22,6 @@
     ("failure_total", "Requests failed, in time or out of it.", (Verdict.FAILED, Verdict.EXPIRED)),
 )
 
-# The metrics of membership: name and help.
-MEMBERSHIP = {
-    "members_alive": "Members seen alive, this one among them.",
-    "members_suspect": "Members suspected of having failed.",
-    "members_dead": "Members declared dead and still remembered.",
-    "members_left": "Members that left and are still remembered.",
-    "isolated": "1 while this member sees less than a majority of the last view it agreed with.",
-    "health": "Local health: 0 is well, more is slow.",
-    "duties": "Runners that this member probes for all.",
-    "duties_overlap": "Duties done here while the last agreed view gave them to another.",
-}
-
-# The metrics of the fleet's policy: name, type and help.
-POLICY = {
-    "epoch": (GAUGE, "Epoch of the fleet's policy that new calls are decided under."),
-    "stale": (GAUGE, "1 while this router is cut off, and its epoch may not be the last committed one."),
-    "stale_seconds": (GAUGE, "For how long; 0 while it is not."),
-    "refused": (GAUGE, "1 while this build or file refuses the committed epoch: no new call is taken."),
-    "reloads_refused_total": (COUNTER, "SIGHUPs whose file told another policy than at the start."),
-    "mixed_calls_total": (COUNTER, "Attempts decided under another epoch than their call; always 0."),
-}
-
 # The counters of each epoch, by the keys of `MetricsReport.epochs`.
 EPOCH_COUNTERS = ("calls", "attempts")
 
@@ -53,8 +36,8 @@
     inflight: int
     hosts_listed: int
     hosts_down: int
-    membership: Mapping[str, int] = field(default_factory=dict)  # by a name of `MEMBERSHIP`
-    policy: Mapping[str, float] = field(default_factory=dict)  # by a name of `POLICY`
+    membership: "MembershipMetrics | None" = None  # None where membership is off
+    policy: PolicyMetrics | None = None  # None where the file decides on the policy
     epochs: Mapping[int, Mapping[str, int]] = field(default_factory=dict)  # by epoch and counter
 
 
@@ -100,11 +83,10 @@
     yield _single("hosts_listed", GAUGE, "Runners on the list.", report.hosts_listed)
     hosts_down_help = "Runners on the list that get no calls now, by hand or by choice."
     yield _single("hosts_down", GAUGE, hosts_down_help, report.hosts_down)
-    for name, value in report.membership.items():
-        yield _single(f"peers_{name}", GAUGE, MEMBERSHIP[name], value)
-    for name, number in report.policy.items():
-        kind, help_text = POLICY[name]
-        yield _single(f"policy_{name}", kind, help_text, number)
+    if report.membership is not None:
+        yield from _membership_families(report.membership)
+    if report.policy is not None:
+        yield from _policy_families(report.policy)
     if report.epochs:
         yield from _epoch_families(report)
 
@@ -125,6 +107,35 @@
         yield MetricFamily(name, COUNTER, help_text, samples)
 
 
+def _membership_families(metrics: "MembershipMetrics") -> Iterator[MetricFamily]:
+    yield _single("peers_members_alive", GAUGE, "Members seen alive, this one among them.", metrics.alive)
+    yield _single("peers_members_suspect", GAUGE, "Members suspected of having failed.", metrics.suspect)
+    yield _single("peers_members_dead", GAUGE, "Members declared dead and still remembered.", metrics.dead)
+    yield _single("peers_members_left", GAUGE, "Members that left and are still remembered.", metrics.left)
+    isolated_help = "1 while this member sees less than a majority of the last view it agreed with."
+    yield _single("peers_isolated", GAUGE, isolated_help, metrics.isolated)
+    yield _single("peers_health", GAUGE, "Local health: 0 is well, more is slow.", metrics.local_health)
+    checks = metrics.health_checks
+    if checks is not None:
+        yield _single("peers_duties", GAUGE, "Runners that this member probes for all.", checks.assigned)
+        overlap_help = "Duties done here while the last agreed view gave them to another."
+        yield _single("peers_duties_overlap", GAUGE, overlap_help, checks.overlap)
+
+
+def _policy_families(metrics: PolicyMetrics) -> Iterator[MetricFamily]:
+    epoch_help = "Epoch of the fleet's policy that new calls are decided under."
+    yield _single("policy_epoch", GAUGE, epoch_help, metrics.epoch)
+    stale_help = "1 while this router is cut off, and its epoch may not be the last committed one."
+    yield _single("policy_stale", GAUGE, stale_help, metrics.stale)
+    yield _single("policy_stale_seconds", GAUGE, "For how long; 0 while it is not.", metrics.stale_s)
+    refused_help = "1 while this build or file refuses the committed epoch: no new call is taken."
+    yield _single("policy_refused", GAUGE, refused_help, metrics.refused)
+    reloads_help = "SIGHUPs whose file told another policy than at the start."
+    yield _single("policy_reloads_refused_total", COUNTER, reloads_help, metrics.reloads_refused)
+    mixed_help = "Attempts decided under another epoch than their call; always 0."
+    yield _single("policy_mixed_calls_total", COUNTER, mixed_help, metrics.mixed_calls)
+
+
 def _epoch_families(report: MetricsReport) -> Iterator[MetricFamily]:
     for counted in EPOCH_COUNTERS:
         samples = tuple(
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -13,7 +13,7 @@
 from maplestile.requests.endpoint_list import EndpointList
 
 if TYPE_CHECKING:  # a router without membership loads none of it: start time and memory
-    from maplestile.membership.view import MembershipView
+    from maplestile.membership.view import MembershipMetrics, MembershipView
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,7 +26,7 @@
     count_backend_calls: Callable[[], int]
     not_ready_reason: Callable[[], str]  # empty where the router can serve
     membership_view: "Callable[[], MembershipView | None]"  # None where membership is off
-    membership_metrics: Callable[[], dict[str, int]]  # by name; empty where membership is off
+    membership_metrics: "Callable[[], MembershipMetrics | None]"  # None where membership is off
     policy: PolicyOperations | None = None  # where the fleet decides on it
 
     def ready(self) -> str:
@@ -44,7 +44,7 @@
             hosts_listed=len(listed),
             hosts_down=len(listed & (self.endpoints.suspended | self.core.avoided())),
             membership=self.membership_metrics(),
-            policy={} if self.policy is None else self.policy.metrics(),
+            policy=None if self.policy is None else self.policy.metrics(),
             epochs={} if self.policy is None else self.core.epochs,
         )
 
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -60,7 +60,7 @@
         lambda: components.runners.calls_written,
         readiness.missing,
         lambda: None if components.peers is None else components.peers.members(),
-        lambda: {} if components.peers is None else components.peers.metrics(),
+        lambda: None if components.peers is None else components.peers.metrics(),
         components.policy,
     )
 
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -19,6 +19,7 @@
 from maplestile.control.policy.document import AdoptedPolicy, Document, PolicyError, Tables, digest_of
 from maplestile.control.policy.follower import NO_EPOCH, Follower, PolicyAnnouncement, PolicyStatus, Step
 from maplestile.control.policy.settings import PolicySettings
+from maplestile.operation.policy import PolicyMetrics
 from maplestile.requests.core import AttemptId
 from maplestile.router.config import Config
 from maplestile.router.policy_configuration import Build, PolicyConfiguration
@@ -227,17 +228,16 @@
             lacks_document=lacks_document,
         )
 
-    def metrics(self) -> dict[str, float]:
-        """Return the values of the metrics in `operation.metrics.POLICY`, by name."""
-        now_us = monotonic_us()
-        return {
-            "epoch": self.epoch,
-            "stale": int(self.follower.status is PolicyStatus.STALE),
-            "stale_seconds": self._stale_s(now_us),
-            "refused": int(self.follower.status is PolicyStatus.REFUSED),
-            "reloads_refused_total": self.counters["policy.reloads_refused"],
-            "mixed_calls_total": self.counters["policy.mixed_calls"],
-        }
+    def metrics(self) -> PolicyMetrics:
+        """Return the metrics at this moment."""
+        return PolicyMetrics(
+            epoch=self.epoch,
+            stale=int(self.follower.status is PolicyStatus.STALE),
+            stale_s=self._stale_s(monotonic_us()),
+            refused=int(self.follower.status is PolicyStatus.REFUSED),
+            reloads_refused=self.counters["policy.reloads_refused"],
+            mixed_calls=self.counters["policy.mixed_calls"],
+        )
 
     def _stale_s(self, now_us: int) -> float:
         return round(self.follower.stale_us(now_us) / US_PER_S, 1)
--- a/tests/record_metrics.py
+++ b/tests/record_metrics.py
@@ -2,7 +2,9 @@
 
 import ast
 
+from maplestile.membership.view import HealthCheckMetrics, MembershipMetrics
 from maplestile.operation import metrics
+from maplestile.operation.policy import PolicyMetrics
 from maplestile.wire.messages import Verdict
 from tests.recording import Recorder
 from tests.standins import ROOT
@@ -17,8 +19,8 @@
         ("review", Verdict.EXPIRED): 2,
         ('a"b', Verdict.SERVED): 5,
     }
-    membership = {name: number for number, name in enumerate(metrics.MEMBERSHIP)}
-    policy = {name: number + 0.5 for number, name in enumerate(metrics.POLICY)}
+    membership = MembershipMetrics(0, 1, 2, 3, 4, 5, HealthCheckMetrics(6, 7))
+    policy = PolicyMetrics(0.5, 1.5, 2.5, 3.5, 4.5, 5.5)
     epochs = {3: {"calls": 7, "attempts": 8}, 4: {"calls": 1}}
     report = metrics.MetricsReport(("review", 'a"b'), answers, 7, 2, 5, 1, membership, policy, epochs)
     return metrics.text(report)
