--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -1,7 +1,7 @@
 """A router's part in the fleet's policy, put to work: its record on disk, its configuration, its events.
 
 The decisions are made by `control.policy.follower.Follower`. What the agent sends comes by the operators'
-front (`operation.policy.PolicyOperations`), with the codec of `policy_messages`.
+front (`operation.policy.PolicyOperations`), with the codec of `operation.policy_json`.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 from maplestile.control.policy.follower import NO_EPOCH, Follower, PolicyAnnouncement, PolicyStatus, Step
 from maplestile.control.policy.settings import PolicySettings
 from maplestile.operation.policy import PolicyMetrics
-from maplestile.requests.core import AttemptId
-from maplestile.router.config import Config
-from maplestile.router.policy_configuration import Build, PolicyConfiguration
-from maplestile.router.policy_jobs import RunJob, at_once
-from maplestile.router.policy_messages import (
+from maplestile.operation.policy_json import (
     PolicyReport,
     decode_announcement,
     decode_check,
     encode_check_passed,
     encode_report,
 )
+from maplestile.requests.core import AttemptId
+from maplestile.router.config import Config
+from maplestile.router.policy_configuration import Build, PolicyConfiguration
+from maplestile.router.policy_jobs import RunJob, at_once
 
 log = logging.getLogger("maplestile.policy")
 TICK_INTERVAL_S = 0.1
