--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -9,7 +9,7 @@
 from maplestile.common.toml_table import ConfigError
 from maplestile.operation import metrics as exposition
 from maplestile.operation.membership_json import encode_membership
-from maplestile.operation.policy import PolicyOperations
+from maplestile.operation.policy import PolicyOperations, PolicyReport
 from maplestile.operation.runner_view import RunnerView
 from maplestile.wire.http import (
     Bounds,
@@ -149,19 +149,30 @@
         if policy is None:
             raise RequestRejected(problem(404, "the policy is this router's own: no [policy] in its file"))
         try:
-            if path == POLICY_CHECK:
-                require_method(request, "POST")
-                respond(_json_response(policy.check(json.loads(request.body))))
-            elif request.method == "PUT":
-                policy.hear(json.loads(request.body), lambda view: respond(_json_response(view)))
-            else:
-                require_method(request, "GET", "PUT")
-                respond(_json_response(policy.view()))
+            _answer_policy(policy, path, request, respond)
         except ValueError as error:
             raise RequestRejected(problem(400, f"no JSON: {error}")) from None
         except ConfigError as error:
             raise RequestRejected(problem(422, str(error))) from None
 
 
+def _answer_policy(policy: PolicyOperations, path: str, request: HttpRequest, respond: Respond) -> None:
+    """Answer a request about the policy. Raises ConfigError, RequestRejected or ValueError."""
+    from maplestile.operation import policy_json  # only where the fleet decides: start time and memory
+
+    def respond_with(report: PolicyReport) -> None:
+        respond(_json_response(policy_json.encode_report(report)))
+
+    if path == POLICY_CHECK:
+        require_method(request, "POST")
+        policy.check(policy_json.decode_check(json.loads(request.body)))
+        respond(_json_response(policy_json.encode_check_passed()))
+    elif request.method == "PUT":
+        policy.take_announcement(policy_json.decode_announcement(json.loads(request.body)), respond_with)
+    else:
+        require_method(request, "GET", "PUT")
+        respond_with(policy.report())
+
+
 def _json_response(payload: dict[str, Any]) -> Response:
     return Response(200, json.dumps(payload).encode(), JSON_HEADERS)
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -1,8 +1,34 @@
-"""What the operators' front needs of a router's part in the fleet's policy."""
+"""A router's part in the fleet's policy, as the operators' front sees it."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:  # a router whose file decides on the policy loads none of it: start time and memory
+    from maplestile.control.policy.document import Document
+    from maplestile.control.policy.follower import PolicyAnnouncement, PolicyStatus
+
+
+@dataclass(slots=True, frozen=True)
+class PolicyCheck:
+    """A change that the router is to check; without a document it goes back to the policy of its own file."""
+
+    change: int
+    document: "Document | None"
+
+
+@dataclass(slots=True, frozen=True)
+class PolicyReport:
+    """What a router reports of its policy."""
+
+    epoch: int
+    digest: str  # of the document in force; empty for the file's own policy
+    status: "PolicyStatus"
+    stale_s: float  # for how long its epoch has not been known to be the committed one
+    reason: str  # of a refusal
+    build: str
+    calls_by_epoch: Mapping[int, Mapping[str, int]]
+    lacks_document: bool  # of the announced epoch: the agent is asked to send it
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,20 +44,19 @@
 
 
 class PolicyOperations(Protocol):
-    """The router's policy driver as the operators' front sees it."""
+    """The router's policy driver."""
 
-    def check(self, proposal: object, /) -> dict[str, Any]:
-        """Return whether a proposed policy would fit this router. Raises ConfigError or ValueError."""
+    def check(self, change: PolicyCheck, /) -> None:
+        """Check that a proposed policy fits this router. Raises ConfigError."""
         ...
 
-    def hear(self, announcement: object, reply: Callable[[dict[str, Any]], None], /) -> None:
-        """Take the agent's announcement of the committed epoch, and reply once, now or later.
-
-        Raises ConfigError or ValueError.
-        """
+    def take_announcement(
+        self, announcement: "PolicyAnnouncement", reply: Callable[[PolicyReport], None], /
+    ) -> None:
+        """Take the agent's announcement of the committed epoch, and reply once, now or later."""
         ...
 
-    def view(self) -> dict[str, Any]:
+    def report(self) -> PolicyReport:
         """Return the epoch in force and its status."""
         ...
 
--- a/maplestile/operation/policy_json.py
+++ b/maplestile/operation/policy_json.py
@@ -1,38 +1,15 @@
-"""What an agent and its router send each other about the policy, with the codec of the operators' front.
+"""The form of the policy's messages on the operators' front, between an agent and its router.
 
 An announcement is `{"epoch", "fenced_us", "checking"}`, with `"document"` if it comes along; a check is
 `{"change", "document"}`. Both are answered by JSON objects, too: an announcement by a `PolicyReport`.
 """
 
-from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import Any
 
 from maplestile import __version__
-from maplestile.control.policy.document import Document, PolicyError, document_of
-from maplestile.control.policy.follower import PolicyAnnouncement, PolicyStatus
-
-
-@dataclass(slots=True, frozen=True)
-class PolicyCheck:
-    """A change that the router is to check; no document stands for the policy of its own file."""
-
-    change: int
-    document: Document | None
-
-
-@dataclass(slots=True, frozen=True)
-class PolicyReport:
-    """What a router reports of its policy."""
-
-    epoch: int
-    digest: str  # of the document in force; empty for the file's own policy
-    status: PolicyStatus
-    stale_s: float  # for how long its epoch has not been known to be the committed one
-    reason: str  # of a refusal
-    build: str
-    calls_by_epoch: Mapping[int, Mapping[str, int]]
-    lacks_document: bool  # of the announced epoch: the agent is asked to send it
+from maplestile.control.policy.document import PolicyError, document_of
+from maplestile.control.policy.follower import PolicyAnnouncement
+from maplestile.operation.policy import PolicyCheck, PolicyReport
 
 
 def decode_announcement(message: object) -> PolicyAnnouncement:
@@ -53,7 +30,7 @@
 
 
 def encode_report(report: PolicyReport) -> dict[str, Any]:
-    """Return a report in JSON's types; `"fetch"` stands in it only where the document is lacking."""
+    """Return a report in JSON's types; it has `"fetch"` only where the router lacks the document."""
     encoded: dict[str, Any] = {
         "epoch": report.epoch,
         "digest": report.digest,
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -1,7 +1,7 @@
 """A router's part in the fleet's policy, put to work: its record on disk, its configuration, its events.
 
 The decisions are made by `control.policy.follower.Follower`. What the agent sends comes by the operators'
-front (`operation.policy.PolicyOperations`), with the codec of `operation.policy_json`.
+front (`operation.policy.PolicyOperations`), which decodes it.
 """
 
 import asyncio
@@ -10,7 +10,6 @@
 from collections import Counter
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from maplestile import __version__
 from maplestile.common import logs
@@ -19,14 +18,7 @@
 from maplestile.control.policy.document import AdoptedPolicy, Document, PolicyError, Tables, digest_of
 from maplestile.control.policy.follower import NO_EPOCH, Follower, PolicyAnnouncement, PolicyStatus, Step
 from maplestile.control.policy.settings import PolicySettings
-from maplestile.operation.policy import PolicyMetrics
-from maplestile.operation.policy_json import (
-    PolicyReport,
-    decode_announcement,
-    decode_check,
-    encode_check_passed,
-    encode_report,
-)
+from maplestile.operation.policy import PolicyCheck, PolicyMetrics, PolicyReport
 from maplestile.requests.core import AttemptId
 from maplestile.router.config import Config
 from maplestile.router.policy_configuration import Build, PolicyConfiguration
@@ -124,11 +116,8 @@
 
     # What the agent sends to the operators' front.
 
-    def hear(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
-        """Take an announcement of what is committed; the answer may come later. Raises PolicyError."""
-        self._take_announcement(decode_announcement(message), lambda report: reply(encode_report(report)))
-
-    def _take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
+    def take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
+        """Take an announcement of what is committed, and reply once, now or later."""
         step = self.follower.hear(announcement, monotonic_us())
         if step is Step.ADOPT and not self.writing:
             self._adopt(announcement, reply)
@@ -136,7 +125,7 @@
         if step is Step.OLDER:
             self.counters["policy.older"] += 1
         self._log_status()
-        reply(self._report(lacks_document=step is Step.FETCH))
+        reply(self.report(lacks_document=step is Step.FETCH))
 
     def _adopt(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
         """Write the record first, off the loop since a disk may take its time; then put it in force."""
@@ -167,7 +156,7 @@
         else:
             self._complete_adoption(announcement, config)
         self._log_status()
-        reply(self._report())
+        reply(self.report())
 
     def _complete_adoption(self, announcement: PolicyAnnouncement, config: Config) -> None:
         self.document = announcement.document
@@ -183,9 +172,8 @@
             log.error("policy: epoch %d is not taken, and so no new call: %s", epoch, reason)
         self.follower.refused(reason)
 
-    def check(self, message: object) -> dict[str, Any]:
+    def check(self, change: PolicyCheck) -> None:
         """Check that a change fits this build and file. Raises PolicyError, which names the field."""
-        change = decode_check(message)
         try:
             self.configuration.build_with(self.epoch + 1, change.document)
         except PolicyError:
@@ -194,7 +182,6 @@
             raise PolicyError(str(fault)) from None
         self.follower.prepare(change.change, change.document)
         self.events.info("checked", change=change.change, digest=digest_of(change.document))
-        return encode_check_passed()
 
     # What the router and its operators see.
 
@@ -210,11 +197,8 @@
             return f"the fleet's policy is refused here: {self.follower.reason}"
         return "the fleet has not told its policy yet"
 
-    def view(self) -> dict[str, Any]:
-        """Return the router's report of its policy, in JSON's types."""
-        return encode_report(self._report())
-
-    def _report(self, lacks_document: bool = False) -> PolicyReport:
+    def report(self, lacks_document: bool = False) -> PolicyReport:
+        """Return the router's report of its policy."""
         now_us = monotonic_us()
         self.follower.tick(now_us)
         return PolicyReport(
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -140,14 +140,14 @@
             announcement | {"fenced_us": monotonic_us()} if isinstance(announcement, dict) else announcement
         )
         try:
-            rig.driver.hear(_policy_in(timed, rig), answers.append)
+            rig.take_announcement(_policy_in(timed, rig), answers.append)
         except PolicyError as fault:
             answers.append({"refused": str(fault)})
         announcements.append({"word": _policy_in(announcement, rig), "answers": answers})
     for check in CHECKS:
         message = _policy_in(check, rig)
         try:
-            checks.append({"check": message, "answer": rig.driver.check(message)})
+            checks.append({"check": message, "answer": rig.check(message)})
         except PolicyError as fault:
             checks.append({"check": message, "refused": str(fault)})
     lines = STALE.sub('"stale_s": 0.0', as_lines(announcements).decode())
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -1,5 +1,6 @@
 """The driver of a router's part in the fleet's policy, with its record on disk and no router."""
 
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -13,6 +14,7 @@
 )
 from maplestile.control.policy.settings import policy_settings_of
 from maplestile.invoke import operator_file as operator
+from maplestile.operation import policy_json
 from maplestile.router.config import Config, config_from
 from maplestile.router.policy_driver import PolicyDriver, monotonic_us
 from tests.standins import ROOT
@@ -44,10 +46,22 @@
 
     def announce(self, epoch: int, **more: Any) -> dict[str, Any]:
         answers: list[dict[str, Any]] = []
-        self.driver.hear({"epoch": epoch, "fenced_us": monotonic_us(), "checking": 0, **more}, answers.append)
+        self.take_announcement(
+            {"epoch": epoch, "fenced_us": monotonic_us(), "checking": 0, **more}, answers.append
+        )
         (answer,) = answers
         return answer
 
+    def take_announcement(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
+        """Decode an announcement, and encode the driver's reply, as the operators' front does."""
+        announcement = policy_json.decode_announcement(message)
+        self.driver.take_announcement(announcement, lambda report: reply(policy_json.encode_report(report)))
+
+    def check(self, message: object) -> dict[str, Any]:
+        """Decode a change, and encode that it fits, as the operators' front does."""
+        self.driver.check(policy_json.decode_check(message))
+        return policy_json.encode_check_passed()
+
     def policy(self, **rules: Any) -> dict[str, Any]:
         return {"rules": rules, "class": operator.tables_of(self.text)["class"]}
 
@@ -94,17 +108,17 @@
     exam = {"name": "exam", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
     document = rig.policy()
     document["class"] = [*document["class"], exam]
-    assert rig.driver.check({"change": 4, "document": document})["build"]
+    assert rig.check({"change": 4, "document": document})["build"]
     document = {**document, "class": [one for one in document["class"] if one["name"] != "review"]}
     with pytest.raises(PolicyError, match=r"function\[0\].class"):
-        rig.driver.check({"change": 5, "document": document})
+        rig.check({"change": 5, "document": document})
     promised = rig.policy()
     promised["class"] = promised["class"][:3]
-    rig.driver.check({"change": 6, "document": promised})
+    rig.check({"change": 6, "document": promised})
     more = '[[function]]\nname = "g"\nclass = "review"\nmemory_mb = 1\n\n[[kind]]'
     assert rig.reload("[[kind]]", more).operator is not None
     rig.announce(1, document=document | {"class": [*promised["class"], exam]})
-    rig.driver.check({"change": 7, "document": promised})
+    rig.check({"change": 7, "document": promised})
     with pytest.raises(PolicyError, match=r"change 7\): function\[3\].class: must be one of"):
         rig.reload("[[kind]]", more.replace("review", "exam"))
     rig.announce(1)  # the change was given up
@@ -125,9 +139,9 @@
 def test_a_damaged_announcement_is_refused_by_its_field(message: object, tmp_path: Path) -> None:
     rig = Rig(tmp_path)
     with pytest.raises(PolicyError, match="must be a whole number"):
-        rig.driver.hear(message, lambda answer: None)
+        rig.take_announcement(message, lambda answer: None)
     with pytest.raises(PolicyError, match="must be a whole number"):
-        rig.driver.check(message)
+        rig.check(message)
 
 
 def test_an_announcement_that_comes_while_the_record_is_written_changes_nothing(tmp_path: Path) -> None:
@@ -142,8 +156,8 @@
         "checking": 0,
         "document": rig.policy(attempts=2),
     }
-    rig.driver.hear(announcement, answers.append)
-    rig.driver.hear(announcement, answers.append)
+    rig.take_announcement(announcement, answers.append)
+    rig.take_announcement(announcement, answers.append)
     assert [answer["epoch"] for answer in answers] == [0] and len(jobs) == 1
     ((job, then),) = jobs
     job()
