--- a/maplestile/agent/command_client.py
+++ b/maplestile/agent/command_client.py
@@ -11,7 +11,7 @@
 NO_REPLY = b'{"error":"the agent gave no answer"}'
 
 
-async def ask(address: Address, do: str, names: list[str], **more: Any) -> dict[str, Any]:
+async def send_command(address: Address, do: str, names: list[str], **more: Any) -> dict[str, Any]:
     """Send one command to the agent at an address, and return its reply.
 
     `names` are the instances that it is for, all where empty; `more` are the further keys of the command.
--- a/maplestile/agent/control_plane.py
+++ b/maplestile/agent/control_plane.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from maplestile.agent.command_client import ask
+from maplestile.agent.command_client import send_command
 from maplestile.agent.instance import Instance
 from maplestile.agent.policy_controller import PolicyController
 from maplestile.agent.replicated_log import ReplicatedLog
@@ -32,7 +32,7 @@
         if settings.listen:
             replicated_log = RaftLog(settings, counters)
         else:
-            replicated_log = RemoteLog(settings, ask, counters)
+            replicated_log = RemoteLog(settings, send_command, counters)
         routers: dict[str, Instance] = {}
         others: dict[str, SupervisedProcess] = {}
         for name, instance in instances.items():
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -26,7 +26,7 @@
 from maplestile.control.settings import ControlSettings
 
 log = logging.getLogger("maplestile.policy")
-LOOK_INTERVAL_S = 0.05  # between looks at the agreed state
+POLL_INTERVAL_S = 0.05  # of the agreed state
 READ_INTERVAL_S = 1.0  # between reads
 READ_INTERVAL_CHECKING_S = 0.5  # between reads while a change is being checked
 
@@ -59,9 +59,9 @@
         """Take this agent's part until cancelled."""
         try:
             while True:
-                await asyncio.sleep(LOOK_INTERVAL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 if self.replicated_log.ready():
-                    self._look()
+                    self._poll()
         finally:
             self._cancel_tasks()
 
@@ -73,7 +73,7 @@
             if task is not None:
                 task.cancel()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._log_commit()
         running = self._running_routers()
         change = self.agreed.checking()
@@ -91,7 +91,7 @@
             self.events.info("committed", epoch=epoch.number, change=epoch.change)
 
     def _running_routers(self) -> list[RouterPolicy]:
-        """The routers that run; nothing is known yet of one whose process was started since the last look."""
+        """The routers that run; nothing is known yet of one whose process was started since the last poll."""
         running = []
         for name, router in self.routers.items():
             if not router.process.running():
@@ -151,7 +151,7 @@
         """Have a router check the change, and its verdict agreed on."""
         reason = await policy.check(change)
         if reason is None:
-            await asyncio.sleep(LOOK_INTERVAL_S)  # it is repeated, for as long as the change is checked
+            await asyncio.sleep(POLL_INTERVAL_S)  # it is repeated, for as long as the change is checked
             return
         verdict = SubmitVerdict(
             agent=self.settings.name, change=change.number, instance=policy.name, reason=reason
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -23,7 +23,7 @@
 from maplestile.control.rollout import ACTIVE
 from maplestile.control.settings import ControlSettings
 
-LOOK_INTERVAL_S = 0.05  # between looks at the agreed state
+POLL_INTERVAL_S = 0.05  # of the agreed state
 HEARTBEAT_ACTIVE_S = 0.5  # between heartbeats during a rollout
 HEARTBEAT_IDLE_S = 2.0  # and without one
 
@@ -58,9 +58,9 @@
         running = asyncio.get_running_loop().create_task(self.replicated_log.run())
         try:
             while not running.done():
-                await asyncio.sleep(LOOK_INTERVAL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 if self.replicated_log.ready():
-                    await self._look()
+                    await self._poll()
             await running
         finally:
             running.cancel()
@@ -69,7 +69,7 @@
             if self.reporting is not None:
                 self.reporting.cancel()
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         await self._register()
         self.steps.take_up()
         self._report_health()
--- a/maplestile/agent/rollout_leader.py
+++ b/maplestile/agent/rollout_leader.py
@@ -62,7 +62,7 @@
         for agent, heartbeat in self.log_client.replicated_log.heartbeats.items():
             if heartbeat.number != self.last_heartbeats.get(agent):
                 self.last_heartbeats[agent] = heartbeat.number
-                planner.hear(heartbeat.reports, now_us)
+                planner.record_reports(heartbeat.reports, now_us)
 
     async def _submit(self, command: GrantLease | HaltRollout) -> None:
         reply = await self.log_client.submit(command)
--- a/maplestile/agent/supervisor.py
+++ b/maplestile/agent/supervisor.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from maplestile.agent.command_client import ask
+from maplestile.agent.command_client import send_command
 from maplestile.agent.command_server import OPERATE, CommandServer
 from maplestile.agent.instance import Instance
 from maplestile.agent.process_registry import ProcessRegistry
@@ -23,7 +23,7 @@
     "AgentSettings",
     "InstanceSettings",
     "Supervisor",
-    "ask",
+    "send_command",
     "load_settings",
 ]
 
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -1,14 +1,14 @@
 """One router's part: which epoch it decides by, and whether it may take new calls. Free of I/O.
 
-    WAITING --heard what is committed--> CURRENT <--heard again-- STALE
-       |                                    +--nothing heard for `stale_us`--> STALE
-       +--nothing heard for `wait_us`, and an epoch is on record--> STALE
-    any --stood still for `pause_us`, as a stopped process does--> WAITING
-    any --its build or file refuses what is committed--> REFUSED --heard one that fits--> CURRENT
+    WAITING --the committed epoch is announced--> CURRENT <--announced again-- STALE
+       |                                             +--no announcement for `stale_us`--> STALE
+       +--no announcement for `wait_us`, and an epoch is on record--> STALE
+    any --paused for `pause_us`, as a stopped process is--> WAITING
+    any --its build or file refuses what is committed--> REFUSED --one that fits is announced--> CURRENT
 
-A router that starts, or that stood still, may have missed a commit, so it takes no new calls until its agent
-announces what was committed after that moment. One that merely hears nothing is cut off, and serves with the
-last epoch it knows: all of its epochs were committed. It never goes back.
+A router that starts, or that was paused, may have missed a commit, so it takes no new calls until its agent
+announces what was committed after that moment. One that only gets no announcements is cut off, and serves
+with the last epoch it knows: all of its epochs were committed. It never goes back.
 
 Times are microseconds of the machine's monotonic clock, which its agent shares.
 """
@@ -22,7 +22,7 @@
 
 
 class PolicyStatus(Enum):
-    """How a router's epoch stands beside the fleet's."""
+    """The state of a router's epoch in relation to the fleet's."""
 
     WAITING = "waiting"
     CURRENT = "current"
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The timeouts of a router that hears nothing, in microseconds."""
+    """The timeouts of a router that gets no announcements, in microseconds."""
 
     stale_us: int = 5_000_000
     wait_us: int = 10_000_000
-    pause_us: int = 2_000_000  # an agent hears nothing of a router for so long: to the leader it is absent
+    pause_us: int = 2_000_000  # a router that is silent for so long counts as absent at the leader
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,8 +55,8 @@
     epoch: int
     fenced_us: int
     checking: int = 0  # the change that is being checked; 0 for none
-    whole: bool = False  # the document came along
-    document: Document | None = None  # None, if whole: the file's own
+    has_document: bool = False  # the document came along
+    document: Document | None = None  # None, if it came along: the file's own
 
 
 @dataclass(slots=True, frozen=True)
@@ -73,7 +73,7 @@
 
     rules: Rules
     epoch: int  # on record, or NO_EPOCH
-    since_us: int  # since when it may have missed a commit: its start, or the end of a standstill
+    since_us: int  # since when it may have missed a commit: its start, or the end of a pause
     ticked_us: int = field(init=False)
     confirmed_us: int = 0  # the last moment at which its epoch is known to have been the committed one
     status: PolicyStatus = PolicyStatus.WAITING
@@ -85,7 +85,7 @@
         self.ticked_us = self.since_us
 
     def tick(self, now_us: int) -> None:
-        """Let time pass; called now and then, and before anything is decided."""
+        """Advance the clock; called at intervals, and before each decision."""
         gap_us = now_us - self.ticked_us
         self.ticked_us = now_us
         if gap_us > self.rules.pause_us:
@@ -97,7 +97,7 @@
             self.status = PolicyStatus.STALE
 
     def _restart(self, now_us: int) -> None:
-        """A commit may have been missed while the process stood still."""
+        """Wait for a new announcement: a commit may have been missed while the process was paused."""
         self.since_us = now_us
         if self.status in (PolicyStatus.CURRENT, PolicyStatus.STALE):
             self.status = PolicyStatus.WAITING
@@ -117,8 +117,8 @@
         """Remember that the driver has found the change to fit this build and file."""
         self.prepared = PreparedPolicy(change, document)
 
-    def hear(self, announcement: PolicyAnnouncement, now_us: int) -> Step:
-        """Take an announcement; what the driver has to do about it."""
+    def take_announcement(self, announcement: PolicyAnnouncement, now_us: int) -> Step:
+        """Take an announcement, and return what the driver has to do about it."""
         self.tick(now_us)
         if announcement.epoch < self.epoch:
             return Step.OLDER
@@ -126,12 +126,12 @@
             self.prepared = None  # decided; if it was committed the document comes with its epoch
         # A refused epoch may be the one on record, which this file or build does not fit any more.
         if announcement.epoch > self.epoch or self.status is PolicyStatus.REFUSED:
-            return Step.ADOPT if announcement.whole else Step.FETCH
+            return Step.ADOPT if announcement.has_document else Step.FETCH
         self._confirm(announcement, now_us)
         return Step.NOTHING
 
     def adopted(self, announcement: PolicyAnnouncement, now_us: int) -> None:
-        """Note that the driver has put the announced epoch on record and in force."""
+        """Record that the driver has stored the announced epoch and put it in force."""
         self.epoch = announcement.epoch
         self.reason = ""
         if self.status is PolicyStatus.REFUSED:
@@ -139,7 +139,7 @@
         self._confirm(announcement, now_us)
 
     def refused(self, reason: str) -> None:
-        """Note that the build or file refuses what is committed: no new call is decided by anything else."""
+        """Record that the build or file refuses the committed epoch: no new call is taken meanwhile."""
         self.status = PolicyStatus.REFUSED
         self.reason = reason
 
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -2,7 +2,7 @@
 
 [policy]                          # needs [operation], by which its agent announces what is committed
 folder = "/var/lib/maplestile/r1" # the last committed epoch is kept there
-stale_s = 5                       # nothing heard for so long: cut off, and its epoch may be old
+stale_s = 5                       # no announcement for so long: cut off, and its epoch may be old
 wait_s = 10                       # a router that starts cut off serves by its record after so long
 trace = false                     # an event for each attempt, with its epoch, for checkers
 """
--- a/maplestile/control/policy/transitions.py
+++ b/maplestile/control/policy/transitions.py
@@ -3,7 +3,7 @@
 A read is how an agent learns what is committed: its answer was agreed on after the read was submitted. It
 names the routers that the agent lets serve by that answer, and a change cannot be committed without the
 verdict of those that were named since it was proposed: so no router serves by the old policy beside the new
-one. One that was not named since has heard nothing since, and its next read comes after the commit.
+one. One that was not named since got no announcement since, and its next read comes after the commit.
 """
 
 from collections.abc import Callable, Mapping
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -69,7 +69,7 @@
     async def _request(self, command: EncodedCommand | None) -> dict[str, Any]:
         """The answer of the first of the voters' agents that gives one, in the order of the file."""
         failures = list[str]()
-        for host, port in self.settings.ask:
+        for host, port in self.settings.voter_agents:
             try:
                 return await self._request_from((host, port), command)
             except (OSError, TimeoutError, ValueError, KeyError, TypeError, LogError) as error:
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -1,8 +1,9 @@
 """When the next step of a rollout may start, and when a rollout halts by itself. Free of I/O.
 
-The leader's driver hands in what it has heard, with its own monotonic time in microseconds, and submits the
-command that comes back to the log, where `state.ControlState` checks it once more. A newly elected leader
-starts with an empty `RolloutPlanner`: it waits until it has heard of every instance before it grants a step.
+The leader's driver passes in the reports it received, with its own monotonic time in microseconds, and
+submits the command that is returned to the log, where `state.ControlState` checks it once more. A newly
+elected leader starts with an empty `RolloutPlanner`: it waits for a report of every instance before it grants
+a step.
 """
 
 from collections.abc import Mapping, Sequence
@@ -65,8 +66,8 @@
     progress: Progress = Progress()
     excess_since_us: int = 0  # since when more are out than the budget; 0 if they are not
 
-    def hear(self, reports: Mapping[str, HealthReport], now_us: int) -> None:
-        """Take the health reports of an agent's instances."""
+    def record_reports(self, reports: Mapping[str, HealthReport], now_us: int) -> None:
+        """Record the health reports of an agent's instances."""
         for name, report in reports.items():
             self.reports[name] = ReceivedReport(report, now_us)
 
@@ -82,7 +83,7 @@
         self._track_ended_steps(rollout, now_us)
         if rollout is None or rollout.phase not in (Phase.RUNNING, Phase.UNDOING):
             return None
-        if not self._has_heard_enough(control, now_us):
+        if not self._has_enough_reports(control, now_us):
             return None
         down = self.down(control, rollout.kind, members_out, now_us)
         halt_reason = self._halt_reason(control, rollout, down, now_us)
@@ -93,7 +94,7 @@
     def down(self, control: ControlState, kind: str, members_out: frozenset[str], now_us: int) -> list[str]:
         """The instances of a kind that are out without a lease.
 
-        Routers: not ready, not heard of lately, or gone from the membership. Runners: those that the routers
+        Routers: not ready, without a recent report, or out of the membership. Runners: those that the routers
         which check them find silent (`members_out` holds them, too).
         """
         if kind == RUNNERS:
@@ -107,10 +108,10 @@
             return False
         return now_us - received.at_us <= self.rules.fresh_us
 
-    def _has_heard_enough(self, control: ControlState, now_us: int) -> bool:
-        """Whether an instance that has not been heard of counts as lost: not at once under a new leader."""
-        all_heard = all(name in self.reports for name in control.instances)
-        return all_heard or now_us - self.began_us >= self.rules.grace_us
+    def _has_enough_reports(self, control: ControlState, now_us: int) -> bool:
+        """Whether an instance without a report counts as lost: not at once under a new leader."""
+        all_reported = all(name in self.reports for name in control.instances)
+        return all_reported or now_us - self.began_us >= self.rules.grace_us
 
     def _grant(
         self, control: ControlState, rollout: Rollout, down: Sequence[str], term: int
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -47,7 +47,7 @@
     listen: str  # "" for one that is no voter
     folder: Path | None
     voters: tuple[Voter, ...]
-    ask: tuple[Address, ...]  # agents of voters, by those that are none themselves
+    voter_agents: tuple[Address, ...]  # that an agent which is no voter submits to
     budget: int | str
     rules: Rules
 
@@ -59,17 +59,17 @@
     name = table.text("name")
     listen = table.loopback("listen") if "listen" in table.values else ""
     folder = Path(table.text("folder")) if listen else None
-    ask = _voter_agents(table)
+    voter_agents = _voter_agents(table)
     named = tuple(_voter(voter) for voter in voters)
     names = [voter.name for voter in named]
     if listen and (len(named) not in VOTER_COUNTS or name not in names):
         raise table.wrong("name", "must be one of one, three or five [[voter]]")
     if len(set(names)) < len(names):
         raise table.wrong("voter", "a name stands twice")
-    if not listen and not ask:
+    if not listen and not voter_agents:
         raise table.wrong("ask", "must name agents of voters where there is no 'listen'")
     table.end()
-    return ControlSettings(name, listen, folder, named, ask, budget, rules)
+    return ControlSettings(name, listen, folder, named, voter_agents, budget, rules)
 
 
 def _rules(table: TomlTable) -> Rules:
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -39,7 +39,7 @@
         self._log = log
         self._death_notices = 0  # sent in this period
         self.leaving = False
-        self.refuted_update_heard = False  # whether an update that this member refuted before came again
+        self.refuted_update_repeated = False  # whether an update that this member refuted before came again
 
     def merge(self, update: MemberUpdate, now_us: int) -> None:
         """Take one update; one that the table supersedes changes nothing."""
@@ -65,9 +65,9 @@
 
     def refute_to(self, message_source: str) -> bool:
         """Return, once, whether the sender of a message needs the refutation of what it passed on."""
-        if not self.refuted_update_heard or message_source == self._members.own_name:
+        if not self.refuted_update_repeated or message_source == self._members.own_name:
             return False
-        self.refuted_update_heard = False
+        self.refuted_update_repeated = False
         return True
 
     def begin_period(self) -> None:
@@ -143,7 +143,7 @@
             return
         own = self._members.own
         if update.incarnation < own.incarnation:
-            self.refuted_update_heard = True
+            self.refuted_update_repeated = True
             return
         self._members.set_status(own, Status.ALIVE, update.incarnation + 1)
         if update.status is Status.SUSPECT:
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -48,7 +48,7 @@
         self._unsaved = set[str]()  # cordons that the store did not take yet
         self._known: dict[str, None] = {}  # every runner listed so far, the latest last
 
-    def listed(self, runners: Iterable[str]) -> None:
+    def remember_listed(self, runners: Iterable[str]) -> None:
         """Remember the runners listed: only such runners can be cordoned."""
         for runner in runners:
             self._known.pop(runner, None)
@@ -82,7 +82,7 @@
         self._replace(self.cordoned - {runner})
         return True
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Follow the changes of the other process. A store that cannot be read lifts no cordon."""
         if self._store is None:
             return
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -56,26 +56,26 @@
         self.successor = False
         self.successor_ready = False
         self._locks = locks
-        self.look()
+        self.poll()
 
     @property
-    def live(self) -> int:
+    def process_count(self) -> int:
         """How many processes there are to share descriptors and memory."""
         return 2 if self.successor or self.stage is not Stage.ALONE else 1
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Follow what the other processes have acquired, released and marked."""
         self._advance()
         if self.stage is Stage.ALONE:
             self.successor = self._locks.is_held(NEXT)
             self.successor_ready = self.successor and self._locks.has_mark(NEXT, READY)
 
-    def ready(self) -> None:
+    def announce_ready(self) -> None:
         """Announce that this process can serve: its predecessor may go."""
         if self.stage is Stage.TAKING:
             self._locks.mark(NEXT, READY)
 
-    def leaving(self) -> None:
+    def announce_stopping(self) -> None:
         """Announce that this process was asked to stop: its predecessor must not hand over to it."""
         if self.stage is Stage.TAKING:
             self._locks.mark(NEXT, NOT_READY)
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -76,7 +76,7 @@
     def endpoints_changed(self, kind: ListKind = ListKind.FULL) -> None:
         """Pass the endpoint list on to each component that depends on it."""
         if self.cordons is not None:
-            self.cordons.listed(self.endpoints.entries)
+            self.cordons.remember_listed(self.endpoints.entries)
             self.endpoints.suspended = self.cordons.cordoned
         # The pool first: a decision on the new list must find its addresses and drains.
         self.runners.update(self.endpoints)
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -62,7 +62,7 @@
         if components.invoke is not None:
             components.invoke.http.start_leaving()
         if self.handover is not None:
-            self.handover.handover.leaving()
+            self.handover.handover.announce_stopping()
 
     async def _serve_until_done(self) -> bool:
         """Serve until nothing is pending or time is up; return whether a successor took over before that."""
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -58,7 +58,7 @@
         components.endpoints,
         components.cordons,
         lambda: components.runners.calls_written,
-        readiness.missing,
+        readiness.not_ready_reason,
         lambda: None if components.peers is None else components.peers.members(),
         lambda: None if components.peers is None else components.peers.metrics(),
         components.policy,
@@ -76,7 +76,7 @@
     components.cordons = Cordons(
         store, components.limits.operators, components.counters, components.endpoints_changed
     )
-    components.cordons.look()
+    components.cordons.refresh()
     # A router with an invoke front has records of calls that another process would not know.
     if config.folder is None or config.operator is not None:
         return
--- a/maplestile/router/gc_scheduler.py
+++ b/maplestile/router/gc_scheduler.py
@@ -1,7 +1,7 @@
 """Schedules the garbage collector off the hot path: each of its passes stops the event loop.
 
 Closed connections are cycles (asyncio's streams, transports and tasks refer to each other). Those that stayed
-open for a while are in the oldest generation, which the collector by itself would hardly ever look at.
+open for a while are in the oldest generation, which the collector by itself would hardly ever reach.
 """
 
 import gc
@@ -42,7 +42,7 @@
         """Stop measuring passes; the thresholds stay."""
         gc.callbacks.remove(self._on_pass)
 
-    def look(self, now_s: float) -> None:
+    def collect_if_due(self, now_s: float) -> None:
         """Run a full pass if one is due; to be called about once a second.
 
         With nothing to be found, passes by the clock alone made answers miss their deadlines.
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -118,7 +118,7 @@
 
     def take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
         """Take an announcement of what is committed, and reply once, now or later."""
-        step = self.follower.hear(announcement, monotonic_us())
+        step = self.follower.take_announcement(announcement, monotonic_us())
         if step is Step.ADOPT and not self.writing:
             self._adopt(announcement, reply)
             return
@@ -189,7 +189,7 @@
         """Return whether new calls are taken."""
         return self.follower.admits(monotonic_us())
 
-    def lacking(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why no new calls are taken; empty if they are."""
         if self.admits():
             return ""
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -139,7 +139,7 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             self.components.runners.sweep()
-            self.gc_scheduler.look(time.monotonic())
+            self.gc_scheduler.collect_if_due(time.monotonic())
 
 
 def serve(file: Path) -> int:
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -19,14 +19,14 @@
         leaving = components.stopping.is_set() and not components.handing_over
         return components.listening and bool(components.endpoints.entries) and not leaving
 
-    def missing(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why this process cannot serve, as text for operators; empty if it can."""
         components = self.components
         if components.stopping.is_set():
             return "it was asked to stop"
         if not self.list_is_current():
             return "the name server has not answered yet"
-        if components.policy is not None and (reason := components.policy.lacking()):
+        if components.policy is not None and (reason := components.policy.not_ready_reason()):
             return reason
         if not components.listening:
             return "it does not listen yet"
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -37,25 +37,25 @@
             await asyncio.sleep(self.components.limits.handover.poll_us / 1e6)
 
     def observe(self) -> None:
-        """Look once at the other process and at the cordons that it stored."""
+        """Poll the other process and the cordons that it stored, once."""
         components = self.components
         assert components.cordons is not None  # built together with the handover
-        components.cordons.look()
+        components.cordons.refresh()
         stage_before = self.handover.stage
-        self._look_at_locks()
+        self._poll_locks()
         if self.handover.stage is not stage_before:
             log.info("%s: %s", components.name, self.handover.stage.value)
-        process_count = self.handover.live
+        process_count = self.handover.process_count
         if process_count != components.process_count:
             log.info("%s: budgets for %d processes side by side", components.name, process_count)
             components.share_budgets(process_count)
 
-    def _look_at_locks(self) -> None:
+    def _poll_locks(self) -> None:
         """Notify the other process once this one can serve, and learn what it does."""
         try:
-            if not self.readiness.missing():
-                self.handover.ready()
-            self.handover.look()
+            if not self.readiness.not_ready_reason():
+                self.handover.announce_ready()
+            self.handover.poll()
         except OSError as fault:
             log.warning("%s: the locks: %s", self.components.name, fault)
 
--- a/maplestile/tools/agent_client.py
+++ b/maplestile/tools/agent_client.py
@@ -25,7 +25,7 @@
     """
     host, _, port = where.rpartition(":")
     try:
-        reply = asyncio.run(supervisor.ask((host, int(port)), do, names, **more))
+        reply = asyncio.run(supervisor.send_command((host, int(port)), do, names, **more))
     except (OSError, ValueError, TimeoutError) as error:
         print(f"maplestile: no agent at {where}: {error}", file=sys.stderr)
         return None
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -10,7 +10,7 @@
 
 import simpy
 
-from maplestile.agent.policy_controller import LOOK_INTERVAL_S, READ_INTERVAL_CHECKING_S, READ_INTERVAL_S
+from maplestile.agent.policy_controller import POLL_INTERVAL_S, READ_INTERVAL_CHECKING_S, READ_INTERVAL_S
 from maplestile.control.commands import (
     PolicyCommitted,
     PolicyRead,
@@ -30,7 +30,7 @@
 from maplestile.tools.model.policy_metrics import PolicyMeasurements, PolicyMetrics
 from maplestile.tools.model.report import Metrics
 
-LOOK_US = int(LOOK_INTERVAL_S * US_PER_S)
+POLL_US = int(POLL_INTERVAL_S * US_PER_S)
 READ_US = int(READ_INTERVAL_S * US_PER_S)
 READ_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
 TICK_US = 500_000
@@ -115,14 +115,14 @@
                 for name in names:
                     self._env.process(self._check(agent, name, change))
             self._announce_new(agent, names, announced)
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_US)
 
     def _announce_new(self, agent: int, names: list[str], announced: dict[str, PolicyAnnouncement]) -> None:
         """Announce to each router what it was not announced before, unless its fence is newer."""
         epoch = self._replica_epochs[agent]
         for name in names:
             fence = self._fences.get(name, Fence())
-            announcement = PolicyAnnouncement(epoch, fence.sent_us, whole=True)
+            announcement = PolicyAnnouncement(epoch, fence.sent_us, has_document=True)
             if epoch >= fence.epoch and announced.get(name) != announcement and name not in self._down:
                 announced[name] = announcement
                 self._env.process(self._announce(name, announcement))
@@ -130,7 +130,7 @@
     def _announce(self, name: str, announcement: PolicyAnnouncement) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._jittered_us(self.experiment.call_us))
         router = self._routers[name]
-        if name not in self._down and router.hear(announcement, self.now_us) is Step.ADOPT:
+        if name not in self._down and router.take_announcement(announcement, self.now_us) is Step.ADOPT:
             router.adopted(announcement, self.now_us)
             self.measured.record_applied(name, announcement.epoch, self.now_us)
 
@@ -173,7 +173,7 @@
 
     def _lead(self) -> simpy.events.ProcessGenerator:
         while True:
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_US)
             command = self._planner.next_command(self.control.policy, self.control.instances, self.now_us)
             if command is None:
                 continue
@@ -188,7 +188,7 @@
     def _replicate(self, agent: int, epoch: int) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._uniform_us(self.experiment.replica_us))
         while agent in self._cut:
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_US)
         self._replica_epochs[agent] = max(self._replica_epochs[agent], epoch)
 
     def _propose_changes(self) -> simpy.events.ProcessGenerator:
@@ -200,7 +200,7 @@
             reply = self.control.apply(propose)
             assert not isinstance(reply, Rejected), reply
             while policy.checking() is not None:
-                yield self._env.timeout(LOOK_US)
+                yield self._env.timeout(POLL_US)
             assert policy.change is not None
             self.measured.record_end(policy.change.phase is Phase.COMMITTED)
             yield self._env.timeout(self.experiment.pause_us)
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -138,7 +138,7 @@
         while True:
             if self._planner is not None:
                 reports = {name: HealthReport(name not in self._out) for name in self.names}
-                self._planner.hear(reports, self.now_us)
+                self._planner.record_reports(reports, self.now_us)
             yield self._env.timeout(REPORT_US)
 
     def _step(self, lease: Lease) -> simpy.events.ProcessGenerator:
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -144,7 +144,7 @@
     try:
         plan = agent_plan(folder, f'ask = ["127.0.0.1:{scripted.port}"]').control
         assert plan is not None
-        remote_log = RemoteLog(plan, agent.ask, Counter())
+        remote_log = RemoteLog(plan, agent.send_command, Counter())
         await remote_log.submit({"do": "resume", "agent": "a0"})
         running = asyncio.get_running_loop().create_task(remote_log.run())
         async with asyncio.timeout(PATIENCE_S):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -41,7 +41,7 @@
     def look(self, after_us: int = 100_000) -> dict[str, Any] | None:
         """Time passes, the health reports come, and what the leader decides is applied."""
         self.now += after_us
-        self.planner.hear(self.reports, self.now)
+        self.planner.record_reports(self.reports, self.now)
         command = self.planner.next_command(self.control, self.out, 1, self.now)
         if command is None:
             return None
@@ -296,7 +296,7 @@
     def test_a_silent_runner_counts_against_the_budget(self) -> None:
         self.ok("start", action="drain", kind="runners", targets=["w1"], budget=1)
         planner = RolloutPlanner(Rules(settle_us=0), 0)
-        planner.hear({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
+        planner.record_reports({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
         self.assertIsNone(planner.next_command(self.control, frozenset({"w2"}), 1, 2))
         self.assertIsNotNone(planner.next_command(self.control, frozenset(), 1, 3))
 
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -86,7 +86,7 @@
     def lead(self, pause: int) -> None:
         self.now += pause
         reports = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
-        self.planner.hear(reports, self.now)
+        self.planner.record_reports(reports, self.now)
         command = self.planner.next_command(self.control, frozenset(), 1, self.now)
         if command is None:
             return
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -214,26 +214,26 @@
         cordons = Cordons(
             FileCordonStore(self.folder), OperatorLimits(known_runners=3), Counter(), lambda: None
         )
-        cordons.listed(["a", "../b"])
+        cordons.remember_listed(["a", "../b"])
         return cordons
 
     def test_a_cordon_set_at_one_process_holds_at_the_other_and_after_a_start(self) -> None:
         for _ in range(2):  # calls may repeat
             self.assertTrue(self.one.suspend("../b"))
-        self.other.look()
+        self.other.refresh()
         late = self.cordons()
-        late.look()
+        late.refresh()
         self.assertEqual([cordons.cordoned for cordons in (self.one, self.other, late)], 3 * [{"../b"}])
         self.assertTrue(self.other.resume("../b"))
-        self.one.look()
+        self.one.refresh()
         self.assertEqual((self.one.cordoned, self.other.cordoned), (frozenset(), frozenset()))
 
     def test_a_runner_never_listed_is_refused_and_one_that_is_no_longer_listed_is_not(self) -> None:
         self.assertFalse(self.one.suspend("c"))
         self.assertFalse(self.one.resume("c"))
-        self.one.listed(["c"])
+        self.one.remember_listed(["c"])
         self.assertTrue(self.one.suspend("a"))
-        self.one.listed(["d", "e", "f", "g"])  # the memory of ids is bounded, that of cordons is not
+        self.one.remember_listed(["d", "e", "f", "g"])  # the memory of ids is bounded, that of cordons is not
         self.assertFalse(self.one.suspend("c"))
         self.assertTrue(self.one.resume("a"))
 
@@ -242,24 +242,24 @@
         (self.folder / "r-a").unlink()
         self.folder.rmdir()
         self.folder.write_bytes(b"\0 damaged")
-        self.one.look()
-        self.cordons().look()
+        self.one.refresh()
+        self.cordons().refresh()
         self.assertEqual(self.one.cordoned, {"a"})
         self.folder.unlink()
-        self.one.look()
+        self.one.refresh()
         late = self.cordons()
-        late.look()
+        late.refresh()
         self.assertEqual(late.cordoned, {"a"})
 
     def test_a_cordon_that_cannot_be_stored_holds_in_this_process_until_it_does(self) -> None:
         self.folder.rmdir()
         self.folder.write_bytes(b"")
         self.assertTrue(self.one.suspend("a"))
-        self.one.look()
+        self.one.refresh()
         self.assertEqual(self.one.cordoned, {"a"})
         self.folder.unlink()
-        self.one.look()
-        self.other.look()
+        self.one.refresh()
+        self.other.refresh()
         self.assertEqual(self.other.cordoned, {"a"})
 
 
@@ -310,41 +310,43 @@
 
     def test_two_upgrades_in_a_row(self) -> None:
         first, first_locks = self.process()
-        self.assertEqual((first.stage, first.live), (Stage.ALONE, 1))
+        self.assertEqual((first.stage, first.process_count), (Stage.ALONE, 1))
         for _ in range(2):
             second, second_locks = self.process()
             third, third_locks = self.process()
-            first.look()
+            first.poll()
             self.assertEqual((second.stage, third.stage), (Stage.TAKING, Stage.WAITING))
-            self.assertEqual((first.live, second.live, first.successor_ready), (2, 2, False))
+            self.assertEqual(
+                (first.process_count, second.process_count, first.successor_ready), (2, 2, False)
+            )
             self.die(third_locks)
-            second.ready()
-            first.look()
+            second.announce_ready()
+            first.poll()
             self.assertTrue(first.successor_ready)
             self.die(first_locks)
-            second.look()
-            self.assertEqual((second.stage, second.live), (Stage.ALONE, 1))
+            second.poll()
+            self.assertEqual((second.stage, second.process_count), (Stage.ALONE, 1))
             first, first_locks = second, second_locks
 
     def test_a_successor_that_dies_leaves_nothing_behind(self) -> None:
         first, _ = self.process()
         second, locks = self.process()
-        second.ready()
+        second.announce_ready()
         self.die(locks)
-        first.look()
-        self.assertEqual((first.live, first.successor_ready), (1, False))
+        first.poll()
+        self.assertEqual((first.process_count, first.successor_ready), (1, False))
         second, _ = self.process()
-        first.look()
+        first.poll()
         self.assertEqual((second.stage, first.successor_ready), (Stage.TAKING, False))
 
     def test_no_process_yields_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
         first, _ = self.process()
         second, _ = self.process()
-        second.ready()
-        first.look()
+        second.announce_ready()
+        first.poll()
         self.assertTrue(first.successor_ready)
-        second.leaving()
-        first.look()
+        second.announce_stopping()
+        first.poll()
         self.assertEqual((first.successor, first.successor_ready), (True, False))
 
     def test_budgets_are_divided_while_two_live(self) -> None:
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -68,7 +68,7 @@
 
 def test_an_epoch_is_on_record_before_it_is_taken_and_outlives_the_process(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    assert rig.driver.lacking() == "the fleet has not told its policy yet"
+    assert rig.driver.not_ready_reason() == "the fleet has not told its policy yet"
     assert rig.announce(0, document=None)["standing"] == "current"
     assert rig.announce(1)["fetch"] is True
     report = rig.announce(1, document=rig.policy(attempts=2))
@@ -88,7 +88,7 @@
     rig.announce(0, document=None)
     report = rig.announce(1, document=rig.policy(newer=1))
     assert (report["standing"], report["epoch"]) == ("refused", 0)
-    assert "rules.newer: is not known here" in rig.driver.lacking()
+    assert "rules.newer: is not known here" in rig.driver.not_ready_reason()
     assert rig.announce(2, document=rig.policy(attempts=2))["standing"] == "current"
     (tmp_path / f"{store.NAME}.new").mkdir()  # where the next record would be written
     report = rig.announce(3, document=rig.policy(attempts=3))
--- a/tests/test_policy_random.py
+++ b/tests/test_policy_random.py
@@ -35,7 +35,7 @@
             assert self.control.apply_encoded({"do": "register", "agent": agent, "instances": mine})["ok"]
         self.planner = PolicyPlanner()
         self.routers = {name: Follower(Rules(), NO_EPOCH, self.now) for name in self.names}
-        self.announcements = dict.fromkeys(self.names, PolicyAnnouncement(0, 0, whole=True))
+        self.announcements = dict.fromkeys(self.names, PolicyAnnouncement(0, 0, has_document=True))
         self.record = dict.fromkeys(self.names, NO_EPOCH)
         self.committed = [0]  # the truth
         self.at = {0: 0}  # when each epoch was committed
@@ -67,7 +67,7 @@
     def hear(self, name: str) -> None:
         router = self.routers[name]
         announcement = self.announcements[name]
-        if router.hear(announcement, self.now) is Step.ADOPT:
+        if router.take_announcement(announcement, self.now) is Step.ADOPT:
             router.adopted(announcement, self.now)
             assert announcement.epoch >= self.record[name]
             self.record[name] = announcement.epoch
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -15,7 +15,7 @@
 from maplestile.agent.adopted_process import AdoptedProcess, ProcessGone, started_of
 from maplestile.agent.log_reader import lines
 from maplestile.agent.process_registry import ProcessRegistry
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from tests.fleet import AGENTS, free_ports
 from tests.policy_fleet import PolicyFleet, PolicyTest
 from tests.rollout_fleet import Calls, HangingCall
@@ -159,7 +159,7 @@
 
     def status(self) -> dict[str, Any]:
         try:
-            reply = asyncio.run(ask(("127.0.0.1", self.listen), "status", []))
+            reply = asyncio.run(send_command(("127.0.0.1", self.listen), "status", []))
         except OSError:
             return {"state": "", "pid": None}
         found: dict[str, Any] = reply["instances"]["r"]
@@ -179,7 +179,7 @@
                 self.agent.find("(adopted, pid)")
                 status = self.status()
                 self.assertEqual((status["state"], status["pid"]), ("running", pid))
-        asyncio.run(ask(("127.0.0.1", self.listen), "restart", ["r"]))
+        asyncio.run(send_command(("127.0.0.1", self.listen), "restart", ["r"]))
         eventually(lambda: self.status()["pid"] not in (None, pid), "another process")
         self.assertEqual(self.status()["state"], "running")
 
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from tests.fleet import AGENTS, EACH, FOREVER
 from tests.policy_fleet import ROUTERS, PolicyFleet, PolicyTest
 from tests.rollout_fleet import Calls
@@ -232,7 +232,9 @@
         own = tomllib.loads((self.fleet.folder / "r0.toml").read_text())
         command = {"document": {**document, "class": own["class"]}, "base": 0}
         address = ("127.0.0.1", self.fleet.listens[number])
-        return int("error" in asyncio.run(ask(address, "policy", [], what="propose", command=command)))
+        return int(
+            "error" in asyncio.run(send_command(address, "policy", [], what="propose", command=command))
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -33,8 +33,8 @@
 
         def start(number: int) -> None:
             address = ("127.0.0.1", self.fleet.listens[number])
-            command = {"action": "restart", "budget": 1}
-            sending = agent.ask(address, "rollout", [], what="start", command={**command, "targets": ["r0"]})
+            command = {"action": "restart", "budget": 1, "targets": ["r0"]}
+            sending = agent.send_command(address, "rollout", [], what="start", command=command)
             answers.append(asyncio.run(sending))
 
         threads = [threading.Thread(target=start, args=(number,)) for number in (0, 2)]
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from maplestile.invoke.operator_file import OperatorError, parse
 from maplestile.invoke.store import InvocationRecord, InvocationStore
 from maplestile.router.gc_scheduler import GcScheduler
@@ -129,22 +129,24 @@
         address = ("127.0.0.1", int(self.agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")))
         self.agent.find(r"\[stays\] (up)")
         self.agent.find(r"falls: (ended with 3; starts again in 0\.10 s)")  # doubled
-        status = await ask(address, "status", [])
+        status = await send_command(address, "status", [])
         stays = status["instances"]["stays"]
         falls = status["instances"]["falls"]
         self.assertEqual((stays["state"], stays["starts"]), ("running", 1))
         self.assertGreaterEqual(falls["starts"], 2)
-        self.assertEqual(await ask(address, "counters", ["stays"]), {"counters": {"stays": {"n": 3}}})
+        self.assertEqual(
+            await send_command(address, "counters", ["stays"]), {"counters": {"stays": {"n": 3}}}
+        )
         self.agent.find(r"\[router\] (.*platform front listens)")
         self.operator.write_text(self.operator.read_text().replace("shapla", "padma"))
-        reloaded = (await ask(address, "reload", ["router", "stays"]))["reload"]
+        reloaded = (await send_command(address, "reload", ["router", "stays"]))["reload"]
         self.assertEqual((reloaded["router"]["taken"], reloaded["stays"]), (["invoke"], None))
         self.agent.process.send_signal(signal.SIGHUP)
         self.agent.find(r"SIGHUP passed on to (router)$")
-        again = await ask(address, "restart", ["stays"])
+        again = await send_command(address, "restart", ["stays"])
         self.assertEqual(again["instances"]["stays"]["starts"], 2)
-        self.assertIn("error", await ask(address, "status", ["nobody"]))
-        stopped = await ask(address, "stop", ["falls"])
+        self.assertIn("error", await send_command(address, "status", ["nobody"]))
+        stopped = await send_command(address, "stop", ["falls"])
         self.assertEqual(stopped["instances"]["falls"]["state"], "stopped")
         self.agent.process.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.to_thread(self.agent.process.wait, 20), 0)
@@ -168,16 +170,16 @@
         del objects
         gc.collect(1)
         assert dead() is not None
-        collector.look(100.0)  # nothing was closed, so there is nothing to be found
+        collector.collect_if_due(100.0)  # nothing was closed, so there is nothing to be found
         assert dead() is not None
         counters["clients.connections"] += 100
-        collector.look(100.5)
+        collector.collect_if_due(100.5)
         assert dead() is None and counters["gc.longest_us"] > 0
         closed = SelfReference()
         dead = weakref.ref(closed)
         del closed
         counters["clients.connections"] += 100
-        collector.look(101.0)  # not due yet
+        collector.collect_if_due(101.0)  # not due yet
         assert dead() is not None
     finally:
         collector.stop()
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -12,7 +12,7 @@
 from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.agent.process_registry import ProcessRegistry
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from maplestile.common import durable_file as durable
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import HealthReport
@@ -222,7 +222,7 @@
         with tempfile.TemporaryDirectory() as name:
             plan = agent_plan(Path(name), f'ask = ["127.0.0.1:{voter.port}"]').control
         assert plan is not None
-        remote_log = RemoteLog(plan, ask, Counter())
+        remote_log = RemoteLog(plan, send_command, Counter())
         self.reply = await remote_log.submit({"do": "resume"})
         return remote_log
 
