--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -66,7 +66,8 @@
             self._cancel_tasks()
 
     def _cancel_tasks(self) -> None:
-        tasks = [self.reading, self.leader.deciding]
+        self.leader.cancel()
+        tasks = [self.reading]
         for policy in self.router_policies.values():
             tasks += [policy.announcing, policy.checking]
         for task in tasks:
@@ -81,7 +82,7 @@
         for policy in running:
             self._start_announcement(policy, change)
             self._start_check(policy, change)
-        self.leader.look()
+        self.leader.run_once()
 
     def _log_commit(self) -> None:
         """Log the commit of an epoch once, also where the answer to the commit was lost."""
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -48,7 +48,7 @@
         self.log_client = LogClient(replicated_log, counters)
         self.steps = LeaseSteps(StepContext(settings.name, self.log_client, routers, others))
         self.health = HealthReporter(settings.name, replicated_log, routers, others)
-        self.leader = RolloutLeader(settings, self.log_client)
+        self.leader = RolloutLeader(settings, self.log_client, lambda: self.health.lost_members)
         self.registered = False
         self.reported_s = -HEARTBEAT_IDLE_S
         self.reporting: asyncio.Task[None] | None = None
@@ -73,7 +73,7 @@
         await self._register()
         self.steps.take_up()
         self._report_health()
-        self.leader.look(self.health.lost_members)
+        self.leader.run_once()
 
     async def _register(self) -> None:
         """Register this agent's instances, where the agreed state has others."""
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -80,9 +80,9 @@
         assert change is not None
         await controller.announce(known, Announcement(known.epoch, 600, change.number))
         await controller.check(known, change)
-        controller.leader.look()
-        assert controller.leader.deciding is not None
-        await controller.leader.deciding
+        controller.leader.run_once()
+        assert controller.leader.submission is not None
+        await controller.leader.submission
         router.client.fetch = what == "rollback"
         await controller.announce(known, Announcement(replicated_log.control.policy.epoch.number, 700, 0))
     return {
