--- a/maplestile/agent/command_server.py
+++ b/maplestile/agent/command_server.py
@@ -15,14 +15,23 @@
 from urllib.parse import quote
 
 from maplestile.agent.command_client import COMMAND_TIMEOUT_S
+from maplestile.agent.command_results import (
+    CommandFailure,
+    CommandResult,
+    FrontReplies,
+    ProcessCounters,
+    ProcessStatuses,
+    ReloadReports,
+    VoterAnswer,
+)
 from maplestile.agent.errors import CommandError
 from maplestile.agent.instance import Instance
 from maplestile.agent.router_client import RESUME_PATH, SUSPEND_PATH
+from maplestile.control.log_view import LogAnswer
 from maplestile.operation.api import MEMBERS, METRICS, READY
 
 log = logging.getLogger("maplestile.agent")
 LINE_BYTES = 65_536
-Reply = dict[str, Any]  # a JSON object, as it goes to the client
 Answer = TypeVar("Answer")
 
 # By command: method and path at the operators' front of each chosen instance.
@@ -66,21 +75,21 @@
         )
 
 
-Handler = Callable[[AgentCommand], Awaitable[Reply]]
+Handler = Callable[[AgentCommand], Awaitable[CommandResult]]
 
 
 class ControlCommands(Protocol):
     """The agent's control plane as its command server reaches it."""
 
-    async def rollout(self, operation: str, command: Any) -> Reply:
-        """The reply to an operator's command about rollouts. Raises CommandError."""
+    async def rollout(self, operation: str, command: Any) -> CommandResult:
+        """The result of an operator's command about rollouts. Raises CommandError."""
         ...
 
-    async def policy(self, operation: str, command: Any) -> Reply:
-        """The reply to an operator's command about the fleet's policy. Raises CommandError."""
+    async def policy(self, operation: str, command: Any) -> CommandResult:
+        """The result of an operator's command about the fleet's policy. Raises CommandError."""
         ...
 
-    async def replicated_log(self, command: object) -> Reply:
+    async def replicated_log(self, command: object) -> LogAnswer:
         """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
 
         Raises CommandError.
@@ -125,20 +134,20 @@
         """Answer the one command of a connection, and close it."""
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT_S):
-                reply = await self._reply(await reader.readline())
-                writer.write(json.dumps(reply).encode() + b"\n")
+                result = await self._execute(await reader.readline())
+                writer.write(json.dumps(result.encoded()).encode() + b"\n")
                 await writer.drain()
         except (OSError, ValueError, TimeoutError) as fault:
             log.warning("a question that cannot be answered: %s", fault)
         finally:
             writer.close()
 
-    async def _reply(self, line: bytes) -> Reply:
+    async def _execute(self, line: bytes) -> CommandResult:
         try:
             command = AgentCommand.decode(line, self.instances)
             return await self._handler_of(command)(command)
         except CommandError as fault:
-            return {"error": str(fault)}
+            return CommandFailure(str(fault))
 
     def _handler_of(self, command: AgentCommand) -> Handler:
         handler = self.handlers.get(command.do) if isinstance(command.do, str) else None
@@ -148,32 +157,30 @@
 
     # Processes.
 
-    async def _status(self, command: AgentCommand) -> Reply:
-        return {
-            "instances": {
-                name: instance.process.status().encoded() for name, instance in command.instances.items()
-            }
-        }
+    async def _status(self, command: AgentCommand) -> ProcessStatuses:
+        return ProcessStatuses(
+            {name: instance.process.status() for name, instance in command.instances.items()}
+        )
 
-    async def _stop(self, command: AgentCommand) -> Reply:
+    async def _stop(self, command: AgentCommand) -> ProcessStatuses:
         await asyncio.gather(*(instance.process.stop() for instance in command.instances.values()))
         if not command.names_instances:
             self.stop_agent()
         return await self._status(command)
 
-    async def _restart(self, command: AgentCommand) -> Reply:
+    async def _restart(self, command: AgentCommand) -> ProcessStatuses:
         await asyncio.gather(*(instance.process.restart() for instance in command.instances.values()))
         return await self._status(command)
 
-    async def _counters(self, command: AgentCommand) -> Reply:
-        return {"counters": await _of_each(command, lambda instance: instance.process.count())}
+    async def _counters(self, command: AgentCommand) -> ProcessCounters:
+        return ProcessCounters(await _of_each(command, lambda instance: instance.process.count()))
 
-    async def _reload(self, command: AgentCommand) -> Reply:
-        return {"reload": await _of_each(command, lambda instance: instance.process.reload())}
+    async def _reload(self, command: AgentCommand) -> ReloadReports:
+        return ReloadReports(await _of_each(command, lambda instance: instance.process.reload()))
 
     # Operators' fronts.
 
-    async def _operate(self, command: AgentCommand) -> Reply:
+    async def _operate(self, command: AgentCommand) -> FrontReplies:
         do = str(command.do)
         method, path = OPERATE[do]
         if isinstance(command.runner, str):
@@ -181,18 +188,18 @@
         elif "{}" in path:
             raise CommandError(f"'{do}' needs a runner")
         replies = await _of_each(command, lambda instance: instance.client.operate(method, path))
-        return {do: {name: reply.as_json() for name, reply in replies.items()}}
+        return FrontReplies(do, replies)
 
     # The control plane.
 
-    async def _rollout(self, command: AgentCommand) -> Reply:
+    async def _rollout(self, command: AgentCommand) -> CommandResult:
         return await self._control_plane().rollout(command.operation, command.content or {})
 
-    async def _policy(self, command: AgentCommand) -> Reply:
+    async def _policy(self, command: AgentCommand) -> CommandResult:
         return await self._control_plane().policy(command.operation, command.content or {})
 
-    async def _replicated_log(self, command: AgentCommand) -> Reply:
-        return await self._control_plane().replicated_log(command.content)
+    async def _replicated_log(self, command: AgentCommand) -> VoterAnswer:
+        return VoterAnswer(await self._control_plane().replicated_log(command.content))
 
     def _control_plane(self) -> ControlCommands:
         if self.control is None:
--- a/maplestile/agent/control_plane.py
+++ b/maplestile/agent/control_plane.py
@@ -6,11 +6,13 @@
 from typing import Any
 
 from maplestile.agent.command_client import send_command
+from maplestile.agent.command_results import CommandResult
 from maplestile.agent.instance import Instance
 from maplestile.agent.policy_controller import PolicyController
 from maplestile.agent.replicated_log import ReplicatedLog
 from maplestile.agent.rollout_controller import RolloutController
 from maplestile.agent.supervised_process import SupervisedProcess
+from maplestile.control.log_view import LogAnswer
 from maplestile.control.raft_log import RaftLog
 from maplestile.control.remote_log import RemoteLog
 from maplestile.control.settings import ControlSettings
@@ -52,15 +54,15 @@
         finally:
             policies.cancel()
 
-    async def rollout(self, operation: str, command: Any) -> dict[str, Any]:
-        """The reply to an operator's command about rollouts. Raises CommandError."""
+    async def rollout(self, operation: str, command: Any) -> CommandResult:
+        """The result of an operator's command about rollouts. Raises CommandError."""
         return await self.rollouts.execute(operation, command)
 
-    async def policy(self, operation: str, command: Any) -> dict[str, Any]:
-        """The reply to an operator's command about the fleet's policy. Raises CommandError."""
+    async def policy(self, operation: str, command: Any) -> CommandResult:
+        """The result of an operator's command about the fleet's policy. Raises CommandError."""
         return await self.policies.execute(operation, command)
 
-    async def replicated_log(self, command: object) -> dict[str, Any]:
+    async def replicated_log(self, command: object) -> LogAnswer:
         """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
 
         Raises CommandError.
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -11,8 +11,13 @@
 import logging
 import time
 from collections.abc import Mapping
-from typing import Any
 
+from maplestile.agent.command_results import (
+    CommandResult,
+    FleetPolicyStatus,
+    InstancePolicy,
+    PolicyAccepted,
+)
 from maplestile.agent.errors import CommandError
 from maplestile.agent.instance import RouterHandle
 from maplestile.agent.policy_leader import PolicyLeader
@@ -22,6 +27,7 @@
 from maplestile.common import logs
 from maplestile.control.commands import EncodedCommand, ReadPolicy, SubmitVerdict
 from maplestile.control.errors import LogError
+from maplestile.control.log_view import RouterStatus
 from maplestile.control.policy.agreed import AgreedPolicies, Change
 from maplestile.control.settings import ControlSettings
 
@@ -183,29 +189,29 @@
 
     # Operators' commands.
 
-    async def execute(self, operation: str, command: EncodedCommand) -> dict[str, Any]:
-        """The reply to `status`, `propose` or `rollback`. Raises CommandError where it is not agreed on."""
+    async def execute(self, operation: str, command: EncodedCommand) -> CommandResult:
+        """The result of `status`, `propose` or `rollback`. Raises CommandError where it is not agreed on."""
         if operation == "status":
-            return {"policy": self._status()}
+            return self._status()
         if operation not in ("propose", "rollback"):
             raise CommandError(f"policy: no command '{operation}'")
         name = f"policy {operation}"
         reply = await submit_for_operator(self.replicated_log, self.settings.name, name, command)
         self.events.info(f"operator {operation}", change=reply["change"], base=reply["base"])
-        return {"policy": reply}
+        return PolicyAccepted(reply)
 
-    def _status(self) -> dict[str, Any]:
-        """What is agreed on, and each instance as its agent last reported; `heard_s` is how long ago."""
+    def _status(self) -> FleetPolicyStatus:
         reported = self.replicated_log.router_status
-        instances: dict[str, dict[str, Any]] = {}
-        for name, agent in sorted(self.replicated_log.control.instances.items()):
-            status = reported.get(agent)
-            age_s = None if status is None else status.age_s
-            report = {} if status is None else status.routers.get(name, {})
-            instances[name] = {"agent": agent, "heard_s": age_s, **report}
-        return {
-            "agreed": self.agreed.encoded(),
-            "instances": instances,
-            "ready": self.replicated_log.ready(),
-            "raft": self.replicated_log.status().encoded(),
-        }
+        instances = sorted(self.replicated_log.control.instances.items())
+        return FleetPolicyStatus(
+            agreed=self.agreed,
+            instances={name: _instance_policy(name, agent, reported.get(agent)) for name, agent in instances},
+            voter=self.replicated_log.status(),
+            ready=self.replicated_log.ready(),
+        )
+
+
+def _instance_policy(name: str, agent: str, reported: RouterStatus | None) -> InstancePolicy:
+    if reported is None:
+        return InstancePolicy(agent, None, {})
+    return InstancePolicy(agent, reported.age_s, reported.routers.get(name, {}))
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -7,8 +7,8 @@
 import time
 from collections import Counter
 from collections.abc import Mapping
-from typing import Any
 
+from maplestile.agent.command_results import CommandResult, RolloutAccepted, RolloutStatus
 from maplestile.agent.errors import CommandError
 from maplestile.agent.health_reporter import HealthReporter
 from maplestile.agent.instance import ProcessHandle, RouterHandle
@@ -100,7 +100,7 @@
 
     # Commands.
 
-    async def serve_log(self, command: object) -> dict[str, Any]:
+    async def serve_log(self, command: object) -> LogAnswer:
         """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
 
         Raises CommandError where its command is not agreed on.
@@ -112,24 +112,23 @@
                 reply = await self.replicated_log.submit(command)
         except LogError as error:
             raise CommandError(str(error)) from None
-        answer = LogAnswer(ready, self.replicated_log.control, self.replicated_log.router_status, reply)
-        return {"control": answer.encoded()}
+        return LogAnswer(ready, self.replicated_log.control, self.replicated_log.router_status, reply)
 
-    async def execute(self, operation: str, command: EncodedCommand) -> dict[str, Any]:
-        """The reply to `status` or an operator's command. Raises CommandError where it is not agreed on."""
+    async def execute(self, operation: str, command: EncodedCommand) -> CommandResult:
+        """The result of `status` or an operator's command. Raises CommandError where it is not agreed on."""
         if operation == "status":
-            return {"rollout": self._status()}
+            return self._status()
         if operation == "start" and command.get("budget") is None:
             command = {**command, "budget": self.settings.budget}
         reply = await submit_for_operator(self.replicated_log, self.settings.name, operation, command)
         content = {key: value for key, value in reply.items() if key != "ok"}
         self.events.info(f"operator {operation}", **content)
-        return {"rollout": reply}
-
-    def _status(self) -> dict[str, Any]:
-        return {
-            **self.replicated_log.control.encoded(),
-            "raft": self.replicated_log.status().encoded(),
-            "ready": self.replicated_log.ready(),
-            "counters": dict(self.counters),
-        }
+        return RolloutAccepted(reply)
+
+    def _status(self) -> RolloutStatus:
+        return RolloutStatus(
+            control=self.replicated_log.control,
+            voter=self.replicated_log.status(),
+            ready=self.replicated_log.ready(),
+            counters=self.counters,
+        )
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -32,7 +32,7 @@
     status: int | None = None  # None where it gave no answer
     has_front: bool = True
 
-    def as_json(self) -> dict[str, Any]:
+    def encoded(self) -> dict[str, Any]:
         """The form in which the agent's clients read it."""
         reply: dict[str, Any] = {"ok": self.ok, "told": self.text}
         if self.status is not None:
