--- a/maplestile/agent/adopted_process.py
+++ b/maplestile/agent/adopted_process.py
@@ -1,7 +1,7 @@
 """Processes that another process has started: how they are found, watched and signalled.
 
-What is known of a process stands in /proc, see proc(5); a handle that does not pass to another process of the
-same number is a pidfd, see pidfd_open(2).
+The state of a process is read from /proc, see proc(5). A pidfd, see pidfd_open(2), refers to one process even
+after its pid was reused.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class ProcessId(NamedTuple):
-    """A process for good: its number may pass to another process, but not with the same start."""
+    """Identifies one process: its pid may be reused, but not with the same start."""
 
     pid: int
     started: int  # in clock ticks since the boot
@@ -35,18 +35,18 @@
 class AdoptedProcess:
     """A process that another one has started.
 
-    It is what `asyncio.subprocess.Process` is for a child of one's own, but that nobody knows its exit code.
+    Like `asyncio.subprocess.Process`, except that its exit code is not known.
     """
 
     def __init__(self, pid: int, started: int) -> None:
-        """Raises ProcessGone where that process is not there, or another has its number by now."""
+        """Raises ProcessGone where that process has ended, or its pid was reused."""
         self.pid = pid
         self.returncode: int | None = None
         try:
             self.pidfd = os.pidfd_open(pid)
         except OSError as fault:
             raise ProcessGone(str(fault)) from None
-        if started_of(pid) != started:  # with the handle in hand the number cannot change its owner
+        if started_of(pid) != started:  # checked with the pidfd open, so that no reuse goes unnoticed
             os.close(self.pidfd)
             raise ProcessGone("another process has its number")
         self.ended = asyncio.Event()
@@ -80,9 +80,9 @@
 
 
 def writers_of(log_file: Path) -> Iterator[ProcessId]:
-    """The processes whose standard error is that file, the first to start first; without their children.
+    """The processes whose standard error is that file, in the order of their starts; without their children.
 
-    All processes are looked at, and only once the first is asked for.
+    A generator: the scan of all processes begins when the first result is requested.
     """
     file_status = log_file.stat()
     parents = dict[ProcessId, int]()
--- a/maplestile/agent/health_reporter.py
+++ b/maplestile/agent/health_reporter.py
@@ -28,7 +28,7 @@
         self.listed_runners: dict[str, bool] = {}  # and whether the runner's process is managed here
 
     async def report(self) -> None:
-        """Ask all routers at once, and submit a heartbeat."""
+        """Query all routers concurrently, and submit a heartbeat."""
         clients = [router.client for router in self.routers.values()]
         reports, lost, listed = await asyncio.gather(
             asyncio.gather(*(client.health_report() for client in clients)),
@@ -37,7 +37,7 @@
         )
         self.lost_members = frozenset(name for members in lost for name in members)
         runners = {runner for of_router in listed if of_router is not None for runner in of_router}
-        if runners:  # a moment without an answer makes no runner unknown
+        if runners:  # where no router answers, the last list is kept
             self.listed_runners = {runner: runner in self.managed for runner in sorted(runners)}
         heartbeat = Heartbeat(agent=self.agent, reports=dict(zip(self.routers, reports, strict=True)))
         with contextlib.suppress(LogError):  # counted there; the next one follows soon
--- a/maplestile/agent/log_reader.py
+++ b/maplestile/agent/log_reader.py
@@ -6,7 +6,7 @@
 
 POLL_INTERVAL_S = 0.05
 READ_BYTES = 65_536  # of one read
-LOG_BYTES_MOST = 8 << 20  # of a log file, which is then begun anew
+LOG_BYTES_MOST = 8 << 20  # of a log file, which is then truncated
 
 
 async def lines(path: Path, offset: int, ended: asyncio.Event) -> AsyncIterator[bytes]:
@@ -18,7 +18,7 @@
     with path.open("r+b") as file:
         file.seek(offset)
         while True:
-            is_last = ended.is_set()  # looked at before the read, so that the last lines are read as well
+            is_last = ended.is_set()  # checked before the read, so that the last lines are read as well
             if data := file.read(READ_BYTES):
                 *complete, incomplete = (incomplete + data).split(b"\n")
                 for line in complete:
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -1,8 +1,8 @@
 """The agent's part in the fleet's policy: its routers check a change, and are sent what is committed.
 
-What a router is sent is fenced: by a read that was agreed on after it was requested, at a time of the
-machine's monotonic clock, which the routers share. A read names the routers that answer, and a fence goes
-only to those that its read has named, so none is let serve by an old epoch behind a change's back. Where the
+An announcement to a router is fenced by a read of the log: the read was agreed on after it was requested, at
+a time of the machine's monotonic clock, which the routers share. A read names the routers that answer, and
+its fence is sent to those alone, so no router goes on with an old epoch once a change is committed. Where the
 agent's voter leads, `PolicyLeader` decides whether a change is committed.
 """
 
@@ -109,7 +109,7 @@
             running.append(policy)
         return running
 
-    # What is committed, to the routers.
+    # Announcements of what is committed.
 
     def _start_read(self, running: list[RouterPolicy], change: Change | None) -> None:
         following = [policy for policy in running if not policy.has_own_policy]
@@ -128,10 +128,10 @@
             if policy.report is not None
         }
         command = ReadPolicy(agent=self.settings.name, instances=tuple(answering), router_status=reports)
-        with contextlib.suppress(LogError):  # counted there; its routers hear nothing new meanwhile
+        with contextlib.suppress(LogError):  # counted there; its routers get no new fence meanwhile
             reply = await self.replicated_log.submit(command)
             if reply["ok"]:
-                for name in reply["named"]:  # these processes, not those that have come by their names
+                for name in reply["named"]:  # these processes, not later ones of the same names
                     answering[name].fence = Fence(int(reply["epoch"]), requested_us)
 
     def _start_announcement(self, policy: RouterPolicy, change: Change | None) -> None:
@@ -145,9 +145,9 @@
     async def announce(self, policy: RouterPolicy, announcement: Announcement) -> None:
         """Send a router what it has to know now."""
         if await policy.announce(announcement, self.agreed):
-            self.read_s = 0.0  # the next read tells the others of it at once
+            self.read_s = 0.0  # read at once, so that the others learn of it
 
-    # A change, to be checked.
+    # Checks of a proposed change.
 
     def _start_check(self, policy: RouterPolicy, change: Change | None) -> None:
         if change is None or policy.checked_change == change.number or not is_idle(policy.checking):
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Announcement:
-    """What a router is to know now."""
+    """What a router has to be sent now."""
 
     epoch: int
     fenced_us: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyReport:
-    """A router's answer to an announcement: how its policy stands."""
+    """A router's answer to an announcement: the state of its policy."""
 
     epoch: int  # that it decides by
     lacks_document: bool  # of the announced epoch
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class RouterPolicy:
-    """What is known of one process of a router; a process started anew begins with nothing known."""
+    """What is known of one process of a router; nothing is known of one that was just started."""
 
     name: str
     router: RouterHandle
@@ -79,7 +79,7 @@
     checking: asyncio.Task[None] | None = None
 
     def next_announcement(self, agreed_epoch: int, change: Change | None) -> Announcement | None:
-        """What the router has to be sent now; None where it knows it."""
+        """What the router has to be sent now; None where it has it already."""
         if agreed_epoch < self.fence.epoch:
             return None  # this replica is behind what is agreed
         number = 0 if change is None else change.number
@@ -88,7 +88,7 @@
         return announcement if announcement != self.sent or repeats else None
 
     async def announce(self, announcement: Announcement, agreed: AgreedPolicies) -> bool:
-        """Send it, with the document where the router lacks that; whether it has taken a new epoch."""
+        """Send an announcement, with the document where the router lacks it; whether it took a new epoch."""
         self.sent = announcement
         self.sent_s = time.monotonic()
         epoch = agreed.kept_epoch(announcement.epoch) or agreed.epoch
--- a/maplestile/agent/process_output.py
+++ b/maplestile/agent/process_output.py
@@ -5,7 +5,7 @@
 import sys
 from typing import Any
 
-# How a router's drain ends its log: the text passes between two processes, so it stands in both.
+# The last log line of a router's drain; `router/drain.py` writes it, so both have to agree.
 DRAINED_LINE = b"stops; nothing is owed"
 
 
--- a/maplestile/agent/process_steps.py
+++ b/maplestile/agent/process_steps.py
@@ -46,11 +46,11 @@
 
 
 def change_settings(action: str, process: ProcessHandle, events: StepEvents) -> None:
-    """Of a replacement or its undo: change the settings of the next start; other actions change nothing."""
+    """Change the settings of the next start, where the action is a replacement or its undo."""
     try:
         if action == REPLACE:
             process.renew()
         elif action == RESTORE:
             process.restore()
-    except Exception as fault:  # what cannot be read stays as it was, and the step goes on
+    except Exception as fault:  # with a file that cannot be read the old settings stay, and the step goes on
         events.error("not replaced", fault=str(fault))
--- a/maplestile/agent/router_steps.py
+++ b/maplestile/agent/router_steps.py
@@ -20,8 +20,8 @@
     async def take(self, agreed: Lease, router: RouterHandle) -> None:
         """Take the step of a lease to its end; ends at once where its begin is not agreed on."""
         lease = replace(agreed)  # as it is now: the agreed one changes while the step is taken
-        # Not the first: begun by the agent before this one, and its instances have been started since, but
-        # for those that were adopted; or drained, and started by somebody since.
+        # Not the first attempt: the agent before this one began the step, and the instance was started since
+        # (unless it was adopted); or the step was a drain, and somebody has started the instance since.
         is_first = lease.stage is Stage.GRANTED or lease.number in self.beginning or router.process.adopted
         if lease.stage is Stage.GRANTED and not await self._begin(lease):
             return
@@ -37,8 +37,8 @@
         await self._bring_back(lease, router, events)
 
     async def _begin(self, lease: Lease) -> bool:
-        # The lease as it was read may be old, and a halt or a release may stand after it in the log. Where
-        # the answer is lost the lease is found begun later, and the instance untouched.
+        # The lease as it was read may be outdated: the log may have a halt or a release after it. Where the
+        # answer is lost, the lease is found begun later, and the instance untouched.
         self.beginning.add(lease.number)
         begin = BeginStep(instance=lease.instance, lease=lease.number, agent=self.agent)
         return await self.log_client.submit(begin) is not None
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -91,7 +91,7 @@
             return True
         listed = runners[runner]
         if listed.suspended == used:
-            # Just suspended: what is in flight there is looked at the next time.
+            # Just suspended: what is in flight there is checked the next time.
             return await router.client.suspend(runner, not used) and used
         return used or not listed.in_flight
 
--- a/maplestile/agent/tasks.py
+++ b/maplestile/agent/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that are looked at in a loop, and started again once they have ended."""
+"""Background tasks that a loop checks, and starts again once they have ended."""
 
 import asyncio
 import logging
--- a/maplestile/control/commands/codec.py
+++ b/maplestile/control/commands/codec.py
@@ -87,7 +87,7 @@
 
 
 def decode(encoded: Mapping[str, Any]) -> Command:
-    """The command that a wire form stands for; a key that the command does not have is ignored.
+    """The command of a wire form; a key that the command does not have is ignored.
 
     Raises CommandRejected for an unknown command, for one that lacks a field, and for a field of no use.
     """
@@ -102,9 +102,9 @@
 
 
 def as_encoded(command: Command | EncodedCommand) -> EncodedCommand:
-    """The wire form of a command for the log: one that came from the wire goes on as it is.
+    """The wire form of a command for the log; one that is encoded already is passed on unchanged.
 
-    The replicas decode it, so a damaged one is answered by the log, as any that does not fit.
+    The replicas decode it, so that the log rejects a damaged one as any command that does not fit.
     """
     return command if isinstance(command, dict) else encode(command)
 
--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -95,7 +95,7 @@
     """Decode the fields of a `release` command."""
     lease = encoded.get("lease")
     if lease is None and "lease" in encoded:
-        lease = types.NO_LEASE  # it names a lease, though none that there is
+        lease = types.NO_LEASE  # it names a lease, but none that exists
     return types.ReleaseLease(instance=str(encoded["instance"]), lease=lease, agent=encoded.get("agent"))
 
 
@@ -191,8 +191,8 @@
 def read_policy(encoded: Mapping[str, Any]) -> types.ReadPolicy:
     """Decode the fields of a `policy read` command.
 
-    Every release counts a read also where a name or the status in it is of no use; voters must go on to count
-    alike, so these are left out and the rest is taken.
+    Every release counts a read even where a name or the status in it is invalid. Voters of all releases must
+    count alike, so the invalid parts are left out and the rest is taken.
     """
     instances = _hashable(encoded["instances"])
     agent = encoded["agent"]
--- a/maplestile/control/fleet.py
+++ b/maplestile/control/fleet.py
@@ -37,7 +37,7 @@
         self.rollout: Rollout | None = None
         self.history: list[Rollout] = []
         self.leases: dict[str, Lease] = {}  # by instance
-        self.number = 0  # of the last rollout or lease: one count for both, so that no number comes again
+        self.number = 0  # of the last rollout or lease: one count for both, so that no number is reused
         self.worst_out = dict.fromkeys(KINDS, 0)  # the most that were ever out at once by leases
 
     def agents(self) -> list[str]:
@@ -69,7 +69,7 @@
         self.rollout = rollout
 
     def record_worst_out(self) -> None:
-        """Note how many are out by leases now, if they have never been more."""
+        """Record how many are out by leases now, if that is the most so far."""
         for kind in KINDS:
             self.worst_out[kind] = max(self.worst_out[kind], len(self.out(kind)))
 
@@ -93,9 +93,9 @@
 
     def _next_back(self, rollout: Rollout) -> Step | None:
         if rollout.action == RESTART:
-            return None  # what was restarted serves already; what is under way comes back by itself
+            return None  # what was restarted serves already, and what is under way will
         if self._steps_under_way():
-            return None  # one after the other, so that the order is the reverse one also in how they end
+            return None  # one after the other, so that they also end in the reverse order
         for name in reversed(rollout.done):
             if name not in rollout.undone:
                 return Step(name, START if rollout.action == DRAIN else RESTORE)
@@ -124,7 +124,7 @@
             rollout.phase = Phase.UNDONE
 
     def drop_untouched_leases(self) -> None:
-        """Take back the steps that no agent has begun. One granted for an undo goes back to OUT."""
+        """Withdraw the leases whose step no agent has begun. One granted for an undo goes back to OUT."""
         for name, lease in list(self.leases.items()):
             if lease.stage is not Stage.GRANTED:
                 continue
--- a/maplestile/control/lease_transitions.py
+++ b/maplestile/control/lease_transitions.py
@@ -49,8 +49,8 @@
     number = fleet.next_number()
     holder = fleet.known(kind).get(step.instance)
     if holder is None:
-        # Its agent has dropped it since the start. Every release has spent a number on that and has answered
-        # so; all voters must go on to number alike.
+        # Its agent has removed it since the start of the rollout. Every release has used up a number here and
+        # has answered with this text; voters of all releases must number alike.
         raise CommandRejected(f"damaged command: KeyError: {step.instance!r}")
     lease = Lease(number, step.instance, holder, step.action, Stage.GRANTED, term)
     if kind == RUNNERS:
--- a/maplestile/control/log_storage.py
+++ b/maplestile/control/log_storage.py
@@ -1,8 +1,8 @@
 """What a voter has on disk, checked before it takes part in the consensus.
 
-The library takes a journal as it finds it: one that was cut ended the control plane without a message, and
-one with other bytes in it made its voter win each election with a made-up term, and an empty state for all.
-So a folder is taken whole or not at all, and the error names the place that is wrong.
+The library reads a journal unchecked: a truncated one ended the control plane without a message, and one
+with damaged bytes made its voter win each election with a wrong term, and left all with an empty state. So a
+folder is accepted as a whole or not at all, and the error names the place that is wrong.
 
     journal         a head of 40 bytes, then records: size, index, term, command, size again
     journal.meta    the term of the voter, and whom it voted for in it
@@ -43,7 +43,7 @@
 
 
 def check(folder: Path, voter: str) -> None:
-    """Check that the folder is this voter's, and whole.
+    """Check that the folder is this voter's, complete and undamaged.
 
     Raises CommandRejected, which names the place, or OSError.
     """
@@ -102,7 +102,7 @@
 
 
 def _record_size(path: Path, data: bytes, offset: int, end: int) -> int:
-    """The size of the record's content, which stands before and after it."""
+    """The size of the record's content, which is written before and after it."""
     size: int = SIZE.unpack_from(data, offset)[0] if offset + SIZE.size <= end else 0
     size_again_offset = offset + SIZE.size + size
     is_whole = size >= INDEX_AND_TERM.size and size_again_offset + SIZE.size <= end
--- a/maplestile/control/policy/agreed.py
+++ b/maplestile/control/policy/agreed.py
@@ -1,7 +1,7 @@
 """The agreed state of the policy: its epochs, and the change that is being checked.
 
-It is a part of `control.state.ControlState`, and changes by the functions of `policy.transitions` alone. It
-reads no clock and draws nothing by chance, so every voter has the same.
+It is a part of `control.state.ControlState`, and only the functions of `policy.transitions` change it. It
+reads no clock and draws no random numbers, so every voter has the same.
 """
 
 from collections.abc import Mapping
@@ -18,8 +18,8 @@
 
 __all__ = ["AgreedPolicies", "Change", "Epoch", "Phase"]
 
-EPOCHS_KEPT = 8  # to go back to
-CHANGES_KEPT = 20  # to look at, without their documents
+EPOCHS_KEPT = 8  # for rollbacks
+CHANGES_KEPT = 20  # shown to operators, without their documents
 NO_EPOCH = -1
 
 
@@ -72,7 +72,7 @@
         return epoch
 
     def forget_members(self, instances: Mapping[str, str]) -> None:
-        """Forget those that are no longer among the instances."""
+        """Remove those that are no longer among the instances."""
         self.members = {name: read for name, read in self.members.items() if name in instances}
 
     # The wire form.
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -4,8 +4,8 @@
     [[class]]                 # whole
     [limits]                  # `POLICY_LIMITS` of it; those of a machine or a listener stay the file's
 
-A document takes the place of these tables of each router's file, whole: what it does not name has the
-checker's default, and nothing of the file's own policy is left in force. It is checked as a file is at start,
+A document replaces all of these tables of each router's file: what it does not name has the checker's
+default, and nothing of the file's own policy is left in force. It is checked as a file is at start,
 by `invoke/operator_file.py`; here only its shape is checked.
 """
 
@@ -22,7 +22,7 @@
 LIMITS_TABLE = "limits"
 POLICY_TABLES = (RULES_TABLE, CLASS_TABLE, LIMITS_TABLE)
 POLICY_LIMITS = ("open_requests", "records", "record_s", "body_bytes", "deadline_most_s")
-# The most of a document: some hundred classes. The kept epochs of it go round with the agreed state.
+# The largest document: some hundred classes. Those of the kept epochs are sent with the agreed state.
 DOCUMENT_BYTES = 16_384
 DIGEST_BYTES = 8
 
@@ -71,7 +71,7 @@
         return tables
 
     def digest(self) -> str:
-        """The same for the same policy, as hexadecimal digits."""
+        """A hash of the policy, as hexadecimal digits."""
         return hashlib.blake2b(self.text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
     def over(self, root: Mapping[str, Any]) -> Tables:
@@ -101,19 +101,19 @@
 
 @dataclass(slots=True, frozen=True)
 class AdoptedPolicy:
-    """An epoch and its document; None stands for the file's own policy."""
+    """An epoch and its document; None is the file's own policy."""
 
     epoch: int
     document: Document | None
 
 
 def digest_of(document: Document | None) -> str:
-    """The digest of a document; an empty text stands for the files' own policy."""
+    """The digest of a document; empty for the files' own policy."""
     return "" if document is None else document.digest()
 
 
 def document_of(tables: object) -> Document | None:
-    """The document of what the wire and the log carry: tables, or None for the files' own policy.
+    """Decode the document of a message or a log entry: tables, or None for the files' own policy.
 
     Raises PolicyError.
     """
--- a/maplestile/control/policy/planner.py
+++ b/maplestile/control/policy/planner.py
@@ -1,8 +1,8 @@
 """When a change of policy may be committed, and when it is given up. Free of I/O.
 
-The leader's driver hands in the agreed state with its own monotonic time in microseconds, and submits the
-command that comes back to the log, where `transitions` checks it once more. A newly elected leader starts
-with an empty `PolicyPlanner`: verdicts and reads are in the log, its timeouts begin anew.
+The leader's driver passes in the agreed state with its own monotonic time in microseconds, and submits the
+command that is returned to the log, where `transitions` checks it once more. A newly elected leader starts
+with an empty `PolicyPlanner`: verdicts and reads are in the log, and its timeouts start from zero.
 """
 
 from collections.abc import Iterable
--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -14,9 +14,9 @@
 
 
 def read(folder: Path) -> AdoptedPolicy | None:
-    """The epoch on record.
+    """The stored epoch.
 
-    None where there is none, or none that can be used, which is logged: the router then waits for its fleet.
+    None where there is none, or none that can be used, which is logged: the router then waits for its agent.
     """
     record = durable.read(folder / NAME, VERSION)
     if record is None:
@@ -37,6 +37,6 @@
 
 
 def write(folder: Path, adopted: AdoptedPolicy) -> None:
-    """Put an epoch on record. Raises OSError; the record before then stands."""
+    """Store an epoch. Raises OSError, and leaves the stored one in place."""
     tables = None if adopted.document is None else adopted.document.tables()
     durable.write(folder / NAME, VERSION, {"epoch": adopted.epoch, "document": tables})
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -47,10 +47,10 @@
 RETRY_INTERVAL_S = 0.1
 US_PER_S = 1e6
 # The library's reasons for which a command is surely not in the log: its queue was full, no leader was
-# known, another entry stands in its place.
+# known, or another entry took its place.
 NOT_TAKEN = (FAIL_REASON.QUEUE_FULL, FAIL_REASON.MISSING_LEADER, FAIL_REASON.DISCARDED)
 LEADER_STATE = 2  # the library's number
-# What is agreed is rare and must be seen soon: a lost leader is replaced within 0.4 to 1.4 s of its last
+# Commands are rare, and have to be applied soon: a lost leader is replaced within 0.4 to 1.4 s of its last
 # heartbeat.
 RAFT_TIMES_S = {
     "raftMinTimeout": 0.5,
@@ -98,7 +98,7 @@
 
 
 class RelayedNode(TCPNode):  # type: ignore[misc]  # the library has no types
-    """A voter that all know by one address, and that is reached from here at another."""
+    """A voter that is known to all by one address, and is reached from here at another."""
 
     def __init__(self, address: str, reach: str) -> None:
         super().__init__(address)
@@ -142,8 +142,8 @@
         own_node = TCPNode(next(voter.address for voter in settings.voters if voter.name == settings.name))
         others = [voter for voter in settings.voters if voter.name != settings.name]
         other_nodes = [node_of(voter) for voter in others]
-        # No command waits here for a leader: submitted to a voter that is cut off, it must not take effect
-        # once that is healed, long after its operator has seen it fail.
+        # No command waits here for a leader: one submitted to a voter that is cut off must not take effect
+        # once the link is back, long after its operator has seen it fail.
         conf = SyncObjConf(
             autoTick=False,
             bindAddress=settings.listen,
@@ -177,7 +177,7 @@
         }
 
     def ready(self) -> bool:
-        """The replica holds what was agreed up to its start, and a leader is known."""
+        """Whether the replica holds what was agreed up to its start, and a leader is known."""
         return bool(self.replica.isReady())
 
     def status(self) -> VoterStatus:
--- a/maplestile/control/registration.py
+++ b/maplestile/control/registration.py
@@ -8,7 +8,7 @@
 
 
 def register(fleet: FleetState, command: Register) -> Accepted:
-    """Take the agent's list of instances for whole: one that is no longer in it is forgotten."""
+    """Replace the agent's list of instances; one that is no longer in it, and has no lease, is removed."""
     for name in command.instances:
         if fleet.instances.get(name, command.agent) != command.agent:
             raise CommandRejected(f"instance '{name}' is managed by {fleet.instances[name]}")
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -1,7 +1,7 @@
 """What the fleet has agreed on: its instances, the rollout, the leases of its steps, and its policy.
 
 Every voter applies the same commands of the Raft log in the same order, so each transition is a function of
-the state and the command alone: no clock, no chance, no I/O (a replicated state machine, as in Schneider,
+the state and the command alone: no clock, no randomness, no I/O (a replicated state machine, as in Schneider,
 "Implementing fault-tolerant services using the state machine approach", 1990). A command that does not fit
 the state changes nothing and is answered with the reason. Each command therefore carries what its sender
 believed (the number of the rollout, of the lease), and a sender whose belief is outdated, such as a deposed
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -33,11 +33,11 @@
 INVOCATIONS = re.compile(r"/v1/functions/([^/?]+)/invocations")
 INVOCATION = re.compile(r"/v1/invocations/([0-9a-f]+)")
 RECORD_ID_BYTES = 16
-POLL_US = 1_000_000  # when to look again at a deferred call that is still pending
+POLL_US = 1_000_000  # after which a client may poll a pending deferred call again
 CANCELLED_STATUS = 410  # Gone: the answer of a call that its client has cancelled
 
 Respond = Callable[[Response], None]
-CallOff = Callable[[], None]  # called if the caller leaves before its response came
+CancelCall = Callable[[], None]  # called if the caller leaves before its response came
 
 
 class InvokeApi:
@@ -97,7 +97,7 @@
 
     # Requests.
 
-    def handle(self, request: HttpRequest, respond: Respond) -> CallOff:
+    def handle(self, request: HttpRequest, respond: Respond) -> CancelCall:
         """Answer one request by `respond`, once, now or later."""
         self.counters["invoke.requests"] += 1
         respond_counted = partial(self._respond_counted, respond)
@@ -111,7 +111,7 @@
         self.counters[f"invoke.status.{response.status}"] += 1
         respond(response)
 
-    def _route(self, request: HttpRequest, respond: Respond) -> CallOff:
+    def _route(self, request: HttpRequest, respond: Respond) -> CancelCall:
         path = request.path.partition("?")[0]
         if match := INVOCATIONS.fullmatch(path):
             require_method(request, "POST")
@@ -125,7 +125,7 @@
 
     # Invocations.
 
-    def _invoke(self, invocation: InvocationRequest, respond: Respond) -> CallOff:
+    def _invoke(self, invocation: InvocationRequest, respond: Respond) -> CancelCall:
         scope = invocation.scope
         known = self.store.by_scope.get(scope) if scope is not None else None
         if known is not None and known.fingerprint != invocation.fingerprint():
@@ -145,7 +145,7 @@
         record.waiting.append(respond)
         return lambda: self._stop_waiting(record, respond)
 
-    def _invoke_unrecorded(self, invocation: InvocationRequest, respond: Respond) -> CallOff:
+    def _invoke_unrecorded(self, invocation: InvocationRequest, respond: Respond) -> CancelCall:
         """Run a call whose answer nobody can collect later: without a key, and not deferred."""
         tenant = invocation.tenant
         self.in_flight[tenant] += 1
@@ -159,7 +159,7 @@
         respond(problems.of(outcome))
 
     def _withdraw_unrecorded(self, tenant: str, call: int) -> None:
-        """The caller has left: cancel its call, unless that has ended already."""
+        """Cancel the call of a caller that has left, unless it has ended already."""
         if call in self.core.open:
             self.in_flight[tenant] -= 1
             self.core.withdraw(call)
@@ -192,7 +192,7 @@
             self.store.finish(record, problems.of(outcome))
 
     def _stop_waiting(self, record: InvocationRecord, respond: Respond) -> None:
-        """Take note that a caller under a key has left.
+        """Stop waiting for a caller with a key that has left.
 
         Another request with the key may come for the answer, so attempts in flight go on; no new one begins.
         """
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -1,7 +1,7 @@
 """The operator's file: functions, tenants, classes, workers and limits, in TOML.
 
-What the rest of the router needs of it is put into the form of the platform's settings, so that one parser
-serves both fronts.
+What the rest of the router needs of it is converted to the form of the platform's settings, so that one
+parser serves both fronts.
 """
 
 import tomllib
@@ -108,7 +108,7 @@
 def from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> OperatorSettings:
     """Return the settings of a file's tables. Raises ConfigError.
 
-    With an adopted policy, the policy of that epoch stands in place of the file's own.
+    With an adopted policy, the policy of that epoch replaces the file's own.
     """
     if adopted is not None and adopted.document is not None:
         tables = adopted.document.over(tables)
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -6,7 +6,7 @@
 
 from maplestile.common.toml_table import ConfigError, TomlTable
 
-# How a class's `semantics` stand in the router's settings.
+# The names of a class's `semantics` in the router's settings.
 SEMANTICS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 KEYED_SEMANTICS = SEMANTICS["keyed"]
 KEY_SCOPES = ("all", "zone", "cell")
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -92,7 +92,7 @@
     def _expire(self, record: InvocationRecord) -> None:
         """Fail a record whose answer was not delivered by its deadline.
 
-        This guards against a result that is kept without notice, and against one that changes once delivered.
+        This guards against results that are kept unnoticed, and against answers that change once delivered.
         """
         if record.id not in self.records:
             return  # dropped
--- a/maplestile/membership/failure_detector.py
+++ b/maplestile/membership/failure_detector.py
@@ -147,8 +147,8 @@
     def _worsen_health(self, probe: Probe, target: Member | None) -> None:
         """Count a failed probe as a sign of this member's slowness, unless its target is suspected already.
 
-        After a partition, the members of the other side otherwise taught each member that it was slow, so
-        that it probed, and spread the recovery, up to nine times as seldom.
+        Otherwise, after a partition, failed probes of the other side's members made each member count itself
+        as slow, so that it probed, and spread the recovery, at down to a ninth of the rate.
         """
         if target is not None and target.status is Status.SUSPECT:
             return
--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -20,7 +20,7 @@
 
 
 class MessageKind(StrEnum):
-    """The kinds of messages, as they stand on the wire."""
+    """The kinds of messages, by their names on the wire."""
 
     PING = "ping"
     ACK = "ack"
@@ -32,7 +32,7 @@
 
 
 class Status(StrEnum):
-    """A member's status, as it stands on the wire."""
+    """A member's status, by its name on the wire."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
--- a/maplestile/membership/suspicion.py
+++ b/maplestile/membership/suspicion.py
@@ -13,7 +13,7 @@
 
 
 class SuspicionTimers:
-    """The deadlines of the suspicions that stand."""
+    """The deadlines of the present suspicions."""
 
     def __init__(self, members: MemberList, merger: UpdateMerger, tuning: Tuning) -> None:
         self._members = members
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -118,7 +118,7 @@
     def _merge_reported_death(self, member: Member, update: MemberUpdate) -> None:
         """Take another member's declaration that `member` is dead; it is not believed at once.
 
-        A suspicion that stands here counts as fully confirmed, and lasts its minimum. A member that is alive
+        A suspicion held here counts as fully confirmed, and lasts its minimum. A member that is alive
         here is sent the declaration, so that it can refute, and is probed next.
 
         This guards live members against what follows a network partition: the other side has declared all of
@@ -137,7 +137,7 @@
     def _merge_own(self, update: MemberUpdate) -> None:
         """Refute a suspicion or a death of this member by a higher incarnation (SWIM, section 4.2).
 
-        Only this member changes its own state: its old updates come back by gossip, and are ignored.
+        Only this member changes its own state; its old updates that come back by gossip are ignored.
         """
         if update.status is Status.ALIVE or self.leaving:
             return
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -94,7 +94,7 @@
         }
 
     def handle(self, request: HttpRequest, respond: Respond) -> Callable[[], None]:
-        """Answer one request by `respond`, once; there is nothing to call off if the caller leaves first."""
+        """Answer one request by `respond`, once; nothing has to be cancelled if the caller leaves first."""
         try:
             self._route(request, respond)
         except RequestRejected as rejection:
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -1,4 +1,4 @@
-"""Cordoned runners: those that operators have taken out of service, for as long as they say so.
+"""Cordoned runners: those that operators have taken out of service until further notice.
 
 The decisions and the pool see a cordon as a drain (`EndpointList.suspended`). Cordons are stored where both
 processes of an upgrade see them, so that either may be called.
@@ -83,7 +83,7 @@
         return True
 
     def refresh(self) -> None:
-        """Follow the changes of the other process. A store that cannot be read lifts no cordon."""
+        """Take over the changes of the other process. A store that cannot be read lifts no cordon."""
         if self._store is None:
             return
         try:
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -44,7 +44,7 @@
         ...
 
     def has_mark(self, name: str, mark: bytes) -> bool:
-        """Return whether that stands written at the lock."""
+        """Return whether the lock carries this mark."""
         ...
 
 
@@ -64,7 +64,7 @@
         return 2 if self.successor or self.stage is not Stage.ALONE else 1
 
     def poll(self) -> None:
-        """Follow what the other processes have acquired, released and marked."""
+        """Check what the other processes have acquired, released and marked."""
         self._advance()
         if self.stage is Stage.ALONE:
             self.successor = self._locks.is_held(NEXT)
--- a/maplestile/operation/state_folder.py
+++ b/maplestile/operation/state_folder.py
@@ -18,7 +18,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        # A failure is raised again, by each call, as soon as the folder is used.
+        # Each call that uses the folder raises the failure again.
         with contextlib.suppress(OSError):
             folder.mkdir(parents=True, exist_ok=True)
 
@@ -84,7 +84,7 @@
         os.truncate(self.descriptors[name], len(mark))
 
     def has_mark(self, name: str, mark: bytes) -> bool:
-        """Return whether that stands written at the lock."""
+        """Return whether the lock carries this mark."""
         try:
             return (self.folder / name).read_bytes() == mark
         except OSError:
--- a/maplestile/router/clock.py
+++ b/maplestile/router/clock.py
@@ -13,7 +13,7 @@
 
 
 async def poll_until(condition: Callable[[], bool]) -> None:
-    """Return once the condition holds, looked at each `POLL_S`."""
+    """Return once the condition holds; it is checked every `POLL_S`."""
     while True:
         if condition():
             return
--- a/maplestile/router/discovery.py
+++ b/maplestile/router/discovery.py
@@ -20,8 +20,8 @@
     def poll(self, server: Address | None) -> None:
         """Poll this name server from now on.
 
-        The server before it is polled until this one has answered: without that, one that never answers
-        would keep all drains from the router.
+        The server before it is polled until this one has answered: otherwise the router would learn of no
+        drain while the new one does not answer.
         """
         previous = self._answering_task()
         if self.task is not None and (self.task is not previous or server is None):
@@ -44,7 +44,7 @@
 
     @property
     def has_answered(self) -> bool:
-        """Whether a usable answer has come, or none is awaited."""
+        """Whether a usable answer was received, or none is awaited."""
         return self.driver is None or self.driver.has_answered
 
     def _answering_task(self) -> asyncio.Task[None] | None:
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -16,7 +16,7 @@
 
 
 class Drain:
-    """The drain of one process; made when the process was asked to stop."""
+    """The drain of one process, created when it is asked to stop."""
 
     def __init__(
         self, components: Components, listeners: list[Listener], handover: "HandoverMonitor | None"
@@ -29,7 +29,7 @@
         longest_deadline_us = max(kind.deadline_us for kind in components.core.settings.classes)
         spare_us = limits.handover.spare_us
         self.end_us = started_us + limits.kill_after_us(longest_deadline_us) - spare_us  # of the process
-        # Clients hear of the end late, so they go on calling here until then.
+        # Clients learn of the end late, so they go on calling here until then.
         self.serve_until_us = min(started_us + limits.shutdown.drain_least_us, self.end_us)
         self.last_pending_us = started_us  # when a call was last open
 
@@ -40,8 +40,8 @@
         self._announce()
         if await self._serve_until_done():
             assert components.platform is not None
-            choosy_until_us = clock() + components.limits.handover.quiet_wait_us
-            await self._close_platform(components.platform, choosy_until_us)
+            wait_for_quiet_until_us = clock() + components.limits.handover.quiet_wait_us
+            await self._close_platform(components.platform, wait_for_quiet_until_us)
         else:
             await asyncio.sleep(POLL_S)  # the invoke front has yet to write the last answers
             if components.invoke is not None:
@@ -122,11 +122,11 @@
             return False
         return components.invoke.api.store.uncollected(clock())
 
-    async def _close_platform(self, platform: PlatformFront, choosy_until_us: int) -> None:
+    async def _close_platform(self, platform: PlatformFront, wait_for_quiet_until_us: int) -> None:
         """Stop accepting, and close each connection once it is quiet.
 
-        From `choosy_until_us` on, a moment without a pending request is enough. What comes just before the
-        exit is waited for: read by a process that ends at once, it would never be answered.
+        From `wait_for_quiet_until_us` on, a moment without a pending request is enough. The process lingers
+        for what arrives just before its exit: a request that was read and not answered would be lost.
         """
         components = self.components
         limits = components.limits
@@ -135,7 +135,7 @@
             await listener.finish(patience_s, components.descriptors_exhausted)
         while (self._has_unanswered() or platform.has_open_connections()) and clock() < self.end_us:
             await asyncio.sleep(POLL_S)
-            platform.close_gracefully(limits.handover.quiet_us if clock() < choosy_until_us else 0)
+            platform.close_gracefully(limits.handover.quiet_us if clock() < wait_for_quiet_until_us else 0)
         platform.close_all()
         linger_until_us = clock() + limits.handover.linger_us
         # What crossed the close is read and dropped.
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of an instance by an operator's file, read anew at each reload.
+"""The configuration of an instance by an operator's file, read again at each reload.
 
 The platform's nodes do not load this module: they have no operator's file and no policy of their own.
 """
--- a/maplestile/router/policy_configuration.py
+++ b/maplestile/router/policy_configuration.py
@@ -1,7 +1,7 @@
-"""A router's configuration from its file's tables and a policy of the fleet in the place of the file's own.
+"""Builds a router's configuration from its file's tables, with the fleet's policy in place of the file's own.
 
-It is built from the tables as they were last taken, so that an epoch brings in its policy, and nothing of the
-file that was not taken.
+It is built from the tables as they were last taken, so that an epoch changes the policy alone, and brings in
+nothing of a file that was not taken.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
     """The tables of the router's file as they were last taken, and what is built from them."""
 
     def __init__(self, tables: Tables, build: Build) -> None:
-        """Raises PolicyError where the file's own policy has no form of use."""
+        """Raises PolicyError where the file's own policy is invalid."""
         self.tables = tables
         self.build = build
         self.file_policy = Document.own(tables)  # in force until an epoch brings another
@@ -31,8 +31,8 @@
     def build_with(self, epoch: int, document: Document | None, tables: Tables | None = None) -> Config:
         """Return the configuration with the policy of an epoch in the place of the file's own.
 
-        No document stands for the file's own policy. `tables` are those of a reload that is not taken yet, in
-        the place of those last taken. Raises ConfigError.
+        Without a document it is the file's own policy. `tables` are those of a reload that is not taken yet,
+        in place of those last taken. Raises ConfigError.
         """
         adopted = AdoptedPolicy(epoch, document or self.file_policy)
         return self.build(self.tables if tables is None else tables, adopted)
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -1,4 +1,4 @@
-"""A router's part in the fleet's policy, put to work: its record on disk, its configuration, its events.
+"""The driver of a router's part in the fleet's policy: its record on disk, its configuration, its events.
 
 The decisions are made by `control.policy.follower.Follower`. What the agent sends comes by the operators'
 front (`operation.policy.PolicyOperations`), which decodes it.
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, settings: PolicySettings, tables: Tables, build: Build) -> None:
-        """Raises PolicyError where the file's own policy has no form of use."""
+        """Raises PolicyError where the file's own policy is invalid."""
         self.settings = settings
         self.configuration = PolicyConfiguration(tables, build)
         self.events = logs.events("policy")
@@ -67,9 +67,9 @@
     # The configuration.
 
     def configure(self, tables: Tables) -> Config:
-        """Return the file's configuration with the policy in force in the place of its own.
+        """Return the file's configuration with the policy in force in place of its own.
 
-        Called at the start, and at each reload. Raises ConfigError; then all stays as it was.
+        Called at the start, and at each reload. Raises ConfigError, and then changes nothing.
         """
         if not self.configured:
             self.configured = True
@@ -128,7 +128,7 @@
         reply(self.report(lacks_document=step is Step.FETCH))
 
     def _adopt(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
-        """Write the record first, off the loop since a disk may take its time; then put it in force."""
+        """Write the record first, off the loop since a disk may be slow; then put it in force."""
         finish = partial(self._finish_adoption, announcement, reply)
         try:
             self.configuration.build_with(announcement.epoch, announcement.document)
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration at SIGHUP: all that differs is taken, or nothing."""
+"""Reload of the configuration at SIGHUP: all differences are applied, or none."""
 
 import asyncio
 import json
@@ -46,9 +46,9 @@
         self.configure = configure
 
     def reload(self, reads_left: int = MAX_READS) -> None:
-        """Read the configuration again, whole, before anything of it is applied; print the result.
+        """Read and check the whole configuration before applying any of it, and print the result.
 
-        Where there is no file descriptor to read it by, one is freed, and it is read again a little later.
+        Where no file descriptor is free to read it, one is freed, and the read is retried a little later.
         """
         result = ReloadResult()
         try:
@@ -58,7 +58,7 @@
                 self._reload_later(reads_left - 1)
                 return
             result.fault = f"{type(fault).__name__}: {fault}"
-            self._note_refused(result)
+            self._record_refusal(result)
         else:
             self._take(config, result)
         result.print()
@@ -67,7 +67,7 @@
         self.components.descriptors_exhausted()
         asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload, reads_left)
 
-    def _note_refused(self, result: ReloadResult) -> None:
+    def _record_refusal(self, result: ReloadResult) -> None:
         components = self.components
         components.counters["reloads.failed"] += 1
         log.error("%s cannot reload; the old configuration stays: %s", components.name, result.fault)
@@ -82,7 +82,7 @@
         """Return the new configuration. Raises ConfigError or OSError where it cannot be applied."""
         config = self.configure()
         result.restarts = self.components.config.restarts(config)
-        # A part of it would make a mixture of two configurations, perhaps of two customers.
+        # Applied in part, it would mix two configurations, perhaps of two customers.
         if result.restarts:
             raise ConfigError(f"only a restart takes {', '.join(result.restarts)}")
         return config
