--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -25,7 +25,7 @@
 from maplestile.agent.replicated_log import ReplicatedLog, submit_for_operator
 from maplestile.agent.tasks import is_idle
 from maplestile.common import logs
-from maplestile.control.commands import EncodedCommand, ReadPolicy, SubmitVerdict
+from maplestile.control.commands import EncodedCommand, PolicyRead, ReadPolicy, SubmitVerdict, decode_reply
 from maplestile.control.errors import LogError
 from maplestile.control.log_view import RouterStatus
 from maplestile.control.policy.agreed import AgreedPolicies, Change
@@ -129,10 +129,10 @@
         }
         command = ReadPolicy(agent=self.settings.name, instances=tuple(answering), router_status=reports)
         with contextlib.suppress(LogError):  # counted there; its routers get no new fence meanwhile
-            reply = await self.replicated_log.submit(command)
-            if reply["ok"]:
-                for name in reply["named"]:  # these processes, not later ones of the same names
-                    answering[name].fence = Fence(int(reply["epoch"]), requested_us)
+            reply = decode_reply(command, await self.replicated_log.submit(command))
+            if isinstance(reply, PolicyRead):
+                for name in reply.named:  # these processes, not later ones of the same names
+                    answering[name].fence = Fence(reply.epoch, requested_us)
 
     def _start_announcement(self, policy: RouterPolicy, change: Change | None) -> None:
         if policy.has_own_policy or not is_idle(policy.announcing):
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -77,13 +77,14 @@
             address = _operator_address(self.process.settings)
             if not address:
                 return OperatorReply(False, "it has no operators' front", has_front=False)
-            status, body = await call(parse_address(address), method, path, wait_s, content)
+            response = await call(parse_address(address), method, path, wait_s, content)
         except (CallError, OperatorError) as fault:
             return OperatorReply(False, str(fault))
-        if status >= HTTPStatus.BAD_REQUEST:
+        text = response.body
+        if response.status >= HTTPStatus.BAD_REQUEST:
             with contextlib.suppress(ValueError, KeyError, TypeError):
-                body = json.loads(body)["detail"]
-        return OperatorReply(status < HTTPStatus.MULTIPLE_CHOICES, body.strip(), status)
+                text = json.loads(text)["detail"]
+        return OperatorReply(response.status < HTTPStatus.MULTIPLE_CHOICES, text.strip(), response.status)
 
     async def ready(self) -> bool:
         """Whether it runs and takes calls."""
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -25,8 +25,7 @@
     async def follow(self, number: int, name: str) -> None:
         """Follow the lease of a runner to its end.
 
-        While the runner is out that is seen to again and again, since a router that was started anew does not
-        know of it.
+        While the runner is out this is repeated, since a router that was restarted does not know of it.
         """
         while (lease := self._lease(name)) is not None and lease.number == number:
             if lease.stage is Stage.RETURNING:
--- a/maplestile/control/log_storage.py
+++ b/maplestile/control/log_storage.py
@@ -42,7 +42,7 @@
         raise pickle.UnpicklingError(f"{module}.{name}")
 
 
-def check(folder: Path, voter: str) -> None:
+def check_folder(folder: Path, voter: str) -> None:
     """Check that the folder is this voter's, complete and undamaged.
 
     Raises CommandRejected, which names the place, or OSError.
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -34,7 +34,7 @@
     encode_reply,
 )
 from maplestile.control.errors import CommandNotTaken, LogError, OutcomeUnknown
-from maplestile.control.log_storage import check
+from maplestile.control.log_storage import check_folder
 from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus, VoterStatus
 from maplestile.control.settings import ControlSettings, Voter
 from maplestile.control.state import ControlState
@@ -138,7 +138,7 @@
         self.settings = settings
         self.counters = counters
         settings.folder.mkdir(parents=True, exist_ok=True)
-        check(settings.folder, settings.name)
+        check_folder(settings.folder, settings.name)
         own_node = TCPNode(next(voter.address for voter in settings.voters if voter.name == settings.name))
         others = [voter for voter in settings.voters if voter.name != settings.name]
         other_nodes = [node_of(voter) for voter in others]
--- a/maplestile/invoke/invocation_request.py
+++ b/maplestile/invoke/invocation_request.py
@@ -41,7 +41,7 @@
     @property
     def scope(self) -> KeyScope | None:
         """Within what a repeat of the key is the same invocation; None without a key."""
-        return (self.function.name, self.tenant, self.key) if self.key else None
+        return KeyScope(self.function.name, self.tenant, self.key) if self.key else None
 
     def fingerprint(self) -> bytes:
         """Return a hash that tells a repeat from another call under the same key."""
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -8,14 +8,21 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from maplestile.wire.http import Response, problem
 
-# Within what a repeat of an idempotency key is the same invocation: function, tenant and key.
-KeyScope = tuple[str, str, str]
 Timer = Callable[[int, Callable[[], object]], None]  # calls back at a time in microseconds
 
 
+class KeyScope(NamedTuple):
+    """Within what a repeat of an idempotency key is the same invocation."""
+
+    function: str
+    tenant: str
+    key: str
+
+
 @dataclass(slots=True, eq=False)
 class InvocationRecord:
     """One invocation and its answer."""
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -58,28 +58,33 @@
         # All parts draw from one generator, in an order that is part of a recorded run.
         draws = random.Random(seed)
         self._sender = MessageSender(self.member_list, tuning, draws, health_checks)
-        probe_order = ProbeOrder(self.member_list, draws)
-        self._probe_order = probe_order
-        self._merger = UpdateMerger(
+        self._probe_order = ProbeOrder(self.member_list, draws)
+        self._merger = self._new_merger()
+        self._detector = self._new_detector(now_us)
+        self._suspicions = SuspicionTimers(self.member_list, self._merger, tuning)
+        self._gossip_timer = GossipTimer(self._sender, self._merger, self._local_health, now_us)
+        self._exchange = StateExchange(self.member_list, self._sender, self._merger, self._log, now_us)
+        self._isolation = IsolationDetector(self.member_list, self._log, health_checks)
+
+    def _new_merger(self) -> UpdateMerger:
+        return UpdateMerger(
             members=self.member_list,
             sender=self._sender,
-            probe_order=probe_order,
+            probe_order=self._probe_order,
             health=self._local_health,
             log=self._log,
         )
-        self._detector = FailureDetector(
+
+    def _new_detector(self, now_us: int) -> FailureDetector:
+        return FailureDetector(
             members=self.member_list,
             sender=self._sender,
-            probe_order=probe_order,
+            probe_order=self._probe_order,
             merger=self._merger,
             health=self._local_health,
             log=self._log,
             now_us=now_us,
         )
-        self._suspicions = SuspicionTimers(self.member_list, self._merger, tuning)
-        self._gossip_timer = GossipTimer(self._sender, self._merger, self._local_health, now_us)
-        self._exchange = StateExchange(self.member_list, self._sender, self._merger, self._log, now_us)
-        self._isolation = IsolationDetector(self.member_list, self._log, health_checks)
 
     # What the driver empties.
 
--- a/maplestile/operation/client.py
+++ b/maplestile/operation/client.py
@@ -1,6 +1,7 @@
 """One call to an operators' front, as the agent makes it for the command line."""
 
 import asyncio
+from dataclasses import dataclass
 
 import h11
 
@@ -14,10 +15,18 @@
     """The front could not be reached, or gave no complete answer."""
 
 
+@dataclass(slots=True, frozen=True)
+class FrontResponse:
+    """The answer of an operators' front."""
+
+    status: int
+    body: str
+
+
 async def call(
     address: Address, method: str, path: str, wait_s: float, content: bytes = b""
-) -> tuple[int, str]:
-    """Return the status and the body of the answer. Raises CallError."""
+) -> FrontResponse:
+    """Make a call, and return its answer. Raises CallError."""
     try:
         async with asyncio.timeout(wait_s):
             return await _exchange(address, method, path, content)
@@ -25,7 +34,7 @@
         raise CallError(f"no answer at {address[0]}:{address[1]}: {error or 'too late'}") from None
 
 
-async def _exchange(address: Address, method: str, path: str, content: bytes) -> tuple[int, str]:
+async def _exchange(address: Address, method: str, path: str, content: bytes) -> FrontResponse:
     reader, writer = await asyncio.open_connection(*address)
     connection = h11.Connection(h11.CLIENT)
     try:
@@ -51,7 +60,7 @@
     return b"".join(connection.send(event) or b"" for event in events)
 
 
-async def _read_response(connection: h11.Connection, reader: asyncio.StreamReader) -> tuple[int, str]:
+async def _read_response(connection: h11.Connection, reader: asyncio.StreamReader) -> FrontResponse:
     status = 0
     body = bytearray()
     while not isinstance(event := connection.next_event(), h11.EndOfMessage):
@@ -63,4 +72,4 @@
             body += event.data
         if isinstance(event, h11.ConnectionClosed) or len(body) > MAX_BODY_BYTES:
             raise CallError("no whole answer")
-    return status, body.decode(errors="replace")
+    return FrontResponse(status, body.decode(errors="replace"))
--- a/tests/test_log_storage.py
+++ b/tests/test_log_storage.py
@@ -10,7 +10,7 @@
 from pysyncobj.journal import FileJournal  # type: ignore[import-untyped]  # the library has no types
 
 from maplestile.common.errors import CommandRejected
-from maplestile.control.log_storage import check
+from maplestile.control.log_storage import check_folder
 
 
 class FolderTest(unittest.TestCase):
@@ -25,7 +25,7 @@
         journal._destroy()
         with gzip.open(self.folder / "snapshot", "wb") as file:
             file.write(bytes(1000))
-        check(self.folder, "a1")
+        check_folder(self.folder, "a1")
         self.whole = {path.name: path.read_bytes() for path in self.folder.iterdir()}
 
     def refused(self, name: str, content: bytes | None) -> str:
@@ -36,13 +36,13 @@
         else:
             (self.folder / name).write_bytes(content)
         with self.assertRaises(CommandRejected) as caught:
-            check(self.folder, "a1")
+            check_folder(self.folder, "a1")
         self.assertEqual((self.folder / name).exists(), content is not None)  # nothing is changed
         return str(caught.exception).replace(str(self.folder), "")
 
     def test_whole_folder_is_taken_again_and_a_new_one_as_well(self) -> None:
-        check(self.folder, "a1")
-        check(Path(tempfile.mkdtemp()), "a1")
+        check_folder(self.folder, "a1")
+        check_folder(Path(tempfile.mkdtemp()), "a1")
 
     def test_journal_that_is_cut_or_of_other_bytes_is_refused(self) -> None:
         journal = self.whole["journal"]
@@ -77,7 +77,7 @@
         for content in (b"", snapshot[:-3], b"x" * 50, snapshot[:-8] + b"\0" * 8):
             self.assertIn("/snapshot: not whole", self.refused("snapshot", content))
         with self.assertRaisesRegex(CommandRejected, "the folder is of voter 'a1'"):
-            check(self.folder, "a2")
+            check_folder(self.folder, "a2")
 
 
 if __name__ == "__main__":
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -19,7 +19,7 @@
 
 from maplestile.agent.supervisor import send_command
 from maplestile.invoke.operator_file import OperatorError, parse
-from maplestile.invoke.store import InvocationRecord, InvocationStore
+from maplestile.invoke.store import InvocationRecord, InvocationStore, KeyScope
 from maplestile.router.gc_scheduler import GcScheduler
 from maplestile.tools import trace_output, traces
 from maplestile.tools.cli import main
@@ -64,7 +64,7 @@
 def test_delivered_answer_never_changes_and_an_uncollected_one_is_failed_and_dropped() -> None:
     clock = StoreOnHandClock()
     delivered = InvocationRecord("a", None, b"", 100)
-    uncollected = InvocationRecord("b", ("f", "t", "k"), b"", 100)
+    uncollected = InvocationRecord("b", KeyScope("f", "t", "k"), b"", 100)
     for record in (delivered, uncollected):
         clock.store.add(record)
         clock.store.finish(record, Response(200, b"result"))
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -16,7 +16,7 @@
 from maplestile.common import durable_file as durable
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import HealthReport
-from maplestile.control.log_storage import check
+from maplestile.control.log_storage import check_folder
 from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus
 from maplestile.control.policy import store
 from maplestile.control.policy.document import AdoptedPolicy, document_of
@@ -104,9 +104,9 @@
         shutil.copytree(record.FOLDER, self.folder)
 
     def test_the_recorded_folder_is_taken_for_this_voter_alone(self) -> None:
-        check(self.folder, "a0")
+        check_folder(self.folder, "a0")
         with self.assertRaises(CommandRejected) as refused:
-            check(self.folder, "a1")
+            check_folder(self.folder, "a1")
         self.assertEqual(str(refused.exception), f"{self.folder / 'voter'}: the folder is of voter 'a0'")
 
     def test_a_voter_started_on_the_recorded_folder_has_the_recorded_state(self) -> None:
