--- a/maplestile/agent/process_launcher.py
+++ b/maplestile/agent/process_launcher.py
@@ -48,7 +48,7 @@
     def record(self, pid: int | None) -> None:
         """Put the process on record; None once it has ended."""
         if self.registry is not None:
-            self.registry.put(self.name, pid)
+            self.registry.record(self.name, pid)
 
     async def follow(self, process: Process, log_offset: int, handle: Callable[[bytes], None]) -> int:
         """Hand on its log lines, from that place of the file on, until it ends; its exit code."""
--- a/maplestile/agent/process_registry.py
+++ b/maplestile/agent/process_registry.py
@@ -26,7 +26,7 @@
         """Read the record, where there is one of use. Raises OSError where the folder cannot be made."""
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
-        self.known = _decode(durable.read(folder / RECORD_NAME, RECORD_VERSION))
+        self.processes = _decode(durable.read(folder / RECORD_NAME, RECORD_VERSION))
 
     def log_file(self, name: str) -> Path:
         """The file that an instance logs to, which is made if it is not there. Raises OSError."""
@@ -40,23 +40,23 @@
         It may not be on record, since its agent was killed just then, or its disk was full, or the record is
         damaged. It holds its ports all the same, so another would be started in vain again and again.
         """
-        on_record = [self.known[name]] if name in self.known else []
+        on_record = [self.processes[name]] if name in self.processes else []
         for process in itertools.chain(on_record, writers_of(self.log_file(name))):
             with contextlib.suppress(ProcessGone):
                 return AdoptedProcess(process.pid, process.started)
         return None
 
-    def put(self, name: str, pid: int | None) -> None:
-        """Put the process of an instance on record, or take it off once there is none.
+    def record(self, name: str, pid: int | None) -> None:
+        """Record the process of an instance, or remove it from the record once there is none.
 
-        What the disk does not take is logged; then it is found by its log file alone.
+        A failed write is logged; the process is then found by its log file alone.
         """
         if pid is None:
-            self.known.pop(name, None)
+            self.processes.pop(name, None)
         elif started := started_of(pid):
-            self.known[name] = ProcessId(pid, started)
+            self.processes[name] = ProcessId(pid, started)
         try:
-            durable.write(self.folder / RECORD_NAME, RECORD_VERSION, _encode(self.known))
+            durable.write(self.folder / RECORD_NAME, RECORD_VERSION, _encode(self.processes))
         except OSError as fault:
             log.warning("agent: the roster cannot be kept: %s", fault)
 
--- a/maplestile/agent/rollout_steps.py
+++ b/maplestile/agent/rollout_steps.py
@@ -46,7 +46,7 @@
             return None
         router = self.routers[lease.instance]
         is_drained = lease.stage is Stage.OUT and not router.process.running()
-        return None if is_drained else self.router_steps.take(lease, router)
+        return None if is_drained else self.router_steps.run(lease, router)
 
     def _forget_ended(self) -> None:
         ended = [number for number, task in self.tasks.items() if task.done()]
--- a/maplestile/agent/router_steps.py
+++ b/maplestile/agent/router_steps.py
@@ -17,7 +17,7 @@
         self.log_client = context.log_client
         self.beginning = set[int]()  # leases whose begin was submitted here, without an answer yet
 
-    async def take(self, agreed: Lease, router: RouterHandle) -> None:
+    async def run(self, agreed: Lease, router: RouterHandle) -> None:
         """Take the step of a lease to its end; ends at once where its begin is not agreed on."""
         lease = replace(agreed)  # as it is now: the agreed one changes while the step is taken
         # Not the first attempt: the agent before this one began the step, and the instance was started since
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -67,8 +67,8 @@
             StepEvents(lease).info("begin", action="runner")
         return is_agreed
 
-    def _part(self, lease: Lease, did: str) -> ReportPart:
-        return ReportPart(did=did, instance=lease.instance, lease=lease.number, agent=self.agent)
+    def _part(self, lease: Lease, part: str) -> ReportPart:
+        return ReportPart(part=part, instance=lease.instance, lease=lease.number, agent=self.agent)
 
     async def _set_used(self, runner: str, used: bool) -> bool:
         """Have the routers here use a runner or not.
--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -136,7 +136,7 @@
     return types.ReportPart(
         instance=str(encoded["instance"]),
         agent=str(encoded["agent"]),
-        did=encoded["did"],
+        part=encoded["did"],
         lease=encoded["lease"],
     )
 
--- a/maplestile/control/commands/types.py
+++ b/maplestile/control/commands/types.py
@@ -143,7 +143,7 @@
 class ReportPart:
     """Report what the routers of one agent have done with a leased runner: `begun`, `out` or `in`."""
 
-    did: str
+    part: str = field(metadata={WIRE_KEY: "did"})
     instance: str
     lease: int
     agent: str
--- a/maplestile/control/fleet.py
+++ b/maplestile/control/fleet.py
@@ -48,7 +48,7 @@
         """The instances of a kind that are counted out by a lease."""
         return [name for name, lease in self.leases.items() if lease.of_runner == (kind == RUNNERS)]
 
-    def known(self, kind: str) -> dict[str, str]:
+    def managers(self, kind: str) -> dict[str, str]:
         """The instances of a kind, and the agent that manages each."""
         return self.runners if kind == RUNNERS else self.instances
 
--- a/maplestile/control/lease_transitions.py
+++ b/maplestile/control/lease_transitions.py
@@ -47,7 +47,7 @@
 
 def _new_lease(fleet: FleetState, kind: str, step: Step, term: int) -> Lease:
     number = fleet.next_number()
-    holder = fleet.known(kind).get(step.instance)
+    holder = fleet.managers(kind).get(step.instance)
     if holder is None:
         # Its agent has removed it since the start of the rollout. Every release has used up a number here and
         # has answered with this text; voters of all releases must number alike.
@@ -122,11 +122,11 @@
         raise CommandRejected(f"there is no lease {command.lease} of a runner '{command.instance}'")
     if command.agent not in lease.parts:
         raise CommandRejected(f"{command.agent} has no part in lease {lease.number}")
-    stages = (Stage.RETURNING,) if command.did == PART_IN else (Stage.GRANTED, Stage.BEGUN)
-    if command.did not in (PART_BEGUN, PART_OUT, PART_IN) or lease.stage not in stages:
+    stages = (Stage.RETURNING,) if command.part == PART_IN else (Stage.GRANTED, Stage.BEGUN)
+    if command.part not in (PART_BEGUN, PART_OUT, PART_IN) or lease.stage not in stages:
         raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
-    lease.parts[command.agent] = command.did
-    if command.did == PART_IN:
+    lease.parts[command.agent] = command.part
+    if command.part == PART_IN:
         _return_runner(fleet, lease)
     else:
         _take_out_runner(fleet, lease)
--- a/maplestile/control/log_storage.py
+++ b/maplestile/control/log_storage.py
@@ -105,8 +105,8 @@
     """The size of the record's content, which is written before and after it."""
     size: int = SIZE.unpack_from(data, offset)[0] if offset + SIZE.size <= end else 0
     size_again_offset = offset + SIZE.size + size
-    is_whole = size >= INDEX_AND_TERM.size and size_again_offset + SIZE.size <= end
-    if not is_whole or SIZE.unpack_from(data, size_again_offset)[0] != size:
+    is_complete = size >= INDEX_AND_TERM.size and size_again_offset + SIZE.size <= end
+    if not is_complete or SIZE.unpack_from(data, size_again_offset)[0] != size:
         raise CommandRejected(f"{path}: byte {offset}: a record that is not whole")
     return size
 
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -40,7 +40,7 @@
     text: str
 
     @classmethod
-    def of(cls, tables: object) -> "Document":
+    def from_tables(cls, tables: object) -> "Document":
         """The document of these tables.
 
         Raises PolicyError for what is no table of policy, and for a document that is too large.
@@ -57,13 +57,13 @@
         return cls(text)
 
     @classmethod
-    def own(cls, root: Mapping[str, Any]) -> "Document":
+    def from_file(cls, root: Mapping[str, Any]) -> "Document":
         """The policy of an operator's file itself. Raises PolicyError."""
         tables = {name: root[name] for name in (RULES_TABLE, CLASS_TABLE) if name in root}
         limits = root.get(LIMITS_TABLE)
         if isinstance(limits, Mapping):
             tables[LIMITS_TABLE] = {name: limits[name] for name in POLICY_LIMITS if name in limits}
-        return cls.of(tables)
+        return cls.from_tables(tables)
 
     def tables(self) -> Tables:
         """The tables of the document; each call makes new ones."""
@@ -74,8 +74,8 @@
         """A hash of the policy, as hexadecimal digits."""
         return hashlib.blake2b(self.text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
-    def over(self, root: Mapping[str, Any]) -> Tables:
-        """The tables of an operator's file, with these in the place of its own policy."""
+    def applied_to(self, root: Mapping[str, Any]) -> Tables:
+        """The tables of an operator's file, with this document in place of its own policy."""
         merged = {name: value for name, value in root.items() if name not in POLICY_TABLES}
         tables = self.tables()
         file_limits = root.get(LIMITS_TABLE, {})
@@ -117,4 +117,4 @@
 
     Raises PolicyError.
     """
-    return None if tables is None else Document.of(tables)
+    return None if tables is None else Document.from_tables(tables)
--- a/maplestile/control/rollout_transitions.py
+++ b/maplestile/control/rollout_transitions.py
@@ -22,7 +22,7 @@
     """Start a rollout, where none is active and the budget leaves room for a step of it."""
     if command.kind not in KINDS:
         raise CommandRejected(f"kind: must be one of {', '.join(KINDS)}")
-    known = fleet.known(command.kind)
+    known = fleet.managers(command.kind)
     targets = tuple(dict.fromkeys(command.targets or sorted(known)))
     active = fleet.active_rollout()
     if active is not None:
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -62,7 +62,7 @@
         """
         old = self.operator
         same_classes = (old.deadlines_us, old.keyed) == (new.deadlines_us, new.keyed)
-        self._take(
+        self._apply(
             replace(
                 new,
                 listen=old.listen,
@@ -76,9 +76,9 @@
 
     def adopt(self, new: OperatorSettings) -> None:
         """Take another policy's classes and limits, at the moment at which the dispatcher takes them."""
-        self._take(replace(new, listen=self.operator.listen))
+        self._apply(replace(new, listen=self.operator.listen))
 
-    def _take(self, operator: OperatorSettings) -> None:
+    def _apply(self, operator: OperatorSettings) -> None:
         self.operator = operator
         self.store.max_records = operator.records
         self.store.keep_us = operator.record_us
@@ -156,7 +156,7 @@
 
     def _finish_unrecorded(self, tenant: str, respond: Respond, outcome: Outcome) -> None:
         self.in_flight[tenant] -= 1
-        respond(problems.of(outcome))
+        respond(problems.response_to(outcome))
 
     def _withdraw_unrecorded(self, tenant: str, call: int) -> None:
         """Cancel the call of a caller that has left, unless it has ended already."""
@@ -189,7 +189,7 @@
         if record.abandoned and not record.waiting and not outcome.ran:
             self.store.drop(record)  # nothing ran, and nobody got an answer: the key may be used again
         else:
-            self.store.finish(record, problems.of(outcome))
+            self.store.finish(record, problems.response_to(outcome))
 
     def _stop_waiting(self, record: InvocationRecord, respond: Respond) -> None:
         """Stop waiting for a caller with a key that has left.
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -111,7 +111,7 @@
     With an adopted policy, the policy of that epoch replaces the file's own.
     """
     if adopted is not None and adopted.document is not None:
-        tables = adopted.document.over(tables)
+        tables = adopted.document.applied_to(tables)
     policy = policy_settings_of(tables)
     root = TomlTable(tables, "", OperatorError)
     root.values.pop("policy", None)
--- a/maplestile/invoke/problems.py
+++ b/maplestile/invoke/problems.py
@@ -6,7 +6,7 @@
 RESULT_HEADERS = (("Content-Type", "application/octet-stream"),)
 
 
-def of(outcome: Outcome) -> Response:
+def response_to(outcome: Outcome) -> Response:
     """Return the result, or the problem details of a call that was not served."""
     match outcome.verdict:
         case Verdict.SERVED:
--- a/maplestile/membership/health_checks.py
+++ b/maplestile/membership/health_checks.py
@@ -115,14 +115,14 @@
         if 0 < misses < MISSES_UNTIL_SILENT:
             return None
         finding = HealthFinding(runner, answers, known.version + 1 if known else 1, self.own_name)
-        self._keep(finding)
+        self._store(finding)
         return finding
 
     def merge(self, finding: HealthFinding) -> bool:
         """Take another member's finding, and return whether it replaced the one known here."""
         if finding.runner not in self.runners or not finding.later(self.findings.get(finding.runner)):
             return False
-        self._keep(finding)
+        self._store(finding)
         return True
 
     def piggyback(self, count: int, transmit_limit: int) -> list[HealthFinding]:
@@ -169,6 +169,6 @@
         assigned = self.assignment.assign(self.runners, self.live, self.agreed)
         self.next_probe_us = {runner: self.next_probe_us.get(runner, 0) for runner in sorted(assigned)}
 
-    def _keep(self, finding: HealthFinding) -> None:
+    def _store(self, finding: HealthFinding) -> None:
         self.findings[finding.runner] = finding
         self._transmissions[finding.runner] = 0
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -44,8 +44,8 @@
     # Membership among instances; never on the platform, where routers cannot reach each other.
     peers: "MembershipSettings | None" = None
 
-    def restarts(self, new: "Config") -> list[str]:
-        """Return the names of what differs in the new configuration and only a restart can change."""
+    def restart_only_changes(self, new: "Config") -> list[str]:
+        """Return the names of the differences that only a restart can apply."""
         names = [each.name for each in fields(Settings) if each.name not in INVOKE_SETTINGS]
         changed = [f"settings.{name}" for name in _differing(names, self.settings, new.settings)]
         changed += _differing(RESTART_FIELDS, self, new)
--- a/maplestile/router/policy_configuration.py
+++ b/maplestile/router/policy_configuration.py
@@ -22,7 +22,7 @@
         """Raises PolicyError where the file's own policy is invalid."""
         self.tables = tables
         self.build = build
-        self.file_policy = Document.own(tables)  # in force until an epoch brings another
+        self.file_policy = Document.from_file(tables)  # in force until an epoch brings another
 
     def build_own(self) -> Config:
         """Return the configuration of the file alone. Raises ConfigError."""
@@ -37,6 +37,6 @@
         adopted = AdoptedPolicy(epoch, document or self.file_policy)
         return self.build(self.tables if tables is None else tables, adopted)
 
-    def take(self, tables: Tables) -> None:
+    def apply_reload(self, tables: Tables) -> None:
         """Take those tables of the file that a reload may change."""
         self.tables = self.tables | {name: tables[name] for name in LIVE_TABLES if name in tables}
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -90,14 +90,14 @@
     def _reloaded_configuration(self, tables: Tables) -> Config:
         config = self.configuration.build_with(self.epoch, self.document, tables)
         self._check_prepared(tables)
-        if Document.own(tables) != self.configuration.file_policy:
+        if Document.from_file(tables) != self.configuration.file_policy:
             self.counters["policy.reloads_refused"] += 1
             log.warning(
                 "policy: the file's policy has changed and is not taken: the fleet decides, "
                 "and its epoch is %d; `maplestile policy propose`",
                 self.follower.epoch,
             )
-        self.configuration.take(tables)
+        self.configuration.apply_reload(tables)
         return config
 
     def _check_prepared(self, tables: Tables) -> None:
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -60,7 +60,7 @@
             result.fault = f"{type(fault).__name__}: {fault}"
             self._record_refusal(result)
         else:
-            self._take(config, result)
+            self._apply(config, result)
         result.print()
 
     def _reload_later(self, reads_left: int) -> None:
@@ -72,22 +72,22 @@
         components.counters["reloads.failed"] += 1
         log.error("%s cannot reload; the old configuration stays: %s", components.name, result.fault)
 
-    def _take(self, config: Config, result: ReloadResult) -> None:
+    def _apply(self, config: Config, result: ReloadResult) -> None:
         components = self.components
         components.counters["reloads.taken"] += 1
-        result.taken = self._apply(config)
+        result.taken = self._apply_differences(config)
         log.info("%s reloaded; taken: %s", components.name, ", ".join(result.taken) or "nothing")
 
     def _read(self, result: ReloadResult) -> Config:
         """Return the new configuration. Raises ConfigError or OSError where it cannot be applied."""
         config = self.configure()
-        result.restarts = self.components.config.restarts(config)
+        result.restarts = self.components.config.restart_only_changes(config)
         # Applied in part, it would mix two configurations, perhaps of two customers.
         if result.restarts:
             raise ConfigError(f"only a restart takes {', '.join(result.restarts)}")
         return config
 
-    def _apply(self, config: Config) -> list[str]:
+    def _apply_differences(self, config: Config) -> list[str]:
         """Apply what differs, which can all change live, and return the names of it."""
         components = self.components
         taken = list[str]()
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -195,7 +195,7 @@
         yield self._env.timeout(2 * READ_US)
         for number in range(self.experiment.changes):
             policy = self.control.policy
-            document = Document.of({"rules": {"attempts": number + 1}})
+            document = Document.from_tables({"rules": {"attempts": number + 1}})
             propose = ProposePolicy(agent=agent_name(0), base=policy.epoch.number, document=document)
             reply = self.control.apply(propose)
             assert not isinstance(reply, Rejected), reply
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -61,7 +61,7 @@
     It is checked on this build, in the file of a router that has one function. Raises ConfigError, which
     names the field.
     """
-    document = Document.of(read(path))
+    document = Document.from_tables(read(path))
     classes = document.tables().get("class")
     first = classes[0] if isinstance(classes, list) and classes else {}
     name = first.get("name") if isinstance(first, dict) else None
@@ -71,7 +71,7 @@
         "worker": [{"id": "w", "address": "127.0.0.1:1"}],
         "function": [{"name": "f", "class": name or "?", "memory_mb": 1}],
     }
-    from_tables(document.over(router))
+    from_tables(document.applied_to(router))
     return document
 
 
--- a/tests/record_files.py
+++ b/tests/record_files.py
@@ -33,8 +33,8 @@
     file = {"name": "r", "rules": {"attempts": 1}, "limits": {"sockets": 9, "records": 1}}
     for tables in documents:
         try:
-            document = Document.of(tables)
-            results.append([document.text, document.digest(), document.over(file)])
+            document = Document.from_tables(tables)
+            results.append([document.text, document.digest(), document.applied_to(file)])
         except ConfigError as fault:
             results.append(f"refused: {fault}")
     return as_json(results)
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -144,7 +144,7 @@
 def test_a_command_from_the_wire_goes_to_the_log_as_it_is() -> None:
     damaged = {"reason": "", "do": "fly", "agent": "a0"}
     assert commands.as_encoded(damaged) is damaged
-    proposal = commands.ProposePolicy(document=Document.of({"rules": {}}), base=0, agent="a0")
+    proposal = commands.ProposePolicy(document=Document.from_tables({"rules": {}}), base=0, agent="a0")
     assert commands.as_encoded(proposal) == {
         "do": "policy propose",
         "document": {"rules": {}},
--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -23,17 +23,19 @@
 def test_a_document_takes_the_place_of_the_files_policy_whole() -> None:
     text = OPERATOR.replace("[rules]", '[policy]\nfolder = "x"\n[rules]')
     tables = operator.tables_of(text)
-    document = Document.of({"rules": {"attempts": 2}, "class": tables["class"], "limits": {"records": 7}})
+    document = Document.from_tables(
+        {"rules": {"attempts": 2}, "class": tables["class"], "limits": {"records": 7}}
+    )
     config = operator.from_tables(tables, AdoptedPolicy(4, document))
     assert (config.epoch, config.records, config.node["settings"]["limits"]["attemptsCap"]) == (4, 7, 2)
     assert config.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000  # not the file's 9.7
-    bare = operator.from_tables(tables, AdoptedPolicy(4, Document.of({"class": tables["class"]})))
+    bare = operator.from_tables(tables, AdoptedPolicy(4, Document.from_tables({"class": tables["class"]})))
     assert bare.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000
     assert config.node["settings"]["limits"]["maxOpen"] == 2000 and config.body_bytes == 16384
     with pytest.raises(ConfigError, match=r"function\[0\].class: must be one of other"):
         other = {"name": "other", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
-        operator.from_tables(tables, AdoptedPolicy(4, Document.of({"class": [other]})))
-    assert Document.own(tables).over(tables) == tables | {"limits": tables["limits"]}
+        operator.from_tables(tables, AdoptedPolicy(4, Document.from_tables({"class": [other]})))
+    assert Document.from_file(tables).applied_to(tables) == tables | {"limits": tables["limits"]}
 
 
 @pytest.mark.parametrize(
@@ -61,13 +63,13 @@
 
 def test_a_document_that_is_too_large_is_refused() -> None:
     with pytest.raises(PolicyError, match="is over 16384 bytes"):
-        Document.of({"rules": {"x": "y" * DOCUMENT_BYTES}})
+        Document.from_tables({"rules": {"x": "y" * DOCUMENT_BYTES}})
 
 
 def test_a_record_is_read_whole_or_not_at_all() -> None:
     folder = Path(tempfile.mkdtemp())
     assert store.read(folder) is None
-    for adopted in (AdoptedPolicy(0, None), AdoptedPolicy(3, Document.of(ONE))):
+    for adopted in (AdoptedPolicy(0, None), AdoptedPolicy(3, Document.from_tables(ONE))):
         store.write(folder, adopted)
         assert store.read(folder) == adopted
     whole = (folder / store.NAME).read_bytes()
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -194,7 +194,7 @@
 
     async def look() -> None:
         registry = ProcessRegistry(folder)
-        registry.put("r", child.pid)
+        registry.record("r", child.pid)
         orphan = ProcessRegistry(folder).orphan("r")
         assert orphan is not None and orphan.pid == child.pid and orphan.returncode is None
         assert ProcessRegistry(folder).orphan("other") is None
@@ -210,10 +210,10 @@
         orphan.send_signal(signal.SIGTERM)  # nobody there: nothing happens
         child.wait()
         assert ProcessRegistry(folder).orphan("r") is None
-        registry.put("r", None)
+        registry.record("r", None)
         for damaged in (b"", b"{}", b'{"version": 1, "sum": "", "body": {}}'):
             (folder / "roster.json").write_bytes(damaged)
-            assert ProcessRegistry(folder).known == {}
+            assert ProcessRegistry(folder).processes == {}
 
     try:
         asyncio.run(look())
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -179,11 +179,11 @@
     def test_the_process_registry_is_read_and_written_as_recorded(self) -> None:
         path = self.place("roster.json", "roster.json")
         registry = ProcessRegistry(self.folder)
-        self.assertEqual(registry.known, {"r0": (4194300, 17), "w0": (4194301, 18)})
-        registry.put("r1", None)
+        self.assertEqual(registry.processes, {"r0": (4194300, 17), "w0": (4194301, 18)})
+        registry.record("r1", None)
         self.assertEqual(path.read_bytes(), content("roster.json"))
-        registry.put("w0", None)
-        registry.put("r0", None)
+        registry.record("w0", None)
+        registry.record("r0", None)
         self.assertEqual(durable.read(path, 1), {})
 
     def test_the_suspended_runners_are_read(self) -> None:
