--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -167,7 +167,7 @@
         if is_agreed:
             policy.checked_change = change.number
         elif is_agreed is False:
-            # The change is decided, or this agent has not registered yet: it is repeated if need be.
+            # The change is decided, or this agent has not registered yet: it is repeated where needed.
             await asyncio.sleep(REPEAT_INTERVAL_S)
 
     async def _submit_verdict(self, verdict: SubmitVerdict) -> bool | None:
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -47,7 +47,7 @@
 
     epoch: int  # that it decides by
     lacks_document: bool  # of the announced epoch
-    content: Mapping[str, Any]  # the whole answer, as operators see it
+    content: Mapping[str, Any]  # the full answer, as operators see it
 
     @classmethod
     def decode(cls, text: str) -> "PolicyReport | None":
@@ -108,7 +108,7 @@
     async def _put(
         self, announcement: Announcement, epoch: Epoch, *, with_document: bool
     ) -> PolicyReport | None:
-        """Send an epoch; the router's report, None where it gives none, or one of no use."""
+        """Send an epoch; the router's report, None where it gives none, or an invalid one."""
         content = {
             "epoch": epoch.number,
             "fenced_us": announcement.fenced_us,
--- a/maplestile/agent/process_output.py
+++ b/maplestile/agent/process_output.py
@@ -27,7 +27,7 @@
 
     def handle(self, line: bytes) -> None:
         """Take one line: an answer that is waited for, or else a line to be printed."""
-        # An adopted process has no exit code to tell a clean end from a kill: this line has to do.
+        # An adopted process has no exit code to tell a clean end from a kill; this line serves instead.
         if line.rstrip().endswith(DRAINED_LINE):
             self.drained = True
         if line.startswith(b'{"') and self._is_answer(line):
--- a/maplestile/agent/process_registry.py
+++ b/maplestile/agent/process_registry.py
@@ -1,4 +1,4 @@
-"""The processes of an agent, on record: the next agent adopts those that the one before has left behind.
+"""The record of an agent's processes: the next agent adopts those that are still running.
 
 A router serves on when its agent is killed, and it holds its ports: a new agent that knew nothing of it
 would start another in vain. So the agent keeps a registry in its folder, and its instances write their logs
@@ -37,8 +37,8 @@
     def orphan(self, name: str) -> AdoptedProcess | None:
         """The process of an instance that an earlier agent has left, if it is there.
 
-        It may not be on record, since its agent was killed just then, or its disk was full, or the record is
-        damaged. It holds its ports all the same, so another would be started in vain again and again.
+        It may not be in the record: its agent was killed just then, or its disk was full, or the record is
+        damaged. It holds its ports all the same, so each further start would fail.
         """
         on_record = [self.processes[name]] if name in self.processes else []
         for process in itertools.chain(on_record, writers_of(self.log_file(name))):
@@ -66,7 +66,7 @@
 
 
 def _decode(record: Any) -> dict[str, ProcessId]:
-    """The processes of a record; an entry of no use is left out."""
+    """Decode the processes of a record; an invalid entry is left out."""
     if not isinstance(record, dict):
         return {}
     return {name: ProcessId(*entry) for name, entry in record.items() if _is_process(entry)}
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -56,7 +56,7 @@
 ) -> EncodedReply:
     """Submit an operator's command under its name in the log, for this agent; the reply of one applied.
 
-    The command goes on undecoded, so that the log answers a damaged one as any that does not fit. Raises
+    The command is passed on undecoded, so that the log rejects a damaged one as any that does not fit. Raises
     CommandError where it is refused, or not agreed on.
     """
     try:
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -49,7 +49,7 @@
             await self.log_client.submit_until_agreed(self._part(lease, PART_IN))
 
     async def _take_out(self, lease: Lease) -> bool:
-        """Take the runner out of the routers here; whether the step goes on: its begin is agreed on."""
+        """Take the runner out of the routers here; False where the step's begin is not agreed on."""
         assert lease.parts is not None
         if not lease.parts.get(self.agent) and not await self._begin(lease):
             return False
--- a/maplestile/agent/supervisor.py
+++ b/maplestile/agent/supervisor.py
@@ -32,7 +32,7 @@
     """An agent with its instances."""
 
     def __init__(self, settings: AgentSettings, reread: Callable[[str], InstanceSettings]) -> None:
-        """Raises OSError where its folder is another agent's, or of no use."""
+        """Raises OSError where its folder is another agent's, or cannot be used."""
         self.settings = settings
         registry = None
         if settings.folder is not None:
--- a/maplestile/control/commands/codec.py
+++ b/maplestile/control/commands/codec.py
@@ -89,7 +89,7 @@
 def decode(encoded: Mapping[str, Any]) -> Command:
     """The command of a wire form; a key that the command does not have is ignored.
 
-    Raises CommandRejected for an unknown command, for one that lacks a field, and for a field of no use.
+    Raises CommandRejected for an unknown command, for one that lacks a field, and for an invalid field.
     """
     name = encoded.get("do")
     if str(name) not in _COMMANDS:
--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -1,7 +1,7 @@
 """Decoding the fields of a command's wire form.
 
 Each public function is named for the type that it decodes to, and raises KeyError, TypeError or ValueError
-for a field that is missing or of no use, and CommandRejected for a document that is no policy.
+for a field that is missing or invalid, and CommandRejected for a document that is no policy.
 
 The numbers and agents that say what a sender believes are decoded as they are: a value of another type equals
 none of the agreed state's, so it is refused with the same text as an outdated one.
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -1,7 +1,7 @@
 """A policy as one document: the tables of an operator's file that steer decisions.
 
-    [rules]                   # whole
-    [[class]]                 # whole
+    [rules]                   # all of it
+    [[class]]                 # all of it
     [limits]                  # `POLICY_LIMITS` of it; those of a machine or a listener stay the file's
 
 A document replaces all of these tables of each router's file: what it does not name has the checker's
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -35,7 +35,7 @@
 
     NOTHING = "nothing"
     ADOPT = "adopt"
-    FETCH = "fetch"  # the document did not come along
+    FETCH = "fetch"  # the document was not sent along
     OLDER = "older"  # an epoch before the one in force: it came late, and changes nothing
 
 
@@ -55,8 +55,8 @@
     epoch: int
     fenced_us: int
     checking: int = 0  # the change that is being checked; 0 for none
-    has_document: bool = False  # the document came along
-    document: Document | None = None  # None, if it came along: the file's own
+    has_document: bool = False  # the document was sent along
+    document: Document | None = None  # None, if it was sent along: the file's own
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/control/rollout.py
+++ b/maplestile/control/rollout.py
@@ -58,7 +58,7 @@
 
     GRANTED = "granted"  # counted out, not yet touched
     BEGUN = "begun"  # its holder is at work on it
-    OUT = "out"  # drained for good, until an undo brings it back
+    OUT = "out"  # drained, until an undo brings it back
     AWAY = "away"  # a runner that no router uses any more
     RETURNING = "returning"  # a runner that routers use again one by one
 
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -146,7 +146,7 @@
         return lambda: self._stop_waiting(record, respond)
 
     def _invoke_unrecorded(self, invocation: InvocationRequest, respond: Respond) -> CancelCall:
-        """Run a call whose answer nobody can collect later: without a key, and not deferred."""
+        """Run a call whose answer cannot be collected later: without a key, and not deferred."""
         tenant = invocation.tenant
         self.in_flight[tenant] += 1
         request = core_request(invocation, self.operator)
@@ -187,7 +187,7 @@
     def _finish_recorded(self, tenant: str, record: InvocationRecord, outcome: Outcome) -> None:
         self.in_flight[tenant] -= 1
         if record.abandoned and not record.waiting and not outcome.ran:
-            self.store.drop(record)  # nothing ran, and nobody got an answer: the key may be used again
+            self.store.drop(record)  # nothing ran, and no caller got an answer: the key may be used again
         else:
             self.store.finish(record, problems.response_to(outcome))
 
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -1,6 +1,6 @@
 """Invocations that are known by an id: deferred ones, and those with an idempotency key.
 
-A record is pending until its one final answer; an answer that was delivered never changes. What nobody has
+A record is pending until its one final answer; an answer that was delivered never changes. What was not
 collected by its deadline is reported as failed, and its result dropped. Records are kept for a bounded time,
 and their number is bounded: a full store refuses.
 """
@@ -68,7 +68,7 @@
             del self.by_scope[record.scope]
 
     def uncollected(self, now_us: int) -> bool:
-        """Return whether a deferred invocation has an answer that nobody has collected yet."""
+        """Return whether a deferred invocation has an answer that was not collected yet."""
         return any(
             record.deferred
             and record.answer is not None
--- a/maplestile/membership/events.py
+++ b/maplestile/membership/events.py
@@ -1,4 +1,4 @@
-"""What the protocol reports to its driver: events to log, and counts of messages that were of no use."""
+"""What the protocol reports to its driver: events to log, and counts of invalid messages."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -44,5 +44,5 @@
         self.add(kind, fields)
 
     def count_fault(self, kind: str) -> None:
-        """Count a message that was of no use."""
+        """Count an invalid or unexpected message."""
         self.faults[kind] = self.faults.get(kind, 0) + 1
--- a/maplestile/membership/failure_detector.py
+++ b/maplestile/membership/failure_detector.py
@@ -18,7 +18,7 @@
 
 # Of the ack timeout, in percent: early enough that the nack reaches the requester before its probe ends.
 NACK_DUE_PERCENT = 80
-RELAYED_PING_ACK_TIMEOUTS = 2  # after so many nobody waits for the outcome of a relayed ping
+RELAYED_PING_ACK_TIMEOUTS = 2  # after so many the requester no longer waits for the outcome of a relayed ping
 
 
 @dataclass(slots=True)
--- a/maplestile/membership/probe_order.py
+++ b/maplestile/membership/probe_order.py
@@ -1,4 +1,4 @@
-"""The order in which members are probed: a shuffled round, drawn anew when it is used up (SWIM, section 4.3).
+"""The order in which members are probed: a shuffled round, redrawn when it is used up (SWIM, section 4.3).
 
 Every member is probed once in a round, so the time until a failure is first detected is bounded.
 """
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -37,7 +37,7 @@
     """One member's part in the group.
 
     The driver empties `outbox`, `events` and `faults` after each call. Nothing that peers send raises an
-    error: a message of no use is counted in `faults`.
+    error: an invalid or unexpected message is counted in `faults`.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
 
     @property
     def faults(self) -> dict[str, int]:
-        """Counts of messages that were of no use, by kind."""
+        """Counts of invalid or unexpected messages, by kind."""
         return self._log.faults
 
     @property
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -121,9 +121,9 @@
         A suspicion held here counts as fully confirmed, and lasts its minimum. A member that is alive
         here is sent the declaration, so that it can refute, and is probed next.
 
-        This guards live members against what follows a network partition: the other side has declared all of
-        this side dead, and each of its members goes on spreading that. Believed at once, it killed whole
-        sides (7458 false deaths in 1000 member-minutes among 100 members).
+        This protects live members after a network partition: the other side has declared all of this side
+        dead, and each of its members goes on spreading that. When such reports were believed at once, whole
+        sides were declared dead (7458 false deaths in 1000 member-minutes among 100 members).
         """
         if member.status is Status.SUSPECT:
             member.reported_dead = True
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -28,7 +28,7 @@
     reason: str  # of a refusal
     build: str
     calls_by_epoch: Mapping[int, Mapping[str, int]]
-    lacks_document: bool  # of the announced epoch: the agent is asked to send it
+    lacks_document: bool  # of the announced epoch: a request to the agent to send it
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/operation/policy_json.py
+++ b/maplestile/operation/policy_json.py
@@ -1,6 +1,6 @@
 """The form of the policy's messages on the operators' front, between an agent and its router.
 
-An announcement is `{"epoch", "fenced_us", "checking"}`, with `"document"` if it comes along; a check is
+An announcement is `{"epoch", "fenced_us", "checking"}`, with `"document"` if it is sent along; a check is
 `{"change", "document"}`. Both are answered by JSON objects, too: an announcement by a `PolicyReport`.
 """
 
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -1,4 +1,4 @@
-"""The whole configuration of one function router: read and checked before anything of it is used."""
+"""The configuration of one function router, read and checked as a whole before any of it is used."""
 
 import json
 import os
@@ -39,7 +39,7 @@
     fleet: EndpointList  # the endpoints that are known before the name server answers
     seed: int
     operator: "OperatorSettings | None" = None  # the operator's file, with the invoke front
-    operation: Address | None = None  # where operators call; `folder` is of no use without it
+    operation: Address | None = None  # the operators' front; `folder` has no effect without it
     folder: Path | None = None  # that outlives this process, and is shared with the one that replaces it
     # Membership among instances; never on the platform, where routers cannot reach each other.
     peers: "MembershipSettings | None" = None
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -57,7 +57,7 @@
         components = self.components
         if components.platform is not None:
             components.core.leave(self.end_us)  # what is pending then would never be answered
-        if components.peers is not None:  # the others learn of the leave, and suspect nobody
+        if components.peers is not None:  # the others learn of the leave, and suspect no failure
             components.peers.leave()
         if components.invoke is not None:
             components.invoke.http.start_leaving()
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -23,7 +23,7 @@
     """Reads the file, and joins it with the agreed policy where the file takes part in one."""
 
     def __init__(self, file: Path) -> None:
-        """Read the file for the first time. Raises ConfigError where it is of no use."""
+        """Read the file for the first time. Raises ConfigError where it is invalid."""
         self.file = file
         self.policy: PolicyDriver | None = None
         self._seed = os.urandom(SEED_BYTES).hex()  # one for all reloads
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -93,7 +93,7 @@
         components.core, components.limits, components.counters, components.selector, readiness.is_ready
     )
     components.platform = front
-    # Also where the folder is of no use: two processes that cannot hand over may still serve in turn.
+    # Also where the folder cannot be used: two processes that cannot hand over may still serve in turn.
     shared = config.operation is not None and config.operator is None
     listener = await front.start(*config.listen, shared)
     components.platform_listener = listener
--- a/maplestile/router/gc_scheduler.py
+++ b/maplestile/router/gc_scheduler.py
@@ -32,7 +32,7 @@
         self._opened_at_last_full = 0
 
     def start(self) -> None:
-        """Set the thresholds, and exempt all objects that exist now: they stay for good."""
+        """Set the thresholds, and exempt all objects that exist now, which live as long as the process."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(YOUNG_ALLOCATIONS, *OLDER_THRESHOLDS)
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -45,7 +45,7 @@
         selector: TimestampingSelector,
         policy: "PolicyDriver | None" = None,
     ) -> None:
-        """Build the components. Raises ConfigError or OSError where the configuration is of no use."""
+        """Build the components. Raises ConfigError or OSError where the configuration cannot be used."""
         self.components = Components(configure(), selector)
         self.supervisor = TaskSupervisor(self.components.counters)
         self.discovery = Discovery(self.components, self.supervisor)
@@ -126,7 +126,7 @@
     async def _serve_clients(self) -> list[Listener]:
         """Serve until asked to stop, drain, and return the listeners, still to be closed."""
         components = self.components
-        if components.stopping.is_set():  # before it could serve: it takes nobody in
+        if components.stopping.is_set():  # before it could serve: it accepts no clients
             return []
         listeners = await open_client_fronts(components, self.readiness)
         if listeners:
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -36,7 +36,7 @@
         """Return whether the name server has answered, or has had its time to.
 
         The runners of the configuration may be out of date, so the name server's answer is awaited; one that
-        never answers must not keep the process from serving for good.
+        never answers must not keep the process from serving forever.
         """
         if not self._list_was_current:
             waited_us = clock() - self.components.started_us
