--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -16,7 +16,7 @@
 from benchmarks.fit import Series
 from maplestile.control.commands import ReadPolicy, Register, encode
 from maplestile.control.raft_log import LogError, RaftLog
-from maplestile.control.rollout_planner import Rules
+from maplestile.control.rollout_planner import RolloutRules
 from maplestile.control.settings import ControlSettings, Voter
 from tests.fleet import free_ports
 
@@ -68,7 +68,7 @@
         self.tasks = [asyncio.create_task(raft.run()) for raft in self.rafts]
 
     def _settings(self, voter: Voter, voters: tuple[Voter, ...]) -> ControlSettings:
-        rules = Rules(step_us=60_000_000, settle_us=1_000_000, failed_most=0.1, calls_least=20)
+        rules = RolloutRules(step_us=60_000_000, settle_us=1_000_000, failed_most=0.1, calls_least=20)
         return ControlSettings(voter.name, voter.address, self.folder / voter.name, voters, (), 1, rules)
 
     async def ready(self) -> None:
--- a/maplestile/agent/command_server.py
+++ b/maplestile/agent/command_server.py
@@ -48,7 +48,7 @@
 class AgentCommand:
     """A command line, decoded."""
 
-    do: object
+    name: object
     instances: dict[str, Instance]  # those named, or all
     names_instances: bool
     operation: str  # of a command to the control plane
@@ -57,17 +57,17 @@
 
     @classmethod
     def decode(cls, line: bytes, instances: Mapping[str, Instance]) -> "AgentCommand":
-        """Raises CommandError where it is not understood, or names an instance that is not there."""
+        """Decode a command line. Raises CommandError where it is invalid, or names an unknown instance."""
         try:
             message = json.loads(line)
-            do = message["do"]
-            names = message.get("instances") or list(instances)
-            chosen = {name: instances[name] for name in names}
+            name = message["do"]
+            chosen = message.get("instances") or list(instances)
+            chosen_instances = {instance: instances[instance] for instance in chosen}
         except (ValueError, KeyError, TypeError, AttributeError) as fault:
             raise CommandError(f"not understood, or no such instance: {fault}") from None
         return cls(
-            do=do,
-            instances=chosen,
+            name=name,
+            instances=chosen_instances,
             names_instances=bool(message.get("instances")),
             operation=str(message.get("what")),
             content=message.get("command"),
@@ -150,9 +150,9 @@
             return CommandFailure(str(fault))
 
     def _handler_of(self, command: AgentCommand) -> Handler:
-        handler = self.handlers.get(command.do) if isinstance(command.do, str) else None
+        handler = self.handlers.get(command.name) if isinstance(command.name, str) else None
         if handler is None:
-            raise CommandError(f"no command '{command.do}'")
+            raise CommandError(f"no command '{command.name}'")
         return handler
 
     # Processes.
@@ -181,14 +181,14 @@
     # Operators' fronts.
 
     async def _operate(self, command: AgentCommand) -> FrontReplies:
-        do = str(command.do)
-        method, path = OPERATE[do]
+        name = str(command.name)
+        method, path = OPERATE[name]
         if isinstance(command.runner, str):
             path = path.format(quote(command.runner, safe=""))
         elif "{}" in path:
-            raise CommandError(f"'{do}' needs a runner")
+            raise CommandError(f"'{name}' needs a runner")
         replies = await _of_each(command, lambda instance: instance.client.operate(method, path))
-        return FrontReplies(do, replies)
+        return FrontReplies(name, replies)
 
     # The control plane.
 
--- a/maplestile/agent/instance.py
+++ b/maplestile/agent/instance.py
@@ -1,4 +1,4 @@
-"""One instance of an agent, and the parts of it that the controllers see."""
+"""One instance of an agent, and the interfaces by which the controllers use it."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -17,11 +17,11 @@
 
 
 class ProcessHandle(Protocol):
-    """What a controller does with one process of its agent."""
+    """One process of the agent, as the controllers use it."""
 
     @property
     def adopted(self) -> bool:
-        """Whether it was started by an agent before this one, which left it behind."""
+        """Whether an earlier agent started it."""
         ...
 
     @property
@@ -30,23 +30,23 @@
         ...
 
     async def drain(self) -> str:
-        """Ask it to stop, and wait for its end however long that takes; "" for a clean one, else how."""
+        """Stop it gracefully, and wait for its end without a limit; "" for a clean end, else how it ended."""
         ...
 
     def start(self) -> None:
-        """Have it running again."""
+        """Start it again."""
         ...
 
     def running(self) -> bool:
-        """Whether there is a process, ready or not."""
+        """Whether a process runs, ready or not."""
         ...
 
     def renew(self) -> None:
-        """Use the agent's file as it is now, from the next start on. Raises OperatorError."""
+        """Read its settings again from the agent's file, for the next start. Raises OperatorError."""
         ...
 
     def restore(self) -> None:
-        """Use the settings before the last `renew`, from the next start on."""
+        """Return to the settings before the last `renew`, for the next start."""
         ...
 
 
@@ -76,7 +76,7 @@
         ...
 
     async def suspend(self, runner: str, out: bool) -> bool:
-        """Have it use a runner no more, or again if not `out`; whether it did."""
+        """Cordon a runner if `out`, else lift its cordon; returns whether the router did so."""
         ...
 
 
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PolicyReport:
+class RouterReport:
     """A router's answer to an announcement: the state of its policy."""
 
     epoch: int  # that it decides by
@@ -50,7 +50,7 @@
     content: Mapping[str, Any]  # the full answer, as operators see it
 
     @classmethod
-    def decode(cls, text: str) -> "PolicyReport | None":
+    def decode(cls, text: str) -> "RouterReport | None":
         """The report of a router's JSON; None where its epoch is no number.
 
         Raises KeyError, TypeError or ValueError for anything else that is no report.
@@ -73,7 +73,7 @@
     epoch: int = UNKNOWN_EPOCH  # by its own last report
     sent: Announcement | None = None
     sent_s: float = 0.0
-    report: PolicyReport | None = None  # its last
+    report: RouterReport | None = None  # its last
     checked_change: int = 0  # the change whose verdict has been agreed on
     announcing: asyncio.Task[None] | None = None
     checking: asyncio.Task[None] | None = None
@@ -107,7 +107,7 @@
 
     async def _put(
         self, announcement: Announcement, epoch: Epoch, *, with_document: bool
-    ) -> PolicyReport | None:
+    ) -> RouterReport | None:
         """Send an epoch; the router's report, None where it gives none, or an invalid one."""
         content = {
             "epoch": epoch.number,
@@ -128,7 +128,7 @@
             log.warning("policy: %s does not take its word: %s", self.name, reply.text)
             return None
         try:
-            return PolicyReport.decode(reply.text)
+            return RouterReport.decode(reply.text)
         except (ValueError, KeyError, TypeError) as fault:
             log.warning("policy: %s gives an answer of no use: %s", self.name, fault)
             return None
--- a/maplestile/agent/process_steps.py
+++ b/maplestile/agent/process_steps.py
@@ -1,4 +1,4 @@
-"""What the steps of routers and of runners have in common: their surroundings, log events and processes."""
+"""What the steps of routers and of runners share: their context, log events and processes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StepContext:
-    """The agent that takes the steps, and what it takes them with."""
+    """The agent that the steps run at, and what they work on."""
 
     agent: str
     log_client: LogClient
@@ -37,7 +37,7 @@
 
 
 async def drain_process(process: ProcessHandle, events: StepEvents) -> None:
-    """Wait for the end of a process: it ends its calls in flight by itself, and is never killed."""
+    """Drain a process, and wait for its end; it finishes its calls in flight, and is never killed."""
     fault = await process.drain()
     if fault:
         events.error("unclean end", fault=fault)
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -71,7 +71,7 @@
 
     async def _poll(self) -> None:
         await self._register()
-        self.steps.take_up()
+        self.steps.start_tasks()
         self._report_health()
         self.leader.run_once()
 
--- a/maplestile/agent/rollout_steps.py
+++ b/maplestile/agent/rollout_steps.py
@@ -14,7 +14,7 @@
 
 
 class LeaseSteps:
-    """The tasks of the steps that an agent takes, one a lease."""
+    """The tasks of an agent's steps, one a lease."""
 
     def __init__(self, context: StepContext) -> None:
         self.agent = context.agent
@@ -24,8 +24,8 @@
         self.runner_steps = RunnerSteps(context)
         self.tasks: dict[int, asyncio.Task[None]] = {}  # by the number of the lease
 
-    def take_up(self) -> None:
-        """Begin, or go on with, the step of each lease that this agent has a part in."""
+    def start_tasks(self) -> None:
+        """Start or resume the step of each lease that this agent has a part in."""
         self._forget_ended()
         for lease in self.replicated_log.control.leases.values():
             step = None if lease.number in self.tasks else self._step_of(lease)
@@ -33,7 +33,7 @@
                 self.tasks[lease.number] = asyncio.get_running_loop().create_task(step)
 
     def cancel(self) -> None:
-        """Leave the steps to the next agent."""
+        """Cancel the tasks; the next agent resumes the steps."""
         for task in self.tasks.values():
             task.cancel()
 
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -51,7 +51,7 @@
 
 
 class InstanceProcess(Protocol):
-    """What the client has to know of the process behind the front."""
+    """The process that the front belongs to."""
 
     @property
     def settings(self) -> InstanceSettings:
@@ -59,7 +59,7 @@
         ...
 
     def running(self) -> bool:
-        """Whether there is a process, so that the address is not another's by now."""
+        """Whether a process runs; otherwise the address may be another's by now."""
         ...
 
 
@@ -120,7 +120,7 @@
             return None
 
     async def suspend(self, runner: str, out: bool) -> bool:
-        """Have it use a runner no more, or again if not `out`; whether it did."""
+        """Cordon a runner if `out`, else lift its cordon; returns whether the router did so."""
         path = SUSPEND_PATH if out else RESUME_PATH
         return (await self.operate("PUT", path.format(quote(runner, safe="")))).ok
 
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -47,7 +47,7 @@
 class SupervisedProcess:
     """The process of one instance, over all its starts.
 
-    `reread` gives the settings of an instance as the agent's file has them now, or raises OperatorError.
+    `reread` returns the present settings of an instance in the agent's file, or raises OperatorError.
     """
 
     def __init__(
@@ -138,7 +138,7 @@
         return True
 
     def running(self) -> bool:
-        """Whether there is a process, ready or not."""
+        """Whether a process runs, ready or not."""
         return self.process is not None and self.process.returncode is None
 
     # Operators' commands.
@@ -229,17 +229,17 @@
         return "" if is_clean else f"it ended with {code}"
 
     def start(self) -> None:
-        """Have it running again."""
+        """Start it again."""
         self.wanted.set()
 
     def renew(self) -> None:
-        """Use the agent's file as it is now, from the next start on. Raises OperatorError."""
+        """Read its settings again from the agent's file, for the next start. Raises OperatorError."""
         settings = self.reread(self.settings.name)
         self.previous_settings = self.settings
         self.settings = settings
 
     def restore(self) -> None:
-        """Use the settings before the last `renew`, from the next start on."""
+        """Return to the settings before the last `renew`, for the next start."""
         self.settings = self.previous_settings
 
 
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
+class FollowerTimeouts:
     """The timeouts of a router that gets no announcements, in microseconds."""
 
     stale_us: int = 5_000_000
@@ -71,7 +71,7 @@
 class Follower:
     """The state machine of one router's policy."""
 
-    rules: Rules
+    timeouts: FollowerTimeouts
     epoch: int  # on record, or NO_EPOCH
     since_us: int  # since when it may have missed a commit: its start, or the end of a pause
     ticked_us: int = field(init=False)
@@ -88,11 +88,11 @@
         """Advance the clock; called at intervals, and before each decision."""
         gap_us = now_us - self.ticked_us
         self.ticked_us = now_us
-        if gap_us > self.rules.pause_us:
+        if gap_us > self.timeouts.pause_us:
             self._restart(now_us)
-        if self.status is PolicyStatus.CURRENT and now_us - self.confirmed_us > self.rules.stale_us:
+        if self.status is PolicyStatus.CURRENT and now_us - self.confirmed_us > self.timeouts.stale_us:
             self.status = PolicyStatus.STALE
-        has_waited = now_us - self.since_us > self.rules.wait_us
+        has_waited = now_us - self.since_us > self.timeouts.wait_us
         if self.status is PolicyStatus.WAITING and has_waited and self.epoch != NO_EPOCH:
             self.status = PolicyStatus.STALE
 
@@ -145,7 +145,7 @@
 
     def _confirm(self, announcement: PolicyAnnouncement, now_us: int) -> None:
         fenced_us = announcement.fenced_us
-        if fenced_us < self.since_us or now_us - fenced_us > self.rules.stale_us:
+        if fenced_us < self.since_us or now_us - fenced_us > self.timeouts.stale_us:
             return  # what was committed since then is not known
         self.confirmed_us = max(self.confirmed_us, fenced_us)
         self.status = PolicyStatus.CURRENT
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -14,7 +14,7 @@
 
 from maplestile.common.toml_table import TomlTable
 from maplestile.control.policy.document import PolicyError
-from maplestile.control.policy.follower import Rules
+from maplestile.control.policy.follower import FollowerTimeouts
 
 US_PER_S = 1e6
 
@@ -24,7 +24,7 @@
     """A router's part in the agreed policy."""
 
     folder: Path
-    rules: Rules
+    timeouts: FollowerTimeouts
     trace: bool = False
 
 
@@ -39,13 +39,13 @@
     operation = TomlTable(tables.get("operation", {}), "operation", PolicyError)
     if "listen" not in operation.values:
         raise PolicyError("policy: needs [operation] listen: there its agent tells what is committed")
-    settings = PolicySettings(Path(table.text("folder")), _rules(table), table.flag("trace", False))
+    settings = PolicySettings(Path(table.text("folder")), _timeouts(table), table.flag("trace", False))
     table.end()
     return settings
 
 
-def _rules(table: TomlTable) -> Rules:
-    return Rules(
+def _timeouts(table: TomlTable) -> FollowerTimeouts:
+    return FollowerTimeouts(
         stale_us=int(table.number("stale_s", 5.0, least=0.5) * US_PER_S),
         wait_us=int(table.number("wait_s", 10.0, least=0.1) * US_PER_S),
     )
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -18,13 +18,13 @@
 from maplestile.control.rollout import Phase, Rollout, Stage
 from maplestile.control.state import ControlState
 
-__all__ = ["HealthReport", "RolloutPlanner", "Rules"]
+__all__ = ["HealthReport", "RolloutPlanner", "RolloutRules"]
 
 US_PER_S = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
+class RolloutRules:
     """What an operator's file may set; times in microseconds."""
 
     fresh_us: int = 2_000_000  # a health report counts for so long
@@ -57,7 +57,7 @@
 class RolloutPlanner:
     """The leader's own memory of the rollout, and its decisions."""
 
-    rules: Rules
+    rules: RolloutRules
     began_us: int
     reports: dict[str, ReceivedReport] = field(default_factory=dict)  # by instance
     lease_seen_us: dict[int, int] = field(default_factory=dict)  # when each lease was seen first, by number
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -23,7 +23,7 @@
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
 from maplestile.control.budget import budget_of
-from maplestile.control.rollout_planner import Rules
+from maplestile.control.rollout_planner import RolloutRules
 
 VOTER_COUNTS = (1, 3, 5)  # one is for trying things out: it outlives no failure
 INSTANCES_FOR_CHECK = 100  # any number does: only the form of a budget is checked here
@@ -49,7 +49,7 @@
     voters: tuple[Voter, ...]
     voter_agents: tuple[Address, ...]  # that an agent which is no voter submits to
     budget: int | str
-    rules: Rules
+    rules: RolloutRules
 
 
 def control_from(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
@@ -72,8 +72,8 @@
     return ControlSettings(name, listen, folder, named, voter_agents, budget, rules)
 
 
-def _rules(table: TomlTable) -> Rules:
-    return Rules(
+def _rules(table: TomlTable) -> RolloutRules:
+    return RolloutRules(
         step_us=int(table.number("step_s", 60.0, least=0.1) * US_PER_S),
         settle_us=int(table.number("settle_s", 1.0) * US_PER_S),
         failed_most=table.number("failed_most", 0.1, most=1.0),
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -16,7 +16,7 @@
 NOT_READY = b""
 
 
-class Stage(Enum):
+class HandoverStage(Enum):
     """How far a process has got in taking over from its predecessor."""
 
     WAITING = "waiting"  # another process takes over already
@@ -52,7 +52,7 @@
     """One process's part in a replacement."""
 
     def __init__(self, locks: Locking) -> None:
-        self.stage = Stage.WAITING
+        self.stage = HandoverStage.WAITING
         self.successor = False
         self.successor_ready = False
         self._locks = locks
@@ -61,29 +61,29 @@
     @property
     def process_count(self) -> int:
         """How many processes there are to share descriptors and memory."""
-        return 2 if self.successor or self.stage is not Stage.ALONE else 1
+        return 2 if self.successor or self.stage is not HandoverStage.ALONE else 1
 
     def poll(self) -> None:
         """Check what the other processes have acquired, released and marked."""
         self._advance()
-        if self.stage is Stage.ALONE:
+        if self.stage is HandoverStage.ALONE:
             self.successor = self._locks.is_held(NEXT)
             self.successor_ready = self.successor and self._locks.has_mark(NEXT, READY)
 
     def announce_ready(self) -> None:
         """Announce that this process can serve: its predecessor may go."""
-        if self.stage is Stage.TAKING:
+        if self.stage is HandoverStage.TAKING:
             self._locks.mark(NEXT, READY)
 
     def announce_stopping(self) -> None:
         """Announce that this process was asked to stop: its predecessor must not hand over to it."""
-        if self.stage is Stage.TAKING:
+        if self.stage is HandoverStage.TAKING:
             self._locks.mark(NEXT, NOT_READY)
 
     def _advance(self) -> None:
-        if self.stage is not Stage.ALONE and self._locks.acquire(SERVING):
-            if self.stage is Stage.TAKING:
+        if self.stage is not HandoverStage.ALONE and self._locks.acquire(SERVING):
+            if self.stage is HandoverStage.TAKING:
                 self._locks.release(NEXT)
-            self.stage = Stage.ALONE
-        elif self.stage is Stage.WAITING and self._locks.acquire(NEXT):
-            self.stage = Stage.TAKING
+            self.stage = HandoverStage.ALONE
+        elif self.stage is HandoverStage.WAITING and self._locks.acquire(NEXT):
+            self.stage = HandoverStage.TAKING
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -55,7 +55,8 @@
         self.logged_refusal = (NO_EPOCH, "")
         record = store.read(settings.folder)
         self.document = None if record is None else record.document
-        self.follower = Follower(settings.rules, NO_EPOCH if record is None else record.epoch, monotonic_us())
+        recorded_epoch = NO_EPOCH if record is None else record.epoch
+        self.follower = Follower(settings.timeouts, recorded_epoch, monotonic_us())
         self.logged_status = PolicyStatus.WAITING
         self.configured = False
 
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -3,7 +3,7 @@
 import asyncio
 import logging
 
-from maplestile.operation.handover import Handover, Stage
+from maplestile.operation.handover import Handover, HandoverStage
 from maplestile.router.clock import poll_until
 from maplestile.router.components import Components
 from maplestile.router.readiness import Readiness
@@ -25,7 +25,7 @@
         Where another process serves, clients are taken only when this one has a current endpoint list.
         """
         handover = self.handover
-        if handover.stage is Stage.ALONE:
+        if handover.stage is HandoverStage.ALONE:
             return
         log.info("%s: another process serves; it is %s", self.components.name, handover.stage.value)
         await poll_until(self._may_take_clients)
@@ -60,6 +60,6 @@
             log.warning("%s: the locks: %s", self.components.name, fault)
 
     def _may_take_clients(self) -> bool:
-        if self.readiness.list_is_current() and self.handover.stage is not Stage.WAITING:
+        if self.readiness.list_is_current() and self.handover.stage is not HandoverStage.WAITING:
             return True
         return self.components.stopping.is_set()
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -21,7 +21,13 @@
 )
 from maplestile.control.policy.change import Change, Phase
 from maplestile.control.policy.document import Document
-from maplestile.control.policy.follower import Follower, PolicyAnnouncement, PolicyStatus, Rules, Step
+from maplestile.control.policy.follower import (
+    Follower,
+    FollowerTimeouts,
+    PolicyAnnouncement,
+    PolicyStatus,
+    Step,
+)
 from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.tools.faults.schedule import US_PER_S
 from maplestile.tools.model.control_model import ControlModel, agent_name
@@ -52,7 +58,7 @@
         self.measured = PolicyMeasurements()
         self._planner = PolicyPlanner()
         self._agent_of = {name: number % experiment.agents for number, name in enumerate(self.names)}
-        self._routers = {name: Follower(Rules(), 0, 0) for name in self.names}
+        self._routers = {name: Follower(FollowerTimeouts(), 0, 0) for name in self.names}
         self._fences: dict[str, Fence] = {}
         self._replica_epochs = dict.fromkeys(range(experiment.agents), 0)
         self._cut = set[int]()  # agents that are cut off
@@ -223,7 +229,7 @@
         self.measured.record_unreachable([name], self.control.policy.epoch.number)
         yield self._env.timeout(down.for_us)
         self._down.discard(name)
-        self._routers[name] = Follower(Rules(), self._routers[name].epoch, self.now_us)
+        self._routers[name] = Follower(FollowerTimeouts(), self._routers[name].epoch, self.now_us)
 
 
 def run(experiment: PolicyExperiment) -> PolicyMetrics:
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -18,7 +18,7 @@
     ResumeRollout,
     StartRollout,
 )
-from maplestile.control.rollout_planner import RolloutPlanner, Rules
+from maplestile.control.rollout_planner import RolloutPlanner, RolloutRules
 from maplestile.control.state import ACTIVE, Lease, Phase, Stage
 from maplestile.tools.faults.schedule import US_PER_MS, US_PER_S
 from maplestile.tools.model.control_model import ControlModel
@@ -78,7 +78,7 @@
         self._out = set[str]()  # instances that do not serve, planned or not
         self._in_outage = set[str]()
         self._started_leases = set[int]()  # leases whose agents have started the step
-        self._planner: RolloutPlanner | None = RolloutPlanner(Rules(), 0)  # None without a leader
+        self._planner: RolloutPlanner | None = RolloutPlanner(RolloutRules(), 0)  # None without a leader
         self._is_command_pending = False
 
     def run(self) -> RolloutMetrics:
@@ -180,7 +180,7 @@
         yield self._env.timeout(election.at_us)
         self._planner = None
         yield self._env.timeout(election.for_us)
-        self._planner = RolloutPlanner(Rules(), self.now_us)
+        self._planner = RolloutPlanner(RolloutRules(), self.now_us)
 
     def _halt_and_resume(self) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self.experiment.halt_at_us)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,7 +5,7 @@
 
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import encode
-from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
+from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, RolloutRules
 from maplestile.control.state import ControlState, Phase, Stage, budget_of
 
 S = 1_000_000  # microseconds
@@ -27,7 +27,7 @@
         self.control = control()
         self.now = 100 * S
         self.out = frozenset[str]()
-        self.planner = RolloutPlanner(Rules(**{"settle_us": 0, **rules}), self.now)
+        self.planner = RolloutPlanner(RolloutRules(**{"settle_us": 0, **rules}), self.now)
         self.reports = {name: HealthReport(True) for name in NAMES}
 
     def submit(self, do: str, **more: Any) -> dict[str, Any]:
@@ -295,7 +295,7 @@
 
     def test_a_silent_runner_counts_against_the_budget(self) -> None:
         self.ok("start", action="drain", kind="runners", targets=["w1"], budget=1)
-        planner = RolloutPlanner(Rules(settle_us=0), 0)
+        planner = RolloutPlanner(RolloutRules(settle_us=0), 0)
         planner.record_reports({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
         self.assertIsNone(planner.next_command(self.control, frozenset({"w2"}), 1, 2))
         self.assertIsNotNone(planner.next_command(self.control, frozenset(), 1, 3))
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from maplestile.control.commands import GrantLease, Rejected
-from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
+from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, RolloutRules
 from maplestile.control.state import ACTIVE, ControlState, Phase, Stage
 from tests.test_control import NAMES, S, control
 
@@ -20,7 +20,7 @@
         super().__init__()
         self.control = control()
         self.now = 100 * S
-        self.planner = RolloutPlanner(Rules(settle_us=0, step_us=20 * S), self.now)
+        self.planner = RolloutPlanner(RolloutRules(settle_us=0, step_us=20 * S), self.now)
         self.chance = random.Random(1)
         self.lost = set[str]()  # out without a lease
         for agent, managed in (("a0", True), ("a1", False)):
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -14,7 +14,7 @@
 from maplestile.operation import metrics as exposition
 from maplestile.operation.api import OperatorApi
 from maplestile.operation.cordons import Cordons
-from maplestile.operation.handover import Handover, Stage
+from maplestile.operation.handover import Handover, HandoverStage
 from maplestile.operation.policy import PolicyOperations
 from maplestile.operation.runner_view import RunnerView
 from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
@@ -310,12 +310,12 @@
 
     def test_two_upgrades_in_a_row(self) -> None:
         first, first_locks = self.process()
-        self.assertEqual((first.stage, first.process_count), (Stage.ALONE, 1))
+        self.assertEqual((first.stage, first.process_count), (HandoverStage.ALONE, 1))
         for _ in range(2):
             second, second_locks = self.process()
             third, third_locks = self.process()
             first.poll()
-            self.assertEqual((second.stage, third.stage), (Stage.TAKING, Stage.WAITING))
+            self.assertEqual((second.stage, third.stage), (HandoverStage.TAKING, HandoverStage.WAITING))
             self.assertEqual(
                 (first.process_count, second.process_count, first.successor_ready), (2, 2, False)
             )
@@ -325,7 +325,7 @@
             self.assertTrue(first.successor_ready)
             self.die(first_locks)
             second.poll()
-            self.assertEqual((second.stage, second.process_count), (Stage.ALONE, 1))
+            self.assertEqual((second.stage, second.process_count), (HandoverStage.ALONE, 1))
             first, first_locks = second, second_locks
 
     def test_a_successor_that_dies_leaves_nothing_behind(self) -> None:
@@ -337,7 +337,7 @@
         self.assertEqual((first.process_count, first.successor_ready), (1, False))
         second, _ = self.process()
         first.poll()
-        self.assertEqual((second.stage, first.successor_ready), (Stage.TAKING, False))
+        self.assertEqual((second.stage, first.successor_ready), (HandoverStage.TAKING, False))
 
     def test_no_process_yields_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
         first, _ = self.process()
--- a/tests/test_policy_follower.py
+++ b/tests/test_policy_follower.py
@@ -3,9 +3,9 @@
 from maplestile.control.policy.follower import (
     NO_EPOCH,
     Follower,
+    FollowerTimeouts,
     PolicyAnnouncement,
     PolicyStatus,
-    Rules,
     Step,
 )
 
@@ -13,7 +13,7 @@
 
 
 def follower(epoch: int = 3) -> Follower:
-    return Follower(Rules(stale_us=5 * S, wait_us=10 * S, pause_us=2 * S), epoch, 100 * S)
+    return Follower(FollowerTimeouts(stale_us=5 * S, wait_us=10 * S, pause_us=2 * S), epoch, 100 * S)
 
 
 def on(one: Follower, until_us: int) -> None:
--- a/tests/test_policy_random.py
+++ b/tests/test_policy_random.py
@@ -8,9 +8,9 @@
 from maplestile.control.policy.follower import (
     NO_EPOCH,
     Follower,
+    FollowerTimeouts,
     PolicyAnnouncement,
     PolicyStatus,
-    Rules,
     Step,
 )
 from maplestile.control.policy.planner import PolicyPlanner
@@ -34,7 +34,7 @@
             mine = [name for name, owner in self.names.items() if owner == agent]
             assert self.control.apply_encoded({"do": "register", "agent": agent, "instances": mine})["ok"]
         self.planner = PolicyPlanner()
-        self.routers = {name: Follower(Rules(), NO_EPOCH, self.now) for name in self.names}
+        self.routers = {name: Follower(FollowerTimeouts(), NO_EPOCH, self.now) for name in self.names}
         self.announcements = dict.fromkeys(self.names, PolicyAnnouncement(0, 0, has_document=True))
         self.record = dict.fromkeys(self.names, NO_EPOCH)
         self.committed = [0]  # the truth
@@ -80,7 +80,7 @@
 
     @rule(name=st.sampled_from(("r0", "r1", "r2")))
     def restart(self, name: str) -> None:
-        self.routers[name] = Follower(Rules(), self.record[name], self.now)
+        self.routers[name] = Follower(FollowerTimeouts(), self.record[name], self.now)
 
     @rule(pause=st.sampled_from((S // 10, S, 3 * S, 12 * S)))
     def wait(self, pause: int) -> None:
@@ -125,7 +125,7 @@
     def one_that_is_current_has_what_was_committed_when_its_announcement_was_read(self) -> None:
         for router in self.routers.values():
             if router.status is PolicyStatus.CURRENT:
-                assert self.now - router.confirmed_us <= router.rules.stale_us
+                assert self.now - router.confirmed_us <= router.timeouts.stale_us
                 assert router.confirmed_us >= router.since_us
                 assert router.epoch >= max(epoch for epoch, at in self.at.items() if at < router.confirmed_us)
 
