--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -1,8 +1,8 @@
 """The agent's part in the fleet's policy: its routers check a change, and are sent what is committed.
 
-What a router is sent is fenced: by a read that was agreed on after it was requested, at a time of the
-machine's monotonic clock, which the routers share. A read names the routers that answer, and a fence goes
-only to those that its read has named, so none is let serve by an old epoch behind a change's back. Where the
+An announcement to a router is fenced by a read of the log: the read was agreed on after it was requested, at
+a time of the machine's monotonic clock, which the routers share. A read names the routers that answer, and
+its fence is sent to those alone, so no router goes on with an old epoch once a change is committed. Where the
 agent's voter leads, `PolicyLeader` decides whether a change is committed.
 """
 
@@ -11,8 +11,13 @@
 import logging
 import time
 from collections.abc import Mapping
-from typing import Any
 
+from maplestile.agent.command_results import (
+    CommandResult,
+    FleetPolicyStatus,
+    InstancePolicy,
+    PolicyAccepted,
+)
 from maplestile.agent.errors import CommandError
 from maplestile.agent.instance import RouterHandle
 from maplestile.agent.policy_leader import PolicyLeader
@@ -20,13 +25,14 @@
 from maplestile.agent.replicated_log import ReplicatedLog, submit_for_operator
 from maplestile.agent.tasks import is_idle
 from maplestile.common import logs
-from maplestile.control.commands import EncodedCommand, ReadPolicy, SubmitVerdict
+from maplestile.control.commands import EncodedCommand, PolicyRead, ReadPolicy, SubmitVerdict, decode_reply
 from maplestile.control.errors import LogError
+from maplestile.control.log_view import RouterStatus
 from maplestile.control.policy.agreed import AgreedPolicies, Change
 from maplestile.control.settings import ControlSettings
 
 log = logging.getLogger("maplestile.policy")
-LOOK_INTERVAL_S = 0.05  # between looks at the agreed state
+POLL_INTERVAL_S = 0.05  # of the agreed state
 READ_INTERVAL_S = 1.0  # between reads
 READ_INTERVAL_CHECKING_S = 0.5  # between reads while a change is being checked
 
@@ -59,21 +65,22 @@
         """Take this agent's part until cancelled."""
         try:
             while True:
-                await asyncio.sleep(LOOK_INTERVAL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 if self.replicated_log.ready():
-                    self._look()
+                    self._poll()
         finally:
             self._cancel_tasks()
 
     def _cancel_tasks(self) -> None:
-        tasks = [self.reading, self.leader.deciding]
+        self.leader.cancel()
+        tasks = [self.reading]
         for policy in self.router_policies.values():
             tasks += [policy.announcing, policy.checking]
         for task in tasks:
             if task is not None:
                 task.cancel()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._log_commit()
         running = self._running_routers()
         change = self.agreed.checking()
@@ -81,7 +88,7 @@
         for policy in running:
             self._start_announcement(policy, change)
             self._start_check(policy, change)
-        self.leader.look()
+        self.leader.run_once()
 
     def _log_commit(self) -> None:
         """Log the commit of an epoch once, also where the answer to the commit was lost."""
@@ -91,7 +98,7 @@
             self.events.info("committed", epoch=epoch.number, change=epoch.change)
 
     def _running_routers(self) -> list[RouterPolicy]:
-        """The routers that run; nothing is known yet of one whose process was started since the last look."""
+        """The routers that run; nothing is known yet of one whose process was started since the last poll."""
         running = []
         for name, router in self.routers.items():
             if not router.process.running():
@@ -102,7 +109,7 @@
             running.append(policy)
         return running
 
-    # What is committed, to the routers.
+    # Announcements of what is committed.
 
     def _start_read(self, running: list[RouterPolicy], change: Change | None) -> None:
         following = [policy for policy in running if not policy.has_own_policy]
@@ -121,11 +128,11 @@
             if policy.report is not None
         }
         command = ReadPolicy(agent=self.settings.name, instances=tuple(answering), router_status=reports)
-        with contextlib.suppress(LogError):  # counted there; its routers hear nothing new meanwhile
-            reply = await self.replicated_log.submit(command)
-            if reply["ok"]:
-                for name in reply["named"]:  # these processes, not those that have come by their names
-                    answering[name].fence = Fence(int(reply["epoch"]), requested_us)
+        with contextlib.suppress(LogError):  # counted there; its routers get no new fence meanwhile
+            reply = decode_reply(command, await self.replicated_log.submit(command))
+            if isinstance(reply, PolicyRead):
+                for name in reply.named:  # these processes, not later ones of the same names
+                    answering[name].fence = Fence(reply.epoch, requested_us)
 
     def _start_announcement(self, policy: RouterPolicy, change: Change | None) -> None:
         if policy.has_own_policy or not is_idle(policy.announcing):
@@ -138,9 +145,9 @@
     async def announce(self, policy: RouterPolicy, announcement: Announcement) -> None:
         """Send a router what it has to know now."""
         if await policy.announce(announcement, self.agreed):
-            self.read_s = 0.0  # the next read tells the others of it at once
+            self.read_s = 0.0  # read at once, so that the others learn of it
 
-    # A change, to be checked.
+    # Checks of a proposed change.
 
     def _start_check(self, policy: RouterPolicy, change: Change | None) -> None:
         if change is None or policy.checked_change == change.number or not is_idle(policy.checking):
@@ -151,7 +158,7 @@
         """Have a router check the change, and its verdict agreed on."""
         reason = await policy.check(change)
         if reason is None:
-            await asyncio.sleep(LOOK_INTERVAL_S)  # it is repeated, for as long as the change is checked
+            await asyncio.sleep(POLL_INTERVAL_S)  # it is repeated, for as long as the change is checked
             return
         verdict = SubmitVerdict(
             agent=self.settings.name, change=change.number, instance=policy.name, reason=reason
@@ -160,7 +167,7 @@
         if is_agreed:
             policy.checked_change = change.number
         elif is_agreed is False:
-            # The change is decided, or this agent has not registered yet: it is repeated if need be.
+            # The change is decided, or this agent has not registered yet: it is repeated where needed.
             await asyncio.sleep(REPEAT_INTERVAL_S)
 
     async def _submit_verdict(self, verdict: SubmitVerdict) -> bool | None:
@@ -182,29 +189,29 @@
 
     # Operators' commands.
 
-    async def execute(self, operation: str, command: EncodedCommand) -> dict[str, Any]:
-        """The reply to `status`, `propose` or `rollback`. Raises CommandError where it is not agreed on."""
+    async def execute(self, operation: str, command: EncodedCommand) -> CommandResult:
+        """The result of `status`, `propose` or `rollback`. Raises CommandError where it is not agreed on."""
         if operation == "status":
-            return {"policy": self._status()}
+            return self._status()
         if operation not in ("propose", "rollback"):
             raise CommandError(f"policy: no command '{operation}'")
         name = f"policy {operation}"
         reply = await submit_for_operator(self.replicated_log, self.settings.name, name, command)
         self.events.info(f"operator {operation}", change=reply["change"], base=reply["base"])
-        return {"policy": reply}
+        return PolicyAccepted(reply)
 
-    def _status(self) -> dict[str, Any]:
-        """What is agreed on, and each instance as its agent last reported; `heard_s` is how long ago."""
+    def _status(self) -> FleetPolicyStatus:
         reported = self.replicated_log.router_status
-        instances: dict[str, dict[str, Any]] = {}
-        for name, agent in sorted(self.replicated_log.control.instances.items()):
-            status = reported.get(agent)
-            age_s = None if status is None else status.age_s
-            report = {} if status is None else status.routers.get(name, {})
-            instances[name] = {"agent": agent, "heard_s": age_s, **report}
-        return {
-            "agreed": self.agreed.encoded(),
-            "instances": instances,
-            "ready": self.replicated_log.ready(),
-            "raft": self.replicated_log.status().encoded(),
-        }
+        instances = sorted(self.replicated_log.control.instances.items())
+        return FleetPolicyStatus(
+            agreed=self.agreed,
+            instances={name: _instance_policy(name, agent, reported.get(agent)) for name, agent in instances},
+            voter=self.replicated_log.status(),
+            ready=self.replicated_log.ready(),
+        )
+
+
+def _instance_policy(name: str, agent: str, reported: RouterStatus | None) -> InstancePolicy:
+    if reported is None:
+        return InstancePolicy(agent, None, {})
+    return InstancePolicy(agent, reported.age_s, reported.routers.get(name, {}))
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Announcement:
-    """What a router is to know now."""
+    """What a router has to be sent now."""
 
     epoch: int
     fenced_us: int
@@ -42,15 +42,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PolicyReport:
-    """A router's answer to an announcement: how its policy stands."""
+class RouterReport:
+    """A router's answer to an announcement: the state of its policy."""
 
     epoch: int  # that it decides by
     lacks_document: bool  # of the announced epoch
-    content: Mapping[str, Any]  # the whole answer, as operators see it
+    content: Mapping[str, Any]  # the full answer, as operators see it
 
     @classmethod
-    def decode(cls, text: str) -> "PolicyReport | None":
+    def decode(cls, text: str) -> "RouterReport | None":
         """The report of a router's JSON; None where its epoch is no number.
 
         Raises KeyError, TypeError or ValueError for anything else that is no report.
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class RouterPolicy:
-    """What is known of one process of a router; a process started anew begins with nothing known."""
+    """What is known of one process of a router; nothing is known of one that was just started."""
 
     name: str
     router: RouterHandle
@@ -73,13 +73,13 @@
     epoch: int = UNKNOWN_EPOCH  # by its own last report
     sent: Announcement | None = None
     sent_s: float = 0.0
-    report: PolicyReport | None = None  # its last
+    report: RouterReport | None = None  # its last
     checked_change: int = 0  # the change whose verdict has been agreed on
     announcing: asyncio.Task[None] | None = None
     checking: asyncio.Task[None] | None = None
 
     def next_announcement(self, agreed_epoch: int, change: Change | None) -> Announcement | None:
-        """What the router has to be sent now; None where it knows it."""
+        """What the router has to be sent now; None where it has it already."""
         if agreed_epoch < self.fence.epoch:
             return None  # this replica is behind what is agreed
         number = 0 if change is None else change.number
@@ -88,7 +88,7 @@
         return announcement if announcement != self.sent or repeats else None
 
     async def announce(self, announcement: Announcement, agreed: AgreedPolicies) -> bool:
-        """Send it, with the document where the router lacks that; whether it has taken a new epoch."""
+        """Send an announcement, with the document where the router lacks it; whether it took a new epoch."""
         self.sent = announcement
         self.sent_s = time.monotonic()
         epoch = agreed.kept_epoch(announcement.epoch) or agreed.epoch
@@ -107,8 +107,8 @@
 
     async def _put(
         self, announcement: Announcement, epoch: Epoch, *, with_document: bool
-    ) -> PolicyReport | None:
-        """Send an epoch; the router's report, None where it gives none, or one of no use."""
+    ) -> RouterReport | None:
+        """Send an epoch; the router's report, None where it gives none, or an invalid one."""
         content = {
             "epoch": epoch.number,
             "fenced_us": announcement.fenced_us,
@@ -128,7 +128,7 @@
             log.warning("policy: %s does not take its word: %s", self.name, reply.text)
             return None
         try:
-            return PolicyReport.decode(reply.text)
+            return RouterReport.decode(reply.text)
         except (ValueError, KeyError, TypeError) as fault:
             log.warning("policy: %s gives an answer of no use: %s", self.name, fault)
             return None
--- a/maplestile/agent/process_output.py
+++ b/maplestile/agent/process_output.py
@@ -5,7 +5,7 @@
 import sys
 from typing import Any
 
-# How a router's drain ends its log: the text passes between two processes, so it stands in both.
+# The last log line of a router's drain; `router/drain.py` writes it, so both have to agree.
 DRAINED_LINE = b"stops; nothing is owed"
 
 
@@ -27,7 +27,7 @@
 
     def handle(self, line: bytes) -> None:
         """Take one line: an answer that is waited for, or else a line to be printed."""
-        # An adopted process has no exit code to tell a clean end from a kill: this line has to do.
+        # An adopted process has no exit code to tell a clean end from a kill; this line serves instead.
         if line.rstrip().endswith(DRAINED_LINE):
             self.drained = True
         if line.startswith(b'{"') and self._is_answer(line):
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -32,7 +32,7 @@
     status: int | None = None  # None where it gave no answer
     has_front: bool = True
 
-    def as_json(self) -> dict[str, Any]:
+    def encoded(self) -> dict[str, Any]:
         """The form in which the agent's clients read it."""
         reply: dict[str, Any] = {"ok": self.ok, "told": self.text}
         if self.status is not None:
@@ -51,7 +51,7 @@
 
 
 class InstanceProcess(Protocol):
-    """What the client has to know of the process behind the front."""
+    """The process that the front belongs to."""
 
     @property
     def settings(self) -> InstanceSettings:
@@ -59,7 +59,7 @@
         ...
 
     def running(self) -> bool:
-        """Whether there is a process, so that the address is not another's by now."""
+        """Whether a process runs; otherwise the address may be another's by now."""
         ...
 
 
@@ -77,13 +77,14 @@
             address = _operator_address(self.process.settings)
             if not address:
                 return OperatorReply(False, "it has no operators' front", has_front=False)
-            status, body = await call(parse_address(address), method, path, wait_s, content)
+            response = await call(parse_address(address), method, path, wait_s, content)
         except (CallError, OperatorError) as fault:
             return OperatorReply(False, str(fault))
-        if status >= HTTPStatus.BAD_REQUEST:
+        text = response.body
+        if response.status >= HTTPStatus.BAD_REQUEST:
             with contextlib.suppress(ValueError, KeyError, TypeError):
-                body = json.loads(body)["detail"]
-        return OperatorReply(status < HTTPStatus.MULTIPLE_CHOICES, body.strip(), status)
+                text = json.loads(text)["detail"]
+        return OperatorReply(response.status < HTTPStatus.MULTIPLE_CHOICES, text.strip(), response.status)
 
     async def ready(self) -> bool:
         """Whether it runs and takes calls."""
@@ -119,7 +120,7 @@
             return None
 
     async def suspend(self, runner: str, out: bool) -> bool:
-        """Have it use a runner no more, or again if not `out`; whether it did."""
+        """Cordon a runner if `out`, else lift its cordon; returns whether the router did so."""
         path = SUSPEND_PATH if out else RESUME_PATH
         return (await self.operate("PUT", path.format(quote(runner, safe="")))).ok
 
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -25,8 +25,7 @@
     async def follow(self, number: int, name: str) -> None:
         """Follow the lease of a runner to its end.
 
-        While the runner is out that is seen to again and again, since a router that was started anew does not
-        know of it.
+        While the runner is out this is repeated, since a router that was restarted does not know of it.
         """
         while (lease := self._lease(name)) is not None and lease.number == number:
             if lease.stage is Stage.RETURNING:
@@ -50,7 +49,7 @@
             await self.log_client.submit_until_agreed(self._part(lease, PART_IN))
 
     async def _take_out(self, lease: Lease) -> bool:
-        """Take the runner out of the routers here; whether the step goes on: its begin is agreed on."""
+        """Take the runner out of the routers here; False where the step's begin is not agreed on."""
         assert lease.parts is not None
         if not lease.parts.get(self.agent) and not await self._begin(lease):
             return False
@@ -68,8 +67,8 @@
             StepEvents(lease).info("begin", action="runner")
         return is_agreed
 
-    def _part(self, lease: Lease, did: str) -> ReportPart:
-        return ReportPart(did=did, instance=lease.instance, lease=lease.number, agent=self.agent)
+    def _part(self, lease: Lease, part: str) -> ReportPart:
+        return ReportPart(part=part, instance=lease.instance, lease=lease.number, agent=self.agent)
 
     async def _set_used(self, runner: str, used: bool) -> bool:
         """Have the routers here use a runner or not.
@@ -91,7 +90,7 @@
             return True
         listed = runners[runner]
         if listed.suspended == used:
-            # Just suspended: what is in flight there is looked at the next time.
+            # Just suspended: what is in flight there is checked the next time.
             return await router.client.suspend(runner, not used) and used
         return used or not listed.in_flight
 
--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -1,7 +1,7 @@
 """Decoding the fields of a command's wire form.
 
 Each public function is named for the type that it decodes to, and raises KeyError, TypeError or ValueError
-for a field that is missing or of no use, and CommandRejected for a document that is no policy.
+for a field that is missing or invalid, and CommandRejected for a document that is no policy.
 
 The numbers and agents that say what a sender believes are decoded as they are: a value of another type equals
 none of the agreed state's, so it is refused with the same text as an outdated one.
@@ -95,7 +95,7 @@
     """Decode the fields of a `release` command."""
     lease = encoded.get("lease")
     if lease is None and "lease" in encoded:
-        lease = types.NO_LEASE  # it names a lease, though none that there is
+        lease = types.NO_LEASE  # it names a lease, but none that exists
     return types.ReleaseLease(instance=str(encoded["instance"]), lease=lease, agent=encoded.get("agent"))
 
 
@@ -136,7 +136,7 @@
     return types.ReportPart(
         instance=str(encoded["instance"]),
         agent=str(encoded["agent"]),
-        did=encoded["did"],
+        part=encoded["did"],
         lease=encoded["lease"],
     )
 
@@ -191,8 +191,8 @@
 def read_policy(encoded: Mapping[str, Any]) -> types.ReadPolicy:
     """Decode the fields of a `policy read` command.
 
-    Every release counts a read also where a name or the status in it is of no use; voters must go on to count
-    alike, so these are left out and the rest is taken.
+    Every release counts a read even where a name or the status in it is invalid. Voters of all releases must
+    count alike, so the invalid parts are left out and the rest is taken.
     """
     instances = _hashable(encoded["instances"])
     agent = encoded["agent"]
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -1,11 +1,11 @@
 """A policy as one document: the tables of an operator's file that steer decisions.
 
-    [rules]                   # whole
-    [[class]]                 # whole
+    [rules]                   # all of it
+    [[class]]                 # all of it
     [limits]                  # `POLICY_LIMITS` of it; those of a machine or a listener stay the file's
 
-A document takes the place of these tables of each router's file, whole: what it does not name has the
-checker's default, and nothing of the file's own policy is left in force. It is checked as a file is at start,
+A document replaces all of these tables of each router's file: what it does not name has the checker's
+default, and nothing of the file's own policy is left in force. It is checked as a file is at start,
 by `invoke/operator_file.py`; here only its shape is checked.
 """
 
@@ -22,7 +22,7 @@
 LIMITS_TABLE = "limits"
 POLICY_TABLES = (RULES_TABLE, CLASS_TABLE, LIMITS_TABLE)
 POLICY_LIMITS = ("open_requests", "records", "record_s", "body_bytes", "deadline_most_s")
-# The most of a document: some hundred classes. The kept epochs of it go round with the agreed state.
+# The largest document: some hundred classes. Those of the kept epochs are sent with the agreed state.
 DOCUMENT_BYTES = 16_384
 DIGEST_BYTES = 8
 
@@ -40,7 +40,7 @@
     text: str
 
     @classmethod
-    def of(cls, tables: object) -> "Document":
+    def from_tables(cls, tables: object) -> "Document":
         """The document of these tables.
 
         Raises PolicyError for what is no table of policy, and for a document that is too large.
@@ -57,13 +57,13 @@
         return cls(text)
 
     @classmethod
-    def own(cls, root: Mapping[str, Any]) -> "Document":
+    def from_file(cls, root: Mapping[str, Any]) -> "Document":
         """The policy of an operator's file itself. Raises PolicyError."""
         tables = {name: root[name] for name in (RULES_TABLE, CLASS_TABLE) if name in root}
         limits = root.get(LIMITS_TABLE)
         if isinstance(limits, Mapping):
             tables[LIMITS_TABLE] = {name: limits[name] for name in POLICY_LIMITS if name in limits}
-        return cls.of(tables)
+        return cls.from_tables(tables)
 
     def tables(self) -> Tables:
         """The tables of the document; each call makes new ones."""
@@ -71,11 +71,11 @@
         return tables
 
     def digest(self) -> str:
-        """The same for the same policy, as hexadecimal digits."""
+        """A hash of the policy, as hexadecimal digits."""
         return hashlib.blake2b(self.text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
-    def over(self, root: Mapping[str, Any]) -> Tables:
-        """The tables of an operator's file, with these in the place of its own policy."""
+    def applied_to(self, root: Mapping[str, Any]) -> Tables:
+        """The tables of an operator's file, with this document in place of its own policy."""
         merged = {name: value for name, value in root.items() if name not in POLICY_TABLES}
         tables = self.tables()
         file_limits = root.get(LIMITS_TABLE, {})
@@ -101,20 +101,20 @@
 
 @dataclass(slots=True, frozen=True)
 class AdoptedPolicy:
-    """An epoch and its document; None stands for the file's own policy."""
+    """An epoch and its document; None is the file's own policy."""
 
     epoch: int
     document: Document | None
 
 
 def digest_of(document: Document | None) -> str:
-    """The digest of a document; an empty text stands for the files' own policy."""
+    """The digest of a document; empty for the files' own policy."""
     return "" if document is None else document.digest()
 
 
 def document_of(tables: object) -> Document | None:
-    """The document of what the wire and the log carry: tables, or None for the files' own policy.
+    """Decode the document of a message or a log entry: tables, or None for the files' own policy.
 
     Raises PolicyError.
     """
-    return None if tables is None else Document.of(tables)
+    return None if tables is None else Document.from_tables(tables)
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -23,7 +23,7 @@
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
 from maplestile.control.budget import budget_of
-from maplestile.control.rollout_planner import Rules
+from maplestile.control.rollout_planner import RolloutRules
 
 VOTER_COUNTS = (1, 3, 5)  # one is for trying things out: it outlives no failure
 INSTANCES_FOR_CHECK = 100  # any number does: only the form of a budget is checked here
@@ -47,9 +47,9 @@
     listen: str  # "" for one that is no voter
     folder: Path | None
     voters: tuple[Voter, ...]
-    ask: tuple[Address, ...]  # agents of voters, by those that are none themselves
+    voter_agents: tuple[Address, ...]  # that an agent which is no voter submits to
     budget: int | str
-    rules: Rules
+    rules: RolloutRules
 
 
 def control_from(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
@@ -59,21 +59,21 @@
     name = table.text("name")
     listen = table.loopback("listen") if "listen" in table.values else ""
     folder = Path(table.text("folder")) if listen else None
-    ask = _voter_agents(table)
+    voter_agents = _voter_agents(table)
     named = tuple(_voter(voter) for voter in voters)
     names = [voter.name for voter in named]
     if listen and (len(named) not in VOTER_COUNTS or name not in names):
         raise table.wrong("name", "must be one of one, three or five [[voter]]")
     if len(set(names)) < len(names):
         raise table.wrong("voter", "a name stands twice")
-    if not listen and not ask:
+    if not listen and not voter_agents:
         raise table.wrong("ask", "must name agents of voters where there is no 'listen'")
     table.end()
-    return ControlSettings(name, listen, folder, named, ask, budget, rules)
+    return ControlSettings(name, listen, folder, named, voter_agents, budget, rules)
 
 
-def _rules(table: TomlTable) -> Rules:
-    return Rules(
+def _rules(table: TomlTable) -> RolloutRules:
+    return RolloutRules(
         step_us=int(table.number("step_s", 60.0, least=0.1) * US_PER_S),
         settle_us=int(table.number("settle_s", 1.0) * US_PER_S),
         failed_most=table.number("failed_most", 0.1, most=1.0),
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -1,6 +1,6 @@
 """Invocations that are known by an id: deferred ones, and those with an idempotency key.
 
-A record is pending until its one final answer; an answer that was delivered never changes. What nobody has
+A record is pending until its one final answer; an answer that was delivered never changes. What was not
 collected by its deadline is reported as failed, and its result dropped. Records are kept for a bounded time,
 and their number is bounded: a full store refuses.
 """
@@ -8,14 +8,21 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from maplestile.wire.http import Response, problem
 
-# Within what a repeat of an idempotency key is the same invocation: function, tenant and key.
-KeyScope = tuple[str, str, str]
 Timer = Callable[[int, Callable[[], object]], None]  # calls back at a time in microseconds
 
 
+class KeyScope(NamedTuple):
+    """Within what a repeat of an idempotency key is the same invocation."""
+
+    function: str
+    tenant: str
+    key: str
+
+
 @dataclass(slots=True, eq=False)
 class InvocationRecord:
     """One invocation and its answer."""
@@ -61,7 +68,7 @@
             del self.by_scope[record.scope]
 
     def uncollected(self, now_us: int) -> bool:
-        """Return whether a deferred invocation has an answer that nobody has collected yet."""
+        """Return whether a deferred invocation has an answer that was not collected yet."""
         return any(
             record.deferred
             and record.answer is not None
@@ -92,7 +99,7 @@
     def _expire(self, record: InvocationRecord) -> None:
         """Fail a record whose answer was not delivered by its deadline.
 
-        This guards against a result that is kept without notice, and against one that changes once delivered.
+        This guards against results that are kept unnoticed, and against answers that change once delivered.
         """
         if record.id not in self.records:
             return  # dropped
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -37,7 +37,7 @@
     """One member's part in the group.
 
     The driver empties `outbox`, `events` and `faults` after each call. Nothing that peers send raises an
-    error: a message of no use is counted in `faults`.
+    error: an invalid or unexpected message is counted in `faults`.
     """
 
     def __init__(
@@ -58,28 +58,33 @@
         # All parts draw from one generator, in an order that is part of a recorded run.
         draws = random.Random(seed)
         self._sender = MessageSender(self.member_list, tuning, draws, health_checks)
-        probe_order = ProbeOrder(self.member_list, draws)
-        self._probe_order = probe_order
-        self._merger = UpdateMerger(
+        self._probe_order = ProbeOrder(self.member_list, draws)
+        self._merger = self._new_merger()
+        self._detector = self._new_detector(now_us)
+        self._suspicions = SuspicionTimers(self.member_list, self._merger, tuning)
+        self._gossip_timer = GossipTimer(self._sender, self._merger, self._local_health, now_us)
+        self._exchange = StateExchange(self.member_list, self._sender, self._merger, self._log, now_us)
+        self._isolation = IsolationDetector(self.member_list, self._log, health_checks)
+
+    def _new_merger(self) -> UpdateMerger:
+        return UpdateMerger(
             members=self.member_list,
             sender=self._sender,
-            probe_order=probe_order,
+            probe_order=self._probe_order,
             health=self._local_health,
             log=self._log,
         )
-        self._detector = FailureDetector(
+
+    def _new_detector(self, now_us: int) -> FailureDetector:
+        return FailureDetector(
             members=self.member_list,
             sender=self._sender,
-            probe_order=probe_order,
+            probe_order=self._probe_order,
             merger=self._merger,
             health=self._local_health,
             log=self._log,
             now_us=now_us,
         )
-        self._suspicions = SuspicionTimers(self.member_list, self._merger, tuning)
-        self._gossip_timer = GossipTimer(self._sender, self._merger, self._local_health, now_us)
-        self._exchange = StateExchange(self.member_list, self._sender, self._merger, self._log, now_us)
-        self._isolation = IsolationDetector(self.member_list, self._log, health_checks)
 
     # What the driver empties.
 
@@ -95,7 +100,7 @@
 
     @property
     def faults(self) -> dict[str, int]:
-        """Counts of messages that were of no use, by kind."""
+        """Counts of invalid or unexpected messages, by kind."""
         return self._log.faults
 
     @property
@@ -127,7 +132,7 @@
 
     @property
     def agreed(self) -> frozenset[str]:
-        """The names of the last view that stood without a suspicion."""
+        """The names of the last view that held no suspicion."""
         return self._isolation.agreed
 
     def view(self) -> list[Member]:
@@ -145,7 +150,7 @@
         self._exchange.join(seeds)
 
     def add_known(self, members: list[tuple[str, Address]]) -> None:
-        """Take members as alive in incarnation 0 without spreading updates: a group that stands already."""
+        """Take members as alive in incarnation 0 without spreading updates: a group that exists already."""
         for name, address in members:
             if self.member_list.get(name) is None:
                 self.member_list.add(Member(name, address, 0, Status.ALIVE, 0))
@@ -209,15 +214,15 @@
         known = self.member_list.get(update.name)
         if known is None or known.incarnation != update.incarnation:
             return False
-        if update.status == Status.SUSPECT:
+        if update.status is Status.SUSPECT:
             return may_be_old
-        return known.status == update.status
+        return known.status is update.status
 
     def _weakened(self, update: MemberUpdate) -> MemberUpdate:
         """Return a death of a newer incarnation than the known one as a suspicion."""
         known = self.member_list.get(update.name)
-        if update.status == Status.DEAD and (known is None or update.incarnation > known.incarnation):
-            return replace(update, status=Status.SUSPECT.value)
+        if update.status is Status.DEAD and (known is None or update.incarnation > known.incarnation):
+            return replace(update, status=Status.SUSPECT)
         return update
 
     def _send_refutation(self, message: Message) -> None:
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -39,7 +39,7 @@
         self._log = log
         self._death_notices = 0  # sent in this period
         self.leaving = False
-        self.refuted_update_heard = False  # whether an update that this member refuted before came again
+        self.refuted_update_repeated = False  # whether an update that this member refuted before came again
 
     def merge(self, update: MemberUpdate, now_us: int) -> None:
         """Take one update; one that the table supersedes changes nothing."""
@@ -50,7 +50,7 @@
         if member is None:
             self._add_member(update, now_us)
             return
-        status = Status(update.status)
+        status = update.status
         same_incarnation = update.incarnation == member.incarnation
         if status is Status.SUSPECT and same_incarnation and member.status is Status.SUSPECT:
             self._confirm_suspicion(member, update)
@@ -65,9 +65,9 @@
 
     def refute_to(self, message_source: str) -> bool:
         """Return, once, whether the sender of a message needs the refutation of what it passed on."""
-        if not self.refuted_update_heard or message_source == self._members.own_name:
+        if not self.refuted_update_repeated or message_source == self._members.own_name:
             return False
-        self.refuted_update_heard = False
+        self.refuted_update_repeated = False
         return True
 
     def begin_period(self) -> None:
@@ -75,7 +75,7 @@
         self._death_notices = 0
 
     def _add_member(self, update: MemberUpdate, now_us: int) -> None:
-        status = Status(update.status)
+        status = update.status
         if status not in STATUSES_IN_VIEW or len(self._members) >= self._tuning.members_max:
             return  # a member that was never known matters only while it is in view
         member = self._members.add(Member(update.name, update.address, update.incarnation, status, now_us))
@@ -118,12 +118,12 @@
     def _merge_reported_death(self, member: Member, update: MemberUpdate) -> None:
         """Take another member's declaration that `member` is dead; it is not believed at once.
 
-        A suspicion that stands here counts as fully confirmed, and lasts its minimum. A member that is alive
+        A suspicion held here counts as fully confirmed, and lasts its minimum. A member that is alive
         here is sent the declaration, so that it can refute, and is probed next.
 
-        This guards live members against what follows a network partition: the other side has declared all of
-        this side dead, and each of its members goes on spreading that. Believed at once, it killed whole
-        sides (7458 false deaths in 1000 member-minutes among 100 members).
+        This protects live members after a network partition: the other side has declared all of this side
+        dead, and each of its members goes on spreading that. When such reports were believed at once, whole
+        sides were declared dead (7458 false deaths in 1000 member-minutes among 100 members).
         """
         if member.status is Status.SUSPECT:
             member.reported_dead = True
@@ -137,16 +137,16 @@
     def _merge_own(self, update: MemberUpdate) -> None:
         """Refute a suspicion or a death of this member by a higher incarnation (SWIM, section 4.2).
 
-        Only this member changes its own state: its old updates come back by gossip, and are ignored.
+        Only this member changes its own state; its old updates that come back by gossip are ignored.
         """
-        if update.status == Status.ALIVE or self.leaving:
+        if update.status is Status.ALIVE or self.leaving:
             return
         own = self._members.own
         if update.incarnation < own.incarnation:
-            self.refuted_update_heard = True
+            self.refuted_update_repeated = True
             return
         self._members.set_status(own, Status.ALIVE, update.incarnation + 1)
-        if update.status == Status.SUSPECT:
+        if update.status is Status.SUSPECT:
             self._health.worsen()  # Lifeguard: being suspected is a sign of being slow
         self._queue.add(self._members.own_update())
         self._log.add_about(EventKind.REFUTE, own, update.by)
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -1,4 +1,4 @@
-"""Cordoned runners: those that operators have taken out of service, for as long as they say so.
+"""Cordoned runners: those that operators have taken out of service until further notice.
 
 The decisions and the pool see a cordon as a drain (`EndpointList.suspended`). Cordons are stored where both
 processes of an upgrade see them, so that either may be called.
@@ -48,7 +48,7 @@
         self._unsaved = set[str]()  # cordons that the store did not take yet
         self._known: dict[str, None] = {}  # every runner listed so far, the latest last
 
-    def listed(self, runners: Iterable[str]) -> None:
+    def remember_listed(self, runners: Iterable[str]) -> None:
         """Remember the runners listed: only such runners can be cordoned."""
         for runner in runners:
             self._known.pop(runner, None)
@@ -82,8 +82,8 @@
         self._replace(self.cordoned - {runner})
         return True
 
-    def look(self) -> None:
-        """Follow the changes of the other process. A store that cannot be read lifts no cordon."""
+    def refresh(self) -> None:
+        """Take over the changes of the other process. A store that cannot be read lifts no cordon."""
         if self._store is None:
             return
         try:
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of an instance by an operator's file, read anew at each reload.
+"""The configuration of an instance by an operator's file, read again at each reload.
 
 The platform's nodes do not load this module: they have no operator's file and no policy of their own.
 """
@@ -23,7 +23,7 @@
     """Reads the file, and joins it with the agreed policy where the file takes part in one."""
 
     def __init__(self, file: Path) -> None:
-        """Read the file for the first time. Raises ConfigError where it is of no use."""
+        """Read the file for the first time. Raises ConfigError where it is invalid."""
         self.file = file
         self.policy: PolicyDriver | None = None
         self._seed = os.urandom(SEED_BYTES).hex()  # one for all reloads
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -58,9 +58,9 @@
         components.endpoints,
         components.cordons,
         lambda: components.runners.calls_written,
-        readiness.missing,
+        readiness.not_ready_reason,
         lambda: None if components.peers is None else components.peers.members(),
-        lambda: {} if components.peers is None else components.peers.metrics(),
+        lambda: None if components.peers is None else components.peers.metrics(),
         components.policy,
     )
 
@@ -76,7 +76,7 @@
     components.cordons = Cordons(
         store, components.limits.operators, components.counters, components.endpoints_changed
     )
-    components.cordons.look()
+    components.cordons.refresh()
     # A router with an invoke front has records of calls that another process would not know.
     if config.folder is None or config.operator is not None:
         return
@@ -93,7 +93,7 @@
         components.core, components.limits, components.counters, components.selector, readiness.is_ready
     )
     components.platform = front
-    # Also where the folder is of no use: two processes that cannot hand over may still serve in turn.
+    # Also where the folder cannot be used: two processes that cannot hand over may still serve in turn.
     shared = config.operation is not None and config.operator is None
     listener = await front.start(*config.listen, shared)
     components.platform_listener = listener
--- a/maplestile/router/gc_scheduler.py
+++ b/maplestile/router/gc_scheduler.py
@@ -1,7 +1,7 @@
 """Schedules the garbage collector off the hot path: each of its passes stops the event loop.
 
 Closed connections are cycles (asyncio's streams, transports and tasks refer to each other). Those that stayed
-open for a while are in the oldest generation, which the collector by itself would hardly ever look at.
+open for a while are in the oldest generation, which the collector by itself would hardly ever reach.
 """
 
 import gc
@@ -32,7 +32,7 @@
         self._opened_at_last_full = 0
 
     def start(self) -> None:
-        """Set the thresholds, and exempt all objects that exist now: they stay for good."""
+        """Set the thresholds, and exempt all objects that exist now, which live as long as the process."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(YOUNG_ALLOCATIONS, *OLDER_THRESHOLDS)
@@ -42,7 +42,7 @@
         """Stop measuring passes; the thresholds stay."""
         gc.callbacks.remove(self._on_pass)
 
-    def look(self, now_s: float) -> None:
+    def collect_if_due(self, now_s: float) -> None:
         """Run a full pass if one is due; to be called about once a second.
 
         With nothing to be found, passes by the clock alone made answers miss their deadlines.
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -1,7 +1,7 @@
-"""A router's part in the fleet's policy, put to work: its record on disk, its configuration, its events.
+"""The driver of a router's part in the fleet's policy: its record on disk, its configuration, its events.
 
 The decisions are made by `control.policy.follower.Follower`. What the agent sends comes by the operators'
-front (`operation.policy.PolicyOperations`), with the codec of `policy_messages`.
+front (`operation.policy.PolicyOperations`), which decodes it.
 """
 
 import asyncio
@@ -10,7 +10,6 @@
 from collections import Counter
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from maplestile import __version__
 from maplestile.common import logs
@@ -19,17 +18,11 @@
 from maplestile.control.policy.document import AdoptedPolicy, Document, PolicyError, Tables, digest_of
 from maplestile.control.policy.follower import NO_EPOCH, Follower, PolicyAnnouncement, PolicyStatus, Step
 from maplestile.control.policy.settings import PolicySettings
+from maplestile.operation.policy import PolicyCheck, PolicyMetrics, PolicyReport
 from maplestile.requests.core import AttemptId
 from maplestile.router.config import Config
 from maplestile.router.policy_configuration import Build, PolicyConfiguration
 from maplestile.router.policy_jobs import RunJob, at_once
-from maplestile.router.policy_messages import (
-    PolicyReport,
-    decode_announcement,
-    decode_check,
-    encode_check_passed,
-    encode_report,
-)
 
 log = logging.getLogger("maplestile.policy")
 TICK_INTERVAL_S = 0.1
@@ -50,7 +43,7 @@
     """
 
     def __init__(self, settings: PolicySettings, tables: Tables, build: Build) -> None:
-        """Raises PolicyError where the file's own policy has no form of use."""
+        """Raises PolicyError where the file's own policy is invalid."""
         self.settings = settings
         self.configuration = PolicyConfiguration(tables, build)
         self.events = logs.events("policy")
@@ -62,7 +55,8 @@
         self.logged_refusal = (NO_EPOCH, "")
         record = store.read(settings.folder)
         self.document = None if record is None else record.document
-        self.follower = Follower(settings.rules, NO_EPOCH if record is None else record.epoch, monotonic_us())
+        recorded_epoch = NO_EPOCH if record is None else record.epoch
+        self.follower = Follower(settings.timeouts, recorded_epoch, monotonic_us())
         self.logged_status = PolicyStatus.WAITING
         self.configured = False
 
@@ -74,9 +68,9 @@
     # The configuration.
 
     def configure(self, tables: Tables) -> Config:
-        """Return the file's configuration with the policy in force in the place of its own.
+        """Return the file's configuration with the policy in force in place of its own.
 
-        Called at the start, and at each reload. Raises ConfigError; then all stays as it was.
+        Called at the start, and at each reload. Raises ConfigError, and then changes nothing.
         """
         if not self.configured:
             self.configured = True
@@ -97,14 +91,14 @@
     def _reloaded_configuration(self, tables: Tables) -> Config:
         config = self.configuration.build_with(self.epoch, self.document, tables)
         self._check_prepared(tables)
-        if Document.own(tables) != self.configuration.file_policy:
+        if Document.from_file(tables) != self.configuration.file_policy:
             self.counters["policy.reloads_refused"] += 1
             log.warning(
                 "policy: the file's policy has changed and is not taken: the fleet decides, "
                 "and its epoch is %d; `maplestile policy propose`",
                 self.follower.epoch,
             )
-        self.configuration.take(tables)
+        self.configuration.apply_reload(tables)
         return config
 
     def _check_prepared(self, tables: Tables) -> None:
@@ -123,22 +117,19 @@
 
     # What the agent sends to the operators' front.
 
-    def hear(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
-        """Take an announcement of what is committed; the answer may come later. Raises PolicyError."""
-        self._take_announcement(decode_announcement(message), lambda report: reply(encode_report(report)))
-
-    def _take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
-        step = self.follower.hear(announcement, monotonic_us())
+    def take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
+        """Take an announcement of what is committed, and reply once, now or later."""
+        step = self.follower.take_announcement(announcement, monotonic_us())
         if step is Step.ADOPT and not self.writing:
             self._adopt(announcement, reply)
             return
         if step is Step.OLDER:
             self.counters["policy.older"] += 1
         self._log_status()
-        reply(self._report(lacks_document=step is Step.FETCH))
+        reply(self.report(lacks_document=step is Step.FETCH))
 
     def _adopt(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
-        """Write the record first, off the loop since a disk may take its time; then put it in force."""
+        """Write the record first, off the loop since a disk may be slow; then put it in force."""
         finish = partial(self._finish_adoption, announcement, reply)
         try:
             self.configuration.build_with(announcement.epoch, announcement.document)
@@ -166,7 +157,7 @@
         else:
             self._complete_adoption(announcement, config)
         self._log_status()
-        reply(self._report())
+        reply(self.report())
 
     def _complete_adoption(self, announcement: PolicyAnnouncement, config: Config) -> None:
         self.document = announcement.document
@@ -182,9 +173,8 @@
             log.error("policy: epoch %d is not taken, and so no new call: %s", epoch, reason)
         self.follower.refused(reason)
 
-    def check(self, message: object) -> dict[str, Any]:
+    def check(self, change: PolicyCheck) -> None:
         """Check that a change fits this build and file. Raises PolicyError, which names the field."""
-        change = decode_check(message)
         try:
             self.configuration.build_with(self.epoch + 1, change.document)
         except PolicyError:
@@ -193,7 +183,6 @@
             raise PolicyError(str(fault)) from None
         self.follower.prepare(change.change, change.document)
         self.events.info("checked", change=change.change, digest=digest_of(change.document))
-        return encode_check_passed()
 
     # What the router and its operators see.
 
@@ -201,7 +190,7 @@
         """Return whether new calls are taken."""
         return self.follower.admits(monotonic_us())
 
-    def lacking(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why no new calls are taken; empty if they are."""
         if self.admits():
             return ""
@@ -209,11 +198,8 @@
             return f"the fleet's policy is refused here: {self.follower.reason}"
         return "the fleet has not told its policy yet"
 
-    def view(self) -> dict[str, Any]:
-        """Return the router's report of its policy, in JSON's types."""
-        return encode_report(self._report())
-
-    def _report(self, lacks_document: bool = False) -> PolicyReport:
+    def report(self, lacks_document: bool = False) -> PolicyReport:
+        """Return the router's report of its policy."""
         now_us = monotonic_us()
         self.follower.tick(now_us)
         return PolicyReport(
@@ -227,17 +213,16 @@
             lacks_document=lacks_document,
         )
 
-    def metrics(self) -> dict[str, float]:
-        """Return the values of the metrics in `operation.metrics.POLICY`, by name."""
-        now_us = monotonic_us()
-        return {
-            "epoch": self.epoch,
-            "stale": int(self.follower.status is PolicyStatus.STALE),
-            "stale_seconds": self._stale_s(now_us),
-            "refused": int(self.follower.status is PolicyStatus.REFUSED),
-            "reloads_refused_total": self.counters["policy.reloads_refused"],
-            "mixed_calls_total": self.counters["policy.mixed_calls"],
-        }
+    def metrics(self) -> PolicyMetrics:
+        """Return the metrics at this moment."""
+        return PolicyMetrics(
+            epoch=self.epoch,
+            stale=int(self.follower.status is PolicyStatus.STALE),
+            stale_s=self._stale_s(monotonic_us()),
+            refused=int(self.follower.status is PolicyStatus.REFUSED),
+            reloads_refused=self.counters["policy.reloads_refused"],
+            mixed_calls=self.counters["policy.mixed_calls"],
+        )
 
     def _stale_s(self, now_us: int) -> float:
         return round(self.follower.stale_us(now_us) / US_PER_S, 1)
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -45,7 +45,7 @@
         selector: TimestampingSelector,
         policy: "PolicyDriver | None" = None,
     ) -> None:
-        """Build the components. Raises ConfigError or OSError where the configuration is of no use."""
+        """Build the components. Raises ConfigError or OSError where the configuration cannot be used."""
         self.components = Components(configure(), selector)
         self.supervisor = TaskSupervisor(self.components.counters)
         self.discovery = Discovery(self.components, self.supervisor)
@@ -126,7 +126,7 @@
     async def _serve_clients(self) -> list[Listener]:
         """Serve until asked to stop, drain, and return the listeners, still to be closed."""
         components = self.components
-        if components.stopping.is_set():  # before it could serve: it takes nobody in
+        if components.stopping.is_set():  # before it could serve: it accepts no clients
             return []
         listeners = await open_client_fronts(components, self.readiness)
         if listeners:
@@ -139,7 +139,7 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             self.components.runners.sweep()
-            self.gc_scheduler.look(time.monotonic())
+            self.gc_scheduler.collect_if_due(time.monotonic())
 
 
 def serve(file: Path) -> int:
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -19,14 +19,14 @@
         leaving = components.stopping.is_set() and not components.handing_over
         return components.listening and bool(components.endpoints.entries) and not leaving
 
-    def missing(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why this process cannot serve, as text for operators; empty if it can."""
         components = self.components
         if components.stopping.is_set():
             return "it was asked to stop"
         if not self.list_is_current():
             return "the name server has not answered yet"
-        if components.policy is not None and (reason := components.policy.lacking()):
+        if components.policy is not None and (reason := components.policy.not_ready_reason()):
             return reason
         if not components.listening:
             return "it does not listen yet"
@@ -36,7 +36,7 @@
         """Return whether the name server has answered, or has had its time to.
 
         The runners of the configuration may be out of date, so the name server's answer is awaited; one that
-        never answers must not keep the process from serving for good.
+        never answers must not keep the process from serving forever.
         """
         if not self._list_was_current:
             waited_us = clock() - self.components.started_us
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -10,7 +10,7 @@
 
 import simpy
 
-from maplestile.agent.policy_controller import LOOK_INTERVAL_S, READ_INTERVAL_CHECKING_S, READ_INTERVAL_S
+from maplestile.agent.policy_controller import POLL_INTERVAL_S, READ_INTERVAL_CHECKING_S, READ_INTERVAL_S
 from maplestile.control.commands import (
     PolicyCommitted,
     PolicyRead,
@@ -21,7 +21,13 @@
 )
 from maplestile.control.policy.change import Change, Phase
 from maplestile.control.policy.document import Document
-from maplestile.control.policy.follower import Follower, PolicyAnnouncement, PolicyStatus, Rules, Step
+from maplestile.control.policy.follower import (
+    Follower,
+    FollowerTimeouts,
+    PolicyAnnouncement,
+    PolicyStatus,
+    Step,
+)
 from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.tools.faults.schedule import US_PER_S
 from maplestile.tools.model.control_model import ControlModel, agent_name
@@ -30,7 +36,7 @@
 from maplestile.tools.model.policy_metrics import PolicyMeasurements, PolicyMetrics
 from maplestile.tools.model.report import Metrics
 
-LOOK_US = int(LOOK_INTERVAL_S * US_PER_S)
+POLL_US = int(POLL_INTERVAL_S * US_PER_S)
 READ_US = int(READ_INTERVAL_S * US_PER_S)
 READ_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
 TICK_US = 500_000
@@ -52,7 +58,7 @@
         self.measured = PolicyMeasurements()
         self._planner = PolicyPlanner()
         self._agent_of = {name: number % experiment.agents for number, name in enumerate(self.names)}
-        self._routers = {name: Follower(Rules(), 0, 0) for name in self.names}
+        self._routers = {name: Follower(FollowerTimeouts(), 0, 0) for name in self.names}
         self._fences: dict[str, Fence] = {}
         self._replica_epochs = dict.fromkeys(range(experiment.agents), 0)
         self._cut = set[int]()  # agents that are cut off
@@ -115,14 +121,14 @@
                 for name in names:
                     self._env.process(self._check(agent, name, change))
             self._announce_new(agent, names, announced)
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_US)
 
     def _announce_new(self, agent: int, names: list[str], announced: dict[str, PolicyAnnouncement]) -> None:
         """Announce to each router what it was not announced before, unless its fence is newer."""
         epoch = self._replica_epochs[agent]
         for name in names:
             fence = self._fences.get(name, Fence())
-            announcement = PolicyAnnouncement(epoch, fence.sent_us, whole=True)
+            announcement = PolicyAnnouncement(epoch, fence.sent_us, has_document=True)
             if epoch >= fence.epoch and announced.get(name) != announcement and name not in self._down:
                 announced[name] = announcement
                 self._env.process(self._announce(name, announcement))
@@ -130,7 +136,7 @@
     def _announce(self, name: str, announcement: PolicyAnnouncement) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._jittered_us(self.experiment.call_us))
         router = self._routers[name]
-        if name not in self._down and router.hear(announcement, self.now_us) is Step.ADOPT:
+        if name not in self._down and router.take_announcement(announcement, self.now_us) is Step.ADOPT:
             router.adopted(announcement, self.now_us)
             self.measured.record_applied(name, announcement.epoch, self.now_us)
 
@@ -173,7 +179,7 @@
 
     def _lead(self) -> simpy.events.ProcessGenerator:
         while True:
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_US)
             command = self._planner.next_command(self.control.policy, self.control.instances, self.now_us)
             if command is None:
                 continue
@@ -188,19 +194,19 @@
     def _replicate(self, agent: int, epoch: int) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._uniform_us(self.experiment.replica_us))
         while agent in self._cut:
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_US)
         self._replica_epochs[agent] = max(self._replica_epochs[agent], epoch)
 
     def _propose_changes(self) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(2 * READ_US)
         for number in range(self.experiment.changes):
             policy = self.control.policy
-            document = Document.of({"rules": {"attempts": number + 1}})
+            document = Document.from_tables({"rules": {"attempts": number + 1}})
             propose = ProposePolicy(agent=agent_name(0), base=policy.epoch.number, document=document)
             reply = self.control.apply(propose)
             assert not isinstance(reply, Rejected), reply
             while policy.checking() is not None:
-                yield self._env.timeout(LOOK_US)
+                yield self._env.timeout(POLL_US)
             assert policy.change is not None
             self.measured.record_end(policy.change.phase is Phase.COMMITTED)
             yield self._env.timeout(self.experiment.pause_us)
@@ -223,7 +229,7 @@
         self.measured.record_unreachable([name], self.control.policy.epoch.number)
         yield self._env.timeout(down.for_us)
         self._down.discard(name)
-        self._routers[name] = Follower(Rules(), self._routers[name].epoch, self.now_us)
+        self._routers[name] = Follower(FollowerTimeouts(), self._routers[name].epoch, self.now_us)
 
 
 def run(experiment: PolicyExperiment) -> PolicyMetrics:
--- a/tests/control_rig.py
+++ b/tests/control_rig.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from maplestile.control.commands import encode
-from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
+from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, RolloutRules
 from maplestile.control.state import ControlState
 
 SECOND_US = 1_000_000
@@ -27,7 +27,7 @@
         self.control = registered_control()
         self.now_us = 100 * SECOND_US
         self.out = frozenset[str]()
-        self.planner = RolloutPlanner(Rules(**{"settle_us": 0, **rules}), self.now_us)
+        self.planner = RolloutPlanner(RolloutRules(**{"settle_us": 0, **rules}), self.now_us)
         self.reports = {name: HealthReport(True) for name in NAMES}
 
     def submit(self, do: str, **more: Any) -> dict[str, Any]:
@@ -43,7 +43,7 @@
     def apply_next_command(self, after_us: int = 100_000) -> dict[str, Any] | None:
         """Let time pass, give the planner the health reports, and apply the command that it decides on."""
         self.now_us += after_us
-        self.planner.hear(self.reports, self.now_us)
+        self.planner.record_reports(self.reports, self.now_us)
         command = self.planner.next_command(self.control, self.out, 1, self.now_us)
         if command is None:
             return None
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from maplestile.control.remote_log import RemoteLog
 from maplestile.control.state import ControlState
 from maplestile.tools import cli
@@ -170,7 +170,7 @@
     scripted = ScriptedAgent([json.dumps(reply).encode() + b"\n"] * REQUESTS)
     try:
         settings = control_settings(folder, f'ask = ["127.0.0.1:{scripted.port}"]')
-        remote_log = RemoteLog(settings, ask, Counter())
+        remote_log = RemoteLog(settings, send_command, Counter())
         await remote_log.submit({"do": "resume", "agent": "a0"})
         running = asyncio.get_running_loop().create_task(remote_log.run())
         await wait_until(lambda: len(scripted.lines) >= REQUESTS, PATIENCE_S)
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -82,9 +82,9 @@
         assert change is not None
         await controller.announce(known, Announcement(known.epoch, 600, change.number))
         await controller.check(known, change)
-        controller.leader.look()
-        assert controller.leader.deciding is not None
-        await controller.leader.deciding
+        controller.leader.run_once()
+        assert controller.leader.submission is not None
+        await controller.leader.submission
         router.client.wants_document = what == "rollback"
         await controller.announce(known, Announcement(replicated_log.control.policy.epoch.number, 700, 0))
     return {
@@ -143,14 +143,14 @@
             announcement | {"fenced_us": monotonic_us()} if isinstance(announcement, dict) else announcement
         )
         try:
-            rig.driver.hear(_policy_in(timed, rig), answers.append)
+            rig.take_announcement(_policy_in(timed, rig), answers.append)
         except PolicyError as fault:
             answers.append({"refused": str(fault)})
         announcements.append({"word": _policy_in(announcement, rig), "answers": answers})
     for check in CHECKS:
         message = _policy_in(check, rig)
         try:
-            checks.append({"check": message, "answer": rig.driver.check(message)})
+            checks.append({"check": message, "answer": rig.check(message)})
         except PolicyError as fault:
             checks.append({"check": message, "refused": str(fault)})
     lines = STALE.sub('"stale_s": 0.0', as_lines(announcements).decode())
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -8,7 +8,7 @@
 import unittest
 from pathlib import Path
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from tests.standins import ROOT, Program
 
 OPERATOR_FILE = (ROOT / "deploy" / "operator.toml").read_text()
@@ -54,22 +54,24 @@
         address = ("127.0.0.1", int(self.agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")))
         self.agent.find(r"\[stays\] (up)")
         self.agent.find(r"falls: (ended with 3; starts again in 0\.10 s)")  # doubled
-        status = await ask(address, "status", [])
+        status = await send_command(address, "status", [])
         stays = status["instances"]["stays"]
         falls = status["instances"]["falls"]
         self.assertEqual((stays["state"], stays["starts"]), ("running", 1))
         self.assertGreaterEqual(falls["starts"], 2)
-        self.assertEqual(await ask(address, "counters", ["stays"]), {"counters": {"stays": {"n": 3}}})
+        self.assertEqual(
+            await send_command(address, "counters", ["stays"]), {"counters": {"stays": {"n": 3}}}
+        )
         self.agent.find(r"\[router\] (.*platform front listens)")
         self.operator.write_text(self.operator.read_text().replace("shapla", "padma"))
-        reloaded = (await ask(address, "reload", ["router", "stays"]))["reload"]
+        reloaded = (await send_command(address, "reload", ["router", "stays"]))["reload"]
         self.assertEqual((reloaded["router"]["taken"], reloaded["stays"]), (["invoke"], None))
         self.agent.process.send_signal(signal.SIGHUP)
         self.agent.find(r"SIGHUP passed on to (router)$")
-        again = await ask(address, "restart", ["stays"])
+        again = await send_command(address, "restart", ["stays"])
         self.assertEqual(again["instances"]["stays"]["starts"], 2)
-        self.assertIn("error", await ask(address, "status", ["nobody"]))
-        stopped = await ask(address, "stop", ["falls"])
+        self.assertIn("error", await send_command(address, "status", ["nobody"]))
+        stopped = await send_command(address, "stop", ["falls"])
         self.assertEqual(stopped["instances"]["falls"]["state"], "stopped")
         self.agent.process.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.to_thread(self.agent.process.wait, 20), 0)
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from maplestile.control.commands import GrantLease, Rejected
-from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
+from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, RolloutRules
 from maplestile.control.state import ACTIVE, ControlState, Phase, Stage
 from tests.control_rig import NAMES, SECOND_US, registered_control
 
@@ -28,7 +28,7 @@
         super().__init__()
         self.control = registered_control()
         self.now_us = 100 * SECOND_US
-        self.planner = RolloutPlanner(Rules(settle_us=0, step_us=20 * SECOND_US), self.now_us)
+        self.planner = RolloutPlanner(RolloutRules(settle_us=0, step_us=20 * SECOND_US), self.now_us)
         self.chance = random.Random(1)
         self.lost = set[str]()  # out without a lease
         for agent, managed in (("a0", True), ("a1", False)):
@@ -100,7 +100,7 @@
         """The leader decides on its next command, which the state accepts."""
         self.now_us += pause_us
         reports = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
-        self.planner.hear(reports, self.now_us)
+        self.planner.record_reports(reports, self.now_us)
         command = self.planner.next_command(self.control, frozenset(), 1, self.now_us)
         if command is None:
             return
--- a/tests/test_control_runners.py
+++ b/tests/test_control_runners.py
@@ -3,7 +3,7 @@
 import unittest
 from typing import Any
 
-from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, Rules
+from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, RolloutRules
 from maplestile.control.state import ControlState, Phase, Stage
 
 
@@ -95,8 +95,8 @@
 
     def test_a_silent_runner_counts_against_the_budget(self) -> None:
         self.accept("start", action="drain", kind="runners", targets=["w1"], budget=1)
-        planner = RolloutPlanner(Rules(settle_us=0), 0)
-        planner.hear({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
+        planner = RolloutPlanner(RolloutRules(settle_us=0), 0)
+        planner.record_reports({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
         self.assertIsNone(planner.next_command(self.control, frozenset({"w2"}), 1, 2))
         self.assertIsNotNone(planner.next_command(self.control, frozenset(), 1, 3))
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -27,26 +27,26 @@
         cordons = Cordons(
             FileCordonStore(self.folder), OperatorLimits(known_runners=3), Counter(), lambda: None
         )
-        cordons.listed(["a", "../b"])
+        cordons.remember_listed(["a", "../b"])
         return cordons
 
     def test_a_cordon_set_at_one_process_holds_at_the_other_and_after_a_start(self) -> None:
         for _ in range(2):  # calls may repeat
             self.assertTrue(self.one.suspend("../b"))
-        self.other.look()
+        self.other.refresh()
         late = self.cordons()
-        late.look()
+        late.refresh()
         self.assertEqual([cordons.cordoned for cordons in (self.one, self.other, late)], 3 * [{"../b"}])
         self.assertTrue(self.other.resume("../b"))
-        self.one.look()
+        self.one.refresh()
         self.assertEqual((self.one.cordoned, self.other.cordoned), (frozenset(), frozenset()))
 
     def test_a_runner_never_listed_is_refused_and_one_that_is_no_longer_listed_is_not(self) -> None:
         self.assertFalse(self.one.suspend("c"))
         self.assertFalse(self.one.resume("c"))
-        self.one.listed(["c"])
+        self.one.remember_listed(["c"])
         self.assertTrue(self.one.suspend("a"))
-        self.one.listed(["d", "e", "f", "g"])  # the memory of ids is bounded, that of cordons is not
+        self.one.remember_listed(["d", "e", "f", "g"])  # the memory of ids is bounded, that of cordons is not
         self.assertFalse(self.one.suspend("c"))
         self.assertTrue(self.one.resume("a"))
 
@@ -55,24 +55,24 @@
         (self.folder / "r-a").unlink()
         self.folder.rmdir()
         self.folder.write_bytes(b"\0 damaged")
-        self.one.look()
-        self.cordons().look()
+        self.one.refresh()
+        self.cordons().refresh()
         self.assertEqual(self.one.cordoned, {"a"})
         self.folder.unlink()
-        self.one.look()
+        self.one.refresh()
         late = self.cordons()
-        late.look()
+        late.refresh()
         self.assertEqual(late.cordoned, {"a"})
 
     def test_a_cordon_that_cannot_be_stored_holds_in_this_process_until_it_does(self) -> None:
         self.folder.rmdir()
         self.folder.write_bytes(b"")
         self.assertTrue(self.one.suspend("a"))
-        self.one.look()
+        self.one.refresh()
         self.assertEqual(self.one.cordoned, {"a"})
         self.folder.unlink()
-        self.one.look()
-        self.other.look()
+        self.one.refresh()
+        self.other.refresh()
         self.assertEqual(self.other.cordoned, {"a"})
 
 
--- a/tests/test_gc_scheduler.py
+++ b/tests/test_gc_scheduler.py
@@ -25,16 +25,16 @@
         del objects
         gc.collect(1)
         assert dead() is not None
-        collector.look(100.0)  # nothing was closed, so there is nothing to be found
+        collector.collect_if_due(100.0)  # nothing was closed, so there is nothing to be found
         assert dead() is not None
         counters["clients.connections"] += 100
-        collector.look(100.5)
+        collector.collect_if_due(100.5)
         assert dead() is None and counters["gc.longest_us"] > 0
         closed = SelfReference()
         dead = weakref.ref(closed)
         del closed
         counters["clients.connections"] += 100
-        collector.look(101.0)  # not due yet
+        collector.collect_if_due(101.0)  # not due yet
         assert dead() is not None
     finally:
         collector.stop()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from maplestile.operation.handover import Handover, Stage
+from maplestile.operation.handover import Handover, HandoverStage
 from maplestile.operation.state_folder import ProcessLocks
 from maplestile.wire.limits import Limits
 from tests.helpers import settings
@@ -29,41 +29,43 @@
 
     def test_two_upgrades_in_a_row(self) -> None:
         first, first_locks = self.start_process()
-        self.assertEqual((first.stage, first.live), (Stage.ALONE, 1))
+        self.assertEqual((first.stage, first.process_count), (HandoverStage.ALONE, 1))
         for _ in range(2):
             second, second_locks = self.start_process()
             third, third_locks = self.start_process()
-            first.look()
-            self.assertEqual((second.stage, third.stage), (Stage.TAKING, Stage.WAITING))
-            self.assertEqual((first.live, second.live, first.successor_ready), (2, 2, False))
+            first.poll()
+            self.assertEqual((second.stage, third.stage), (HandoverStage.TAKING, HandoverStage.WAITING))
+            self.assertEqual(
+                (first.process_count, second.process_count, first.successor_ready), (2, 2, False)
+            )
             release_all(third_locks)
-            second.ready()
-            first.look()
+            second.announce_ready()
+            first.poll()
             self.assertTrue(first.successor_ready)
             release_all(first_locks)
-            second.look()
-            self.assertEqual((second.stage, second.live), (Stage.ALONE, 1))
+            second.poll()
+            self.assertEqual((second.stage, second.process_count), (HandoverStage.ALONE, 1))
             first, first_locks = second, second_locks
 
     def test_a_successor_that_dies_leaves_nothing_behind(self) -> None:
         first, _ = self.start_process()
         second, locks = self.start_process()
-        second.ready()
+        second.announce_ready()
         release_all(locks)
-        first.look()
-        self.assertEqual((first.live, first.successor_ready), (1, False))
+        first.poll()
+        self.assertEqual((first.process_count, first.successor_ready), (1, False))
         second, _ = self.start_process()
-        first.look()
-        self.assertEqual((second.stage, first.successor_ready), (Stage.TAKING, False))
+        first.poll()
+        self.assertEqual((second.stage, first.successor_ready), (HandoverStage.TAKING, False))
 
     def test_no_process_yields_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
         first, _ = self.start_process()
         second, _ = self.start_process()
-        second.ready()
-        first.look()
+        second.announce_ready()
+        first.poll()
         self.assertTrue(first.successor_ready)
-        second.leaving()
-        first.look()
+        second.announce_stopping()
+        first.poll()
         self.assertEqual((first.successor, first.successor_ready), (True, False))
 
     def test_budgets_are_divided_while_two_live(self) -> None:
--- a/tests/test_invocation_store.py
+++ b/tests/test_invocation_store.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from maplestile.invoke.store import InvocationRecord, InvocationStore
+from maplestile.invoke.store import InvocationRecord, InvocationStore, KeyScope
 from maplestile.wire.http import Response
 
 
@@ -32,7 +32,7 @@
 def test_delivered_answer_never_changes_and_an_uncollected_one_is_failed_and_dropped() -> None:
     clock = StoreOnManualClock()
     delivered = InvocationRecord("a", None, b"", 100)
-    uncollected = InvocationRecord("b", ("f", "t", "k"), b"", 100)
+    uncollected = InvocationRecord("b", KeyScope("f", "t", "k"), b"", 100)
     for record in (delivered, uncollected):
         clock.store.add(record)
         clock.store.finish(record, Response(200, b"result"))
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -16,7 +16,7 @@
 
 def test_an_epoch_is_on_record_before_it_is_applied_and_outlives_the_process(tmp_path: Path) -> None:
     rig = PolicyDriverRig(tmp_path)
-    assert rig.driver.lacking() == "the fleet has not told its policy yet"
+    assert rig.driver.not_ready_reason() == "the fleet has not told its policy yet"
     assert rig.announce(0, document=None)["standing"] == "current"
     assert rig.announce(1)["fetch"] is True
     report = rig.announce(1, document=rig.policy(attempts=2))
@@ -42,7 +42,7 @@
     rig.announce(0, document=None)
     report = rig.announce(1, document=rig.policy(newer=1))
     assert (report["standing"], report["epoch"]) == ("refused", 0)
-    assert "rules.newer: is not known here" in rig.driver.lacking()
+    assert "rules.newer: is not known here" in rig.driver.not_ready_reason()
     assert rig.announce(2, document=rig.policy(attempts=2))["standing"] == "current"
     (tmp_path / f"{store.NAME}.new").mkdir()  # where the next record would be written
     report = rig.announce(3, document=rig.policy(attempts=3))
@@ -62,17 +62,17 @@
     exam = {"name": "exam", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
     document = rig.policy()
     document["class"] = [*document["class"], exam]
-    assert rig.driver.check({"change": 4, "document": document})["build"]
+    assert rig.check({"change": 4, "document": document})["build"]
     document = {**document, "class": [one for one in document["class"] if one["name"] != "review"]}
     with pytest.raises(PolicyError, match=r"function\[0\].class"):
-        rig.driver.check({"change": 5, "document": document})
+        rig.check({"change": 5, "document": document})
     prepared = rig.policy()
     prepared["class"] = prepared["class"][:3]
-    rig.driver.check({"change": 6, "document": prepared})
+    rig.check({"change": 6, "document": prepared})
     more = '[[function]]\nname = "g"\nclass = "review"\nmemory_mb = 1\n\n[[kind]]'
     assert rig.reload("[[kind]]", more).operator is not None
     rig.announce(1, document=document | {"class": [*prepared["class"], exam]})
-    rig.driver.check({"change": 7, "document": prepared})
+    rig.check({"change": 7, "document": prepared})
     with pytest.raises(PolicyError, match=r"change 7\): function\[3\].class: must be one of"):
         rig.reload("[[kind]]", more.replace("review", "exam"))
     rig.announce(1)  # the change was aborted
@@ -93,9 +93,9 @@
 def test_a_damaged_announcement_is_refused_by_its_field(message: object, tmp_path: Path) -> None:
     rig = PolicyDriverRig(tmp_path)
     with pytest.raises(PolicyError, match="must be a whole number"):
-        rig.driver.hear(message, lambda answer: None)
+        rig.take_announcement(message, lambda answer: None)
     with pytest.raises(PolicyError, match="must be a whole number"):
-        rig.driver.check(message)
+        rig.check(message)
 
 
 def test_an_announcement_that_comes_while_the_record_is_written_changes_nothing(tmp_path: Path) -> None:
@@ -110,8 +110,8 @@
         "checking": 0,
         "document": rig.policy(attempts=2),
     }
-    rig.driver.hear(announcement, answers.append)
-    rig.driver.hear(announcement, answers.append)
+    rig.take_announcement(announcement, answers.append)
+    rig.take_announcement(announcement, answers.append)
     assert [answer["epoch"] for answer in answers] == [0] and len(jobs) == 1
     ((job, then),) = jobs
     job()
--- a/tests/test_policy_follower.py
+++ b/tests/test_policy_follower.py
@@ -3,9 +3,9 @@
 from maplestile.control.policy.follower import (
     NO_EPOCH,
     Follower,
+    FollowerTimeouts,
     PolicyAnnouncement,
     PolicyStatus,
-    Rules,
     Step,
 )
 
@@ -14,7 +14,7 @@
 
 def new_follower(epoch: int = 3) -> Follower:
     """A router that starts at 100 s with this epoch on record."""
-    return Follower(Rules(stale_us=5 * S, wait_us=10 * S, pause_us=2 * S), epoch, 100 * S)
+    return Follower(FollowerTimeouts(stale_us=5 * S, wait_us=10 * S, pause_us=2 * S), epoch, 100 * S)
 
 
 def tick_until(router: Follower, until_us: int) -> None:
@@ -26,15 +26,17 @@
 def test_a_router_that_starts_takes_no_calls_until_it_knows_what_was_committed_since() -> None:
     router = new_follower()
     assert not router.admits(101 * S)
-    assert router.hear(PolicyAnnouncement(3, 99 * S), 101 * S) is Step.NOTHING  # a read from before its start
+    assert (
+        router.take_announcement(PolicyAnnouncement(3, 99 * S), 101 * S) is Step.NOTHING
+    )  # a read from before its start
     assert not router.admits(101 * S)
-    assert router.hear(PolicyAnnouncement(5, 101 * S), 102 * S) is Step.FETCH
-    announcement = PolicyAnnouncement(5, 101 * S, whole=True)
-    assert router.hear(announcement, 102 * S) is Step.ADOPT
+    assert router.take_announcement(PolicyAnnouncement(5, 101 * S), 102 * S) is Step.FETCH
+    announcement = PolicyAnnouncement(5, 101 * S, has_document=True)
+    assert router.take_announcement(announcement, 102 * S) is Step.ADOPT
     router.adopted(announcement, 102 * S)
     assert router.admits(102 * S) and (router.epoch, router.status) == (5, PolicyStatus.CURRENT)
     assert (
-        router.hear(PolicyAnnouncement(4, 103 * S, whole=True), 103 * S) is Step.OLDER
+        router.take_announcement(PolicyAnnouncement(4, 103 * S, has_document=True), 103 * S) is Step.OLDER
     )  # it never goes back
     assert router.epoch == 5
 
@@ -48,48 +50,48 @@
         assert router.admits(111 * S) is serves
         assert (router.status is PolicyStatus.STALE) is serves
     first = new_follower(NO_EPOCH)
-    assert first.hear(PolicyAnnouncement(0, 101 * S, whole=True), 101 * S) is Step.ADOPT
+    assert first.take_announcement(PolicyAnnouncement(0, 101 * S, has_document=True), 101 * S) is Step.ADOPT
 
 
 def test_a_router_that_is_cut_off_serves_by_the_last_epoch_and_reports_since_when() -> None:
     router = new_follower()
-    router.hear(PolicyAnnouncement(3, 101 * S), 101 * S)
+    router.take_announcement(PolicyAnnouncement(3, 101 * S), 101 * S)
     tick_until(router, 106 * S)
     assert router.stale_us(106 * S) == 0
     tick_until(router, 108 * S)
     assert router.admits(108 * S) and router.stale_us(108 * S) == 7 * S
     # it came late: what was committed lately is not known
-    router.hear(PolicyAnnouncement(3, 102 * S), 108 * S)
+    router.take_announcement(PolicyAnnouncement(3, 102 * S), 108 * S)
     assert router.stale_us(108 * S) == 7 * S
-    announcement = PolicyAnnouncement(4, 108 * S, whole=True)
-    assert router.hear(announcement, 109 * S) is Step.ADOPT
+    announcement = PolicyAnnouncement(4, 108 * S, has_document=True)
+    assert router.take_announcement(announcement, 109 * S) is Step.ADOPT
     router.adopted(announcement, 109 * S)
     assert router.status is PolicyStatus.CURRENT and router.stale_us(109 * S) == 0
 
 
 def test_a_router_that_was_paused_waits_for_an_announcement_from_after_the_pause() -> None:
     router = new_follower()
-    router.hear(PolicyAnnouncement(3, 101 * S), 101 * S)
+    router.take_announcement(PolicyAnnouncement(3, 101 * S), 101 * S)
     assert not router.admits(104 * S) and router.status is PolicyStatus.WAITING
     assert (
-        router.hear(PolicyAnnouncement(3, 103 * S), 104 * S) is Step.NOTHING
+        router.take_announcement(PolicyAnnouncement(3, 103 * S), 104 * S) is Step.NOTHING
     )  # it lay in the socket meanwhile
     assert not router.admits(104 * S)
-    router.hear(PolicyAnnouncement(3, 105 * S), 105 * S)
+    router.take_announcement(PolicyAnnouncement(3, 105 * S), 105 * S)
     assert router.admits(105 * S)
 
 
 def test_a_router_that_refuses_a_committed_epoch_takes_no_calls_until_another_one_fits() -> None:
     router = new_follower()
-    router.hear(PolicyAnnouncement(3, 101 * S), 101 * S)
-    announcement = PolicyAnnouncement(4, 102 * S, whole=True)
-    assert router.hear(announcement, 102 * S) is Step.ADOPT
+    router.take_announcement(PolicyAnnouncement(3, 101 * S), 101 * S)
+    announcement = PolicyAnnouncement(4, 102 * S, has_document=True)
+    assert router.take_announcement(announcement, 102 * S) is Step.ADOPT
     router.refused("rules.new: is not known here")
     assert not router.admits(102 * S) and router.epoch == 3
-    router.hear(PolicyAnnouncement(3, 103 * S), 103 * S)
+    router.take_announcement(PolicyAnnouncement(3, 103 * S), 103 * S)
     assert not router.admits(103 * S)
-    announcement = PolicyAnnouncement(5, 103 * S, whole=True)
-    router.hear(announcement, 104 * S)
+    announcement = PolicyAnnouncement(5, 103 * S, has_document=True)
+    router.take_announcement(announcement, 104 * S)
     router.adopted(announcement, 104 * S)
     assert router.admits(104 * S) and router.reason == ""
 
@@ -97,7 +99,7 @@
 def test_a_prepared_change_is_kept_until_it_is_decided() -> None:
     router = new_follower()
     router.prepare(7, None)
-    router.hear(PolicyAnnouncement(3, 101 * S, checking=7), 101 * S)
+    router.take_announcement(PolicyAnnouncement(3, 101 * S, checking=7), 101 * S)
     assert router.prepared is not None
-    router.hear(PolicyAnnouncement(3, 102 * S, checking=0), 102 * S)
+    router.take_announcement(PolicyAnnouncement(3, 102 * S, checking=0), 102 * S)
     assert router.prepared is None
--- a/tests/test_policy_random.py
+++ b/tests/test_policy_random.py
@@ -8,9 +8,9 @@
 from maplestile.control.policy.follower import (
     NO_EPOCH,
     Follower,
+    FollowerTimeouts,
     PolicyAnnouncement,
     PolicyStatus,
-    Rules,
     Step,
 )
 from maplestile.control.policy.planner import PolicyPlanner
@@ -35,8 +35,8 @@
             command = {"do": "register", "agent": agent, "instances": instances}
             assert self.control.apply_encoded(command)["ok"]
         self.planner = PolicyPlanner()
-        self.routers = {name: Follower(Rules(), NO_EPOCH, self.now_us) for name in ROUTERS}
-        self.announcements = dict.fromkeys(ROUTERS, PolicyAnnouncement(0, 0, whole=True))
+        self.routers = {name: Follower(FollowerTimeouts(), NO_EPOCH, self.now_us) for name in ROUTERS}
+        self.announcements = dict.fromkeys(ROUTERS, PolicyAnnouncement(0, 0, has_document=True))
         self.recorded_epoch = dict.fromkeys(ROUTERS, NO_EPOCH)
         self.committed = [0]  # the epochs of the log
         self.committed_us = {0: 0}  # when each epoch was committed
@@ -72,7 +72,7 @@
         """A router gets the announcement that its agent read last, perhaps again."""
         router = self.routers[name]
         announcement = self.announcements[name]
-        if router.hear(announcement, self.now_us) is Step.ADOPT:
+        if router.take_announcement(announcement, self.now_us) is Step.ADOPT:
             router.adopted(announcement, self.now_us)
             assert announcement.epoch >= self.recorded_epoch[name]
             self.recorded_epoch[name] = announcement.epoch
@@ -87,7 +87,7 @@
     @rule(name=st.sampled_from(tuple(ROUTERS)))
     def restart(self, name: str) -> None:
         """A router starts again with the epoch on its record."""
-        self.routers[name] = Follower(Rules(), self.recorded_epoch[name], self.now_us)
+        self.routers[name] = Follower(FollowerTimeouts(), self.recorded_epoch[name], self.now_us)
 
     @rule(pause_us=st.sampled_from((SECOND_US // 10, SECOND_US, 3 * SECOND_US, 12 * SECOND_US)))
     def wait(self, pause_us: int) -> None:
@@ -135,7 +135,7 @@
     def a_current_router_has_what_was_committed_when_its_announcement_was_read(self) -> None:
         for router in self.routers.values():
             if router.status is PolicyStatus.CURRENT:
-                assert self.now_us - router.confirmed_us <= router.rules.stale_us
+                assert self.now_us - router.confirmed_us <= router.timeouts.stale_us
                 assert router.confirmed_us >= router.since_us
                 assert router.epoch >= max(
                     epoch for epoch, at_us in self.committed_us.items() if at_us < router.confirmed_us
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from tests.fleet_files import NON_VOTER, NON_VOTER_ROUTER
 from tests.policy_fleet import CALLS_LEAST, ROUTERS, PolicyFleet, PolicyTest
 from tests.rollout_fleet import Calls
@@ -179,7 +179,9 @@
         own = tomllib.loads((self.fleet.folder / "r0.toml").read_text())
         command = {"document": {**document, "class": own["class"]}, "base": 0}
         address = ("127.0.0.1", self.fleet.agent_ports[number])
-        return "error" not in asyncio.run(ask(address, "policy", [], what="propose", command=command))
+        return "error" not in asyncio.run(
+            send_command(address, "policy", [], what="propose", command=command)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import Any
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from tests.fleet import AGENTS, FOREVER, ROLLOUT_S, kill_processes
 from tests.fleet_command_line import other_agents
 from tests.rollout_fleet import Calls, FleetTest
@@ -50,7 +50,7 @@
         def start(number: int) -> None:
             address = ("127.0.0.1", self.fleet.agent_ports[number])
             command = {"action": "restart", "budget": 1, "targets": ["r0"]}
-            answers.append(asyncio.run(ask(address, "rollout", [], what="start", command=command)))
+            answers.append(asyncio.run(send_command(address, "rollout", [], what="start", command=command)))
 
         threads = [threading.Thread(target=start, args=(number,)) for number in numbers]
         for thread in threads:
--- a/tests/test_process_unrecorded.py
+++ b/tests/test_process_unrecorded.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from tests.free_ports import free_ports
 from tests.standins import ROOT, Program, eventually
 
@@ -54,7 +54,7 @@
     def status(self) -> dict[str, Any]:
         """The router as the agent has it; no pid while the agent cannot be reached."""
         try:
-            reply = asyncio.run(ask(("127.0.0.1", self.agent_port), "status", []))
+            reply = asyncio.run(send_command(("127.0.0.1", self.agent_port), "status", []))
         except OSError:
             return {"state": "", "pid": None}
         found: dict[str, Any] = reply["instances"]["r"]
@@ -74,7 +74,7 @@
                 self.agent.find("(adopted, pid)")
                 status = self.status()
                 self.assertEqual((status["state"], status["pid"]), ("running", pid))
-        asyncio.run(ask(("127.0.0.1", self.agent_port), "restart", ["r"]))
+        asyncio.run(send_command(("127.0.0.1", self.agent_port), "restart", ["r"]))
         eventually(lambda: self.status()["pid"] not in (None, pid), "another process")
         self.assertEqual(self.status()["state"], "running")
 
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -14,7 +14,7 @@
 from maplestile.common import durable_file as durable
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import HealthReport
-from maplestile.control.log_storage import check
+from maplestile.control.log_storage import check_folder
 from maplestile.control.log_view import ReceivedHeartbeat
 from maplestile.control.policy import store
 from maplestile.control.policy.document import AdoptedPolicy, document_of
@@ -97,9 +97,9 @@
         shutil.copytree(record_voter.FOLDER, self.folder)
 
     def test_the_recorded_folder_is_taken_for_this_voter_alone(self) -> None:
-        check(self.folder, "a0")
+        check_folder(self.folder, "a0")
         with self.assertRaises(CommandRejected) as refused:
-            check(self.folder, "a1")
+            check_folder(self.folder, "a1")
         self.assertEqual(str(refused.exception), f"{self.folder / 'voter'}: the folder is of voter 'a0'")
 
     def test_a_voter_started_on_the_recorded_folder_has_the_recorded_state(self) -> None:
@@ -174,11 +174,11 @@
     def test_the_process_registry_is_read_and_written_as_recorded(self) -> None:
         path = self.copy_recorded("roster.json", "roster.json")
         registry = ProcessRegistry(self.folder)
-        self.assertEqual(registry.known, {"r0": (4194300, 17), "w0": (4194301, 18)})
-        registry.put("r1", None)
+        self.assertEqual(registry.processes, {"r0": (4194300, 17), "w0": (4194301, 18)})
+        registry.record("r1", None)
         self.assertEqual(path.read_bytes(), recorded_bytes("roster.json"))
-        registry.put("w0", None)
-        registry.put("r0", None)
+        registry.record("w0", None)
+        registry.record("r0", None)
         self.assertEqual(durable.read(path, 1), {})
 
     def test_the_suspended_runners_are_read(self) -> None:
--- a/tests/test_recorded_datagrams.py
+++ b/tests/test_recorded_datagrams.py
@@ -11,7 +11,7 @@
     """Recorded datagrams, decoded."""
 
     def test_each_kind_is_read(self) -> None:
-        self.assertEqual(set(MESSAGES), set(messages.KINDS))
+        self.assertEqual(set(MESSAGES), set(messages.KIND_BY_TEXT))
         for kind, message in MESSAGES.items():
             with self.subTest(kind):
                 self.assertEqual(messages.decode(recorded_bytes(f"datagram-{kind}.bin")), message)
--- a/tests/test_recorded_remote_log.py
+++ b/tests/test_recorded_remote_log.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from pathlib import Path
 
-from maplestile.agent.supervisor import ask
+from maplestile.agent.supervisor import send_command
 from maplestile.control.log_view import RouterStatus
 from maplestile.control.raft_log import LogError
 from maplestile.control.remote_log import RemoteLog
@@ -23,7 +23,7 @@
         self.addCleanup(voter.close)
         with tempfile.TemporaryDirectory() as name:
             settings = control_settings(Path(name), f'ask = ["127.0.0.1:{voter.port}"]')
-        remote_log = RemoteLog(settings, ask, Counter())
+        remote_log = RemoteLog(settings, send_command, Counter())
         self.reply = await remote_log.submit({"do": "resume"})
         return remote_log
 
