--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -10,12 +10,13 @@
 import time
 import tracemalloc
 from collections.abc import Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from random import Random
 
 from benchmarks.fit import Series
 from maplestile.dispatch import api
 from maplestile.dispatch.dispatcher import Dispatcher
+from maplestile.tools.dispatcher_settings import BASE_SETTINGS
 
 CALLS_PER_S = 126  # 72,000 over 570 routers
 CALLS_PER_CHANGE = 126
@@ -44,33 +45,15 @@
 
 def settings() -> api.Settings:
     """The settings of a router of a large fleet."""
-    kind = api.CallClass(
+    call_class = api.CallClass(
         "review", 1_000_000, 4_000_000, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0
     )
-    return api.Settings(
-        classes=(kind,),
+    return replace(
+        BASE_SETTINGS,
+        classes=(call_class,),
         router_count=ROUTERS,
         zone="z0",
-        tick_us=4_000,
-        must_poll_list=False,
-        may_request_loads=True,
-        loads_on_miss=True,
-        keep_alive_us=10_000_000,
         kind_memory_mb=(("k", 8_000.0),),
-        load_timeout_us=10_000_000,
-        load_request_window_us=0,
-        load_requests_free=0,
-        load_requests_per_call=0,
-        max_attempts=4,
-        may_cancel=True,
-        may_hedge=True,
-        may_probe=True,
-        answer_slack_us=16_000,
-        drain_grace_us=2_000_000,
-        slow_start_share=0.2,
-        slow_start_us=15_000_000,
-        overload_multiple=2.0,
-        overload_window_us=2_000_000,
     )
 
 
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -3,6 +3,7 @@
 from typing import Any
 
 from maplestile.dispatch.api import DeduplicationScope, Idempotency
+from maplestile.tools.dispatcher_settings import US_PER_MS
 from maplestile.tools.explore import scenario
 from maplestile.tools.explore.connections import Line, Link
 from maplestile.tools.explore.records import Client
@@ -39,7 +40,7 @@
     if simulation.stopped and simulation.now_us > simulation.core.leave_us + tick_us:
         simulation.violate("drain-ends", f"{name}: owed past the end")
     if simulation.now_us > client.due_us + tick_us:
-        late_ms = (simulation.now_us - client.due_us) / scenario.US_PER_MS
+        late_ms = (simulation.now_us - client.due_us) / US_PER_MS
         simulation.violate("answer-by-deadline", f"{name}: {late_ms:g} ms late")
     if outcome.verdict is Verdict.REJECTED and not _is_retry_harmless(simulation, client):
         simulation.violate("harmless-refusal", f"{name}: refused, and it may have run")
@@ -96,7 +97,7 @@
         workers = f"at {first.link.worker}, then at {again.link.worker}"
         simulation.violate("keyed-in-scope", f"{class_name}: {workers}")
     elif age_us >= call_class.deduplication_window_us:
-        simulation.violate("keyed-in-scope", f"{class_name}: again after {age_us / scenario.US_PER_MS:g} ms")
+        simulation.violate("keyed-in-scope", f"{class_name}: again after {age_us / US_PER_MS:g} ms")
 
 
 def _in_scope(simulation: Simulation, scope: DeduplicationScope, first: str, second: str) -> bool:
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -10,12 +10,13 @@
 
 from maplestile.common.address import Address, parse_address
 from maplestile.operation.client import CallError, call
+from maplestile.tools.dispatcher_settings import US_PER_MS
 from maplestile.tools.explore import scenario
 from maplestile.tools.explore.cases import Case, CaseError
 from maplestile.tools.explore.scripted_workers import ScriptedWorker
 
 TIMEOUT_S = 10.0  # of the start, of the end, and of a request of an operator
-US_PER_MS = float(scenario.US_PER_MS)
+
 FRONTS = ("operator", "invoke")
 FILE_HEAD = f"""[invoke]
 listen = "127.0.0.1:0"
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -1,16 +1,17 @@
 """What all cases of the explorer have in common: settings, classes of calls, times, and kinds of answers."""
 
 import random
+from dataclasses import replace
 from typing import Any
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import NEVER_RAN, DeduplicationScope, Idempotency
+from maplestile.tools.dispatcher_settings import BASE_SETTINGS, US_PER_MS
 from maplestile.tools.explore.events import EventKind
 from maplestile.wire import runner as wire
 from maplestile.wire.limits import ControlRequestLimits, Limits, RunnerLimits
 
 START_US = 1_000_000_000_000  # the simulated clock's first moment
-US_PER_MS = 1000
 STEP_US = 100 * US_PER_MS  # how far one event `time` moves the clock
 DEADLINE_US = 400 * US_PER_MS  # of every call
 DRAIN_US = 300 * US_PER_MS  # a process ends before the deadlines of the calls that it has in flight
@@ -45,9 +46,8 @@
     EventKind.FULL: "503",
     EventKind.MISS: "404",
 }
-NEVER_RAN_KINDS = [
-    kind for kind, result in wire.RESULTS.items() if result in NEVER_RAN
-]  # proof that a call never ran
+# Answers that prove that a call never ran.
+NEVER_RAN_KINDS = [kind for kind, result in wire.RESULTS.items() if result in NEVER_RAN]
 
 
 def attempts_of(epoch: int) -> int:
@@ -57,31 +57,17 @@
 
 def settings(epoch: int = 0) -> api.Settings:
     """The dispatcher's settings under a policy epoch."""
-    return api.Settings(
+    return replace(
+        BASE_SETTINGS,
         classes=tuple(CLASSES.values()),
-        router_count=1,
         zone="a",
-        tick_us=4 * US_PER_MS,
-        must_poll_list=False,
-        may_request_loads=True,
-        loads_on_miss=True,
-        keep_alive_us=10_000 * US_PER_MS,
         kind_memory_mb=(("k", 4000.0),),
         load_timeout_us=LOAD_TIMEOUT_US,
-        load_request_window_us=0,
-        load_requests_free=0,
-        load_requests_per_call=0,
         max_attempts=attempts_of(epoch),
         epoch=epoch,
-        may_cancel=True,
-        may_hedge=True,
-        may_probe=True,
-        answer_slack_us=16 * US_PER_MS,
-        drain_grace_us=2_000 * US_PER_MS,
         slow_start_share=0.16,
         slow_start_us=18_000 * US_PER_MS,
         overload_multiple=4.0,
-        overload_window_us=2_000 * US_PER_MS,
     )
 
 
--- a/maplestile/tools/explore/simulated_workers.py
+++ b/maplestile/tools/explore/simulated_workers.py
@@ -2,6 +2,7 @@
 
 from maplestile.common.address import Address
 from maplestile.dispatch.api import WorkerEntry, WorkerState
+from maplestile.tools.dispatcher_settings import US_PER_MS
 from maplestile.tools.explore import scenario
 from maplestile.tools.explore.cases import Case
 from maplestile.tools.explore.events import EventKind
@@ -12,7 +13,7 @@
     EventKind.RETURN: WorkerState.RUNNING,
 }
 FIRST_PORT = 9000
-WARM_AGE_US = 20_000 * scenario.US_PER_MS  # how long workers have run at the start: past their slow start
+WARM_AGE_US = 20_000 * US_PER_MS  # how long workers have run at the start: past their slow start
 
 
 class SimulatedWorkers:
