--- a/benchmarks/name_lists.py
+++ b/benchmarks/name_lists.py
@@ -139,10 +139,10 @@
     """How long each change of a name server takes until a router's list has it whole."""
 
     def __init__(self, server: NameServer, endpoints: EndpointList) -> None:
-        self.stale_ms = list[float]()
         self._server = server
         self._endpoints = endpoints
         self._changed_s = 0.0
+        self._stale_ms = list[float]()
 
     def change(self) -> None:
         """Change the name server's list."""
@@ -152,7 +152,11 @@
     def record_update(self) -> None:
         """Note an update of the router's list."""
         if self._changed_s and self._endpoints.version == self._server.serial:
-            self.stale_ms.append((time.monotonic() - self._changed_s) * 1e3)
+            self._stale_ms.append((time.monotonic() - self._changed_s) * 1e3)
+
+    def mean_ms(self) -> float:
+        """The mean over all changes that the router has received; 0 if there are none."""
+        return sum(self._stale_ms) / max(1, len(self._stale_ms))
 
 
 async def measure(workers: int, seconds: float, change_s: float = CHANGE_S) -> Usage:
@@ -161,31 +165,37 @@
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(lambda: server, local_addr=("127.0.0.1", 0))
     address = transport.get_extra_info("sockname")[:2]
-    fleet = EndpointList()
-    staleness = StalenessMeter(server, fleet)
-    taken = staleness.record_update
-    names = DnsDiscovery(address, fleet, NameServerLimits(), Counter(), taken)
-    polling = asyncio.create_task(names.run())
+    endpoints = EndpointList()
+    staleness = StalenessMeter(server, endpoints)
+    discovery = DnsDiscovery(address, endpoints, NameServerLimits(), Counter(), staleness.record_update)
+    polling = asyncio.create_task(discovery.run())
     try:
-        while len(fleet.entries) < workers:
+        while len(endpoints.entries) < workers:
             await asyncio.sleep(POLL_S)
-        server.traffic.clear()
-        started_s = time.monotonic()
-        processor_before_s = time.process_time()
-        while time.monotonic() < started_s + seconds:
-            staleness.change()
-            await asyncio.sleep(change_s)
-        took_s = time.monotonic() - started_s
-        processor_s = time.process_time() - processor_before_s
+        return await _measure_changes(server, staleness, seconds, change_s)
     finally:
         polling.cancel()
         await asyncio.gather(polling, return_exceptions=True)
         transport.close()
+
+
+async def _measure_changes(
+    server: NameServer, staleness: StalenessMeter, seconds: float, change_s: float
+) -> Usage:
+    """Change the list each `change_s` for so many seconds, and measure what that uses."""
+    server.traffic.clear()
+    started_s = time.monotonic()
+    processor_before_s = time.process_time()
+    while time.monotonic() < started_s + seconds:
+        staleness.change()
+        await asyncio.sleep(change_s)
+    took_s = time.monotonic() - started_s
+    processor_s = time.process_time() - processor_before_s
     return Usage(
         queries=server.traffic["queries"] / took_s,
         bytes=server.traffic["bytes"] / took_s,
         processor_ms=1e3 * processor_s / took_s,
-        stale_ms=sum(staleness.stale_ms) / max(1, len(staleness.stale_ms)),
+        stale_ms=staleness.mean_ms(),
     )
 
 
--- a/examples/toy_worker.py
+++ b/examples/toy_worker.py
@@ -1,85 +1,134 @@
-"""A toy worker: speaks the runners' lines, takes its time, and answers each body backwards.
+"""A toy worker: speaks the workers' line protocol, takes its time, and answers each body reversed.
 
-python examples/toy_worker.py --port 9001 --work-ms 50
+    python examples/toy_worker.py --port 9001 --work-ms 50
+
+The protocol has one JSON object a line in both directions. A router sends CALL, LOAD, UNLOAD, STATS and
+CANCEL; each but UNLOAD and CANCEL is answered, in any order, under the tag that the router gave it.
 """
 
 import argparse
 import asyncio
 import base64
 import json
+from dataclasses import dataclass
 from typing import Any
 
 MAX_LINE_BYTES = 1 << 17
 MS_PER_S = 1000
+HOST = "127.0.0.1"
+
+
+@dataclass(frozen=True)
+class Command:
+    """A line of a router."""
+
+    kind: str
+    tag: str  # names the command in its answer; of UNLOAD, the function
+    function: str = ""
+    copies: int = 0  # that a LOAD requests
+    body: bytes = b""  # of a CALL
+
+
+@dataclass(frozen=True)
+class Answer:
+    """A line of the worker, without the tag of the command that it answers."""
+
+    kind: str
+    fields: dict[str, Any]  # the other fields of the line
+
+
+def decode(line: bytes) -> Command:
+    """Decode a line of a router. Raises ValueError where it is no JSON."""
+    message = json.loads(line)
+    head = message.get("head") or {}
+    return Command(
+        kind=message["kind"],
+        tag=message["call"],
+        function=head.get("key", ""),
+        copies=int(head.get("units", 0)),
+        body=base64.b64decode(message.get("bytes") or ""),
+    )
+
+
+def encode(tag: str, answer: Answer) -> bytes:
+    """Encode the answer to the command with this tag."""
+    return json.dumps({"kind": answer.kind, "call": tag, **answer.fields}).encode() + b"\n"
 
 
 class ToyWorker:
     """A worker that takes `load_s` to load a copy and `work_s` for a call."""
 
     def __init__(self, work_s: float, load_s: float) -> None:
-        self.work_s = work_s
-        self.load_s = load_s
-        self.copies: dict[str, int] = {}  # loaded, by function
-        self.in_flight: dict[str, int] = {}  # calls, by function
+        self._work_s = work_s
+        self._load_s = load_s
+        self._copies: dict[str, int] = {}  # loaded, by function
+        self._in_flight: dict[str, int] = {}  # calls, by function
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection of a router until it ends."""
-        jobs: dict[str, asyncio.Task[None]] = {}
+        """Serve one connection of a router until it ends, which cancels what is in flight on it."""
+        tasks: dict[str, asyncio.Task[None]] = {}
         try:
             while line := await reader.readline():
-                self.receive(json.loads(line), jobs, writer)
+                self._receive(decode(line), tasks, writer)
         except (OSError, ValueError) as error:
             print(f"connection ended: {error}")
         finally:
-            for job in list(jobs.values()):  # a closed connection cancels all that is in flight on it
-                job.cancel()
+            for task in list(tasks.values()):
+                task.cancel()
             writer.close()
 
-    def receive(
-        self, message: dict[str, Any], jobs: dict[str, asyncio.Task[None]], writer: asyncio.StreamWriter
+    def _receive(
+        self, command: Command, tasks: dict[str, asyncio.Task[None]], writer: asyncio.StreamWriter
     ) -> None:
-        """Start, cancel or unload, as a message says."""
-        call = message["call"]
-        if message["kind"] == "CANCEL":
-            if job := jobs.pop(call, None):
-                job.cancel()
-        elif message["kind"] == "UNLOAD":
-            self.copies.pop(call, None)
-        else:
-            job = asyncio.create_task(self.answer(message, writer))
-            jobs[call] = job
-            job.add_done_callback(lambda _: jobs.pop(call, None))
-
-    async def answer(self, message: dict[str, Any], writer: asyncio.StreamWriter) -> None:
-        """Do what a message requests, and answer it."""
-        reply: dict[str, Any] = {"kind": "alive", "call": message["call"]}
-        if message["kind"] == "LOAD":
-            copies = await self.load(message["head"]["key"], int(message["head"]["units"]))
-            reply |= {"kind": "200", "head": {"units": copies}}
-        elif message["kind"] == "CALL":
-            reply |= await self.run(message["head"]["key"], base64.b64decode(message["bytes"]))
-        elif message["kind"] == "STATS":
-            reply |= {"kind": "status", "stats": f"queue:{sum(self.in_flight.values())}"}
-        writer.write(json.dumps(reply).encode() + b"\n")
-
-    async def load(self, function: str, copies: int) -> int:
-        """Load copies of a function up to a number; the number that is loaded then."""
-        if copies > self.copies.get(function, 0):
-            await asyncio.sleep(self.load_s)
-            self.copies[function] = max(copies, self.copies.get(function, 0))
-        return self.copies.get(function, 0)
-
-    async def run(self, function: str, body: bytes) -> dict[str, Any]:
-        """Run a call; its answer's kind, head and body."""
-        ahead = self.in_flight.get(function, 0)
-        self.in_flight[function] = ahead + 1
+        """Start a command that is answered, or carry out one that is not."""
+        match command.kind:
+            case "CANCEL":
+                if task := tasks.pop(command.tag, None):
+                    task.cancel()
+            case "UNLOAD":
+                self._copies.pop(command.tag, None)
+            case _:
+                task = asyncio.create_task(self._answer(command, writer))
+                tasks[command.tag] = task
+                task.add_done_callback(lambda _: tasks.pop(command.tag, None))
+
+    async def _answer(self, command: Command, writer: asyncio.StreamWriter) -> None:
+        answer = await self._carry_out(command)
+        writer.write(encode(command.tag, answer))
+
+    async def _carry_out(self, command: Command) -> Answer:
+        match command.kind:
+            case "LOAD":
+                copies = await self._load(command.function, command.copies)
+                return Answer("200", {"head": {"units": copies}})
+            case "CALL":
+                return await self._run(command)
+            case "STATS":
+                return Answer("status", {"stats": self._load_report()})
+        return Answer("alive", {})
+
+    async def _load(self, function: str, copies: int) -> int:
+        """Load a function until there are at least so many copies; return how many there are."""
+        if copies > self._copies.get(function, 0):
+            await asyncio.sleep(self._load_s)
+            self._copies[function] = max(copies, self._copies.get(function, 0))
+        return self._copies.get(function, 0)
+
+    async def _run(self, call: Command) -> Answer:
+        """Run a call, with a cold start if its function is not loaded."""
+        queued_ahead = self._in_flight.get(call.function, 0)
+        self._in_flight[call.function] = queued_ahead + 1
         try:
-            await self.load(function, 1)
-            await asyncio.sleep(self.work_s)
+            await self._load(call.function, 1)
+            await asyncio.sleep(self._work_s)
         finally:
-            self.in_flight[function] -= 1
-        head = {"ahead": ahead, "stats": f"queue:{sum(self.in_flight.values())}"}
-        return {"kind": "200", "head": head, "bytes": base64.b64encode(body[::-1]).decode()}
+            self._in_flight[call.function] -= 1
+        head = {"ahead": queued_ahead, "stats": self._load_report()}
+        body = base64.b64encode(call.body[::-1]).decode()
+        return Answer("200", {"head": head, "bytes": body})
+
+    def _load_report(self) -> str:
+        return f"queue:{sum(self._in_flight.values())}"
 
 
 async def main() -> None:
@@ -90,8 +139,8 @@
     parser.add_argument("--load-ms", type=float, default=500.0)
     arguments = parser.parse_args()
     worker = ToyWorker(arguments.work_ms / MS_PER_S, arguments.load_ms / MS_PER_S)
-    server = await asyncio.start_server(worker.serve, "127.0.0.1", arguments.port, limit=MAX_LINE_BYTES)
-    print(f"toy worker listens on 127.0.0.1:{server.sockets[0].getsockname()[1]}", flush=True)
+    server = await asyncio.start_server(worker.serve, HOST, arguments.port, limit=MAX_LINE_BYTES)
+    print(f"toy worker listens on {HOST}:{server.sockets[0].getsockname()[1]}", flush=True)
     await server.serve_forever()
 
 
