--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -11,6 +11,7 @@
 import sys
 from collections.abc import Sequence
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -21,6 +22,19 @@
 
 MAX_DEPTH = 30
 DEFAULT_DEPTH = 8
+KB_PER_MB = 1024
+
+
+@dataclass(slots=True, frozen=True)
+class CaseRun:
+    """The exploration of one case in a process of its own."""
+
+    report: Report
+    peak_mb: float  # the most memory that the process has had
+
+    def as_json(self) -> dict[str, Any]:
+        """The run as a JSON object."""
+        return self.report.as_json() | {"peak_mb": self.peak_mb}
 
 
 def add(commands: Any) -> None:
@@ -54,21 +68,21 @@
     except CaseError as error:
         print(f"maplestile: explore: {error}", file=sys.stderr)
         return 2
-    reports = _explore_all(names, arguments)
+    runs = _explore_all(names, arguments)
     if arguments.json:
-        print(json.dumps([report.as_json() | {"peak_mb": peak_mb} for report, peak_mb in reports], indent=2))
+        print(json.dumps([case_run.as_json() for case_run in runs], indent=2))
     else:
-        _print_reports(reports)
+        _print_runs(runs)
     if arguments.save is not None:
-        _save_examples(reports, arguments.save)
-    return int(any(report.example is not None for report, _ in reports))
+        _save_examples(runs, arguments.save)
+    return int(any(case_run.report.example is not None for case_run in runs))
 
 
 def _print_list() -> None:
     for case in CASES.values():
         print("case", case.name, case.summary, sep="\t")
-    for name, about in properties.NAMES.items():
-        print("property", name, about, sep="\t")
+    for name, description in properties.NAMES.items():
+        print("property", name, description, sep="\t")
 
 
 def _case_names(arguments: argparse.Namespace) -> list[str]:
@@ -84,29 +98,31 @@
         raise CaseError(f"--depth must be from 1 to {MAX_DEPTH}, --states and --seconds over 0")
 
 
-def _explore_all(names: Sequence[str], arguments: argparse.Namespace) -> list[tuple[Report, float]]:
-    """Explore the cases in processes of their own; with each report its process's peak memory in MB."""
+def _explore_all(names: Sequence[str], arguments: argparse.Namespace) -> list[CaseRun]:
+    """Explore the cases in processes of their own, as many at a time as there are cores."""
     is_bounded = arguments.depth or arguments.states or arguments.seconds
     depths = {name: arguments.depth if is_bounded else SMALL.get(name, DEFAULT_DEPTH) for name in names}
     with ProcessPoolExecutor(min(len(names), os.cpu_count() or 1)) as pool:
-        runs = [
+        futures = [
             pool.submit(_explore_case, name, depth, arguments.states, arguments.seconds)
             for name, depth in depths.items()
         ]
-        return [run.result() for run in runs]
+        return [future.result() for future in futures]
 
 
-def _explore_case(name: str, depth: int, states: int, seconds: float) -> tuple[Report, float]:
-    """Explore one case; the report, and the most memory that this process has had, in MB."""
+def _explore_case(name: str, depth: int, states: int, seconds: float) -> CaseRun:
     report = explore(CASES[name], depth, states, seconds)
-    return report, round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1)
+    peak_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    return CaseRun(report, round(peak_kb / KB_PER_MB, 1))
 
 
-def _print_reports(reports: Sequence[tuple[Report, float]]) -> None:
+def _print_runs(runs: Sequence[CaseRun]) -> None:
     print("case", "states", "played", "depth", "seconds", "peak", "", sep="\t")
-    for report, peak_mb in reports:
+    for case_run in runs:
+        report = case_run.report
         counts = (report.visited, report.played, report.depth)
-        print(report.case, *counts, f"{report.seconds:.1f}", f"{peak_mb:.0f} MB", _verdict(report), sep="\t")
+        usage = (f"{report.seconds:.1f}", f"{case_run.peak_mb:.0f} MB")
+        print(report.case, *counts, *usage, _verdict(report), sep="\t")
         if report.example is not None:
             events = (f"  {event}" for event in report.example.events)
             print(report.example.detail, *events, sep="\n")
@@ -120,8 +136,8 @@
     return f"held; INCOMPLETE, cut off at {report.depth} events"
 
 
-def _save_examples(reports: Sequence[tuple[Report, float]], folder: Path) -> None:
-    for report, _ in reports:
+def _save_examples(runs: Sequence[CaseRun], folder: Path) -> None:
+    for report in (case_run.report for case_run in runs):
         if report.example is None:
             continue
         folder.mkdir(parents=True, exist_ok=True)
@@ -150,5 +166,5 @@
     from maplestile.tools.explore import sockets
 
     result = sockets.replay(example)
-    print(json.dumps(result, indent=2))
-    return int(bool(result["broken"]))
+    print(json.dumps(result.as_json(), indent=2))
+    return int(bool(result.violations))
--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -1,11 +1,11 @@
 """The simulated connections: the shipped pool, with sockets that the explorer moves instead of the system."""
 
-import json
 from collections import Counter
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
 from maplestile.requests.pool import Connection, Pool
+from maplestile.tools.explore.worker_lines import Command, CommandKind, decode
 from maplestile.wire.limits import RunnerLimits
 
 
@@ -13,25 +13,15 @@
 class Line:
     """A line that a worker has received complete."""
 
-    message: dict[str, Any]
+    command: Command
     link: "Link"
     at_us: int
     answers: int = 0
     never_ran: bool = False  # the router has received the proof
 
-    @property
-    def kind(self) -> str:
-        """The kind of the message: CALL, LOAD, STATS, ..."""
-        return str(self.message["kind"])
-
-    @property
-    def call(self) -> str:
-        """The call's name on the wire."""
-        return str(self.message["call"])
-
     def may_run(self) -> bool:
         """Whether the worker may have run a call for this line."""
-        return self.kind == "CALL" and not self.never_ran
+        return self.command.kind is CommandKind.CALL and not self.never_ran
 
 
 class Environment(Protocol):
@@ -44,8 +34,8 @@
     def link_of(self, connection: Connection) -> "Link":
         """Return the simulated socket of a connection of the pool."""
 
-    def on_write_started(self, link: "Link", message: dict[str, Any]) -> None:
-        """Check a message whose first byte goes out now."""
+    def on_write_started(self, link: "Link", command: Command) -> None:
+        """Check a command whose first byte goes out now."""
 
     def on_line_received(self, line: Line) -> None:
         """Check and keep a line that a worker has received complete."""
@@ -66,7 +56,7 @@
 
     def write(self, line: bytes) -> bool:
         """Accept a line; False where only a part of it has been accepted."""
-        self._environment.on_write_started(self, json.loads(line))
+        self._environment.on_write_started(self, decode(line))
         if self.accepts_part:
             self.accepts_part = False
             self.unaccepted = line
@@ -76,7 +66,7 @@
 
     def deliver(self, data: bytes) -> None:
         """Have the worker receive a complete line."""
-        line = Line(json.loads(data), self, self._environment.now_us)
+        line = Line(decode(data), self, self._environment.now_us)
         self.lines.append(line)
         self._environment.on_line_received(line)
 
--- a/maplestile/tools/explore/enabled_events.py
+++ b/maplestile/tools/explore/enabled_events.py
@@ -10,8 +10,7 @@
 from maplestile.tools.explore.events import ANSWERS, Event, EventKind
 from maplestile.tools.explore.records import Client
 from maplestile.tools.explore.simulated_workers import SimulatedWorkers
-
-ANSWERED_KINDS = ("CALL", "LOAD", "STATS")  # messages that a worker answers
+from maplestile.tools.explore.worker_lines import ANSWERED_KINDS
 
 
 class SimulationState(Protocol):
@@ -49,7 +48,7 @@
             continue
         if EventKind.LEAVE in faults:
             yield Event(EventKind.LEAVE, (number,))
-        if EventKind.AWAY in faults and not client.away:
+        if EventKind.AWAY in faults and not client.half_closed:
             yield Event(EventKind.AWAY, (number,))
 
 
@@ -72,7 +71,7 @@
 
 def _answer_events(link: Link, faults: Sequence[EventKind]) -> Iterator[Event]:
     for number, line in enumerate(link.lines):
-        if line.kind not in ANSWERED_KINDS:
+        if line.command.kind not in ANSWERED_KINDS:
             continue
         if not line.answers:
             yield Event(EventKind.OK, (link.number, number))
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -5,7 +5,8 @@
 """
 
 import hashlib
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from maplestile.dispatch.dispatcher import Dispatcher
@@ -56,7 +57,7 @@
 
 def _link(link: Link, form: NormalForm) -> Any:
     """One connection to a worker: what is in flight on it, and the state of both ends."""
-    lines = [(line.kind, line.call, line.answers) for line in link.lines]
+    lines = [(line.command.kind.value, line.command.tag, line.answers) for line in link.lines]
     connection = form.connection(link.connection)
     return link.number, form.value(link.worker), link.accepts_part, link.unaccepted, lines, connection
 
@@ -64,7 +65,13 @@
 def _environment(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
     """The clients, the workers by the endpoint list, and the calls that workers have received."""
     clients = [
-        (client.class_name, form.value(client.due_us), len(client.outcomes), client.left, client.away)
+        (
+            client.class_name,
+            form.value(client.due_us),
+            len(client.outcomes),
+            client.withdrawn,
+            client.half_closed,
+        )
         for client in simulation.clients
     ]
     unavailable = [
@@ -73,8 +80,8 @@
     ]
     workers = [(form.value(name), state.value) for name, state in sorted(simulation.workers.states.items())]
     arrivals = [
-        (line.call, form.value(line.link.worker), line.never_ran, form.value(line.at_us))
-        for line in sorted(simulation.arrivals, key=lambda line: str(line.call))
+        (line.command.tag, form.value(line.link.worker), line.never_ran, form.value(line.at_us))
+        for line in sorted(simulation.arrivals, key=lambda line: line.command.tag)
     ]
     return clients, unavailable, workers, arrivals
 
@@ -94,30 +101,47 @@
     return sorted(timers, key=repr)
 
 
+@dataclass(slots=True, frozen=True)
+class _Callback:
+    """What a timer runs: a function by its qualified name, and the variables that it holds."""
+
+    name: str
+    variables: Mapping[str, Any]
+
+    def is_obsolete(self, core: Core) -> bool:
+        """Whether what the timer was set for has ended already."""
+        if any(_has_ended(value) for value in self.variables.values()):
+            return True
+        if self.name.startswith("RequestIntake.submit"):
+            return self.variables.get("call") not in core.open
+        if self.name.startswith("AttemptTable.send"):
+            return self.variables.get("attempt") not in core.flights
+        if self.name.startswith("ControlRequests._start"):
+            return self.variables.get("tag") not in core.control_requests
+        return False
+
+    def normal_form(self, form: NormalForm) -> Any:
+        """The name and those variables that change what the callback does."""
+        relevant = [(key, value) for key, value in self.variables.items() if key not in IGNORED_VARIABLES]
+        return self.name, sorted((key, form.value(value)) for key, value in relevant)
+
+
+def _callback(action: Action) -> _Callback:
+    code = getattr(action, "__code__", None)
+    closure = getattr(action, "__closure__", None)
+    if code is None or closure is None:
+        return _Callback(action.__qualname__, {})
+    contents = (cell.cell_contents for cell in closure)
+    return _Callback(action.__qualname__, dict(zip(code.co_freevars, contents, strict=True)))
+
+
 def _effect(action: Action, core: Core, form: NormalForm) -> Any:
-    """What a timer would do: its function and variables; None if nothing."""
-    variables = _variables(action)
-    if "token" in variables:  # a timer of the dispatcher
-        inner = core.dispatcher.context.timers.get(variables["token"])
+    """The normal form of what a timer would do; None if nothing."""
+    callback = _callback(action)
+    if "token" in callback.variables:  # a timer of the dispatcher
+        inner = core.dispatcher.context.timers.get(callback.variables["token"])
         return None if inner is None else _effect(inner, core, form)
-    name = action.__qualname__
-    if _is_over(name, variables, core):
-        return None
-    kept = [(key, form.value(value)) for key, value in variables.items() if key not in IGNORED_VARIABLES]
-    return name, sorted(kept)
-
-
-def _is_over(name: str, variables: dict[str, Any], core: Core) -> bool:
-    """Whether what a timer was set for has ended already."""
-    if any(_has_ended(value) for value in variables.values()):
-        return True
-    if name.startswith("RequestIntake.submit"):
-        return variables.get("call") not in core.open
-    if name.startswith("AttemptTable.send"):
-        return variables.get("attempt") not in core.flights
-    if name.startswith("ControlRequests._start"):
-        return variables.get("tag") not in core.control_requests
-    return False
+    return None if callback.is_obsolete(core) else callback.normal_form(form)
 
 
 def _has_ended(value: object) -> bool:
@@ -127,11 +151,3 @@
         case Attempt():
             return value.result is not None
     return False
-
-
-def _variables(action: Action) -> dict[str, Any]:
-    """The variables that a callback holds from the function that made it, by name."""
-    code, closure = getattr(action, "__code__", None), getattr(action, "__closure__", None)
-    if code is None or closure is None:
-        return {}
-    return dict(zip(code.co_freevars, (cell.cell_contents for cell in closure), strict=True))
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -1,6 +1,6 @@
 """The invariants, each checked in one place under its name, by what the simulation knows to be true."""
 
-from typing import Any
+from collections.abc import Collection
 
 from maplestile.dispatch.api import DeduplicationScope, Idempotency
 from maplestile.tools.dispatcher_settings import US_PER_MS
@@ -8,6 +8,7 @@
 from maplestile.tools.explore.connections import Line, Link
 from maplestile.tools.explore.records import Client
 from maplestile.tools.explore.simulation import Simulation
+from maplestile.tools.explore.worker_lines import Command, CommandKind
 from maplestile.wire.messages import Outcome, Verdict
 
 NAMES = {
@@ -26,7 +27,8 @@
     "no-forbidden-move": "no transition that is not in the tables of states.py",
     "no-crash": "nothing raises",
 }
-NEW_WORK = ("CALL", "LOAD", "STATS", "UNLOAD")  # messages that start something at a worker
+# Commands that start something at a worker.
+NEW_WORK = (CommandKind.CALL, CommandKind.LOAD, CommandKind.STATS, CommandKind.UNLOAD)
 
 
 def on_answer(simulation: Simulation, client: Client, outcome: Outcome) -> None:
@@ -34,7 +36,7 @@
     name = client.class_name
     if len(client.outcomes) > 1:
         simulation.violate("one-answer", f"{name}: {len(client.outcomes)} answers")
-    if client.left:
+    if client.withdrawn:
         simulation.violate("one-answer", f"{name}: an answer after its client left")
     tick_us = simulation.core.settings.tick_us
     if simulation.stopped and simulation.now_us > simulation.core.leave_us + tick_us:
@@ -58,14 +60,14 @@
 
 
 def _arrivals_of(simulation: Simulation, client: Client) -> list[Line]:
-    return [line for line in simulation.arrivals if simulation.client_of(line.call) is client]
+    return [line for line in simulation.arrivals if simulation.client_of(line.command.tag) is client]
 
 
-def on_write(simulation: Simulation, link: Link, message: dict[str, Any]) -> None:
-    """Check a message that starts to be written."""
-    if message["kind"] in NEW_WORK and link.worker in simulation.workers.unavailable_since_us:
-        simulation.violate("nothing-after-drain", f"{message['kind']} to {link.worker}")
-    if message["kind"] == "CALL" and simulation.client_of(message["call"]).away:
+def on_write(simulation: Simulation, link: Link, command: Command) -> None:
+    """Check a command that starts to be written."""
+    if command.kind in NEW_WORK and link.worker in simulation.workers.unavailable_since_us:
+        simulation.violate("nothing-after-drain", f"{command.kind} to {link.worker}")
+    if command.kind is CommandKind.CALL and simulation.client_of(command.tag).half_closed:
         simulation.violate("nothing-for-the-gone", f"an attempt at {link.worker}")
 
 
@@ -74,11 +76,11 @@
 
     `simulation.arrivals` has those before it.
     """
-    client = simulation.client_of(line.call)
+    client = simulation.client_of(line.command.tag)
     earlier = _arrivals_of(simulation, client)
     if len(earlier) >= scenario.attempts_of(client.epoch):
         simulation.violate("attempt-limit", f"{client.class_name}: attempt {len(earlier) + 1}")
-    may_have_run = next((one for one in earlier if one.may_run()), None)
+    may_have_run = next((arrival for arrival in earlier if arrival.may_run()), None)
     if may_have_run is None:
         return
     match scenario.CLASSES[client.class_name].idempotency:
@@ -111,18 +113,14 @@
     return True
 
 
-def at_each(simulation: Simulation) -> None:
+def check_after_event(simulation: Simulation) -> None:
     """Check what has to hold after every event."""
-    if simulation.counters["policy.mixed_calls"]:
-        simulation.violate(
-            "one-policy", f"{simulation.counters['policy.mixed_calls']} attempts under another"
-        )
+    if mixed_calls := simulation.counters["policy.mixed_calls"]:
+        simulation.violate("one-policy", f"{mixed_calls} attempts under another")
     for client in simulation.clients:
         _check_request(simulation, client)
-    if simulation.counters["states.invalid_transitions"]:
-        simulation.violate(
-            "no-forbidden-move", f"{simulation.counters['states.invalid_transitions']} of them"
-        )
+    if invalid_transitions := simulation.counters["states.invalid_transitions"]:
+        simulation.violate("no-forbidden-move", f"{invalid_transitions} of them")
 
 
 def _check_request(simulation: Simulation, client: Client) -> None:
@@ -130,31 +128,31 @@
     if pending is None:
         return
     in_flight = any(call == client.number for call, _ in simulation.core.flights)
-    if client.away and not in_flight:
+    if client.half_closed and not in_flight:
         simulation.violate("nothing-for-the-gone", f"{client.class_name}: waits on")
     if pending.attempts > scenario.attempts_of(client.epoch):
         simulation.violate("attempt-limit", f"{client.class_name}: {pending.attempts} attempts")
 
 
-def at_rest(simulation: Simulation) -> None:
-    """Let time pass without events until nothing can be left, and check that nothing is."""
+def check_when_idle(simulation: Simulation) -> None:
+    """Let time pass without events until everything must have ended, and check that nothing is left."""
     for _ in range(scenario.REST_STEPS):
         simulation.pass_time()
-        at_each(simulation)
+        check_after_event(simulation)
     if simulation.stopped and simulation.core.open:
         simulation.violate("drain-ends", f"{len(simulation.core.open)} calls owed for good")
     for client in simulation.clients:
         if client.is_waiting():
             simulation.violate("answer-by-deadline", f"{client.class_name}: no answer")
-    for name, kept in _kept(simulation).items():
-        if kept:
-            simulation.violate("nothing-kept", f"{name}: {kept}")
+    for name, leftover in _leftovers(simulation).items():
+        if leftover:
+            simulation.violate("nothing-kept", f"{name}: {leftover}")
     if wrong := {name: count for name, count in _busy_counts(simulation).items() if count}:
         simulation.violate("counts-return", str(wrong))
 
 
-def _kept(simulation: Simulation) -> dict[str, object]:
-    """What the components hold of calls, attempts, load requests and connections."""
+def _leftovers(simulation: Simulation) -> dict[str, Collection[object] | int]:
+    """What the components hold of calls, attempts, load requests and connections, by its name in output."""
     core, pool = simulation.core, simulation.pool
     dispatcher = core.dispatcher
     # The dispatcher requests loads by itself, also now; only overdue ones must have been forgotten.
@@ -168,7 +166,12 @@
         "attempts": dispatcher.attempts,
         "where": pool.where,
         "waiting": [entry.function for entry in dispatcher.tiers.functions.values() if entry.waiting],
-        "links": [one.open for runner in pool.runners.values() for one in runner.connections if one.open],
+        "links": [
+            connection.open
+            for runner in pool.runners.values()
+            for connection in runner.connections
+            if connection.open
+        ],
     }
 
 
--- a/maplestile/tools/explore/records.py
+++ b/maplestile/tools/explore/records.py
@@ -22,9 +22,9 @@
     due_us: int
     epoch: int  # of the policy that it came under
     outcomes: list[tuple[int, Outcome]] = field(default_factory=list)  # when, and which
-    left: bool = False
-    away: bool = False
+    withdrawn: bool = False  # the client waits no longer
+    half_closed: bool = False  # the client has closed its side
 
     def is_waiting(self) -> bool:
         """Whether an answer is still due to the client."""
-        return not self.left and not self.outcomes
+        return not self.withdrawn and not self.outcomes
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -78,10 +78,10 @@
         self.reader: asyncio.Task[None] | None = None
         self.fronts: dict[str, Address] = {}
 
-    def write_file(self, workers: Iterable[ScriptedWorker], gone: Collection[str]) -> None:
-        """Write the operator's file, with those workers that are not gone."""
+    def write_file(self, workers: Iterable[ScriptedWorker], unlisted: Collection[str]) -> None:
+        """Write the operator's file, without the unlisted workers."""
         classes = [_class_table(name) for name in dict.fromkeys(self.case.classes)]
-        listed = [_worker_table(self.case, worker) for worker in workers if worker.name not in gone]
+        listed = [_worker_table(self.case, worker) for worker in workers if worker.name not in unlisted]
         function = FUNCTION_TABLE.format(self.case.classes[0])
         self.file.write_text("".join((FILE_HEAD, *classes, function, *listed)))
 
--- a/maplestile/tools/explore/scripted_workers.py
+++ b/maplestile/tools/explore/scripted_workers.py
@@ -1,14 +1,13 @@
 """Workers on loopback that accept the router's connections, keep what they receive, and answer on demand."""
 
 import asyncio
-import base64
 import contextlib
-import json
 import socket
 import struct
 import time
 from dataclasses import dataclass, field
-from typing import Any
+
+from maplestile.tools.explore.worker_lines import Command, CommandKind, decode, encode_answer
 
 HOST = "127.0.0.1"
 
@@ -30,12 +29,11 @@
     worker: str
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    messages: list[dict[str, Any]] = field(default_factory=list)
+    commands: list[Command] = field(default_factory=list)
 
-    def answer(self, name: str, kind: str) -> None:
-        """Answer the message of this name."""
-        head = {"units": "1"} if name.startswith("load") else {}
-        self.writer.write(json.dumps({"kind": kind, "call": name, "head": head}).encode() + b"\n")
+    def answer(self, tag: str, kind: str) -> None:
+        """Answer the command with this tag."""
+        self.writer.write(encode_answer(tag, kind) + b"\n")
 
     def reset(self) -> None:
         """End the connection with a TCP reset."""
@@ -76,11 +74,10 @@
         self.received.peers.append(peer)
         with contextlib.suppress(OSError, ValueError):
             while line := await reader.readline():
-                self._receive(peer, json.loads(line))
-
-    def _receive(self, peer: Peer, message: dict[str, Any]) -> None:
-        peer.messages.append(message)
-        if message["kind"] == "CALL":
-            body = base64.b64decode(message["bytes"]).decode()
-            self.received.calls.append(ReceivedCall(body, self.name, time.monotonic()))
-            message["body"] = body
+                self._receive(peer, decode(line))
+
+    def _receive(self, peer: Peer, command: Command) -> None:
+        peer.commands.append(command)
+        if command.kind is CommandKind.CALL:
+            name = command.body.decode()
+            self.received.calls.append(ReceivedCall(name, self.name, time.monotonic()))
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -1,4 +1,4 @@
-"""The search for violations: breadth first, so that what is found first is shortest.
+"""The search for violations: breadth first, so that the first one found is a shortest one.
 
 Each state is reached anew by its events, and counts as seen by its fingerprint. From each new state time is
 also let pass without events, to check what has to hold once everything has ended.
@@ -20,13 +20,13 @@
 
 @dataclass(slots=True)
 class Report:
-    """What the exploration of a case came to."""
+    """The result of exploring a case."""
 
     case: str
     visited: int = 0  # distinct states
     played: int = 0  # runs of an event, with what led to it
-    depth: int = 0  # the longest list of events
-    bound: int = 0  # no longer one was tried; 0 for none
+    depth: int = 0  # events of the longest list
+    bound: int = 0  # on that length; 0 for none
     complete: bool = True  # nothing was cut off by the bounds on depth, states or time
     seconds: float = 0.0
     example: Example | None = None
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class PlayResult:
-    """What came of a list of events."""
+    """The outcome of a list of events."""
 
     problems: list[Violation]
     digest: bytes = b""  # of the state that they lead to
@@ -62,18 +62,26 @@
     try:
         for event in events:
             simulation.play(event)
-            properties.at_each(simulation)
+            properties.check_after_event(simulation)
             if simulation.problems:
                 return PlayResult(simulation.problems)
         result = PlayResult(simulation.problems, fingerprint.digest(simulation), simulation.enabled())
         if until_idle:
-            properties.at_rest(simulation)
+            properties.check_when_idle(simulation)
     except Exception as error:  # of any type: the components must not raise
         simulation.violate("no-crash", f"{type(error).__name__}: {error}")
         return PlayResult(simulation.problems)
     return result
 
 
+@dataclass(slots=True, frozen=True)
+class _State:
+    """A state of the search."""
+
+    events: tuple[Event, ...]  # that lead to it
+    enabled: list[Event]  # that may follow
+
+
 class _Search:
     """The state of one search."""
 
@@ -81,8 +89,8 @@
         self.case = case
         self.components = components
         self.report = report
-        self.seen: set[bytes] = set()
-        self.frontier: deque[tuple[tuple[Event, ...], list[Event]]] = deque()
+        self.seen: set[bytes] = set()  # digests
+        self.frontier: deque[_State] = deque()  # states whose events are still to be played
 
     def visit(self, events: tuple[Event, ...]) -> None:
         """Play a list of events; a new state is put into the frontier, a violation into the report."""
@@ -92,12 +100,12 @@
         elif result.digest not in self.seen:
             self.seen.add(result.digest)
             self.report.depth = max(self.report.depth, len(events))
-            self.frontier.append((events, result.enabled))
+            self.frontier.append(_State(events, result.enabled))
 
-    def expand(self, events: tuple[Event, ...], enabled: Sequence[Event]) -> None:
-        """Visit what follows a state, up to the first violation."""
-        for event in enabled:
-            self.visit((*events, event))
+    def expand(self, state: _State) -> None:
+        """Visit the states that follow a state, up to the first violation."""
+        for event in state.enabled:
+            self.visit((*state.events, event))
             self.report.played += 1
             if self.report.example is not None:
                 return
@@ -112,38 +120,38 @@
     search = _Search(case, components, report)
     search.visit(())
     while search.frontier and report.example is None:
-        events, enabled = search.frontier.popleft()
-        too_deep = depth > 0 and len(events) >= depth
+        state = search.frontier.popleft()
+        too_deep = depth > 0 and len(state.events) >= depth
         too_many = states > 0 and len(search.seen) >= states
         too_late = seconds > 0 and time.monotonic() - started_s > seconds
         if too_deep or too_many or too_late:
-            report.complete = report.complete and not enabled
+            report.complete = report.complete and not state.enabled
         else:
-            search.expand(events, enabled)
+            search.expand(state)
     report.visited = max(1, len(search.seen))
     report.seconds = time.monotonic() - started_s
     return report
 
 
 def shrink(
-    case: Case, events: Sequence[Event], problem: tuple[str, str], components: Components = SHIPPED
+    case: Case, events: Sequence[Event], violation: Violation, components: Components = SHIPPED
 ) -> Example:
     """Make an example without any event that the violation of the same property does not need."""
-    name, detail = problem
+    name = violation.property
     kept = list(events)
     has_shrunk = True
     while has_shrunk:
         has_shrunk = False
         for index in range(len(kept) - 1, -1, -1):
             fewer = kept[:index] + kept[index + 1 :]
-            if _violates(case, fewer, name, components) is not None:
+            if _violation_detail(case, fewer, name, components) is not None:
                 kept = fewer
                 has_shrunk = True
-    found = _violates(case, kept, name, components)
-    return Example(case.name, name, tuple(kept), detail if found is None else found)
+    detail = _violation_detail(case, kept, name, components)
+    return Example(case.name, name, tuple(kept), violation.detail if detail is None else detail)
 
 
-def _violates(case: Case, events: Sequence[Event], name: str, components: Components) -> str | None:
+def _violation_detail(case: Case, events: Sequence[Event], name: str, components: Components) -> str | None:
     """How the events violate the property of this name; None where they do not."""
     problems = play(case, events, components).problems
     return next((problem.detail for problem in problems if problem.property == name), None)
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -19,10 +19,9 @@
 has received.
 """
 
-import json
 from collections import Counter
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
 from maplestile.dispatch.api import Result
 from maplestile.dispatch.dispatcher import Dispatcher
@@ -36,6 +35,7 @@
 from maplestile.tools.explore.events import LINK_EVENTS, WORKER_EVENTS, Event, EventKind
 from maplestile.tools.explore.records import Client, Violation
 from maplestile.tools.explore.simulated_workers import SimulatedWorkers
+from maplestile.tools.explore.worker_lines import Command, CommandKind, encode_answer
 from maplestile.wire import runner as wire
 from maplestile.wire.messages import Outcome, Request
 
@@ -58,8 +58,8 @@
     def on_answer(self, simulation: "Simulation", client: Client, outcome: Outcome) -> None:
         """Check a final answer."""
 
-    def on_write(self, simulation: "Simulation", link: Link, message: dict[str, Any]) -> None:
-        """Check a line that starts to be written."""
+    def on_write(self, simulation: "Simulation", link: Link, command: Command) -> None:
+        """Check a command that starts to be written."""
 
     def on_arrival(self, simulation: "Simulation", line: Line) -> None:
         """Check a call that a worker has received complete."""
@@ -105,9 +105,9 @@
         """The simulated socket of a connection of the pool."""
         return next(link for link in self.links if link.connection is connection)
 
-    def client_of(self, call: str) -> Client:
-        """The client of a call by its name on the wire."""
-        return self.clients[int(call[1:])]
+    def client_of(self, tag: str) -> Client:
+        """The client of a call by its tag on the wire."""
+        return self.clients[int(tag[1:])]
 
     def enabled(self) -> list[Event]:
         """The events that may happen next."""
@@ -137,10 +137,10 @@
     def _play_at_client(self, kind: EventKind, client: Client) -> None:
         match kind:
             case EventKind.LEAVE:
-                client.left = True
+                client.withdrawn = True
                 self.core.withdraw(client.number)
             case EventKind.AWAY:
-                client.away = True
+                client.half_closed = True
                 self.core.client_gone(client.number)
 
     def _play_at_router(self, kind: EventKind) -> None:
@@ -175,7 +175,7 @@
                 self._send_answer(link, "nobody", scenario.ANSWER_KINDS[EventKind.OK])
             case EventKind.AGAIN:
                 link.lines[number].answers += 1
-                self._send_answer(link, link.lines[number].call, scenario.ANSWER_KINDS[EventKind.OK])
+                self._send_answer(link, link.lines[number].command.tag, scenario.ANSWER_KINDS[EventKind.OK])
             case _:
                 self._answer(link.lines[number], scenario.ANSWER_KINDS[kind])
 
@@ -195,13 +195,12 @@
     def _answer(self, line: Line, kind: str) -> None:
         line.answers += 1
         line.never_ran = line.never_ran or kind in scenario.NEVER_RAN_KINDS
-        self._send_answer(line.link, line.call, kind)
+        self._send_answer(line.link, line.command.tag, kind)
 
-    def _send_answer(self, link: Link, call: str, kind: str) -> None:
-        head = {"units": "1"} if call.startswith("load") else {}
-        text = json.dumps({"kind": kind, "call": call, "head": head}).encode()
+    def _send_answer(self, link: Link, tag: str, kind: str) -> None:
+        line = encode_answer(tag, kind)
         self.pool.heard(link.connection)
-        self.pool.answered(link.connection, wire.parse(memoryview(text)))
+        self.pool.answered(link.connection, wire.parse(memoryview(line)))
         self.core.catch_up()
         self.pool.settled(link.connection)
 
@@ -210,7 +209,7 @@
         self._publish_list()
 
     def _publish_list(self) -> None:
-        """Give the router the endpoint list as it stands."""
+        """Give the router the current endpoint list."""
         self.fleet.apply_whole(self.fleet.version + 1, self.workers.listed(self.now_us))
         self.pool.update(self.fleet)
         self.core.list_changed(self.fleet.event())
@@ -240,12 +239,12 @@
         client.outcomes.append((self.now_us, outcome))
         self.checker.on_answer(self, client, outcome)
 
-    def on_write_started(self, link: Link, message: dict[str, Any]) -> None:
-        """Check a message whose first byte goes out now."""
-        self.checker.on_write(self, link, message)
+    def on_write_started(self, link: Link, command: Command) -> None:
+        """Check a command whose first byte goes out now."""
+        self.checker.on_write(self, link, command)
 
     def on_line_received(self, line: Line) -> None:
         """Check and keep a line that a worker has received complete."""
-        if line.kind == "CALL":
+        if line.command.kind is CommandKind.CALL:
             self.checker.on_arrival(self, line)
             self.arrivals.append(line)
--- a/maplestile/tools/explore/socket_checks.py
+++ b/maplestile/tools/explore/socket_checks.py
@@ -1,4 +1,4 @@
-"""The invariants of `properties.py`, checked by what workers and clients have seen on sockets."""
+"""The properties of `properties.py`, checked by what workers and clients have seen on sockets."""
 
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
     statuses: dict[int, list[int]] = field(default_factory=dict)
     late: set[int] = field(default_factory=set)  # answered after the deadline
-    left: set[int] = field(default_factory=set)  # which wait no longer
+    withdrawn: set[int] = field(default_factory=set)  # which wait no longer
 
 
 def violations(
@@ -41,7 +41,7 @@
     statuses = clients.statuses[number]
     if len(statuses) > 1:
         yield Violation("one-answer", f"{name}: {len(statuses)} answers")
-    if number not in clients.left and (not statuses or number in clients.late):
+    if number not in clients.withdrawn and (not statuses or number in clients.late):
         yield Violation("answer-by-deadline", f"{name}: {statuses or 'no answer'}")
 
 
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -1,20 +1,23 @@
 """Replay of an example on loopback sockets: `maplestile serve` between scripted workers and clients.
 
-What has to hold is checked by what the workers and the clients have seen. Of the events, those that need a
-real form of their own:
+The properties are checked by what the workers and the clients have seen. Events that are carried out in
+another way than in the simulation:
 
     refuse LINK   the worker's port accepts nobody when that connection is dialled
-    drain WORKER  an operator suspends it; `gone`: it leaves the file, and SIGHUP; `return`: it is back
+    drain WORKER  an operator suspends it
+    gone WORKER   it is removed from the file, and the router gets SIGHUP
+    return WORKER it is in the file again, as a new process
     time          a step of real time
 
-A line that the system accepts in part cannot be had on demand, nor can a connection be kept from coming up
-once it is accepted: an `up` waits until it is there, and a `part` or an `away` is reported as left out.
+The system cannot be made to accept a line in part, nor to delay a connection that is accepted: an `up` waits
+until the connection is there, and a `part` or an `away` is reported as left out.
 """
 
 import asyncio
 import tempfile
 import time
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -25,9 +28,10 @@
 from maplestile.tools.explore.example_files import Example
 from maplestile.tools.explore.records import Violation
 from maplestile.tools.explore.router_process import RouterUnderTest
-from maplestile.tools.explore.scripted_workers import Peer, Received, ScriptedWorker
+from maplestile.tools.explore.scripted_workers import Peer, Received, ReceivedCall, ScriptedWorker
 from maplestile.tools.explore.simulation import Simulation
 from maplestile.tools.explore.socket_checks import US_PER_S, Clients, violations
+from maplestile.tools.explore.worker_lines import Command, CommandKind
 
 EVENT_TIMEOUT_S = 10.0  # until an event must have come about
 POLL_INTERVAL_S = 0.005  # between two checks whether it has
@@ -36,6 +40,28 @@
 ROOT = Path(maplestile.__file__).parent.parent
 
 
+@dataclass(slots=True, frozen=True)
+class ReplayResult:
+    """What a replay came to."""
+
+    example: Example
+    left_out: list[str]  # events that cannot be played on sockets
+    violations: list[Violation]
+    statuses: dict[int, list[int]]  # of the answers, by the number of the call
+    attempts: list[ReceivedCall]
+
+    def as_json(self) -> dict[str, Any]:
+        """The result as a JSON object."""
+        return {
+            "case": self.example.case,
+            "property": self.example.property,
+            "left_out": self.left_out,
+            "broken": [list(violation) for violation in self.violations],
+            "answers": {str(number): statuses for number, statuses in self.statuses.items()},
+            "attempts": [[call.call, call.worker] for call in self.attempts],
+        }
+
+
 class SocketReplay:
     """One replay. `dialled` has the worker of each link, as the simulation knows it."""
 
@@ -50,16 +76,16 @@
         self.clients = Clients()
         self.client_tasks: list[asyncio.Task[None]] = []
         self.draining_since_s: dict[str, float] = {}
-        self.gone: set[str] = set()
-        self.left_out: list[str] = []  # events that cannot be had on sockets
+        self.unlisted: set[str] = set()  # workers that are not in the router's file
+        self.left_out: list[str] = []  # events that cannot be played on sockets
         self.refused_links = [event.numbers[0] for event in example.events if event.kind is EventKind.REFUSE]
         self.dialled = _dialled_workers(example)
 
-    async def run(self) -> dict[str, Any]:
-        """Play all events; the result as a JSON object. Raises `CaseError`."""
+    async def run(self) -> ReplayResult:
+        """Play all events. Raises `CaseError`."""
         events = self.example.events
-        await self._arrange(events)
-        self.router.write_file(self.workers.values(), self.gone)
+        await self._set_listeners(events)
+        self.router.write_file(self.workers.values(), self.unlisted)
         await self.router.start()
         try:
             for number, event in enumerate(events):
@@ -68,7 +94,7 @@
             found = self._violations()
         finally:
             await self._stop()
-        return self._result(found)
+        return ReplayResult(self.example, self.left_out, found, self.clients.statuses, self.received.calls)
 
     def _violations(self) -> list[Violation]:
         found = list(violations(self.case, self.clients, self.received.calls, self.draining_since_s))
@@ -77,16 +103,6 @@
             found.append(Violation("no-crash", f"the program ended with {exit_code}"))
         return found
 
-    def _result(self, found: Sequence[Violation]) -> dict[str, Any]:
-        return {
-            "case": self.example.case,
-            "property": self.example.property,
-            "left_out": self.left_out,
-            "broken": [list(violation) for violation in found],
-            "answers": {str(number): statuses for number, statuses in self.clients.statuses.items()},
-            "attempts": [[call.call, call.worker] for call in self.received.calls],
-        }
-
     async def _stop(self) -> None:
         for task in self.client_tasks:
             task.cancel()
@@ -98,15 +114,15 @@
 
     # Events.
 
-    async def _play(self, event: Event, coming: Sequence[Event]) -> None:
-        """Have an event happen; `coming` are those after it."""
-        await self._arrange(coming)
+    async def _play(self, event: Event, upcoming: Sequence[Event]) -> None:
+        """Have an event happen; `upcoming` are those after it."""
+        await self._set_listeners(upcoming)
         kind, numbers = event
         match kind:
             case EventKind.SUBMIT:
                 self._submit()
             case EventKind.LEAVE:
-                self.clients.left.add(numbers[0])
+                self.clients.withdrawn.add(numbers[0])
                 self.client_tasks[numbers[0]].cancel()
             case EventKind.TIME:
                 await asyncio.sleep(scenario.STEP_US / US_PER_S)
@@ -121,32 +137,32 @@
             case EventKind.UP:
                 await self._until(lambda: len(self.received.peers) > self._accepted(link), kind)
             case EventKind.REFUSE:
-                pass  # `_arrange` has closed the worker's port
+                pass  # `_set_listeners` has closed the worker's port
             case EventKind.RESET:
                 self._peer(link).reset()
             case EventKind.STRAY:
                 self._peer(link).answer("nobody", scenario.ANSWER_KINDS[EventKind.OK])
             case EventKind.AGAIN:
                 peer = self._peer(link)
-                peer.answer(str(peer.messages[line]["call"]), scenario.ANSWER_KINDS[EventKind.OK])
+                peer.answer(peer.commands[line].tag, scenario.ANSWER_KINDS[EventKind.OK])
             case _ if kind in scenario.ANSWER_KINDS:
                 peer = self._peer(link)
-                await self._until(lambda: len(peer.messages) > line, kind)
-                self._answer(peer, peer.messages[line], scenario.ANSWER_KINDS[kind])
+                await self._until(lambda: len(peer.commands) > line, kind)
+                self._answer(peer, peer.commands[line], scenario.ANSWER_KINDS[kind])
             case _:
                 self.left_out.append(kind.value)
 
-    async def _arrange(self, coming: Sequence[Event]) -> None:
+    async def _set_listeners(self, upcoming: Sequence[Event]) -> None:
         """Open or close each worker's port for its next connection.
 
-        That has to be done ahead of the event, since the router dials as soon as it has decided.
+        This has to be done ahead of the event, since the router dials as soon as it has decided.
         """
         accepts: dict[str, bool] = {}
-        for event in coming:
+        for event in upcoming:
             if event.kind in (EventKind.UP, EventKind.REFUSE) and event.numbers[0] < len(self.dialled):
                 accepts.setdefault(self.dialled[event.numbers[0]], event.kind is EventKind.UP)
         for name, worker in self.workers.items():
-            await worker.listen(accepts.get(name, True) and name not in self.gone)
+            await worker.listen(accepts.get(name, True) and name not in self.unlisted)
 
     def _accepted(self, link: int) -> int:
         """The index among the accepted connections of a link, whose number counts the refused ones too."""
@@ -187,12 +203,13 @@
         finally:
             writer.close()
 
-    def _answer(self, peer: Peer, message: dict[str, Any], kind: str) -> None:
-        if message["kind"] == "CALL" and kind in scenario.NEVER_RAN_KINDS:
+    def _answer(self, peer: Peer, command: Command, kind: str) -> None:
+        if command.kind is CommandKind.CALL and kind in scenario.NEVER_RAN_KINDS:
+            name = command.body.decode()
             for call in self.received.calls:
-                if call.call == message["body"] and call.worker == peer.worker:
+                if call.call == name and call.worker == peer.worker:
                     call.never_ran = True
-        peer.answer(str(message["call"]), kind)
+        peer.answer(command.tag, kind)
 
     async def _change_worker(self, worker: str, kind: EventKind) -> None:
         if kind is EventKind.DRAIN:
@@ -201,14 +218,14 @@
             return
         if kind is EventKind.GONE:
             self.draining_since_s.setdefault(worker, time.monotonic())
-            self.gone.add(worker)
+            self.unlisted.add(worker)
         else:
             await self._restart_worker(worker)
-        self.router.write_file(self.workers.values(), self.gone)
+        self.router.write_file(self.workers.values(), self.unlisted)
         self.router.reload()
 
     async def _restart_worker(self, worker: str) -> None:
-        self.gone.discard(worker)
+        self.unlisted.discard(worker)
         self.draining_since_s.pop(worker, None)
         await self.workers[worker].listen(False)
         self.workers[worker] = ScriptedWorker(worker, self.received)
@@ -224,16 +241,15 @@
     return [link.worker for link in simulation.links]
 
 
-async def _replay(example: Example, root: Path) -> dict[str, Any]:
+async def _replay(example: Example, root: Path) -> ReplayResult:
     with tempfile.TemporaryDirectory() as folder:
         return await SocketReplay(example, Path(folder), root).run()
 
 
-def replay(example: Example, root: Path = ROOT) -> dict[str, Any]:
+def replay(example: Example, root: Path = ROOT) -> ReplayResult:
     """Replay an example on sockets.
 
-    The result has the violated properties, the statuses of each call, and who received it complete. `root` is
-    the folder of the program's package. Raises `CaseError` where an event does not come about on sockets.
+    `root` is the folder of the program's package. Raises `CaseError` where an event does not come about.
     """
     try:
         return asyncio.run(_replay(example, root))
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -161,7 +161,7 @@
 
 def test_a_counterexample_replays_on_sockets_at_the_real_program() -> None:
     events = "submit, up 0, error 0 0"
-    result = sockets.replay(Example("unsafe", "unsafe-once", events_of(events)))
+    result = sockets.replay(Example("unsafe", "unsafe-once", events_of(events))).as_json()
     assert (result["broken"], len(result["attempts"]), result["answers"]) == ([], 1, {"0": [502]})
     # A build with the fault put in: what the explorer finds is met on sockets as well.
     folder = Path(tempfile.mkdtemp())
@@ -177,7 +177,7 @@
         "not ran\n            or call.kind.idempotency is Idempotency.IDEMPOTENT",
         "True",
     )
-    result = sockets.replay(Example("unsafe", "unsafe-once", events_of(f"{events}, up 1")), folder)
+    result = sockets.replay(Example("unsafe", "unsafe-once", events_of(f"{events}, up 1")), folder).as_json()
     assert [name for name, _ in result["broken"]] == ["unsafe-once"], result
 
 
@@ -187,7 +187,7 @@
         ("drain", "submit, up 0, drain 0, drain 1, reset 0", [502]),
         ("safe", "submit, up 0, reset 0, up 1, ok 1 0", [200]),
     ):
-        result = sockets.replay(Example(case, "", events_of(events)))
+        result = sockets.replay(Example(case, "", events_of(events))).as_json()
         assert (result["broken"], result["answers"]) == ([], {"0": statuses}), result
     short_timeout = unittest.mock.patch.object(sockets, "EVENT_TIMEOUT_S", 5.0)
     with short_timeout, pytest.raises(CaseError, match="did not come about|not to be played"):
@@ -207,7 +207,7 @@
     def happen(self, pick: int) -> None:
         enabled = self.simulation.enabled()
         self.simulation.play(enabled[pick % len(enabled)])
-        properties.at_each(self.simulation)
+        properties.check_after_event(self.simulation)
 
     @invariant()
     def all_hold(self) -> None:
@@ -215,7 +215,7 @@
 
     def teardown(self) -> None:
         if hasattr(self, "simulation"):
-            properties.at_rest(self.simulation)
+            properties.check_when_idle(self.simulation)
             assert self.simulation.problems == []
 
 
