--- a/maplestile/tools/faults/control_port.py
+++ b/maplestile/tools/faults/control_port.py
@@ -19,7 +19,19 @@
 from maplestile.common.address import Address
 from maplestile.tools.faults import relay_commands
 from maplestile.tools.faults.relay import Relay
-from maplestile.tools.faults.relay_commands import Begin, Heal, OpenLink, ReadCounts, RegisterMember
+from maplestile.tools.faults.relay_commands import (
+    Begin,
+    Command,
+    Counts,
+    Done,
+    Heal,
+    LinkOpened,
+    OpenLink,
+    ReadCounts,
+    RegisterMember,
+    Reply,
+    ScheduleStarted,
+)
 from maplestile.tools.faults.schedule import FaultKind, Schedule, ScheduleError
 
 MAX_LINE_BYTES = 65_536
@@ -33,31 +45,30 @@
         self._relay = relay
 
     async def execute(self, line: bytes) -> dict[str, Any]:
-        """Carry out a command of the control port and return its reply, a JSON object."""
+        """Carry out one line's command and return the reply's JSON object."""
         try:
             table = relay_commands.parse(line)
             reply = await self._carry_out(relay_commands.decode(table, self._relay.schedule))
             table.end()  # an unknown field is reported, and does not undo what was done
         except ScheduleError as error:
             return {"error": str(error)}
-        return {"ok": True, **reply}
+        return relay_commands.encode(reply)
 
-    async def _carry_out(self, command: relay_commands.Command) -> dict[str, Any]:
+    async def _carry_out(self, command: Command) -> Reply:
         match command:
             case RegisterMember(member, address):
                 self._relay.register(member, address)
             case OpenLink(origin, target, address):
-                host, port = await self._relay.link(origin, target, address)
-                return {"front": f"{host}:{port}"}
+                return LinkOpened(await self._relay.link(origin, target, address))
             case Begin(schedule):
                 self._relay.begin(schedule)
-                ignored = [fault.kind.value for fault in schedule.faults if fault.kind in NOT_PLAYED]
-                return {"not_played": ignored}
+                kinds = (fault.kind for fault in schedule.faults)
+                return ScheduleStarted(tuple(kind for kind in kinds if kind in NOT_PLAYED))
             case Heal():
                 self._relay.heal()
             case ReadCounts():
-                return {"counts": dict(sorted(self._relay.counts.items()))}
-        return {}
+                return Counts(self._relay.counts)
+        return Done()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the lines of one connection until it ends."""
--- a/maplestile/tools/faults/relay_commands.py
+++ b/maplestile/tools/faults/relay_commands.py
@@ -1,11 +1,13 @@
-"""The commands of the relay's control port, decoded from its JSON lines."""
+"""The commands of the relay's control port and the replies to them: typed, with their JSON form."""
 
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass, replace
+from typing import Any
 
 from maplestile.common.address import Address, parse_address
 from maplestile.common.toml_table import TomlTable
-from maplestile.tools.faults.schedule import Net, Schedule, ScheduleError, schedule_from
+from maplestile.tools.faults.schedule import FaultKind, Net, Schedule, ScheduleError, schedule_from
 
 COMMANDS = ("udp", "tcp", "begin", "heal", "counts")
 NO_DELAY = Net(loss=0.0, delay_us=0, jitter_us=0)
@@ -48,6 +50,35 @@
 Command = RegisterMember | OpenLink | Begin | Heal | ReadCounts
 
 
+@dataclass(slots=True, frozen=True)
+class Done:
+    """The reply to a command that gives nothing back."""
+
+
+@dataclass(slots=True, frozen=True)
+class LinkOpened:
+    """The reply to `tcp`."""
+
+    front: Address
+
+
+@dataclass(slots=True, frozen=True)
+class ScheduleStarted:
+    """The reply to `begin`."""
+
+    not_played: tuple[FaultKind, ...]  # one for each fault of the schedule that the relay leaves to others
+
+
+@dataclass(slots=True, frozen=True)
+class Counts:
+    """The reply to `counts`."""
+
+    counts: Mapping[str, int]
+
+
+Reply = Done | LinkOpened | ScheduleStarted | Counts
+
+
 def parse(line: bytes) -> TomlTable:
     """Read a line as a table of fields. Raises `ScheduleError`."""
     try:
@@ -78,6 +109,18 @@
     return ReadCounts()
 
 
+def encode(reply: Reply) -> dict[str, Any]:
+    """The JSON object of a reply."""
+    match reply:
+        case LinkOpened((host, port)):
+            return {"ok": True, "front": f"{host}:{port}"}
+        case ScheduleStarted(not_played):
+            return {"ok": True, "not_played": [kind.value for kind in not_played]}
+        case Counts(counts):
+            return {"ok": True, "counts": dict(sorted(counts.items()))}
+    return {"ok": True}
+
+
 def _schedule(command: TomlTable, default: Schedule) -> Schedule:
     if "schedule" not in command.values:
         return default
@@ -86,5 +129,5 @@
     table.values = {"seed": default.seed, **table.values, "members": default.members}
     schedule = schedule_from(table)
     table.end()
-    # Faults without a network of their own: what passes, passes at once.
+    # Without a network of its own, the schedule delays nothing.
     return schedule if has_net else replace(schedule, net=NO_DELAY)
--- a/maplestile/tools/traces_command.py
+++ b/maplestile/tools/traces_command.py
@@ -1,7 +1,6 @@
 """`maplestile traces`: summarise public cluster traces, or make a function table from them."""
 
 import argparse
-import json
 import sys
 from collections.abc import Iterator, Sequence
 from pathlib import Path
@@ -36,10 +35,10 @@
 def _lines(trace: traces.Trace, arguments: argparse.Namespace) -> Iterator[str]:
     if arguments.format == "functions":
         return trace_output.functions(trace, arguments.class_name, arguments.memory_mb, arguments.top)
-    rows = trace_output.summary(trace, arguments.top)
+    summaries = trace_output.summary(trace, arguments.top)
     if arguments.format == "table":
-        return trace_output.table(rows)
-    return (json.dumps(row) for row in rows)
+        return trace_output.table(summaries)
+    return trace_output.json_lines(summaries)
 
 
 def read_traces(paths: Sequence[Path], keep: traces.CallGroupHandler | None = None) -> traces.Trace:
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -202,8 +202,8 @@
         "day.csv, line 4: column 'minute 1' is no number: 'x'",
     ]
     (row,) = trace_output.summary(trace)
-    assert (row["calls"], row["rate_per_s"], row["longest_gap_s"]) == (1440, 0.01667, 600.0)
-    assert (row["mean_ms"], row["most_ms"], row["memory_mb"]) == (250.0, 900.0, 150.0)
+    assert (row.calls, row.rate_per_s, row.longest_gap_s) == (1440, 0.01667, 600.0)
+    assert (row.mean_ms, row.most_ms, row.memory_mb) == (250.0, 900.0, 150.0)
     table = "\n".join(trace_output.functions(trace, "review", 64))
     assert parse(TEXT.replace("[[kind]]", table + "\n[[kind]]", 1)).functions["f"].memory_mb == 150.0
 
