--- a/maplestile/tools/instance_commands.py
+++ b/maplestile/tools/instance_commands.py
@@ -6,7 +6,7 @@
 import argparse
 import json
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -27,6 +27,8 @@
 )
 RUNNER_COMMANDS = frozenset(("suspend", "resume"))
 JSON_COMMANDS = frozenset(("counters", "reload"))  # printed as JSON with and without --json
+ABSENT = "-"  # in a view of the membership that lacks a member
+ISOLATED_ROW = "(isolated)"
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,6 +40,18 @@
     text: str
 
 
+@dataclass(slots=True, frozen=True)
+class InstanceStatus:
+    """The process of one instance, as the agent reports it."""
+
+    instance: str
+    state: str
+    pid: int | None  # None while no process runs
+    starts: int
+    for_s: float  # in this state
+    last_exit: str
+
+
 def add(commands: Any) -> None:
     """Add the commands to argparse's sub-parsers."""
     for name, text in COMMANDS:
@@ -60,26 +74,38 @@
         return _print_json(reply)
     if name in supervisor.OPERATE:
         return PRINTERS.get(name, _print_answers)(_answers_of(reply[name]))
-    _print_instances(reply["instances"])
+    for instance in _instances_of(reply["instances"]):
+        _print_instance(instance)
     return 0
 
 
-def _answers_of(reply: dict[str, Any]) -> list[InstanceAnswer]:
+def _answers_of(reply: Mapping[str, Any]) -> list[InstanceAnswer]:
     return [InstanceAnswer(instance, answer["ok"], answer["told"]) for instance, answer in reply.items()]
 
 
+def _instances_of(reply: Mapping[str, Any]) -> Iterator[InstanceStatus]:
+    for name, status in reply.items():
+        yield InstanceStatus(
+            instance=name,
+            state=status["state"],
+            pid=status["pid"],
+            starts=status["starts"],
+            for_s=status["for_s"],
+            last_exit=status["last_exit"],
+        )
+
+
 def _print_json(reply: AgentReply) -> int:
     print(json.dumps(reply, indent=2))
     reloads = reply.get("reload", {}).values()
     return int(any(reload is not None and not reload["ok"] for reload in reloads))
 
 
-def _print_instances(instances: dict[str, Any]) -> None:
-    for name, instance in instances.items():
-        pid = f"pid {instance['pid']}" if instance["pid"] else "no process"
-        starts = f"{instance['starts']} starts"
-        age = f"{instance['for_s']} s"
-        print(name, instance["state"], pid, starts, age, instance["last_exit"], sep="\t")
+def _print_instance(status: InstanceStatus) -> None:
+    pid = f"pid {status.pid}" if status.pid else "no process"
+    starts = f"{status.starts} starts"
+    age = f"{status.for_s} s"
+    print(status.instance, status.state, pid, starts, age, status.last_exit, sep="\t")
 
 
 def _print_answers(answers: list[InstanceAnswer]) -> int:
@@ -121,7 +147,7 @@
     print("member", *views, "agree", sep="\t")
     all_agree = True
     for member in sorted({member for view in views.values() for member in view}):
-        cells = [view.get(member, "-") for view in views.values()]
+        cells = [view.get(member, ABSENT) for view in views.values()]
         statuses = {cell.partition("/")[0] for cell in cells}
         agree = len(statuses) <= 1
         all_agree = all_agree and agree
@@ -140,7 +166,7 @@
     if message is None:
         return None
     view = {member["name"]: f"{member['status']}/{member['incarnation']}" for member in message["members"]}
-    view["(isolated)"] = "yes" if message["isolated"] else "no"
+    view[ISOLATED_ROW] = "yes" if message["isolated"] else "no"
     return view
 
 
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -1,13 +1,15 @@
 """`maplestile policy propose FILE | status | rollback`: the operators' side of the fleet's policy.
 
-Exit 0 where it is committed (of `status`: printed), 1 where the fleet refused it, gave it up, or gave no
-answer, 2 for a file that cannot be used, with the field named.
+Exits with 0 where the change is committed or the status printed, with 1 where the fleet refused or aborted
+the change or no agent answered, and with 2 for a file that cannot be used, with the field named.
 """
 
 import argparse
 import json
 import sys
 import time
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -15,7 +17,7 @@
 from maplestile.control.policy.agreed import AgreedPolicies, Change, Epoch, Phase
 from maplestile.control.policy.document import Document, digest_of, document_of
 from maplestile.invoke.operator_file import OperatorError, from_tables, read
-from maplestile.tools.agent_client import add_agent_options, request_agent
+from maplestile.tools.agent_client import AgentReply, add_agent_options, request_agent
 
 DECISION_TIMEOUT_S = 30.0  # of a change: its check takes 6 s at the most, an election 2
 POLL_INTERVAL_S = 0.1
@@ -23,7 +25,31 @@
 EXIT_REFUSED = 1
 EXIT_BAD_FILE = 2
 
-PolicyStatus = dict[str, Any]  # an agent's reply: the replica's state, the instances, and the log's
+
+@dataclass(slots=True, frozen=True)
+class InstancePolicy:
+    """The policy of one instance, as its agent last reported it; None where there is no report."""
+
+    name: str
+    agent: str
+    epoch: int | None
+    standing: str
+    report_age_s: float | None
+    stale_s: float  # for how long the epoch has not been known to be the committed one; 0 while it is
+    reason: str
+
+    @classmethod
+    def decode(cls, name: str, encoded: Mapping[str, Any]) -> "InstancePolicy":
+        """The policy of an instance, from its entry in an agent's reply."""
+        return cls(
+            name=name,
+            agent=encoded["agent"],
+            epoch=encoded.get("epoch"),
+            standing=encoded.get("standing", "unknown"),
+            report_age_s=encoded["heard_s"],
+            stale_s=encoded.get("stale_s") or 0,
+            reason=encoded.get("reason") or "",
+        )
 
 
 def add(commands: Any) -> None:
@@ -56,10 +82,9 @@
 
 
 def checked(path: Path) -> Document:
-    """The policy of a file, by the checker that routers use.
+    """Read the policy of a file and check it as routers of this build do.
 
-    It is checked on this build, in the file of a router that has one function. Raises ConfigError, which
-    names the field.
+    It is checked as part of the file of a router that has one function. Raises ConfigError naming the field.
     """
     document = Document.of(read(path))
     classes = document.tables().get("class")
@@ -76,7 +101,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run a sub-command; the exit code."""
+    """Run a sub-command and return the exit code."""
     match arguments.what:
         case "propose":
             return _propose(arguments)
@@ -105,7 +130,7 @@
 
 
 def _show_status(arguments: argparse.Namespace) -> int:
-    status = _status(arguments)
+    status = _request_status(arguments)
     if status is None:
         return EXIT_REFUSED
     if arguments.json:
@@ -116,16 +141,16 @@
 
 
 def _base_epoch(arguments: argparse.Namespace) -> int | None:
-    """The epoch that a change is based on: as given, or the fleet's; None where the agent has no answer."""
-    status = _status(arguments)
+    """The epoch that a change is based on: `--base`, or the fleet's; None where no agent answered."""
+    status = _request_status(arguments)
     if status is None:
         return None
     agreed = AgreedPolicies.decode(status["agreed"])
     return agreed.epoch.number if arguments.base is None else int(arguments.base)
 
 
-def _submit(arguments: argparse.Namespace, command: dict[str, Any]) -> int:
-    """Propose a change, and wait until it is decided if that is wanted."""
+def _submit(arguments: argparse.Namespace, command: Mapping[str, Any]) -> int:
+    """Propose a change, and wait until it is decided unless `--no-wait` is given."""
     reply = request_agent(arguments.agent, "policy", [], what=arguments.what, command=command)
     if reply is None:
         return EXIT_REFUSED
@@ -135,7 +160,7 @@
     return EXIT_DONE
 
 
-def _status(arguments: argparse.Namespace) -> PolicyStatus | None:
+def _request_status(arguments: argparse.Namespace) -> AgentReply | None:
     """The agent's view of the policy; None, with the reason printed, where it gives no answer."""
     reply = request_agent(arguments.agent, "policy", [], what="status")
     return None if reply is None else reply["policy"]
@@ -145,7 +170,7 @@
     """Wait for the end of a change, by the replica of the agent, which may be a little behind."""
     end_s = time.monotonic() + DECISION_TIMEOUT_S
     while time.monotonic() < end_s:
-        status = _status(arguments)
+        status = _request_status(arguments)
         if status is None:
             return EXIT_REFUSED
         change = _find_change(AgreedPolicies.decode(status["agreed"]), number)
@@ -187,7 +212,7 @@
     }
 
 
-def _print_status(status: PolicyStatus) -> None:
+def _print_status(status: AgentReply) -> None:
     agreed = AgreedPolicies.decode(status["agreed"])
     raft = status["raft"]
     _print_epoch(agreed.epoch, agreed.epochs)
@@ -197,7 +222,7 @@
         _print_change(agreed.change)
     print("instance", "agent", "epoch", "standing", "heard", "", sep="\t")
     for name, instance in status["instances"].items():
-        _print_instance(name, instance, agreed)
+        _print_instance(InstancePolicy.decode(name, instance), agreed)
 
 
 def _print_epoch(epoch: Epoch, kept: list[Epoch]) -> None:
@@ -214,17 +239,24 @@
         print(f"not there at the commit: {', '.join(change.absent)}")
 
 
-def _print_instance(name: str, instance: dict[str, Any], agreed: AgreedPolicies) -> None:
-    number = instance.get("epoch")
-    heard_s = instance["heard_s"]
-    lags = number is not None and number < agreed.epoch.number
-    verdict = agreed.change.verdicts.get(name, "") if agreed.change is not None else ""
-    notes = ["lags"] * lags + [f"stale for {instance['stale_s']} s"] * bool(instance.get("stale_s"))
-    notes += [reason for reason in (instance.get("reason"), verdict) if reason]
-    epoch = "-" if number is None else number
-    heard = "never" if heard_s is None else f"{heard_s} s"
-    standing = instance.get("standing", "unknown")
-    print(name, instance["agent"], epoch, standing, heard, "; ".join(notes), sep="\t")
+def _print_instance(instance: InstancePolicy, agreed: AgreedPolicies) -> None:
+    epoch = "-" if instance.epoch is None else instance.epoch
+    age = "never" if instance.report_age_s is None else f"{instance.report_age_s} s"
+    notes = "; ".join(_notes(instance, agreed))
+    print(instance.name, instance.agent, epoch, instance.standing, age, notes, sep="\t")
+
+
+def _notes(instance: InstancePolicy, agreed: AgreedPolicies) -> Iterator[str]:
+    """What an operator has to know of an instance beside its epoch."""
+    if instance.epoch is not None and instance.epoch < agreed.epoch.number:
+        yield "lags"
+    if instance.stale_s:
+        yield f"stale for {instance.stale_s} s"
+    if instance.reason:
+        yield instance.reason
+    verdict = agreed.change.verdicts.get(instance.name, "") if agreed.change is not None else ""
+    if verdict:
+        yield verdict
 
 
 def is_policy_file(path: Path) -> bool:
--- a/maplestile/tools/rollout_command.py
+++ b/maplestile/tools/rollout_command.py
@@ -5,6 +5,8 @@
 
 import argparse
 import json
+from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from maplestile.control.state import ACTIONS
@@ -20,6 +22,49 @@
 )
 
 
+@dataclass(slots=True, frozen=True)
+class RolloutSummary:
+    """What is printed of a rollout."""
+
+    number: int
+    action: str
+    kind: str  # of instances: routers or runners
+    phase: str
+    reason: str  # of a halt or an undo
+    done: int  # instances
+    targets: int
+    budget: int
+
+    @classmethod
+    def decode(cls, encoded: Mapping[str, Any]) -> "RolloutSummary":
+        """The summary of a rollout in an agent's reply; fields that are not printed are ignored."""
+        return cls(
+            number=encoded["number"],
+            action=encoded["action"],
+            kind=encoded["kind"],
+            phase=encoded["phase"],
+            reason=encoded["reason"],
+            done=len(encoded["done"]),
+            targets=len(encoded["targets"]),
+            budget=encoded["budget"],
+        )
+
+
+@dataclass(slots=True, frozen=True)
+class LeaseSummary:
+    """What is printed of a lease."""
+
+    instance: str
+    action: str
+    stage: str
+    holder: str
+
+    @classmethod
+    def decode(cls, encoded: Mapping[str, Any]) -> "LeaseSummary":
+        """The summary of a lease in an agent's reply; fields that are not printed are ignored."""
+        return cls(encoded["instance"], encoded["action"], encoded["stage"], encoded["holder"])
+
+
 def add(commands: Any) -> None:
     """Add the command and its sub-commands to argparse's sub-parsers."""
     rollout = commands.add_parser("rollout", help="drain, restart or replace instances under a budget")
@@ -59,7 +104,7 @@
 
 
 def _log_command(arguments: argparse.Namespace) -> dict[str, Any]:
-    """Build the fields of the command for the replicated log, without its kind."""
+    """Encode the command for the replicated log, without its kind."""
     match arguments.what:
         case "start":
             return {
@@ -75,7 +120,7 @@
     return {}
 
 
-def _outcome_text(outcome: dict[str, Any]) -> str:
+def _outcome_text(outcome: Mapping[str, Any]) -> str:
     fields = (f"{key} {value}" for key, value in outcome.items() if key != "ok")
     return ", ".join(fields) or "done"
 
@@ -83,19 +128,24 @@
 def _print_status(status: AgentReply) -> None:
     raft = status["raft"]
     print(f"voter {raft['voter']}", f"leader {raft['leader']}", f"term {raft['term']}", sep="\t")
-    _print_rollout(status["rollout"])
+    rollout = status["rollout"]
+    if rollout is None:
+        print("no rollout")
+    else:
+        _print_rollout(RolloutSummary.decode(rollout))
     for lease in status["leases"]:
-        holder = f"held by {lease['holder'] or 'no agent'}"
-        print(f"out: {lease['instance']}", lease["action"], lease["stage"], holder, sep="\t")
+        _print_lease(LeaseSummary.decode(lease))
 
 
-def _print_rollout(rollout: dict[str, Any] | None) -> None:
-    if rollout is None:
-        print("no rollout")
-        return
-    number = f"rollout {rollout['number']}"
-    action = f"{rollout['action']} {rollout['kind']}"
-    reason = f": {rollout['reason']}" if rollout["reason"] else ""
-    phase = f"{rollout['phase']}{reason}"
-    progress = f"{len(rollout['done'])} of {len(rollout['targets'])} done"
-    print(number, action, phase, progress, f"budget {rollout['budget']}", sep="\t")
+def _print_rollout(rollout: RolloutSummary) -> None:
+    number = f"rollout {rollout.number}"
+    action = f"{rollout.action} {rollout.kind}"
+    reason = f": {rollout.reason}" if rollout.reason else ""
+    phase = f"{rollout.phase}{reason}"
+    progress = f"{rollout.done} of {rollout.targets} done"
+    print(number, action, phase, progress, f"budget {rollout.budget}", sep="\t")
+
+
+def _print_lease(lease: LeaseSummary) -> None:
+    holder = f"held by {lease.holder or 'no agent'}"
+    print(f"out: {lease.instance}", lease.action, lease.stage, holder, sep="\t")
