--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -4,7 +4,6 @@
 """
 
 import argparse
-import json
 import sys
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
@@ -65,7 +64,7 @@
 def _print_spread(spread: "Spread", output_format: str) -> None:
     from maplestile.tools.model import report
 
-    print(json.dumps(spread, indent=2) if output_format == "json" else report.spread_csv(spread))
+    print(report.spread_json(spread) if output_format == "json" else report.spread_csv(spread))
 
 
 def _run_once(experiment: "Experiment", arguments: argparse.Namespace) -> None:
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -40,11 +40,11 @@
 
 @dataclass(slots=True, frozen=True)
 class TimeRange:
-    """A fault of one instance, router or agent, by its index, for a time."""
+    """A fault that lasts for a time, of one instance, router or agent."""
 
     at_us: int
     for_us: int
-    which: int = 0
+    index: int = 0  # of what it concerns
 
 
 def time_range_from(table: TomlTable, name: str = "", count: int = 0) -> TimeRange:
@@ -54,10 +54,9 @@
     """
     at_us = _seconds(table, "at_s")
     for_us = _seconds(table, "for_s")
-    which = table.whole(name, most=count - 1) if name else 0
-    span = TimeRange(at_us, for_us, which)
+    index = table.whole(name, most=count - 1) if name else 0
     table.end()
-    return span
+    return TimeRange(at_us, for_us, index)
 
 
 def _seconds(table: TomlTable, name: str) -> int:
--- a/maplestile/tools/model/membership_metrics.py
+++ b/maplestile/tools/model/membership_metrics.py
@@ -4,7 +4,7 @@
 from dataclasses import asdict, dataclass, field
 
 from maplestile.membership.tuning import Tuning
-from maplestile.tools.faults.schedule import US_PER_S, Fault, Schedule
+from maplestile.tools.faults.schedule import US_PER_S, Fault, FaultKind, Schedule
 from maplestile.tools.model.experiment import Experiment
 from maplestile.tools.model.report import Metrics, TimeSeries
 
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Measurements:
-    """What a run has counted so far."""
+    """What has been measured in a run so far."""
 
     sent: int = 0  # messages
     health_checks: int = 0
@@ -70,20 +70,20 @@
 
 
 def is_excused(schedule: Schedule, tuning: Tuning, observer: int, member: int, now_us: int) -> bool:
-    """Whether a member declared dead had met a fault lately, as that observer sees it."""
-    reach_us = tuning.suspicion_us(schedule.members, 0) * tuning.local_health_max
+    """Whether a recent fault between an observer and a member explains that it declared the member dead."""
+    detection_us = tuning.suspicion_us(schedule.members, 0) * tuning.local_health_max
     return any(
         _concerns(fault, observer, member)
         for fault in schedule.faults
-        if fault.at_us <= now_us <= fault.until_us + reach_us
+        if fault.at_us <= now_us <= fault.until_us + detection_us
     )
 
 
 def _concerns(fault: Fault, observer: int, member: int) -> bool:
     match fault.kind:
-        case "kill" | "pause":
+        case FaultKind.KILL | FaultKind.PAUSE:
             return member in fault.members
-        case "split":
+        case FaultKind.SPLIT:
             return fault.side(observer) != fault.side(member)
     return bool({observer, member} & (fault.members | fault.others))
 
@@ -93,8 +93,8 @@
 ) -> MembershipMetrics:
     """The metrics of a run that has ended."""
     schedule = experiment.schedule
-    kills = [fault for fault in schedule.faults if fault.kind == "kill"]
-    splits = [fault for fault in schedule.faults if fault.kind == "split"]
+    kills = [fault for fault in schedule.faults if fault.kind is FaultKind.KILL]
+    splits = [fault for fault in schedule.faults if fault.kind is FaultKind.SPLIT]
     detection = _detection_periods(experiment, measured, kills, live_members)
     member_minutes = schedule.members * experiment.duration_us / US_PER_MINUTE
     periods = experiment.duration_us / experiment.period_us
@@ -122,7 +122,7 @@
 def _detection_periods(
     experiment: Experiment, measured: Measurements, kills: Sequence[Fault], live_members: Sequence[int]
 ) -> list[float]:
-    """The times from each kill until each live member declared the victim dead."""
+    """The times from each kill until each live member declared the victim dead, in protocol periods."""
     detection = []
     for fault in kills:
         (victim,) = fault.members
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -30,14 +30,14 @@
 from maplestile.tools.model.policy_metrics import PolicyMeasurements, PolicyMetrics
 from maplestile.tools.model.report import Metrics
 
-LOOK_US = int(LOOK_INTERVAL_S * US_PER_S)
-READ_US = int(READ_INTERVAL_S * US_PER_S)
-READ_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
-TICK_US = 500_000
+POLL_INTERVAL_US = int(LOOK_INTERVAL_S * US_PER_S)
+READ_INTERVAL_US = int(READ_INTERVAL_S * US_PER_S)
+READ_INTERVAL_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
+TICK_INTERVAL_US = 500_000
 
 
 class Fence(NamedTuple):
-    """The last agreed read that covers a router; it may learn of no older epoch."""
+    """The last agreed read that covers a router, which must not be given an older epoch."""
 
     epoch: int = 0
     sent_us: int = 0
@@ -74,7 +74,7 @@
         return self.measured.metrics(self.names, experiment.rate, self._behind())
 
     def _behind(self) -> int:
-        """How many routers that are neither cut off nor down lack the last epoch."""
+        """The number of routers that are neither cut off nor down and lack the last epoch."""
         epoch = self.control.policy.epoch.number
         unreachable = self._routers_cut_off() | self._down
         return sum(router.epoch != epoch for name, router in self._routers.items() if name not in unreachable)
@@ -83,14 +83,14 @@
         return {name for name, agent in self._agent_of.items() if agent in self._cut}
 
     def _is_delivered(self, agent: int) -> bool:
-        """Whether this agent gets the reply to a command."""
+        """Draw whether this agent gets the reply to a command."""
         return agent not in self._cut and self._random.random() >= self.experiment.loss
 
     # An agent reads the policy, announces it to its routers, and submits their verdicts.
 
     def _read_policy(self, agent: int) -> simpy.events.ProcessGenerator:
         names = self.instances_of(agent)
-        yield self._env.timeout(self._uniform_us(READ_US))
+        yield self._env.timeout(self._uniform_us(READ_INTERVAL_US))
         self._env.process(self._control_routers(agent, names))
         while True:
             sent_us = self.now_us
@@ -101,7 +101,7 @@
                 assert isinstance(read, PolicyRead), read
                 self._fences.update(dict.fromkeys(running, Fence(read.epoch, sent_us)))
             checking = self.control.policy.checking() is not None
-            interval_us = READ_CHECKING_US if checking else READ_US
+            interval_us = READ_INTERVAL_CHECKING_US if checking else READ_INTERVAL_US
             yield self._env.timeout(max(1, interval_us - (self.now_us - sent_us)))
 
     def _control_routers(self, agent: int, names: list[str]) -> simpy.events.ProcessGenerator:
@@ -115,10 +115,10 @@
                 for name in names:
                     self._env.process(self._check(agent, name, change))
             self._announce_new(agent, names, announced)
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_INTERVAL_US)
 
     def _announce_new(self, agent: int, names: list[str], announced: dict[str, PolicyAnnouncement]) -> None:
-        """Announce to each router what it was not announced before, unless its fence is newer."""
+        """Announce to each router the epoch and read that it lacks, unless its fence is newer."""
         epoch = self._replica_epochs[agent]
         for name in names:
             fence = self._fences.get(name, Fence())
@@ -152,7 +152,7 @@
         self.control.apply(verdict)
 
     def _commit_with_retries(self, agent: int) -> simpy.events.ProcessGenerator:
-        """Until a command of this agent is committed; while it is cut off none is."""
+        """Wait until a command of this agent is committed and the reply delivered."""
         while True:
             yield self._commit()
             if self._is_delivered(agent):
@@ -167,13 +167,13 @@
                     router.tick(self.now_us)
                     stale += router.status is PolicyStatus.STALE
             self.measured.record_stale(stale)
-            yield self._env.timeout(TICK_US)
+            yield self._env.timeout(TICK_INTERVAL_US)
 
     # The leader, and an operator.
 
     def _lead(self) -> simpy.events.ProcessGenerator:
         while True:
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_INTERVAL_US)
             command = self._planner.next_command(self.control.policy, self.control.instances, self.now_us)
             if command is None:
                 continue
@@ -188,11 +188,11 @@
     def _replicate(self, agent: int, epoch: int) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._uniform_us(self.experiment.replica_us))
         while agent in self._cut:
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(POLL_INTERVAL_US)
         self._replica_epochs[agent] = max(self._replica_epochs[agent], epoch)
 
     def _propose_changes(self) -> simpy.events.ProcessGenerator:
-        yield self._env.timeout(2 * READ_US)
+        yield self._env.timeout(2 * READ_INTERVAL_US)
         for number in range(self.experiment.changes):
             policy = self.control.policy
             document = Document.of({"rules": {"attempts": number + 1}})
@@ -200,25 +200,25 @@
             reply = self.control.apply(propose)
             assert not isinstance(reply, Rejected), reply
             while policy.checking() is not None:
-                yield self._env.timeout(LOOK_US)
+                yield self._env.timeout(POLL_INTERVAL_US)
             assert policy.change is not None
             self.measured.record_end(policy.change.phase is Phase.COMMITTED)
             yield self._env.timeout(self.experiment.pause_us)
-        yield self._env.timeout(2 * READ_US)
+        yield self._env.timeout(2 * READ_INTERVAL_US)
 
     # Faults.
 
     def _play_cut(self, cut: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(cut.at_us)
-        self._cut.add(cut.which)
-        names = self.instances_of(cut.which)
+        self._cut.add(cut.index)
+        names = self.instances_of(cut.index)
         self.measured.record_unreachable(names, self.control.policy.epoch.number)
         yield self._env.timeout(cut.for_us)
-        self._cut.discard(cut.which)
+        self._cut.discard(cut.index)
 
     def _play_down(self, down: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(down.at_us)
-        name = self.names[down.which]
+        name = self.names[down.index]
         self._down.add(name)
         self.measured.record_unreachable([name], self.control.policy.epoch.number)
         yield self._env.timeout(down.for_us)
--- a/maplestile/tools/model/policy_metrics.py
+++ b/maplestile/tools/model/policy_metrics.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class PolicyMeasurements:
-    """What a run has counted so far."""
+    """What has been measured in a run so far."""
 
     committed_us: dict[int, int] = field(default_factory=lambda: {0: 0})  # by epoch
     unreachable: dict[int, set[str]] = field(default_factory=dict)  # by epoch: cut off or down before it came
@@ -40,12 +40,12 @@
     stale_most: int = 0
 
     def record_commit(self, epoch: int, now_us: int, unreachable: set[str]) -> None:
-        """Keep when an epoch was committed, and which routers could not be reached then."""
+        """Record when an epoch was committed, and which routers could not be reached then."""
         self.committed_us[epoch] = now_us
         self.unreachable[epoch] = unreachable
 
     def record_applied(self, name: str, epoch: int, now_us: int) -> None:
-        """Keep when a router applied an epoch, and with it those before that it had missed."""
+        """Record when a router applied an epoch, and with it the epochs before that it had missed."""
         for applied in range(1, epoch + 1):
             self.applied_us.setdefault((name, applied), now_us)
 
@@ -62,7 +62,7 @@
             self.aborted += 1
 
     def record_stale(self, count: int) -> None:
-        """Take in the number of routers that are stale now."""
+        """Record the number of routers that are stale now."""
         self.stale_most = max(self.stale_most, count)
 
     def metrics(self, names: Sequence[str], rate: float, behind: int) -> PolicyMetrics:
--- a/maplestile/tools/model/report.py
+++ b/maplestile/tools/model/report.py
@@ -7,7 +7,7 @@
 import statistics
 from collections.abc import Callable, Iterable, Sequence
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import dataclass, field
+from dataclasses import asdict, astuple, dataclass, field
 from pathlib import Path
 from typing import Any, TypeVar
 
@@ -16,18 +16,30 @@
 DIGITS = 6  # after the decimal point of a median
 
 Metrics = dict[str, float | None]  # of one run, by name
-Spread = dict[str, dict[str, float] | None]
 Experiment = TypeVar("Experiment")
 
 
 @dataclass(slots=True)
 class TimeSeries:
-    """One value a period: time, mean view and mean suspects of the sampled members, isolated members."""
+    """The course of a run, with one value a period in each list."""
 
-    at_s: list[float] = field(default_factory=list)
-    view: list[float] = field(default_factory=list)
-    suspects: list[float] = field(default_factory=list)
-    isolated: list[int] = field(default_factory=list)
+    at_s: list[float] = field(default_factory=list)  # simulated time
+    view: list[float] = field(default_factory=list)  # mean view of the sampled members
+    suspects: list[float] = field(default_factory=list)  # mean number that a sampled member suspects
+    isolated: list[int] = field(default_factory=list)  # members that find themselves isolated
+
+
+@dataclass(slots=True, frozen=True)
+class MetricSpread:
+    """One metric over several runs; the names of the fields are printed."""
+
+    min: float
+    median: float
+    max: float
+    runs: int  # that have the metric
+
+
+Spread = dict[str, MetricSpread | None]  # by metric; None where no run has it
 
 
 def as_json(metrics: Metrics) -> str:
@@ -51,24 +63,30 @@
 
 
 def spread(runs: Sequence[Metrics]) -> Spread:
-    """Each metric's least, median and greatest over runs of other seeds; None where it has none."""
+    """The spread of each metric over runs with different seeds."""
     return {
         name: _spread_of_values([value for metrics in runs if (value := metrics[name]) is not None])
         for name in sorted(runs[0])
     }
 
 
-def _spread_of_values(values: Sequence[float]) -> dict[str, float] | None:
+def _spread_of_values(values: Sequence[float]) -> MetricSpread | None:
     if not values:
         return None
     median = round(statistics.median(values), DIGITS)
-    return {"min": min(values), "median": median, "max": max(values), "runs": len(values)}
+    return MetricSpread(min(values), median, max(values), len(values))
+
+
+def spread_json(spread: Spread) -> str:
+    """The spread as JSON."""
+    rows = {name: None if row is None else asdict(row) for name, row in spread.items()}
+    return json.dumps(rows, indent=2)
 
 
 def spread_csv(spread: Spread) -> str:
     """The spread as CSV, one metric a line."""
     empty = ("", "", "", 0)
-    rows = ((name, *(empty if row is None else row.values())) for name, row in spread.items())
+    rows = ((name, *(empty if row is None else astuple(row))) for name, row in spread.items())
     return _csv(("figure", "min", "median", "max", "runs"), rows)
 
 
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -27,8 +27,8 @@
 from maplestile.tools.model.rollout_experiment import RolloutExperiment
 
 # The intervals of the shipped rollout controller.
-LOOK_US = 50_000
-REPORT_US = 500_000
+PLAN_INTERVAL_US = 50_000
+REPORT_INTERVAL_US = 500_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,24 +48,24 @@
 
 @dataclass(slots=True)
 class RolloutMeasurements:
-    """What a run has counted so far."""
+    """What has been measured in a run so far."""
 
     most_out: int = 0
     most_out_planned: int = 0
-    begun_us: list[int] = field(default_factory=list)  # when each step began
+    step_starts_us: list[int] = field(default_factory=list)
     last_after_halt_us: list[int] = field(default_factory=list)  # for each halt of an operator
     halts: int = 0  # by the planner
     ended_us: int | None = None
 
-    def record_out(self, out: int, out_planned: int) -> None:
-        """Take in how many instances are out now."""
+    def record_out_of_service(self, out: int, out_planned: int) -> None:
+        """Record how many instances are out of service now."""
         self.most_out = max(self.most_out, out)
         self.most_out_planned = max(self.most_out_planned, out_planned)
 
     def record_halt(self, sent_us: int) -> None:
-        """Keep how long after an operator sent a halt the last step began."""
-        later_us = [at_us for at_us in self.begun_us if at_us > sent_us]
-        self.last_after_halt_us.append(max(later_us) - sent_us if later_us else 0)
+        """Record how long after an operator sent a halt the last step began; 0 if none did."""
+        delays_us = [start_us - sent_us for start_us in self.step_starts_us if start_us > sent_us]
+        self.last_after_halt_us.append(max(delays_us, default=0))
 
 
 class RolloutModel(ControlModel):
@@ -75,7 +75,7 @@
         super().__init__(experiment, experiment.instances)
         self.experiment = experiment
         self.measured = RolloutMeasurements()
-        self._out = set[str]()  # instances that do not serve, planned or not
+        self._out_of_service = set[str]()  # instances, by a step or by an outage
         self._in_outage = set[str]()
         self._started_leases = set[int]()  # leases whose agents have started the step
         self._planner: RolloutPlanner | None = RolloutPlanner(Rules(), 0)  # None without a leader
@@ -109,7 +109,7 @@
             if rollout is not None and rollout.phase not in ACTIVE:
                 self.measured.ended_us = self.now_us
                 return
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(PLAN_INTERVAL_US)
 
     def _start_steps(self) -> None:
         for lease in list(self.control.leases.values()):
@@ -137,9 +137,9 @@
     def _report_health(self) -> simpy.events.ProcessGenerator:
         while True:
             if self._planner is not None:
-                reports = {name: HealthReport(name not in self._out) for name in self.names}
+                reports = {name: HealthReport(name not in self._out_of_service) for name in self.names}
                 self._planner.hear(reports, self.now_us)
-            yield self._env.timeout(REPORT_US)
+            yield self._env.timeout(REPORT_INTERVAL_US)
 
     def _step(self, lease: Lease) -> simpy.events.ProcessGenerator:
         """Drain the lease's instance and start it again."""
@@ -147,11 +147,11 @@
         yield self._commit()
         if isinstance(self.control.apply(begin), Rejected):
             return
-        self.measured.begun_us.append(self.now_us)
+        self.measured.step_starts_us.append(self.now_us)
         self._take_out(lease.instance)
         yield self._env.timeout(self._drain_us() + self.experiment.start_us)
         if lease.instance not in self._in_outage:
-            self._out.discard(lease.instance)
+            self._out_of_service.discard(lease.instance)
         yield self._commit()
         self.control.apply(FinishStep(agent=lease.holder, instance=lease.instance, lease=lease.number))
 
@@ -161,20 +161,22 @@
         return self.experiment.stuck_us if is_stuck else self.experiment.drain_us + jitter_us
 
     def _take_out(self, name: str) -> None:
-        self._out.add(name)
-        self.measured.record_out(len(self._out), len(self._out - self._in_outage))
+        self._out_of_service.add(name)
+        self.measured.record_out_of_service(
+            len(self._out_of_service), len(self._out_of_service - self._in_outage)
+        )
 
     # Faults, and an operator.
 
     def _play_outage(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(outage.at_us)
-        name = self.names[outage.which]
+        name = self.names[outage.index]
         self._in_outage.add(name)
         self._take_out(name)
         yield self._env.timeout(outage.for_us)
         self._in_outage.discard(name)
         if name not in self.control.leases:
-            self._out.discard(name)
+            self._out_of_service.discard(name)
 
     def _play_election(self, election: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(election.at_us)
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -12,11 +12,12 @@
 import simpy
 
 from maplestile.common.address import Address
+from maplestile.membership.events import EventKind, MembershipEvent
 from maplestile.membership.health_checks import SharedHealthChecks
 from maplestile.membership.messages import Message
 from maplestile.membership.swim import Status, Swim
 from maplestile.membership.tuning import Tuning
-from maplestile.tools.faults.schedule import US_PER_S, Fault
+from maplestile.tools.faults.schedule import US_PER_S, Fault, FaultKind
 from maplestile.tools.model.experiment import Experiment
 from maplestile.tools.model.membership_metrics import (
     Measurements,
@@ -28,14 +29,14 @@
 
 HOST = "model"  # members' addresses are (HOST, number): nothing is sent anywhere
 MAX_INBOX = 1024  # datagrams a paused member's socket keeps; the rest are lost, as in the system's buffer
-SAMPLED_MEMBERS = 64  # looked at each period for the time series
-LOOKS_PER_PERIOD = 4  # for convergence after a split
+SAMPLED_MEMBERS = 64  # of the time series
+CONVERGENCE_CHECKS_PER_PERIOD = 4  # after a split
 SEED_STRIDE = 1_000_003  # between the seeds of two runs' members
 
 
 @dataclass(slots=True)
 class Member:
-    """One member, and what its process would hold."""
+    """One member, with the state that its process would have."""
 
     number: int
     swim: Swim
@@ -65,7 +66,7 @@
         self._members = [self._member(number) for number in range(self.schedule.members)]
 
     @property
-    def _now(self) -> int:
+    def _now_us(self) -> int:
         return int(self._env.now)  # whole microseconds: every delay given to the engine is whole
 
     def _member(self, number: int) -> Member:
@@ -87,9 +88,9 @@
         return compute_metrics(self.experiment, self.measured, live_members)
 
     def _introduce(self) -> None:
-        """Have all members know each other at the start: joins are not what is measured."""
+        """Have all members know each other at the start, since joins are not measured."""
         everyone: list[tuple[str, Address]] = [
-            (f"m{one.number}", (HOST, one.number)) for one in self._members
+            (f"m{member.number}", (HOST, member.number)) for member in self._members
         ]
         targets = [f"duty-{number}" for number in range(self.experiment.duties)]
         for member in self._members:
@@ -97,24 +98,24 @@
             if member.checks is not None:
                 member.checks.set_runners(targets)
                 member.checks.set_view(member.swim.live(), member.swim.agreed, False)
-            self._env.process(self._live(member))
+            self._env.process(self._run_member(member))
 
     def _live_members(self) -> list[Member]:
         return [member for member in self._members if not member.killed]
 
     # Members and the network between them.
 
-    def _live(self, member: Member) -> simpy.events.ProcessGenerator:
+    def _run_member(self, member: Member) -> simpy.events.ProcessGenerator:
         self._flush(member)
         while not member.killed:
             member.wake = self._env.event()
-            yield self._env.timeout(max(0, member.due_us() - self._now)) | member.wake
+            yield self._env.timeout(max(0, member.due_us() - self._now_us)) | member.wake
             if member.killed:
                 return
-            if member.paused_until_us > self._now:
-                yield self._env.timeout(member.paused_until_us - self._now)
+            if member.paused_until_us > self._now_us:
+                yield self._env.timeout(member.paused_until_us - self._now_us)
                 self._read_inbox(member)
-            member.swim.tick(self._now)
+            member.swim.tick(self._now_us)
             self._flush(member)
             self._check_health(member)
 
@@ -122,31 +123,31 @@
         """Have a member receive what waited in its socket, after the timers that are due."""
         inbox, member.inbox = member.inbox, []
         for message in inbox:
-            member.swim.tick(self._now)
-            member.swim.receive(message, self._now)
+            member.swim.tick(self._now_us)
+            member.swim.receive(message, self._now_us)
 
     def _check_health(self, member: Member) -> None:
         """Make the member's shared health checks that are due; each is answered at once."""
         if member.checks is None:
             return
-        for target in member.checks.due(self._now):
+        for target in member.checks.due(self._now_us):
             member.checks.record_result(target, True)
-            self.measured.record_check(target, self._now)
+            self.measured.record_check(target, self._now_us)
 
     def _flush(self, member: Member) -> None:
-        """Send what the member has to send, and measure what it has found."""
+        """Send the member's messages, and measure by its events."""
         swim = member.swim
         for address, message in swim.outbox:
             self._send(member.number, address[1], message)
         swim.outbox.clear()
-        for kind, details in swim.events:
-            self._measure(member.number, kind, details)
+        for event in swim.events:
+            self._measure(member.number, event)
         swim.events.clear()
         swim.faults.clear()
 
     def _send(self, origin: int, target: int, message: Message) -> None:
         self.measured.sent += 1
-        for delay_us in self.schedule.delivery_delays_us(origin, target, self._now, self._random):
+        for delay_us in self.schedule.delivery_delays_us(origin, target, self._now_us, self._random):
             arrival = self._env.timeout(delay_us)
             arrival.callbacks.append(functools.partial(self._arrive, target, message))
 
@@ -154,11 +155,11 @@
         member = self._members[target]
         if member.killed:
             return
-        if member.paused_until_us > self._now:
+        if member.paused_until_us > self._now_us:
             if len(member.inbox) < MAX_INBOX:
                 member.inbox.append(message)
             return
-        member.swim.receive(message, self._now)
+        member.swim.receive(message, self._now_us)
         self._flush(member)
         if member.wake is not None and not member.wake.triggered:
             member.wake.succeed()
@@ -167,23 +168,23 @@
         yield self._env.timeout(fault.at_us)
         for number in fault.members:
             member = self._members[number]
-            if fault.kind == "kill":
+            if fault.kind is FaultKind.KILL:
                 member.killed = True
-            elif fault.kind == "pause":
+            elif fault.kind is FaultKind.PAUSE:
                 member.paused_until_us = fault.until_us
-        if fault.kind == "split":
-            yield self._env.timeout(max(0, fault.until_us - self._now))
-            self._env.process(self._converge(fault.until_us))
+        if fault.kind is FaultKind.SPLIT:
+            yield self._env.timeout(max(0, fault.until_us - self._now_us))
+            self._env.process(self._measure_convergence(fault.until_us))
 
     # What is measured.
 
-    def _measure(self, observer: int, kind: str, details: dict[str, object]) -> None:
-        if kind in ("isolated", "healed"):
-            self.measured.record_isolation(observer, kind == "isolated")
-        elif kind == "confirm":
-            member = int(str(details["member"])[1:])
-            self.measured.confirmed_us.setdefault((observer, member), self._now)
-            if not is_excused(self.schedule, self._tuning, observer, member, self._now):
+    def _measure(self, observer: int, event: MembershipEvent) -> None:
+        if event.kind in (EventKind.ISOLATED, EventKind.HEALED):
+            self.measured.record_isolation(observer, event.kind == EventKind.ISOLATED)
+        elif event.kind == EventKind.CONFIRM:
+            member = int(str(event.fields["member"])[1:])
+            self.measured.confirmed_us.setdefault((observer, member), self._now_us)
+            if not is_excused(self.schedule, self._tuning, observer, member, self._now_us):
                 self.measured.false_positives += 1
 
     def _sample(self) -> simpy.events.ProcessGenerator:
@@ -192,21 +193,21 @@
         series = self.measured.series
         while True:
             yield self._env.timeout(self.experiment.period_us)
-            machines = [member.swim for member in sampled if not member.killed]
-            series.at_s.append(self._now / US_PER_S)
-            series.view.append(_mean([len(swim.live()) for swim in machines]))
-            series.suspects.append(_mean([_count(swim, Status.SUSPECT) for swim in machines]))
+            live = [member.swim for member in sampled if not member.killed]
+            series.at_s.append(self._now_us / US_PER_S)
+            series.view.append(_mean([len(swim.live()) for swim in live]))
+            series.suspects.append(_mean([_count(swim, Status.SUSPECT) for swim in live]))
             series.isolated.append(self.measured.isolated)
 
-    def _converge(self, healed_us: int) -> simpy.events.ProcessGenerator:
+    def _measure_convergence(self, healed_us: int) -> simpy.events.ProcessGenerator:
         """Measure the time from the healing until every live member sees all live members and no other."""
         while True:
             live_members = self._live_members()
             names = sorted(f"m{member.number}" for member in live_members)
-            if all(one.swim.live() == names and not one.swim.isolated for one in live_members):
-                self.measured.converged_us.append(self._now - healed_us)
+            if all(member.swim.live() == names and not member.swim.isolated for member in live_members):
+                self.measured.converged_us.append(self._now_us - healed_us)
                 return
-            yield self._env.timeout(self.experiment.period_us // LOOKS_PER_PERIOD)
+            yield self._env.timeout(self.experiment.period_us // CONVERGENCE_CHECKS_PER_PERIOD)
 
 
 def _tuning(experiment: Experiment) -> Tuning:
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -69,9 +69,10 @@
         experiment = parse({"seed": 5, "members": 5, "duration_s": 20, "kill": [{"at_s": 5, "member": 1}]})
         runs = [metrics(seeded) for seeded in with_seeds(experiment, 3)]
         spread = report.spread_of_runs(metrics, with_seeds(experiment, 3))
-        detection = spread["detection_median_periods"] or {}
+        detection = spread["detection_median_periods"]
+        assert detection is not None
         values = sorted(by_name["detection_median_periods"] or 0 for by_name in runs)
-        self.assertEqual([detection["min"], detection["median"], detection["max"]], values)
+        self.assertEqual([detection.min, detection.median, detection.max], values)
         self.assertIsNone(spread["converged_after_heal_s"])
         self.assertIn("converged_after_heal_s,,,,0", report.spread_csv(spread))
 
