--- a/maplestile/tools/load/arrivals.py
+++ b/maplestile/tools/load/arrivals.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from maplestile.tools.traces import Trace
+from maplestile.tools.traces import CallGroup, Trace
 
 
 @dataclass(slots=True, frozen=True, order=True)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Recorder:
-    """Keeps the calls of a trace as it is read (`Trace.keep`): the first `most` of them."""
+    """Records the calls of a trace as it is read (`Trace.on_calls`): the first `most` of them."""
 
     seed: int
     most: int
@@ -53,14 +53,14 @@
     def __post_init__(self) -> None:
         self._random = random.Random(self.seed)
 
-    def keep(self, app: str, function: str, started_s: float, span_s: float, count: int) -> None:
-        """Keep `count` calls within a span; the trace does not say where in it, so by chance."""
-        for _ in range(count):
+    def record(self, group: CallGroup) -> None:
+        """Record the calls of a group, at random times within its span."""
+        for _ in range(group.count):
             if len(self.calls) >= self.most:
                 self.dropped += 1
                 continue
-            at_s = started_s + self._random.random() * span_s
-            self.calls.append(TracedCall(at_s, app, function))
+            at_s = group.start_s + self._random.random() * group.span_s
+            self.calls.append(TracedCall(at_s, group.app, group.function))
 
 
 def replay(recorder: Recorder, names: Mapping[tuple[str, str], str], speed: float) -> list[Arrival]:
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -137,6 +137,6 @@
     if arguments.rate:
         return list(arrivals.poisson(weights, arguments.rate, arguments.seconds, arguments.seed))
     recorder = arrivals.Recorder(arguments.seed, arguments.count)
-    trace = read_traces(arguments.trace, recorder.keep)
+    trace = read_traces(arguments.trace, recorder.record)
     only_function = next(iter(weights), "")
     return arrivals.replay(recorder, arrivals.names_of(trace, only_function), arguments.speed)
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -17,12 +17,24 @@
 SHORT_NAME_LENGTH = 16
 MAX_BAD_ROWS = 1000  # named; a file of another kind must not fill the memory
 
-# Receives each group of calls that a row has: app, function, start, span in which they start, and count.
-CallGroupHandler = Callable[[str, str, float, float, int], None]
 Row = list[str]
 Columns = Mapping[str, int]  # the index of each column by its name
 
 
+@dataclass(slots=True, frozen=True)
+class CallGroup:
+    """Calls of one function that a row has."""
+
+    app: str
+    function: str
+    start_s: float
+    span_s: float  # within which they start; 0 for a single call with a known start
+    count: int
+
+
+CallGroupHandler = Callable[[CallGroup], None]
+
+
 class TraceError(Exception):
     """A file that is no known trace."""
 
@@ -75,7 +87,7 @@
 
 @dataclass(slots=True)
 class Trace:
-    """What the files of one trace have said so far."""
+    """The content of the files of one trace that have been read so far."""
 
     functions: dict[tuple[str, str], Usage] = field(default_factory=dict)
     memory: dict[str, tuple[float, float]] = field(default_factory=dict)  # app to sum and weight
@@ -83,7 +95,7 @@
     rows: int = 0
     first_s: float = math.inf
     last_s: float = -math.inf
-    keep: CallGroupHandler | None = None
+    on_calls: CallGroupHandler | None = None  # receives the calls as they are read
 
     def usage(self, owner: str, app: str, name: str) -> Usage:
         """The usage of a function, which is new at its first row. Raises `RowError`."""
@@ -136,7 +148,7 @@
                 usage.span_s = usage.span_s or self.last_s - self.first_s
 
     def _row_reader(self, header: Row, name: str) -> Callable[[Row], None]:
-        """What reads the rows of a file with this header."""
+        """The reader for rows of a file with this header. Raises `TraceError` where there is none."""
         columns = {column: index for index, column in enumerate(header)}
         names = columns.keys()
         if {"HashApp", "HashFunction", "1"} <= names:
@@ -155,7 +167,7 @@
         return self.usage(owner, row[columns["HashApp"]], row[columns["HashFunction"]])
 
     def _read_minutes(self, row: Row, columns: Columns, minutes: list[int]) -> None:
-        """A function's calls in each minute."""
+        """Read a function's calls in each minute."""
         counts = [number(row[index], f"minute {minute}") for minute, index in enumerate(minutes, 1)]
         usage = self._hashed_usage(row, columns)
         start_s = usage.span_s
@@ -166,8 +178,8 @@
                 self._add_minute(usage, start_s + MINUTE_S * minute, int(count))
 
     def _add_minute(self, usage: Usage, start_s: float, count: int) -> None:
-        if self.keep is not None:
-            self.keep(usage.app, usage.name, start_s, MINUTE_S, count)
+        if self.on_calls is not None:
+            self.on_calls(CallGroup(usage.app, usage.name, start_s, MINUTE_S, count))
         middle_s = start_s + MINUTE_S / 2
         if usage.last_s > -math.inf:
             usage.add_gap(middle_s - usage.last_s)
@@ -175,14 +187,14 @@
         usage.last_s = middle_s
 
     def _read_durations(self, row: Row, columns: Columns) -> None:
-        """A function's mean and longest duration."""
+        """Read a function's mean and longest duration."""
         average = number(row[columns["Average"]], "Average")
         count = number(row[columns["Count"]], "Count")
         most = number(row[columns["Maximum"]], "Maximum") if "Maximum" in columns else average
         self._hashed_usage(row, columns).add_durations(average, count, most)
 
     def _read_memory(self, row: Row, columns: Columns) -> None:
-        """An app's mean memory."""
+        """Read an app's mean memory."""
         average = number(row[columns["AverageAllocatedMb"]], "AverageAllocatedMb")
         weight = number(row[columns["SampleCount"]], "SampleCount")
         app = row[columns["HashApp"]]
@@ -192,13 +204,13 @@
         self.memory[app] = total + average * weight, former_weight + weight
 
     def _read_call(self, row: Row, columns: Columns) -> None:
-        """One call; rows stand in the order of the calls' ends."""
+        """Read one call; the rows are in the order of the calls' ends."""
         end_s = number(row[columns["end_timestamp"]], "end_timestamp")
         duration_s = number(row[columns["duration"]], "duration")
         usage = self.usage("", row[columns["app"]], row[columns["func"]])
         start_s = end_s - duration_s
-        if self.keep is not None:
-            self.keep(usage.app, usage.name, start_s, 0.0, 1)
+        if self.on_calls is not None:
+            self.on_calls(CallGroup(usage.app, usage.name, start_s, span_s=0.0, count=1))
         if usage.last_s > -math.inf:
             usage.add_gap(max(0.0, start_s - usage.last_s))
         usage.last_s = max(usage.last_s, start_s)
--- a/maplestile/tools/traces_command.py
+++ b/maplestile/tools/traces_command.py
@@ -41,12 +41,12 @@
     return trace_output.json_lines(summaries)
 
 
-def read_traces(paths: Sequence[Path], keep: traces.CallGroupHandler | None = None) -> traces.Trace:
+def read_traces(paths: Sequence[Path], on_calls: traces.CallGroupHandler | None = None) -> traces.Trace:
     """Read the files of one trace; rows that cannot be used are named on standard error.
 
     Raises `TraceError` for a file that cannot be read or is of no known form.
     """
-    trace = traces.Trace(keep=keep)
+    trace = traces.Trace(on_calls=on_calls)
     for path in paths:
         try:
             with path.open(newline="", encoding="utf-8", errors="replace") as file:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -45,7 +45,7 @@
 
     def read(self, text: str, most: int = 100) -> tuple[arrivals.Recorder, Trace]:
         recorder = arrivals.Recorder(1, most)
-        trace = Trace(keep=recorder.keep)
+        trace = Trace(on_calls=recorder.record)
         trace.read(io.StringIO(text), "t.csv")
         return recorder, trace
 
