--- a/maplestile/tools/cli.py
+++ b/maplestile/tools/cli.py
@@ -1,7 +1,7 @@
 """The entry point of the `maplestile` command.
 
-Each command stands in a module of its own, which adds its arguments to the parser and sets the function that
-runs it as the parser's default `run`. That function takes the parsed arguments and gives the exit code.
+Each command has a module of its own, which adds its arguments to the parser and sets the function that
+runs it as the parser's default `run`. That function takes the parsed arguments and returns the exit code.
 """
 
 import argparse
--- a/maplestile/tools/explore/__init__.py
+++ b/maplestile/tools/explore/__init__.py
@@ -1,1 +1,1 @@
-"""Every order of events of a small case, played on the shipped module, core and pool, without sockets."""
+"""The explorer: plays every order of events of a small case on the shipped components, without sockets."""
--- a/maplestile/tools/explore/example_files.py
+++ b/maplestile/tools/explore/example_files.py
@@ -26,7 +26,7 @@
     case: str
     property: str
     events: tuple[Event, ...]
-    detail: str = ""  # how it does; `told` in the file
+    detail: str = ""  # how it breaks the property; `told` in the file
 
     def text(self) -> str:
         """The example in the form of its file."""
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -1,7 +1,7 @@
-"""The fingerprint of a simulation's state: whatever events follow, equal ones go on alike.
+"""The fingerprint of a simulation's state: states with equal fingerprints behave alike under any events.
 
-It is a digest of the state in its normal form (`normal_form.py`). Timers appear by what they would do; those
-that would do nothing are left out.
+It is a digest of the state in its normal form (`normal_form.py`). A timer is represented by what it
+would do; one that would do nothing is left out.
 """
 
 import hashlib
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -2,21 +2,27 @@
 
 The events, each with the numbers that it takes:
 
-    submit          the next call of the case comes
+    submit          the next call of the case arrives
     leave CALL      its client waits no longer
     away CALL       its client has closed its side: nothing may start, what is in flight may be answered
-    up LINK         a connection that was dialled is up; `refuse LINK`: it is refused
-    ok LINK LINE    the worker answers that line of the connection well; `error`, `full`, `miss` likewise
-    again LINK LINE the worker answers a line a second time; `stray LINK`: it answers an unknown call
+    up LINK         a dialled connection is established
+    refuse LINK     a dialled connection is refused
+    ok LINK LINE    the worker answers that line of the connection with success
+    error LINK LINE ... with an error; `full`: with a refusal; `miss`: that the function is not loaded
+    again LINK LINE the worker answers a line a second time
+    stray LINK      the worker answers an unknown call
     reset LINK      the connection breaks
-    part LINK       of the next line the system accepts a part; `drained LINK`: it accepts the rest
-    drain WORKER    the endpoint list says that it drains; `gone`; `return`: a new process at its address
+    part LINK       the system accepts only a part of the next line
+    drained LINK    the system accepts the rest of that line
+    drain WORKER    the endpoint list shows the worker as draining
+    gone WORKER     the endpoint list no longer has the worker
+    return WORKER   the endpoint list has a new process at the worker's address
     stop            SIGTERM, while another process serves
-    policy          the next epoch of the fleet's policy, by which calls have one attempt, then two again
-    time            a step of time passes, with all that is due in it
+    policy          the next epoch of the fleet's policy: calls of odd epochs have one attempt, others two
+    time            one step of time passes, with all timers that are due in it
 
-The simulation knows which worker has received a line complete, and so may have run it, whatever the router
-has received.
+The simulation knows which lines a worker has received complete, and so may have run, whatever the router has
+received.
 """
 
 from collections import Counter
--- a/maplestile/tools/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -37,7 +37,7 @@
 
 
 class Front(asyncio.DatagramProtocol):
-    """The socket that stands for one member."""
+    """The socket that represents one member."""
 
     transport: asyncio.DatagramTransport
 
@@ -198,7 +198,7 @@
         while self._random.random() < schedule.net.loss:
             self.counts["tcp.retransmitted"] += 1
             await asyncio.sleep(RETRANSMIT_S)
-        # Another schedule may have begun, or been ended, during the retransmissions.
+        # The schedule may have been replaced or ended during the retransmissions.
         await asyncio.sleep(self.playing.delay_us(self._random) / US_PER_S if self.playing else 0)
 
     async def _until_open(self, origin: int, target: int) -> None:
