--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -1,8 +1,8 @@
 """The decision module alone: what a call costs a router as workers and functions grow.
 
-Calls come one each `1 / CALLS_PER_S` s to functions of equal popularity, are answered after 100 ms, and the
-list of workers changes once each `CALLS_PER_CHANGE` calls: one worker goes, another comes, and the router
-receives the whole list.
+Calls arrive every `1 / CALLS_PER_S` s, for functions of equal popularity, and are answered after 100 ms. The
+list of workers changes after every `CALLS_PER_CHANGE` calls: one worker is replaced, and the router receives
+the whole list.
 """
 
 import heapq
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """What a router spends on a call, on a list, and on a function that it knows."""
+    """What a router spends on a call, on a worker list, and on a function that it knows."""
 
     call_us: float  # processor time, lists included
     list_us: float  # processor time of one whole list
@@ -73,17 +73,17 @@
 
     def __init__(self, workers: int, functions: int, seed: int) -> None:
         self.dispatcher = Dispatcher(settings(), seed)
-        self.spent_us: list[float] = []  # on the arrival of each call
+        self.arrivals_us: list[float] = []  # time spent on the arrival of each call
         self.lists_us: list[float] = []  # processor time of each list
         self._random = Random(seed)
         self._functions = functions
         self._workers = [entry(number) for number in range(workers)]
         self._next_worker = workers
         self._now_us = START_US
-        self._due: list[tuple[int, int, api.Event]] = []  # a heap: when, a number that orders, and what
-        self._events = 0
+        self._due: list[tuple[int, int, api.Event]] = []  # a heap: time, order, event
+        self._scheduled = 0  # events so far, which orders those of one time
         self._calls = 0
-        self._give(self._list(api.ListKind.CACHED))
+        self._handle(self._list(api.ListKind.CACHED))
 
     def run(self, calls: int) -> None:
         """Play so many calls, with the answers and timers between them."""
@@ -94,21 +94,21 @@
                 self._change_list()
             arrived = arrival(self._calls, f"f{self._random.randrange(self._functions)}")
             started_s = time.perf_counter()
-            self._give(arrived)
-            self.spent_us.append((time.perf_counter() - started_s) * US_PER_S)
+            self._handle(arrived)
+            self.arrivals_us.append((time.perf_counter() - started_s) * US_PER_S)
 
     def call_once(self, call: int, function: str) -> None:
         """Play one call of a function, and the answers and timers that are due by then, on the new time."""
         self._now_us += CALL_INTERVAL_US
-        self._give(arrival(call, function))
+        self._handle(arrival(call, function))
         while self._due and self._due[0][0] <= self._now_us:
-            self._give(heapq.heappop(self._due)[2])
+            self._handle(heapq.heappop(self._due)[2])
 
     def _advance(self, until_us: int) -> None:
-        """Give the dispatcher what is due until a time."""
+        """Have the dispatcher handle the events that are due by a time."""
         while self._due and self._due[0][0] <= until_us:
             self._now_us, _, event = heapq.heappop(self._due)
-            self._give(event)
+            self._handle(event)
         self._now_us = until_us
 
     def _list(self, kind: api.ListKind) -> api.WorkerListReceived:
@@ -120,19 +120,19 @@
         self._next_worker += 1
         received = self._list(api.ListKind.FULL)
         started_s = time.process_time()
-        self._give(received)
+        self._handle(received)
         self.lists_us.append((time.process_time() - started_s) * US_PER_S)
 
-    def _give(self, event: api.Event) -> None:
-        """Have the dispatcher handle an event, and plan what comes of its actions."""
+    def _handle(self, event: api.Event) -> None:
+        """Have the dispatcher handle an event, and schedule the events that follow from its actions."""
         for action in self.dispatcher.handle(self._now_us, event):
             if isinstance(action, api.SetTimer):
-                self._plan(action.due_us, api.TimerFired(action.token))
+                self._schedule(action.due_us, api.TimerFired(action.token))
             elif isinstance(action, api.SendAttempt):
-                self._plan(self._now_us + ANSWER_US, self._answer(action))
+                self._schedule(self._now_us + ANSWER_US, self._answer(action))
             elif isinstance(action, api.RequestLoad):
                 loaded = api.LoadRequestEnded(action.worker, action.function, api.Result.OK, ANSWER_US, 1)
-                self._plan(self._now_us + ANSWER_US, loaded)
+                self._schedule(self._now_us + ANSWER_US, loaded)
 
     def _answer(self, action: api.SendAttempt) -> api.AttemptEnded:
         """The end of an attempt, which is the last of its call."""
@@ -141,27 +141,27 @@
             action.call, attempt, action.worker, api.Result.OK, ANSWER_US, True, api.Warmth.UNKNOWN, 0, ()
         )
 
-    def _plan(self, due_us: int, event: api.Event) -> None:
-        self._events += 1
-        heapq.heappush(self._due, (due_us, self._events, event))
+    def _schedule(self, due_us: int, event: api.Event) -> None:
+        self._scheduled += 1
+        heapq.heappush(self._due, (due_us, self._scheduled, event))
 
 
 def measure(workers: int, functions: int, calls: int, seed: int = 1) -> Cost:
-    """The costs of one size, after half as many calls to warm up."""
+    """Measure the costs of one size, after half as many calls to warm up."""
     router = Router(workers, functions, seed)
     router.run(calls // 2)
-    router.spent_us.clear()
+    router.arrivals_us.clear()
     router.lists_us.clear()
     started_s = time.process_time()
     router.run(calls)
     spent_us = (time.process_time() - started_s) * US_PER_S
-    worst_us = sorted(router.spent_us)[int(WORST_SHARE * len(router.spent_us))]
+    worst_us = sorted(router.arrivals_us)[int(WORST_SHARE * len(router.arrivals_us))]
     list_us = sum(router.lists_us) / max(1, len(router.lists_us))
     return Cost(spent_us / calls, list_us, worst_us, memory_of_a_function(workers, functions))
 
 
 def memory_of_a_function(workers: int, functions: int) -> float:
-    """Bytes by the difference of two sizes, with one call of each function."""
+    """Measure the bytes of a function: the difference between two numbers of functions, each called once."""
     count = min(functions, MAX_MEMORY_FUNCTIONS)
     tracemalloc.start()
     router = Router(workers, functions, 1)
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -94,7 +94,7 @@
 
 
 async def cut_region(fleet: HollowFleet, seconds: float) -> None:
-    """The first third, the seeds among them, reaches the others no more, and they do not reach it."""
+    """Cut the first third, the seeds among them, off from the others for so many seconds."""
     region = {router.address() for router in fleet.routers[: len(fleet.routers) // REGION_DIVISOR]}
 
     def reaches_own_side(is_inside: bool, address: Any) -> bool:
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -45,12 +45,12 @@
         """Count what is sent, and drop what is sent to an address that this member does not reach."""
         send = transport.sendto
 
-        def counted(data: bytes, address: Any = None) -> None:
+        def count_and_send(data: bytes, address: Any = None) -> None:
             self.traffic["out"] += len(data) + HEADER_BYTES
             if self.reaches(address):
                 send(data, address)
 
-        transport.sendto = counted
+        transport.sendto = count_and_send
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         """Count what is received."""
--- a/benchmarks/hollow_check.py
+++ b/benchmarks/hollow_check.py
@@ -27,16 +27,16 @@
         routers = Routers(test, members)
         routers.until_whole()
         time.sleep(SETTLE_S)
-        sent_before = _sent(routers)
+        sent_before = total_sent(routers)
         started_s = time.monotonic()
         time.sleep(SECONDS)
-        return (_sent(routers) - sent_before) / (time.monotonic() - started_s) / members
+        return (total_sent(routers) - sent_before) / (time.monotonic() - started_s) / members
     finally:
         test.doCleanups()
 
 
-def _sent(routers: Routers) -> int:
-    """The messages that all routers have sent so far."""
+def total_sent(routers: Routers) -> int:
+    """The membership messages that all routers have sent so far."""
     return sum(messages_sent(program.counters()) for program in routers.programs)
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -3,6 +3,7 @@
 import asyncio
 import gc
 import sys
+from dataclasses import dataclass
 
 from benchmarks.fit import Series
 from benchmarks.hollow import HollowFleet, MemberUsage, resident_kb
@@ -18,10 +19,16 @@
 SETTLE_S_PER_MEMBER = 0.4
 
 
-async def measure(
-    members: int, seconds: float = SECONDS, period_us: int = PERIOD_US
-) -> tuple[MemberUsage, float]:
-    """Return what a member uses when nothing happens, and its resident KB."""
+@dataclass(frozen=True)
+class MemberCost:
+    """What a member costs when nothing happens."""
+
+    usage: MemberUsage
+    resident_kb: float
+
+
+async def measure(members: int, seconds: float = SECONDS, period_us: int = PERIOD_US) -> MemberCost:
+    """Measure a member of a group of so many."""
     gc.collect()
     before_kb = resident_kb()
     fleet = HollowFleet(members, period_us)
@@ -29,7 +36,7 @@
         await fleet.start()
         await asyncio.sleep((SETTLE_S + SETTLE_S_PER_MEMBER * members) * period_us / PERIOD_US)
         usage = await fleet.measure(seconds)
-        return usage, (resident_kb() - before_kb) / members
+        return MemberCost(usage, (resident_kb() - before_kb) / members)
     finally:
         await fleet.stop()
 
@@ -47,13 +54,13 @@
     for members in sizes:
         print(f"  {members} members …", file=sys.stderr, flush=True)
         try:
-            usage, member_kb = asyncio.run(measure(members, seconds, period_us))
+            cost = asyncio.run(measure(members, seconds, period_us))
         except TimeoutError as error:
             print(f"membership: left out: {error}", file=sys.stderr, flush=True)
             continue
-        messages.add(members, usage.messages)
-        bytes_out.add(members, usage.bytes_out)
-        bytes_in.add(members, usage.bytes_in)
-        processor.add(members, usage.processor_ms)
-        memory.add(members, member_kb)
+        messages.add(members, cost.usage.messages)
+        bytes_out.add(members, cost.usage.bytes_out)
+        bytes_in.add(members, cost.usage.bytes_in)
+        processor.add(members, cost.usage.processor_ms)
+        memory.add(members, cost.resident_kb)
     return [messages, bytes_out, bytes_in, processor, memory]
--- a/benchmarks/name_lists.py
+++ b/benchmarks/name_lists.py
@@ -1,8 +1,8 @@
-"""The list of workers by DNS: what polling it costs a router, and how long a change takes to be whole.
+"""The list of workers by DNS: what polling it costs a router, and how long until a change is complete there.
 
-The name server here answers the SRV query with as many hosts' records as 8,000 bytes have room for, as the
-operators' protocol page has it; the others are asked for one by one. Its SRV records alone fill the answer at
-`most_listed()` workers, and beyond that no answer holds the list.
+The name server here answers the SRV query with as many hosts' records as fit into 8,000 bytes, as the
+operators' protocol page has it; the router queries the others one by one. The SRV records of
+`most_listed()` workers alone fill the answer, and no answer can hold a longer list.
 """
 
 import asyncio
@@ -132,11 +132,11 @@
     queries: float  # a second
     bytes: float  # a second, both ways
     processor_ms: float  # a second, of router and name server together
-    stale_ms: float  # from a change until the router has it whole, in the mean
+    stale_ms: float  # from a change until the router has all of it, in the mean
 
 
 class StalenessMeter:
-    """How long each change of a name server takes until a router's list has it whole."""
+    """Measures how long each change of a name server takes until a router's list has all of it."""
 
     def __init__(self, server: NameServer, endpoints: EndpointList) -> None:
         self._server = server
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.hollow import messages_sent
+from benchmarks.hollow_check import total_sent
 from maplestile.tools.model.experiment import parse
 from maplestile.tools.model.report import Metrics
 from maplestile.tools.model.run import metrics
@@ -25,7 +25,7 @@
 from tests.standins import eventually
 
 ROUTERS = 5
-COUNTED_S = 4.0
+COUNTED_S = 4.0  # in which messages are counted
 MODEL_DURATION_S = 15
 MODEL_KILL_S = 5
 MODEL_KILL_STEP_S = 0.013  # from round to round, so that kills are at other times within a period
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True)
 class Round:
-    """What one kill on sockets came to."""
+    """The result of one kill on sockets."""
 
-    detection_periods: list[float]  # until each router that was left declared the victim dead
+    detection_periods: list[float]  # until each remaining router declared the victim dead
     messages: float  # of a member in a period, before the kill
 
 
@@ -54,9 +54,9 @@
     try:
         routers = Routers(test, ROUTERS)
         routers.until_whole()
-        sent_before = _sent(routers)
+        sent_before = total_sent(routers)
         time.sleep(COUNTED_S)
-        messages = (_sent(routers) - sent_before) / ROUTERS / (COUNTED_S / PERIOD_S)
+        messages = (total_sent(routers) - sent_before) / ROUTERS / (COUNTED_S / PERIOD_S)
         victim = random.Random(seed).randrange(ROUTERS)
         others = [number for number in range(ROUTERS) if number != victim]
         killed_us = time.monotonic_ns() // 1000
@@ -68,11 +68,6 @@
         test.doCleanups()
 
 
-def _sent(routers: Routers) -> int:
-    """The messages that all routers have sent so far."""
-    return sum(messages_sent(program.counters()) for program in routers.programs)
-
-
 def _confirmed_us(routers: Routers, number: int) -> list[int]:
     """When a router declared others dead, from its log."""
     events = [json.loads(line) for line in routers.programs[number].log if line.startswith("{")]
@@ -105,12 +100,12 @@
     """Run so many rounds on sockets and on the model."""
     measured = [on_sockets(seed) for seed in range(rounds)]
     modelled = [on_model(seed) for seed in range(rounds)]
-    detection = [value for one in measured for value in one.detection_periods]
+    detection = [value for round_ in measured for value in round_.detection_periods]
     names = ("detection_median_periods", "detection_p99_periods", "messages_per_member_per_period")
     return {
         "sockets": {
             "detection_periods": spread(detection),
-            "messages_per_member_per_period": spread([one.messages for one in measured]),
+            "messages_per_member_per_period": spread([round_.messages for round_ in measured]),
         },
         "model": {name: _spread_of(modelled, name) for name in names},
     }
--- a/tools/measure_policy.py
+++ b/tools/measure_policy.py
@@ -16,12 +16,12 @@
 
 from tests.policy_fleet import PolicyFleet
 from tests.rollout_fleet import Calls
-from tools.measure_rollout import LOAD_TOOL_START_S, Samples, record_calls, spread
+from tools.samples import LOAD_TOOL_START_S, Samples
 
 
 @dataclass(frozen=True)
 class Application:
-    """How epochs came to the routers after their commits."""
+    """How long after their commits epochs were applied by the routers."""
 
     took_ms: list[float]  # of each epoch, from its commit until the last router had it
     old_calls: int  # first sent out under an older epoch between the two
@@ -34,7 +34,7 @@
         fleet = PolicyFleet(test)
         fleet.until_whole()
         fleet.until_all_at(0, 0)
-        record_calls(samples, "no change", Calls(fleet, seconds).result())
+        samples.add_calls("no change", Calls(fleet, seconds))
         measure_changes(fleet, seconds, changes, samples)
         measure_changes_with_loss(fleet, seconds, changes, samples)
     finally:
@@ -46,14 +46,12 @@
     calls = Calls(fleet, seconds)
     time.sleep(LOAD_TOOL_START_S)
     epochs = propose_changes(fleet, changes, "", samples)
-    record_calls(samples, "changes", calls.result())
+    samples.add_calls("changes", calls)
     application = time_to_apply(fleet, epochs)
     percentiles = quantiles(application.took_ms, n=100, method="inclusive")
     for percent in (50, 99):
-        name = f"commit to last applied ms, p{percent}"
-        samples.setdefault(name, []).append(percentiles[percent - 1])
-    old_calls = application.old_calls / len(epochs)
-    samples.setdefault("calls under the old epoch after a commit", []).append(old_calls)
+        samples.add(f"commit to last applied ms, p{percent}", percentiles[percent - 1])
+    samples.add("calls under the old epoch after a commit", application.old_calls / len(epochs))
 
 
 def measure_changes_with_loss(fleet: PolicyFleet, seconds: float, changes: int, samples: Samples) -> None:
@@ -62,27 +60,27 @@
     fleet.relay.begin(net={"loss": 0.2})
     propose_changes(fleet, changes, ", 20% lost", samples)
     fleet.relay.ask("heal")
-    record_calls(samples, "changes, 20% lost", calls.result())
+    samples.add_calls("changes, 20% lost", calls)
 
 
 def propose_changes(fleet: PolicyFleet, changes: int, when: str, samples: Samples) -> list[int]:
-    """The epochs committed of so many proposals; how long each took, and the share that came to nothing."""
+    """Propose changes one after the other, measure them, and return the epochs that were committed."""
     epochs = list[int]()
     took_s = list[float]()
     for number in range(changes):
         started_s = time.monotonic()
         epochs_before = fleet.epochs(0)
-        attempts = 2 + number + len(epochs_before) * bool(when)  # another number than in any change before
+        attempts = 2 + number + len(epochs_before) * bool(when)  # differs from every change before
         exit_code = fleet.propose(0, attempts=attempts)[0]
         if not exit_code:
             took_s.append(time.monotonic() - started_s)
             epoch = int(fleet.policy_status(0)["agreed"]["epochs"][-1]["number"])
             epochs.append(epoch)
             fleet.until_all_at(0, epoch)
-    samples.setdefault(f"abort rate{when}", []).append(1 - len(epochs) / changes)
+    samples.add(f"abort rate{when}", 1 - len(epochs) / changes)
     if took_s:
         median_s = sorted(took_s)[len(took_s) // 2]
-        samples.setdefault(f"proposal to commit s, median{when}", []).append(median_s)
+        samples.add(f"proposal to commit s, median{when}", median_s)
     return epochs
 
 
@@ -109,10 +107,10 @@
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--changes", type=int, default=10)
     arguments = parser.parse_args()
-    samples: Samples = {}
+    samples = Samples()
     for _ in range(arguments.rounds):
         measure_fleet(arguments.seconds, arguments.changes, samples)
-    print(json.dumps({name: spread(values) for name, values in samples.items()}, indent=2))
+    print(json.dumps(samples.summary(), indent=2))
 
 
 if __name__ == "__main__":
--- a/tools/measure_rollout.py
+++ b/tools/measure_rollout.py
@@ -11,29 +11,18 @@
 import json
 import os
 import signal
-import statistics
 import time
 import unittest
-from typing import Any
 
 from tests.fleet import AGENTS, Fleet
 from tests.rollout_fleet import Calls
 from tests.standins import eventually
+from tools.samples import LOAD_TOOL_START_S, Samples
 
 BUDGETS = (1, 2, 3)
 STEP_S = 30.0
-LOAD_TOOL_START_S = 0.7
 AFTER_HALT_S = 2.5  # in which a step would begin, if the halt were not followed
 
-Samples = dict[str, list[float]]  # by what is measured, a value for each round
-
-
-def spread(values: list[float]) -> dict[str, float]:
-    """The least, median and greatest."""
-    ordered = sorted(values)
-    summary = {"min": ordered[0], "median": statistics.median(ordered), "max": ordered[-1]}
-    return {key: round(value, 4) for key, value in summary.items()} | {"runs": len(ordered)}
-
 
 def measure_fleet(seconds: float, samples: Samples) -> None:
     """Measure one fleet, and add to the samples."""
@@ -41,32 +30,28 @@
     try:
         fleet = Fleet(test, STEP_S)
         fleet.until_whole()
-        record_calls(samples, "none", Calls(fleet, seconds).result())
+        samples.add_calls("none", Calls(fleet, seconds))
         for budget in BUDGETS:
-            calls = Calls(fleet, seconds)
-            time.sleep(LOAD_TOOL_START_S)
-            took_s = roll_out(fleet, budget)
-            samples.setdefault(f"seconds, budget {budget}", []).append(took_s)
-            record_calls(samples, f"budget {budget}", calls.result())
-            samples.setdefault(f"most out, budget {budget}", []).append(fleet.worst_out())
-            for agent in fleet.agents:
-                agent.log.clear()
-        samples.setdefault("last begin after halt ms", []).append(last_begin_after_halt_ms(fleet))
-        samples.setdefault("failover s", []).append(failover_s(fleet))
+            measure_rollout(fleet, budget, seconds, samples)
+        samples.add("last begin after halt ms", last_begin_after_halt_ms(fleet))
+        samples.add("failover s", failover_s(fleet))
     finally:
         test.doCleanups()
 
 
-def record_calls(samples: Samples, name: str, result: dict[str, Any]) -> None:
-    """Add the load tool's report to the samples."""
-    samples.setdefault(f"served share, {name}", []).append(result["served_share"])
-    samples.setdefault(f"p99 ms, {name}", []).append(result["latency_ms"]["p99"])
-    lost = sum(count for end, count in result["ends"].items() if end not in ("served", "refused"))
-    samples.setdefault(f"lost or failed calls, {name}", []).append(lost)
+def measure_rollout(fleet: Fleet, budget: int, seconds: float, samples: Samples) -> None:
+    """Restart all routers under load, with so many out at once."""
+    calls = Calls(fleet, seconds)
+    time.sleep(LOAD_TOOL_START_S)
+    samples.add(f"seconds, budget {budget}", roll_out(fleet, budget))
+    samples.add_calls(f"budget {budget}", calls)
+    samples.add(f"most out, budget {budget}", fleet.worst_out())
+    for agent in fleet.agents:
+        agent.log.clear()
 
 
 def roll_out(fleet: Fleet, budget: int) -> float:
-    """Restart all routers; the seconds that it took."""
+    """Restart all routers, and return the seconds that it took."""
     number_before = (fleet.status(0)["rollout"] or {}).get("number")
     started_s = time.monotonic()
     assert fleet.run(0, "rollout", "start", "--budget", str(budget))[0] == 0
@@ -80,7 +65,7 @@
 
 
 def last_begin_after_halt_ms(fleet: Fleet) -> float:
-    """Milliseconds from the operator's halt until the last step began; 0 if none did."""
+    """Halt a rollout; the milliseconds from the halt until the last step began, 0 if none did."""
     assert fleet.run(0, "rollout", "start", "--budget", "2")[0] == 0
     eventually(lambda: any(event["event"] == "back" for event in fleet.events()), "a step's end")
     halted_us = time.monotonic_ns() // 1000
@@ -94,13 +79,13 @@
 
 
 def failover_s(fleet: Fleet) -> float:
-    """From the kill of the leader's machine until another voter leads and has had a command agreed on."""
+    """Kill the leader's machine; the seconds until the other voters have agreed on a command."""
     leader = eventually(lambda: [number for number in [fleet.leader()] if number is not None], "a leader")[0]
-    lost = fleet.agents[leader]
-    routers = fleet.routers_of(lost)
+    leading_agent = fleet.agents[leader]
+    router_pids = fleet.routers_of(leading_agent)
     started_s = time.monotonic()
-    lost.process.kill()
-    for pid in routers:
+    leading_agent.process.kill()
+    for pid in router_pids:
         os.kill(pid, signal.SIGKILL)
     others = [number for number in range(AGENTS) if number != leader]
     start = ("rollout", "start", "--budget", "3", f"r{others[0] * 2}")
@@ -114,10 +99,10 @@
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=14.0)
     arguments = parser.parse_args()
-    samples: Samples = {}
+    samples = Samples()
     for _ in range(arguments.rounds):
         measure_fleet(arguments.seconds, samples)
-    print(json.dumps({name: spread(values) for name, values in samples.items()}, indent=2))
+    print(json.dumps(samples.summary(), indent=2))
 
 
 if __name__ == "__main__":
--- a/tools/trials.py
+++ b/tools/trials.py
@@ -1,8 +1,12 @@
-"""The bench's runs of real routers in the journal, as one table."""
+"""Prints the runs of real routers in the journal as one table.
+
+python -m tools.trials JOURNAL [--since NAME]
+"""
 
 import argparse
 import json
-from collections.abc import Iterator, Sequence
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -11,18 +15,50 @@
 TIME_LENGTH = 15  # of the time at the start of a file's name
 COMMIT_LENGTH = 7
 NOT_PLAYED = "not played to its end"
-
-
-def outcome(day: dict[str, Any]) -> str:
-    """What a day came to: its fault and its broken rules, or else its gate."""
-    broken = [f"{rule} {count} times" for rule, count in day.get("rules", {}).items() if count]
-    fault = [f"fault: {day['fault']}"] if day.get("fault") else []
-    gate = [f"gate: {day['gate']}"] if day.get("gate") and not broken and not fault else []
-    return "; ".join(fault + broken + gate) or "held"
-
-
-def rows(folder: Path, since: str) -> Iterator[tuple[str, ...]]:
-    """The rows of the table, from the file names that are not before `since`."""
+MISSING = "-"
+
+
+Row = tuple[str, ...]  # the cells of the table, by COLUMNS
+
+
+@dataclass(frozen=True)
+class Day:
+    """One simulated day of a run, as the bench reports it."""
+
+    name: str
+    seed: str
+    routers: str
+    score: float | None
+    served: float | None  # share of the calls
+    rules: Mapping[str, int]  # how often each was broken
+    fault: str
+    gate: str
+
+    @classmethod
+    def decode(cls, encoded: Mapping[str, Any]) -> "Day":
+        """The day of a journal entry."""
+        return cls(
+            name=encoded["name"],
+            seed=str(encoded.get("seed", MISSING)),
+            routers=str(encoded.get("nodes", MISSING)),
+            score=encoded.get("score"),
+            served=encoded.get("served"),
+            rules=encoded.get("rules", {}),
+            fault=encoded.get("fault") or "",
+            gate=encoded.get("gate") or "",
+        )
+
+    def outcome(self) -> str:
+        """The fault and the broken rules, or else the gate."""
+        problems = [f"fault: {self.fault}"] if self.fault else []
+        problems += [f"{rule} {count} times" for rule, count in self.rules.items() if count]
+        if problems:
+            return "; ".join(problems)
+        return f"gate: {self.gate}" if self.gate else "held"
+
+
+def rows(folder: Path, since: str) -> Iterator[Row]:
+    """The rows of the table, from the files whose names are not before `since`."""
     for file in sorted(folder.glob("*.json")):
         if file.name < since:
             continue
@@ -31,20 +67,18 @@
             yield from _rows_of_trial(file.name[:TIME_LENGTH], trial)
 
 
-def _rows_of_trial(began: str, trial: dict[str, Any]) -> Iterator[tuple[str, ...]]:
+def _rows_of_trial(began: str, trial: Mapping[str, Any]) -> Iterator[Row]:
     arguments = [str(argument) for argument in trial["argv"]]
     commit = trial["head"][:COMMIT_LENGTH] + ("+" if trial["dirty"] else "")
     head = (began, commit, Path(arguments[0]).stem, _run_name(trial["cmd"], arguments))
-    days = trial.get("days", [])
+    days = [Day.decode(day) for day in trial.get("days", [])]
     if not days:
         kind = _option(arguments, "--rough")
         seed = _option(arguments, "--seed")
-        yield (*head, kind, seed, "-", "-", "-", NOT_PLAYED)
+        yield (*head, kind, seed, MISSING, MISSING, MISSING, NOT_PLAYED)
     for day in days:
-        seed = str(day.get("seed", "-"))
-        routers = str(day.get("nodes", "-"))
-        shares = (_share(day.get(name)) for name in ("score", "served"))
-        yield (*head, day["name"], seed, routers, *shares, outcome(day))
+        shares = (_share(day.score), _share(day.served))
+        yield (*head, day.name, day.seed, day.routers, *shares, day.outcome())
 
 
 def _run_name(command: str, arguments: Sequence[str]) -> str:
@@ -56,17 +90,19 @@
 
 
 def _option(arguments: Sequence[str], name: str) -> str:
-    """The argument after an option; "-" where the option is not there."""
-    return arguments[arguments.index(name) + 1] if name in arguments else "-"
+    """The argument after an option; `MISSING` where the option is not there."""
+    return arguments[arguments.index(name) + 1] if name in arguments else MISSING
 
 
 def _share(value: float | None) -> str:
-    return "-" if value is None else f"{value:.3f}"
+    return MISSING if value is None else f"{value:.3f}"
 
 
 def main() -> None:
     """Print the table in Markdown."""
-    parser = argparse.ArgumentParser(description=__doc__)
+    parser = argparse.ArgumentParser(
+        description="The bench's runs of real routers in the journal, as one table."
+    )
     parser.add_argument("journal", type=Path)
     parser.add_argument("--since", default="")
     arguments = parser.parse_args()
