--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -49,13 +49,13 @@
 from maplestile.common.toml_table import ConfigError, TomlTable
 
 MAX_MEMBERS = 2000
-DURATION_MOST_S = 24 * 3600.0
+MAX_DURATION_S = 24 * 3600.0
 MAX_DELAY_MS = 60_000
 MAX_SEED = (1 << 63) - 1
 US_PER_MS = 1000
 US_PER_S = 1e6
 MIN_FLAP_S = 1e-3  # the shortest time for which a flapping link is down, or up
-FOREVER_US = int(DURATION_MOST_S * US_PER_S)
+FOREVER_US = int(MAX_DURATION_S * US_PER_S)
 
 
 class ScheduleError(ConfigError):
@@ -188,12 +188,12 @@
 
 
 def _fault(kind: FaultKind, table: TomlTable, members: int) -> Fault:
-    at_us = _seconds(table, "at_s")
+    at_us = required_time_us(table, "at_s")
     match kind:
         case FaultKind.KILL:
             fault = Fault(kind, at_us, FOREVER_US, _member(table, members))
         case FaultKind.PAUSE:
-            fault = Fault(kind, at_us, at_us + _seconds(table, "for_s"), _member(table, members))
+            fault = Fault(kind, at_us, at_us + required_time_us(table, "for_s"), _member(table, members))
         case FaultKind.SPLIT:
             until_us = _end(table, at_us)
             sides = tuple(frozenset(side) for side in table.groups("sides", members))
@@ -211,13 +211,13 @@
     targets = frozenset(table.numbers("to", members))
     if kind is FaultKind.CUT:
         return Fault(kind, at_us, until_us, origins, targets)
-    down_us = _seconds(table, "down_s", MIN_FLAP_S)
-    up_us = _seconds(table, "up_s", MIN_FLAP_S)
+    down_us = required_time_us(table, "down_s", MIN_FLAP_S)
+    up_us = required_time_us(table, "up_s", MIN_FLAP_S)
     return Fault(kind, at_us, until_us, origins, targets, down_us=down_us, up_us=up_us)
 
 
 def _end(table: TomlTable, at_us: int) -> int:
-    until_us = _seconds(table, "until_s")
+    until_us = required_time_us(table, "until_s")
     if until_us < at_us:
         raise table.wrong("until_s", "must not be before at_s")
     return until_us
@@ -227,8 +227,9 @@
     return int(table.number(name, default, most=MAX_DELAY_MS) * US_PER_MS)
 
 
-def _seconds(table: TomlTable, name: str, least: float = 0.0) -> int:
-    return int(table.number(name, least=least, most=DURATION_MOST_S) * US_PER_S)
+def required_time_us(table: TomlTable, name: str, least: float = 0.0) -> int:
+    """Take a time in seconds that has to be there, as microseconds. Raises the table's error."""
+    return int(table.number(name, least=least, most=MAX_DURATION_S) * US_PER_S)
 
 
 def _member(table: TomlTable, members: int) -> frozenset[int]:
--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -36,40 +36,37 @@
 
     try:
         tables = experiment.read(arguments.file)
-        membership = None if tables.get("kind") in CONTROL_KINDS else experiment.parse(tables)
-        if membership is None or arguments.seeds > 1:
-            _print_spread(_spread(tables, membership, arguments.seeds), arguments.format)
-            return 0
+        if tables.get("kind") in CONTROL_KINDS:
+            _run_control(tables, arguments)
+        else:
+            _run_membership(experiment.parse(tables), arguments)
     except ScheduleError as error:
         print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
         return 2
-    _run_once(membership, arguments)
     return 0
 
 
-def _spread(tables: dict[str, Any], membership: "Experiment | None", seed_count: int) -> "Spread":
-    """Run the experiment with so many seeds. Raises `ScheduleError`."""
-    from maplestile.tools.model import policy, policy_experiment, report, rollout, rollout_experiment, run
+def _run_control(tables: dict[str, Any], arguments: argparse.Namespace) -> None:
+    """Run an experiment of rollouts or of policy changes. Raises `ScheduleError`."""
+    from maplestile.tools.model import policy, policy_experiment, report, rollout, rollout_experiment
     from maplestile.tools.model.control_experiment import with_seeds
 
-    if membership is not None:
-        return report.spread_of_runs(run.metrics, run.with_seeds(membership, seed_count))
     if tables["kind"] == "rollout":
-        rollouts = with_seeds(rollout_experiment.parse(tables), seed_count)
-        return report.spread_of_runs(rollout.metrics, rollouts)
-    policies = with_seeds(policy_experiment.parse(tables), seed_count)
-    return report.spread_of_runs(policy.metrics, policies)
+        rollouts = with_seeds(rollout_experiment.parse(tables), arguments.seeds)
+        spread = report.spread_of_runs(rollout.metrics, rollouts)
+    else:
+        policies = with_seeds(policy_experiment.parse(tables), arguments.seeds)
+        spread = report.spread_of_runs(policy.metrics, policies)
+    _print_spread(spread, arguments.format)
 
 
-def _print_spread(spread: "Spread", output_format: str) -> None:
-    from maplestile.tools.model import report
-
-    print(report.spread_json(spread) if output_format == "json" else report.spread_csv(spread))
-
-
-def _run_once(experiment: "Experiment", arguments: argparse.Namespace) -> None:
+def _run_membership(experiment: "Experiment", arguments: argparse.Namespace) -> None:
     from maplestile.tools.model import report, run
 
+    if arguments.seeds > 1:
+        spread = report.spread_of_runs(run.metrics, run.with_seeds(experiment, arguments.seeds))
+        _print_spread(spread, arguments.format)
+        return
     metrics, time_series = run.run(experiment)
     by_name = metrics.by_name()
     print(report.as_json(by_name) if arguments.format == "json" else report.as_csv(by_name))
@@ -77,3 +74,9 @@
         schedule = experiment.schedule
         title = f"{arguments.file.name}: {schedule.members} members, seed {schedule.seed}"
         report.plot(time_series, title, arguments.plot)
+
+
+def _print_spread(spread: "Spread", output_format: str) -> None:
+    from maplestile.tools.model import report
+
+    print(report.spread_json(spread) if output_format == "json" else report.spread_csv(spread))
--- a/maplestile/tools/model/control_experiment.py
+++ b/maplestile/tools/model/control_experiment.py
@@ -7,10 +7,9 @@
 from typing import TypeVar
 
 from maplestile.common.toml_table import TomlTable
-from maplestile.tools.faults.schedule import DURATION_MOST_S, US_PER_MS, US_PER_S
+from maplestile.tools.faults.schedule import MAX_DURATION_S, MAX_SEED, US_PER_MS, US_PER_S
 
 MS_PER_S = 1000
-MAX_SEED = (1 << 63) - 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,13 +32,13 @@
 
 def microseconds_from_ms(table: TomlTable, name: str, default: float) -> int:
     """Take a duration in milliseconds. Raises the table's error."""
-    return int(table.number(name, default, most=DURATION_MOST_S * MS_PER_S) * US_PER_MS)
+    return int(table.number(name, default, most=MAX_DURATION_S * MS_PER_S) * US_PER_MS)
 
 
 def microseconds_from_s(table: TomlTable, name: str, default: float) -> int:
     """Take a duration in seconds. Raises the table's error."""
     # The same limit by number as in milliseconds: a larger duration than other experiments may have.
-    return int(table.number(name, default, most=DURATION_MOST_S * MS_PER_S) * US_PER_S)
+    return int(table.number(name, default, most=MAX_DURATION_S * MS_PER_S) * US_PER_S)
 
 
 def with_seeds(experiment: ExperimentT, count: int) -> list[ExperimentT]:
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -18,14 +18,15 @@
 
 from maplestile.common.toml_table import TomlTable
 from maplestile.tools.faults.schedule import (
-    DURATION_MOST_S,
     US_PER_MS,
-    US_PER_S,
     Schedule,
     ScheduleError,
+    required_time_us,
     schedule_from,
 )
 
+MIN_DURATION_S = 0.001
+
 
 @dataclass(slots=True, frozen=True)
 class Experiment:
@@ -52,17 +53,13 @@
 
     Raises the table's error.
     """
-    at_us = _seconds(table, "at_s")
-    for_us = _seconds(table, "for_s")
+    at_us = required_time_us(table, "at_s")
+    for_us = required_time_us(table, "for_s")
     index = table.whole(name, most=count - 1) if name else 0
     table.end()
     return TimeRange(at_us, for_us, index)
 
 
-def _seconds(table: TomlTable, name: str) -> int:
-    return int(table.number(name, most=DURATION_MOST_S) * US_PER_S)
-
-
 def load(path: Path) -> Experiment:
     """Read a file. Raises `ScheduleError`."""
     return parse(read(path))
@@ -83,7 +80,7 @@
     top = TomlTable(tables, "", ScheduleError)
     experiment = Experiment(
         schedule_from(top),
-        duration_us=int(top.number("duration_s", least=0.001, most=DURATION_MOST_S) * US_PER_S),
+        duration_us=required_time_us(top, "duration_s", MIN_DURATION_S),
         lifeguard=top.flag("lifeguard", True),
         period_us=int(top.number("period_ms", 1000, least=10, most=60_000) * US_PER_MS),
         duties=top.whole("duties", 0, most=10_000),
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -1,10 +1,10 @@
 """Rollouts on the model: the shipped `ControlState` and `RolloutPlanner` on simpy, with many instances.
 
-Experiments are in `rollout_experiment.py`. Left out are Raft itself (a command is committed after its time),
-lost messages, and the calls.
+Experiments are in `rollout_experiment.py`, what is measured in `rollout_metrics.py`. Left out are Raft itself
+(a command is committed after its time), lost messages, and the calls.
 """
 
-from dataclasses import asdict, dataclass, field
+from dataclasses import asdict
 
 import simpy
 
@@ -19,55 +19,18 @@
     StartRollout,
 )
 from maplestile.control.rollout_planner import RolloutPlanner, Rules
-from maplestile.control.state import ACTIVE, Lease, Phase, Stage
-from maplestile.tools.faults.schedule import US_PER_MS, US_PER_S
+from maplestile.control.state import ACTIVE, Lease, Stage
 from maplestile.tools.model.control_model import ControlModel
 from maplestile.tools.model.experiment import TimeRange
 from maplestile.tools.model.report import Metrics
 from maplestile.tools.model.rollout_experiment import RolloutExperiment
+from maplestile.tools.model.rollout_metrics import RolloutMeasurements, RolloutMetrics
 
 # The intervals of the shipped rollout controller.
 PLAN_INTERVAL_US = 50_000
 REPORT_INTERVAL_US = 500_000
 
 
-@dataclass(slots=True, frozen=True)
-class RolloutMetrics:
-    """The metrics of one run; None where there is nothing to measure."""
-
-    instances: int
-    budget: int
-    done: int  # instances whose step is done
-    ended: int  # 1 if the rollout is done, else 0
-    seconds: float | None  # until the rollout ended
-    most_out: int  # instances out at the same time
-    most_out_planned: int  # of these, out by a step and not by an outage
-    halts_by_itself: int
-    last_step_after_halt_ms: float | None  # from the operator's halt until the last step began
-
-
-@dataclass(slots=True)
-class RolloutMeasurements:
-    """What has been measured in a run so far."""
-
-    most_out: int = 0
-    most_out_planned: int = 0
-    step_starts_us: list[int] = field(default_factory=list)
-    last_after_halt_us: list[int] = field(default_factory=list)  # for each halt of an operator
-    halts: int = 0  # by the planner
-    ended_us: int | None = None
-
-    def record_out_of_service(self, out: int, out_planned: int) -> None:
-        """Record how many instances are out of service now."""
-        self.most_out = max(self.most_out, out)
-        self.most_out_planned = max(self.most_out_planned, out_planned)
-
-    def record_halt(self, sent_us: int) -> None:
-        """Record how long after an operator sent a halt the last step began; 0 if none did."""
-        delays_us = [start_us - sent_us for start_us in self.step_starts_us if start_us > sent_us]
-        self.last_after_halt_us.append(max(delays_us, default=0))
-
-
 class RolloutModel(ControlModel):
     """One run of a rollout, with the shipped decisions."""
 
@@ -96,7 +59,8 @@
         if experiment.halt_at_us:
             self._env.process(self._halt_and_resume())
         self._env.run(until=experiment.duration_us)
-        return self._metrics()
+        assert self.control.rollout is not None
+        return self.measured.metrics(self.control.rollout, len(self.names))
 
     # The agents and their leader.
 
@@ -194,23 +158,6 @@
         self.measured.record_halt(sent_us)
         self.control.apply(ResumeRollout())
 
-    def _metrics(self) -> RolloutMetrics:
-        rollout = self.control.rollout
-        assert rollout is not None
-        measured = self.measured
-        halted_us = measured.last_after_halt_us
-        return RolloutMetrics(
-            instances=self.experiment.instances,
-            budget=rollout.budget,
-            done=len(rollout.done),
-            ended=int(rollout.phase is Phase.DONE),
-            seconds=None if measured.ended_us is None else round(measured.ended_us / US_PER_S, 3),
-            most_out=measured.most_out,
-            most_out_planned=measured.most_out_planned,
-            halts_by_itself=measured.halts,
-            last_step_after_halt_ms=max(halted_us) / US_PER_MS if halted_us else None,
-        )
-
 
 def run(experiment: RolloutExperiment) -> RolloutMetrics:
     """Run an experiment, and return its metrics."""
