--- a/maplestile/tools/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -20,6 +20,7 @@
 import time
 from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, cast
 
 from maplestile.common.address import Address
@@ -36,6 +37,18 @@
 DatagramHandler = Callable[[int, bytes, Address], None]
 
 
+@dataclass(slots=True, frozen=True)
+class Direction:
+    """One direction between two members."""
+
+    origin: int
+    target: int
+
+    def reversed(self) -> "Direction":
+        """The other direction between the two."""
+        return Direction(self.target, self.origin)
+
+
 class Front(asyncio.DatagramProtocol):
     """The socket that represents one member."""
 
@@ -76,7 +89,7 @@
         self._started_s = 0.0
         self._random = random.Random(schedule.seed)
         self._sockets: dict[int, Address] = {}  # the members' real sockets
-        self._members: dict[Address, int] = {}  # by their real sockets
+        self._members_by_socket: dict[Address, int] = {}
         self._servers: list[asyncio.Server] = []
         self._delayed = 0  # datagrams that are held back
 
@@ -106,16 +119,16 @@
         return [front.address() for front in self.fronts]
 
     def register(self, member: int, address: Address) -> None:
-        """Set the real socket of a member; one that came back has another than before."""
+        """Set the real socket of a member, which is a new one after its restart."""
         former = self._sockets.get(member)
         if former is not None:
-            self._members.pop(former, None)
+            self._members_by_socket.pop(former, None)
         self._sockets[member] = address
-        self._members[address] = member
+        self._members_by_socket[address] = member
 
     def datagram(self, target: int, data: bytes, sender: Address) -> None:
         """Pass on a datagram that came to the front of `target`, as the schedule says."""
-        origin = self._members.get(sender)
+        origin = self._members_by_socket.get(sender)
         if origin is None or target not in self._sockets:
             self.counts["udp.unknown"] += 1
             return
@@ -147,7 +160,7 @@
 
     async def link(self, origin: int, target: int, address: Address) -> Address:
         """Open a front for connections from `origin` to `target`, whose real listener is at `address`."""
-        serve = functools.partial(self._serve, origin, target, address)
+        serve = functools.partial(self._serve, Direction(origin, target), address)
         server = await asyncio.start_server(serve, HOST, 0)
         self._servers.append(server)
         host, port = server.sockets[0].getsockname()[:2]
@@ -155,42 +168,43 @@
 
     async def _serve(
         self,
-        origin: int,
-        target: int,
+        forward: Direction,
         address: Address,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
+        """Accept a connection, and pass its bytes on to and from the listener at `address`."""
+        backward = forward.reversed()
         self.counts["tcp.connections"] += 1
         writers = [writer]
         try:
-            await self._until_open(origin, target)
-            await self._until_open(target, origin)  # a handshake takes both directions
+            await self._until_open(forward)
+            await self._until_open(backward)  # a handshake takes both directions
             far_reader, far_writer = await asyncio.open_connection(*address)
             writers.append(far_writer)
             async with asyncio.TaskGroup() as directions:
-                directions.create_task(self._forward(origin, target, reader, far_writer))
-                directions.create_task(self._forward(target, origin, far_reader, writer))
+                directions.create_task(self._pass_on(forward, reader, far_writer))
+                directions.create_task(self._pass_on(backward, far_reader, writer))
         except (OSError, ExceptionGroup):
-            self.counts["tcp.broken"] += 1  # one end broke off: so does the other, at once
+            self.counts["tcp.broken"] += 1  # one end broke off: the other is aborted
             for end in writers:
                 end.transport.abort()
         finally:
             for end in writers:
                 end.close()
 
-    async def _forward(
-        self, origin: int, target: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _pass_on(
+        self, direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Pass on one direction, in order; only one chunk waits here, the rest in the system's buffers."""
+        """Pass on the bytes of one direction; one chunk waits here, the rest in the system's buffers."""
         while data := await reader.read(CHUNK_BYTES):
             if self.playing is not None:
                 await self._delay_chunk(self.playing)
-            await self._until_open(origin, target)
+            await self._until_open(direction)
             self.counts["tcp.chunks"] += 1
             writer.write(data)
             await writer.drain()
-        await self._until_open(origin, target)
+        await self._until_open(direction)
         if writer.can_write_eof():
             writer.write_eof()
 
@@ -201,10 +215,14 @@
         # The schedule may have been replaced or ended during the retransmissions.
         await asyncio.sleep(self.playing.delay_us(self._random) / US_PER_S if self.playing else 0)
 
-    async def _until_open(self, origin: int, target: int) -> None:
+    def _is_cut(self, direction: Direction) -> bool:
+        schedule = self.playing
+        return schedule is not None and schedule.cut(direction.origin, direction.target, self.now_us())
+
+    async def _until_open(self, direction: Direction) -> None:
         """Wait until nothing cuts this direction."""
         was_held = False
-        while self.playing is not None and self.playing.cut(origin, target, self.now_us()):
+        while self._is_cut(direction):
             self.counts["tcp.held"] += not was_held
             was_held = True
             await asyncio.sleep(POLL_INTERVAL_S)
