--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -88,7 +88,7 @@
         self.epoch = 0
         self.workers = SimulatedWorkers(case)
         self.stopped = False
-        self.fleet = EndpointList()
+        self.endpoints = EndpointList()
         self._connect(components)
         self._publish_list()
 
@@ -216,9 +216,9 @@
 
     def _publish_list(self) -> None:
         """Give the router the current endpoint list."""
-        self.fleet.apply_whole(self.fleet.version + 1, self.workers.listed(self.now_us))
-        self.pool.update(self.fleet)
-        self.core.list_changed(self.fleet.event())
+        self.endpoints.apply_whole(self.endpoints.version + 1, self.workers.listed(self.now_us))
+        self.pool.update(self.endpoints)
+        self.core.list_changed(self.endpoints.event())
 
     def pass_time(self) -> None:
         """Let one step of time pass, with every timer that is due in it."""
--- /dev/null
+++ b/maplestile/tools/explore/socket_clients.py
@@ -0,0 +1,60 @@
+"""The clients of a replay on sockets: each makes one call over HTTP and records the answers' statuses."""
+
+import asyncio
+import time
+
+from maplestile.common.address import Address
+from maplestile.tools.explore import scenario
+from maplestile.tools.explore.cases import Case
+from maplestile.tools.explore.socket_checks import US_PER_S, Clients
+
+STATUS_LINE_START = b"HTTP/1.1 "
+
+
+class SocketClients:
+    """Makes the calls of a case in their order; `observed` has what the clients have seen."""
+
+    def __init__(self, case: Case) -> None:
+        self.observed = Clients()
+        self._case = case
+        self._tasks: list[asyncio.Task[None]] = []
+
+    def submit(self, front: Address) -> None:
+        """Make the next call of the case, at an invoke front."""
+        number = len(self._tasks)
+        self.observed.statuses[number] = []
+        self._tasks.append(asyncio.get_running_loop().create_task(self._call(number, front)))
+
+    def withdraw(self, number: int) -> None:
+        """Have a client wait no longer."""
+        self.observed.withdrawn.add(number)
+        self._tasks[number].cancel()
+
+    def stop(self) -> None:
+        """End all clients."""
+        for task in self._tasks:
+            task.cancel()
+
+    async def _call(self, number: int, front: Address) -> None:
+        class_name = self._case.classes[number]
+        reader, writer = await asyncio.open_connection(*front)
+        due_s = time.monotonic() + scenario.CLASSES[class_name].deadline_us / US_PER_S
+        writer.write(_request(number, class_name))
+        try:
+            while line := await reader.readline():
+                if not line.startswith(STATUS_LINE_START):
+                    continue
+                self.observed.statuses[number].append(int(line.split()[1]))
+                if time.monotonic() > due_s + scenario.STEP_US / US_PER_S:
+                    self.observed.late.add(number)
+        finally:
+            writer.close()
+
+
+def _request(number: int, class_name: str) -> bytes:
+    body = f"c{number}"
+    head = (
+        "POST /v1/functions/f/invocations HTTP/1.1\r\n"
+        f"Host: x\r\nMaplestile-Class: {class_name}\r\nContent-Length: {len(body)}\r\n\r\n"
+    )
+    return f"{head}{body}".encode()
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -30,7 +30,8 @@
 from maplestile.tools.explore.router_process import RouterUnderTest
 from maplestile.tools.explore.scripted_workers import Peer, Received, ReceivedCall, ScriptedWorker
 from maplestile.tools.explore.simulation import Simulation
-from maplestile.tools.explore.socket_checks import US_PER_S, Clients, violations
+from maplestile.tools.explore.socket_checks import US_PER_S, violations
+from maplestile.tools.explore.socket_clients import SocketClients
 from maplestile.tools.explore.worker_lines import Command, CommandKind
 
 EVENT_TIMEOUT_S = 10.0  # until an event must have come about
@@ -73,8 +74,7 @@
             f"w{number}": ScriptedWorker(f"w{number}", self.received) for number in range(self.case.workers)
         }
         self.router = RouterUnderTest(self.case, folder, root)
-        self.clients = Clients()
-        self.client_tasks: list[asyncio.Task[None]] = []
+        self.clients = SocketClients(self.case)
         self.draining_since_s: dict[str, float] = {}
         self.unlisted: set[str] = set()  # workers that are not in the router's file
         self.left_out: list[str] = []  # events that cannot be played on sockets
@@ -94,18 +94,18 @@
             found = self._violations()
         finally:
             await self._stop()
-        return ReplayResult(self.example, self.left_out, found, self.clients.statuses, self.received.calls)
+        statuses = self.clients.observed.statuses
+        return ReplayResult(self.example, self.left_out, found, statuses, self.received.calls)
 
     def _violations(self) -> list[Violation]:
-        found = list(violations(self.case, self.clients, self.received.calls, self.draining_since_s))
+        found = list(violations(self.case, self.clients.observed, self.received.calls, self.draining_since_s))
         exit_code = self.router.exit_code()
         if exit_code is not None:
             found.append(Violation("no-crash", f"the program ended with {exit_code}"))
         return found
 
     async def _stop(self) -> None:
-        for task in self.client_tasks:
-            task.cancel()
+        self.clients.stop()
         await self.router.stop()
         for worker in self.workers.values():
             await worker.listen(False)
@@ -120,10 +120,9 @@
         kind, numbers = event
         match kind:
             case EventKind.SUBMIT:
-                self._submit()
+                self.clients.submit(self.router.fronts["invoke"])
             case EventKind.LEAVE:
-                self.clients.withdrawn.add(numbers[0])
-                self.client_tasks[numbers[0]].cancel()
+                self.clients.withdraw(numbers[0])
             case EventKind.TIME:
                 await asyncio.sleep(scenario.STEP_US / US_PER_S)
             case _ if kind in WORKER_EVENTS:
@@ -178,31 +177,6 @@
                 raise CaseError(f"events: '{kind}' did not come about on sockets")
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _submit(self) -> None:
-        number = len(self.client_tasks)
-        self.clients.statuses[number] = []
-        self.client_tasks.append(asyncio.get_running_loop().create_task(self._call(number)))
-
-    async def _call(self, number: int) -> None:
-        class_name = self.case.classes[number]
-        body = f"c{number}"
-        reader, writer = await asyncio.open_connection(*self.router.fronts["invoke"])
-        due_s = time.monotonic() + scenario.CLASSES[class_name].deadline_us / US_PER_S
-        head = (
-            "POST /v1/functions/f/invocations HTTP/1.1\r\n"
-            f"Host: x\r\nMaplestile-Class: {class_name}\r\nContent-Length: {len(body)}\r\n\r\n"
-        )
-        writer.write(f"{head}{body}".encode())
-        try:
-            while line := await reader.readline():
-                if not line.startswith(b"HTTP/1.1 "):
-                    continue
-                self.clients.statuses[number].append(int(line.split()[1]))
-                if time.monotonic() > due_s + scenario.STEP_US / US_PER_S:
-                    self.clients.late.add(number)
-        finally:
-            writer.close()
-
     def _answer(self, peer: Peer, command: Command, kind: str) -> None:
         if command.kind is CommandKind.CALL and kind in scenario.NEVER_RAN_KINDS:
             name = command.body.decode()
