--- a/maplestile/tools/explore/normal_form.py
+++ b/maplestile/tools/explore/normal_form.py
@@ -1,7 +1,7 @@
-"""The normal form of a simulation's records: equal for states that differ in names and the date alone.
+"""The normal form of a simulation's records: equal for states that differ only in names and in the date.
 
-Times become relative to now, calls are named by the order in which they came, and workers by their rank for
-the function that all calls are of. What no decision reads is left out: counters, tokens, indexes.
+Times become relative to now, calls are named by their order of arrival, and workers by their rank for the one
+function that is called. What no decision reads is left out: counters, tokens, indexes.
 """
 
 import functools
@@ -24,9 +24,9 @@
 from maplestile.tools.explore.scenario import FUNCTION, START_US
 from maplestile.tools.explore.simulation import Simulation
 
-HORIZON_US = 20_000_000  # times further off, past or future, are all one: beyond any rule that a case meets
+HORIZON_US = 20_000_000  # times further off count as equal: no rule that a case meets reaches so far
 FIRST_TIME_US = START_US // 2  # a number from here on is a time, a smaller one a count or a call's number
-DECIMALS = 6  # of a float: the last digits depend on the order of additions
+DECIMALS = 6  # of a float, since the last digits depend on the order of additions
 # Fields that have a form elsewhere, or that no decision reads.
 LEFT_OUT: dict[type, frozenset[str]] = {
     RequestTable: frozenset(("_tick_us", "answers")),
@@ -47,7 +47,7 @@
     # The socket, the queue and the line on its way have forms of their own.
     Connection: frozenset(("runner", "socket", "partial", "queue")),
 }
-# Records that are shown whole where a collection holds them, and by their names wherever else they are met.
+# Records that appear with all fields in the collection that holds them, and by their names elsewhere.
 RECORDS = frozenset(
     (
         FunctionEntry,
@@ -79,7 +79,7 @@
         return _form_for(kind)(self, value)
 
     def element(self, value: Any) -> Any:
-        """The form of an element of a collection: records are whole there."""
+        """The form of an element of a collection, where records appear with all fields."""
         return self.record(value) if type(value) in RECORDS else self.value(value)
 
     def record(self, value: Any) -> list[Any]:
@@ -163,7 +163,7 @@
         return type(value).__name__
 
 
-# The first type that a value's type is, or derives from, decides.
+# The first entry whose type the value has, or derives from, applies.
 FORMS: tuple[tuple[type, Callable[[NormalForm, Any], Any]], ...] = (
     (NoneType, NormalForm.plain),
     (bool, NormalForm.plain),
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -1,4 +1,4 @@
-"""The invariants, each checked in one place under its name, by what the simulation knows to be true."""
+"""The properties that must hold in a simulation, each checked under its name in one place."""
 
 from collections.abc import Collection
 
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -101,10 +101,10 @@
                 line = await stderr.readline()
                 if not line:
                     raise CaseError("the program ended at its start")
-                self._note_front(line.decode())
+                self._record_front(line.decode())
         self.reader = asyncio.get_running_loop().create_task(_discard(stderr))
 
-    def _note_front(self, line: str) -> None:
+    def _record_front(self, line: str) -> None:
         for front in FRONTS:
             _, listens, rest = line.partition(f"{front} front listens on ")
             if listens:
