--- a/maplestile/tools/instance_commands.py
+++ b/maplestile/tools/instance_commands.py
@@ -27,7 +27,6 @@
 )
 RUNNER_COMMANDS = frozenset(("suspend", "resume"))
 JSON_COMMANDS = frozenset(("counters", "reload"))  # printed as JSON with and without --json
-ABSENT = "-"  # in a view of the membership that lacks a member
 ISOLATED_ROW = "(isolated)"
 
 
@@ -52,6 +51,22 @@
     last_exit: str
 
 
+@dataclass(slots=True, frozen=True)
+class ViewCell:
+    """What one instance sees of a member."""
+
+    status: str
+    incarnation: int | None = None
+
+    def __str__(self) -> str:
+        """The cell as it is printed."""
+        return self.status if self.incarnation is None else f"{self.status}/{self.incarnation}"
+
+
+View = dict[str, ViewCell]  # of one instance: by member, and by ISOLATED_ROW whether it is isolated
+ABSENT = ViewCell("-")  # in a view that lacks a member
+
+
 def add(commands: Any) -> None:
     """Add the commands to argparse's sub-parsers."""
     for name, text in COMMANDS:
@@ -137,26 +152,31 @@
     There is a row for each member and a column for each instance, with `status/incarnation` in the cells.
     Returns 1 where two views differ in a status; instances without a view are named on standard error.
     """
-    views: dict[str, dict[str, str]] = {}
-    for answer in answers:
-        view = _view_of(answer)
-        if view is None:
-            print(f"maplestile: {answer.instance}: no view: {answer.text.strip()}", file=sys.stderr)
-        else:
-            views[answer.instance] = view
+    views = _views_of(answers)
     print("member", *views, "agree", sep="\t")
     all_agree = True
     for member in sorted({member for view in views.values() for member in view}):
         cells = [view.get(member, ABSENT) for view in views.values()]
-        statuses = {cell.partition("/")[0] for cell in cells}
-        agree = len(statuses) <= 1
+        agree = len({cell.status for cell in cells}) <= 1
         all_agree = all_agree and agree
         print(member, *cells, "yes" if agree else "NO", sep="\t")
     return int(not all_agree)
 
 
-def _view_of(answer: InstanceAnswer) -> dict[str, str] | None:
-    """Decode a view of the membership as `status/incarnation` by member; None where there is none."""
+def _views_of(answers: list[InstanceAnswer]) -> dict[str, View]:
+    """The views by instance, without the instances that have none, which are named on standard error."""
+    views: dict[str, View] = {}
+    for answer in answers:
+        view = _decode_view(answer)
+        if view is None:
+            print(f"maplestile: {answer.instance}: no view: {answer.text.strip()}", file=sys.stderr)
+        else:
+            views[answer.instance] = view
+    return views
+
+
+def _decode_view(answer: InstanceAnswer) -> View | None:
+    """Decode a view of the membership; None where there is none."""
     if not answer.ok:
         return None
     try:
@@ -165,8 +185,10 @@
         return None
     if message is None:
         return None
-    view = {member["name"]: f"{member['status']}/{member['incarnation']}" for member in message["members"]}
-    view[ISOLATED_ROW] = "yes" if message["isolated"] else "no"
+    view = {
+        member["name"]: ViewCell(member["status"], member["incarnation"]) for member in message["members"]
+    }
+    view[ISOLATED_ROW] = ViewCell("yes" if message["isolated"] else "no")
     return view
 
 
