--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -81,25 +81,28 @@
     operation.add_argument("--no-wait", action="store_true", help="do not wait until it is decided")
 
 
-def checked(path: Path) -> Document:
+def load_policy(path: Path) -> Document:
     """Read the policy of a file and check it as routers of this build do.
 
     It is checked as part of the file of a router that has one function. Raises ConfigError naming the field.
     """
     document = Document.of(read(path))
-    classes = document.tables().get("class")
-    first = classes[0] if isinstance(classes, list) and classes else {}
-    name = first.get("name") if isinstance(first, dict) else None
     router = {
         "invoke": {"listen": "127.0.0.1:0"},
         "kind": [{"name": "k", "memory_mb": 1}],
         "worker": [{"id": "w", "address": "127.0.0.1:1"}],
-        "function": [{"name": "f", "class": name or "?", "memory_mb": 1}],
+        "function": [{"name": "f", "class": _first_class_name(document) or "?", "memory_mb": 1}],
     }
     from_tables(document.over(router))
     return document
 
 
+def _first_class_name(document: Document) -> str | None:
+    classes = document.tables().get("class")
+    first = classes[0] if isinstance(classes, list) and classes else None
+    return first.get("name") if isinstance(first, dict) else None
+
+
 def run(arguments: argparse.Namespace) -> int:
     """Run a sub-command and return the exit code."""
     match arguments.what:
@@ -112,7 +115,7 @@
 
 def _propose(arguments: argparse.Namespace) -> int:
     try:
-        document = checked(arguments.file).tables()
+        document = load_policy(arguments.file).tables()
     except ConfigError as error:
         print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
         return EXIT_BAD_FILE
--- a/maplestile/tools/serving_commands.py
+++ b/maplestile/tools/serving_commands.py
@@ -37,7 +37,7 @@
 def _check(arguments: argparse.Namespace) -> int:
     file: Path = arguments.file
     if policy_command.is_policy_file(file):
-        print(f"{file}: a policy, {policy_command.checked(file).digest()}")
+        print(f"{file}: a policy, {policy_command.load_policy(file).digest()}")
         return 0
     settings = load(file)
     print(f"{file}: {len(settings.functions)} functions, {len(settings.tenants)} tenants")
--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -11,7 +11,7 @@
 from maplestile.control.policy.document import DOCUMENT_BYTES, AdoptedPolicy, Document, PolicyError
 from maplestile.dispatch import api
 from maplestile.invoke import operator_file as operator
-from maplestile.tools.policy_command import checked
+from maplestile.tools.policy_command import load_policy
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
 from tests.standins import ROOT
 
@@ -56,7 +56,7 @@
     file = tmp_path / "policy.toml"
     file.write_text(text + (grade if text and "class" not in text else ""))
     with pytest.raises(ConfigError, match=place.replace("[", r"\[")):
-        checked(file)
+        load_policy(file)
 
 
 def test_a_document_that_is_too_large_is_refused() -> None:
