--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -136,7 +136,7 @@
 
 def check_when_idle(simulation: Simulation) -> None:
     """Let time pass without events until everything must have ended, and check that nothing is left."""
-    for _ in range(scenario.REST_STEPS):
+    for _ in range(scenario.IDLE_STEPS):
         simulation.pass_time()
         check_after_event(simulation)
     if simulation.stopped and simulation.core.open:
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -1,4 +1,4 @@
-"""What all cases of the explorer have in common: settings, classes of calls, times, and kinds of answers."""
+"""What all cases of the explorer share: settings, classes of calls, times, and kinds of answers."""
 
 import random
 from dataclasses import replace
@@ -19,7 +19,7 @@
 DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # for which a worker drops repeats of an idempotency key
 LATENCY_OBJECTIVE_US = 200 * US_PER_MS  # the latency objective of every class
 RUNNER_SILENT_US = 150 * US_PER_MS
-REST_STEPS = 12  # of silence after which nothing may be left: longer than any call, load or health check
+IDLE_STEPS = 12  # without events, after which nothing may be left: longer than any call, load or health check
 MAX_ATTEMPTS = 2  # of epoch 0, and of every second one after it
 SEED = 7
 FUNCTION = "f"  # the one function that all calls are of
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -33,11 +33,17 @@
 
     def as_json(self) -> dict[str, Any]:
         """The report as a JSON object."""
-        values = {name: getattr(self, name) for name in self.__slots__ if name != "example"}
-        values["seconds"] = round(self.seconds, 2)
-        values["held"] = self.example is None
-        values["counterexample"] = None if self.example is None else _example_json(self.example)
-        return values
+        return {
+            "case": self.case,
+            "visited": self.visited,
+            "played": self.played,
+            "depth": self.depth,
+            "bound": self.bound,
+            "complete": self.complete,
+            "seconds": round(self.seconds, 2),
+            "held": self.example is None,
+            "counterexample": None if self.example is None else _example_json(self.example),
+        }
 
 
 def _example_json(example: Example) -> dict[str, Any]:
