--- a/maplestile/tools/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -44,7 +44,7 @@
     origin: int
     target: int
 
-    def reversed(self) -> "Direction":
+    def opposite(self) -> "Direction":
         """The other direction between the two."""
         return Direction(self.target, self.origin)
 
@@ -174,7 +174,7 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         """Accept a connection, and pass its bytes on to and from the listener at `address`."""
-        backward = forward.reversed()
+        backward = forward.opposite()
         self.counts["tcp.connections"] += 1
         writers = [writer]
         try:
