--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -11,12 +11,13 @@
 
 from maplestile.common.address import Address, parse_address
 from maplestile.operation.client import CallError, call
+from maplestile.tools.dispatcher_settings import US_PER_MS
 from maplestile.tools.explore import scenario
 from maplestile.tools.explore.cases import Case, CaseError
 from maplestile.tools.explore.scripted_workers import ScriptedWorker
 
 TIMEOUT_S = 10.0  # of the start, of the end, and of a request of an operator
-US_PER_MS = float(scenario.US_PER_MS)
+
 FRONTS = ("operator", "invoke")
 COUNTERS_PREFIX = '{"counters":'  # of the line that a router prints at SIGUSR1
 FILE_HEAD = f"""[invoke]
@@ -80,10 +81,10 @@
         self.fronts: dict[str, Address] = {}
         self.counters_line: asyncio.Future[str] | None = None  # the next one, where it is waited for
 
-    def write_file(self, workers: Iterable[ScriptedWorker], gone: Collection[str]) -> None:
-        """Write the operator's file, with those workers that are not gone."""
+    def write_file(self, workers: Iterable[ScriptedWorker], unlisted: Collection[str]) -> None:
+        """Write the operator's file, without the unlisted workers."""
         classes = [_class_table(name) for name in dict.fromkeys(self.case.classes)]
-        listed = [_worker_table(self.case, worker) for worker in workers if worker.name not in gone]
+        listed = [_worker_table(self.case, worker) for worker in workers if worker.name not in unlisted]
         function = FUNCTION_TABLE.format(self.case.classes[0])
         self.file.write_text("".join((FILE_HEAD, *classes, function, *listed)))
 
@@ -103,10 +104,10 @@
                 line = await stderr.readline()
                 if not line:
                     raise CaseError("the program ended at its start")
-                self._note_front(line.decode())
+                self._record_front(line.decode())
         self.reader = asyncio.get_running_loop().create_task(self._read(stderr))
 
-    def _note_front(self, line: str) -> None:
+    def _record_front(self, line: str) -> None:
         for front in FRONTS:
             _, listens, rest = line.partition(f"{front} front listens on ")
             if listens:
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -1,22 +1,24 @@
 """Replay of an example on loopback sockets: `maplestile serve` between scripted workers and clients.
 
-What has to hold is checked by what the workers and the clients have seen. Of the events, those that need a
-real form of their own:
+The properties are checked by what the workers and the clients have seen. Events that are carried out in
+another way than in the simulation:
 
     refuse LINK   the worker's port accepts nobody when that connection is dialled
-    drain WORKER  an operator suspends it; `gone`: it leaves the file, and SIGHUP; `return`: it is back
+    drain WORKER  an operator suspends it
+    gone WORKER   it is removed from the file, and the router gets SIGHUP
+    return WORKER it is in the file again, as a new process
     time          a step of real time
 
 A call that the router sheds for its own lag, as on a busy machine, is submitted again, as its client may do.
-A line that the system accepts in part cannot be had on demand, nor can a connection be kept from coming up
-once it is accepted: an `up` waits until it is there, and a `part` or an `away` is reported as left out.
+The system cannot be made to accept a line in part, nor to delay a connection that is accepted: an `up` waits
+until the connection is there, and a `part` or an `away` is reported as left out.
 """
 
 import asyncio
-import contextlib
 import tempfile
 import time
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -27,9 +29,11 @@
 from maplestile.tools.explore.example_files import Example
 from maplestile.tools.explore.records import Violation
 from maplestile.tools.explore.router_process import RouterUnderTest
-from maplestile.tools.explore.scripted_workers import Peer, Received, ScriptedWorker
+from maplestile.tools.explore.scripted_workers import Peer, Received, ReceivedCall, ScriptedWorker
 from maplestile.tools.explore.simulation import Simulation
-from maplestile.tools.explore.socket_checks import US_PER_S, Clients, violations
+from maplestile.tools.explore.socket_checks import US_PER_S, violations
+from maplestile.tools.explore.socket_clients import SocketClients
+from maplestile.tools.explore.worker_lines import Command, CommandKind
 
 EVENT_TIMEOUT_S = 10.0  # until an event must have come about
 POLL_INTERVAL_S = 0.005  # between two checks whether it has
@@ -39,6 +43,28 @@
 ROOT = Path(maplestile.__file__).parent.parent
 
 
+@dataclass(slots=True, frozen=True)
+class ReplayResult:
+    """What a replay came to."""
+
+    example: Example
+    left_out: list[str]  # events that cannot be played on sockets
+    violations: list[Violation]
+    statuses: dict[int, list[int]]  # of the answers, by the number of the call
+    attempts: list[ReceivedCall]
+
+    def as_json(self) -> dict[str, Any]:
+        """The result as a JSON object."""
+        return {
+            "case": self.example.case,
+            "property": self.example.property,
+            "left_out": self.left_out,
+            "broken": [list(violation) for violation in self.violations],
+            "answers": {str(number): statuses for number, statuses in self.statuses.items()},
+            "attempts": [[call.call, call.worker] for call in self.attempts],
+        }
+
+
 class SocketReplay:
     """One replay. `dialled` has the worker of each link, as the simulation knows it."""
 
@@ -50,21 +76,19 @@
             f"w{number}": ScriptedWorker(f"w{number}", self.received) for number in range(self.case.workers)
         }
         self.router = RouterUnderTest(self.case, folder, root)
-        self.clients = Clients()
-        self.client_tasks: list[asyncio.Task[None]] = []
-        self.submissions = 0  # of calls, those that were shed included
-        self.shed = 0  # of these
+        self.clients = SocketClients(self.case)
+        self.shed_calls = 0  # of all that were submitted
         self.draining_since_s: dict[str, float] = {}
-        self.gone: set[str] = set()
-        self.left_out: list[str] = []  # events that cannot be had on sockets
+        self.unlisted: set[str] = set()  # workers that are not in the router's file
+        self.left_out: list[str] = []  # events that cannot be played on sockets
         self.refused_links = [event.numbers[0] for event in example.events if event.kind is EventKind.REFUSE]
         self.dialled = _dialled_workers(example)
 
-    async def run(self) -> dict[str, Any]:
-        """Play all events; the result as a JSON object. Raises `CaseError`."""
+    async def run(self) -> ReplayResult:
+        """Play all events. Raises `CaseError`."""
         events = self.example.events
-        await self._arrange(events)
-        self.router.write_file(self.workers.values(), self.gone)
+        await self._set_listeners(events)
+        self.router.write_file(self.workers.values(), self.unlisted)
         await self.router.start()
         try:
             for number, event in enumerate(events):
@@ -73,28 +97,18 @@
             found = self._violations()
         finally:
             await self._stop()
-        return self._result(found)
+        statuses = self.clients.observed.statuses
+        return ReplayResult(self.example, self.left_out, found, statuses, self.received.calls)
 
     def _violations(self) -> list[Violation]:
-        found = list(violations(self.case, self.clients, self.received.calls, self.draining_since_s))
+        found = list(violations(self.case, self.clients.observed, self.received.calls, self.draining_since_s))
         exit_code = self.router.exit_code()
         if exit_code is not None:
             found.append(Violation("no-crash", f"the program ended with {exit_code}"))
         return found
 
-    def _result(self, found: Sequence[Violation]) -> dict[str, Any]:
-        return {
-            "case": self.example.case,
-            "property": self.example.property,
-            "left_out": self.left_out,
-            "broken": [list(violation) for violation in found],
-            "answers": {str(number): statuses for number, statuses in self.clients.statuses.items()},
-            "attempts": [[call.call, call.worker] for call in self.received.calls],
-        }
-
     async def _stop(self) -> None:
-        for task in self.client_tasks:
-            task.cancel()
+        self.clients.stop()
         await self.router.stop()
         for worker in self.workers.values():
             await worker.listen(False)
@@ -103,16 +117,15 @@
 
     # Events.
 
-    async def _play(self, event: Event, coming: Sequence[Event]) -> None:
-        """Have an event happen; `coming` are those after it."""
-        await self._arrange(coming)
+    async def _play(self, event: Event, upcoming: Sequence[Event]) -> None:
+        """Have an event happen; `upcoming` are those after it."""
+        await self._set_listeners(upcoming)
         kind, numbers = event
         match kind:
             case EventKind.SUBMIT:
                 await self._submit()
             case EventKind.LEAVE:
-                self.clients.left.add(numbers[0])
-                self.client_tasks[numbers[0]].cancel()
+                self.clients.withdraw(numbers[0])
             case EventKind.TIME:
                 await asyncio.sleep(scenario.STEP_US / US_PER_S)
             case _ if kind in WORKER_EVENTS:
@@ -121,37 +134,59 @@
                 await self._play_at_link(kind, *numbers)
         await asyncio.sleep(SETTLE_S)
 
+    async def _submit(self) -> None:
+        """Submit the next call until the router takes it. Raises `CaseError` where it keeps shedding it."""
+        front = self.router.fronts["invoke"]
+        self.clients.submit(front)
+        end_s = time.monotonic() + EVENT_TIMEOUT_S
+        while await self._is_last_call_shed():
+            if time.monotonic() > end_s:
+                raise CaseError(f"events: '{EventKind.SUBMIT}' did not come about on sockets")
+            await asyncio.sleep(SHED_PAUSE_S)
+            await self.clients.submit_again(front)
+
+    async def _is_last_call_shed(self) -> bool:
+        """Wait until the router has read the call submitted last; return whether it shed that one."""
+        async with asyncio.timeout(EVENT_TIMEOUT_S):
+            counters = await self.router.counters()
+            while counters.get("requests.taken", 0) < self.clients.submissions:
+                await asyncio.sleep(POLL_INTERVAL_S)
+                counters = await self.router.counters()
+        shed_before = self.shed_calls
+        self.shed_calls = counters.get("requests.shed", 0)
+        return self.shed_calls > shed_before
+
     async def _play_at_link(self, kind: EventKind, link: int = 0, line: int = 0) -> None:
         match kind:
             case EventKind.UP:
                 await self._until(lambda: len(self.received.peers) > self._accepted(link), kind)
             case EventKind.REFUSE:
-                pass  # `_arrange` has closed the worker's port
+                pass  # `_set_listeners` has closed the worker's port
             case EventKind.RESET:
                 self._peer(link).reset()
             case EventKind.STRAY:
                 self._peer(link).answer("nobody", scenario.ANSWER_KINDS[EventKind.OK])
             case EventKind.AGAIN:
                 peer = self._peer(link)
-                peer.answer(str(peer.messages[line]["call"]), scenario.ANSWER_KINDS[EventKind.OK])
+                peer.answer(peer.commands[line].tag, scenario.ANSWER_KINDS[EventKind.OK])
             case _ if kind in scenario.ANSWER_KINDS:
                 peer = self._peer(link)
-                await self._until(lambda: len(peer.messages) > line, kind)
-                self._answer(peer, peer.messages[line], scenario.ANSWER_KINDS[kind])
+                await self._until(lambda: len(peer.commands) > line, kind)
+                self._answer(peer, peer.commands[line], scenario.ANSWER_KINDS[kind])
             case _:
                 self.left_out.append(kind.value)
 
-    async def _arrange(self, coming: Sequence[Event]) -> None:
+    async def _set_listeners(self, upcoming: Sequence[Event]) -> None:
         """Open or close each worker's port for its next connection.
 
-        That has to be done ahead of the event, since the router dials as soon as it has decided.
+        This has to be done ahead of the event, since the router dials as soon as it has decided.
         """
         accepts: dict[str, bool] = {}
-        for event in coming:
+        for event in upcoming:
             if event.kind in (EventKind.UP, EventKind.REFUSE) and event.numbers[0] < len(self.dialled):
                 accepts.setdefault(self.dialled[event.numbers[0]], event.kind is EventKind.UP)
         for name, worker in self.workers.items():
-            await worker.listen(accepts.get(name, True) and name not in self.gone)
+            await worker.listen(accepts.get(name, True) and name not in self.unlisted)
 
     def _accepted(self, link: int) -> int:
         """The index among the accepted connections of a link, whose number counts the refused ones too."""
@@ -167,62 +202,13 @@
                 raise CaseError(f"events: '{kind}' did not come about on sockets")
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _submit(self) -> None:
-        """Submit the next call until the router takes it. Raises `CaseError` where it keeps shedding it."""
-        number = len(self.client_tasks)
-        self.client_tasks.append(self._start_call(number))
-        end_s = time.monotonic() + EVENT_TIMEOUT_S
-        while await self._is_last_call_shed():
-            if time.monotonic() > end_s:
-                raise CaseError(f"events: '{EventKind.SUBMIT}' did not come about on sockets")
-            self.client_tasks[number].cancel()
-            with contextlib.suppress(asyncio.CancelledError):
-                await self.client_tasks[number]
-            await asyncio.sleep(SHED_PAUSE_S)
-            self.client_tasks[number] = self._start_call(number)
-
-    def _start_call(self, number: int) -> asyncio.Task[None]:
-        self.submissions += 1
-        self.clients.statuses[number] = []
-        return asyncio.get_running_loop().create_task(self._call(number))
-
-    async def _is_last_call_shed(self) -> bool:
-        """Wait until the router has read the call submitted last; return whether it shed that one."""
-        async with asyncio.timeout(EVENT_TIMEOUT_S):
-            counters = await self.router.counters()
-            while counters.get("requests.taken", 0) < self.submissions:
-                await asyncio.sleep(POLL_INTERVAL_S)
-                counters = await self.router.counters()
-        shed_before = self.shed
-        self.shed = counters.get("requests.shed", 0)
-        return self.shed > shed_before
-
-    async def _call(self, number: int) -> None:
-        class_name = self.case.classes[number]
-        body = f"c{number}"
-        reader, writer = await asyncio.open_connection(*self.router.fronts["invoke"])
-        due_s = time.monotonic() + scenario.CLASSES[class_name].deadline_us / US_PER_S
-        head = (
-            "POST /v1/functions/f/invocations HTTP/1.1\r\n"
-            f"Host: x\r\nMaplestile-Class: {class_name}\r\nContent-Length: {len(body)}\r\n\r\n"
-        )
-        writer.write(f"{head}{body}".encode())
-        try:
-            while line := await reader.readline():
-                if not line.startswith(b"HTTP/1.1 "):
-                    continue
-                self.clients.statuses[number].append(int(line.split()[1]))
-                if time.monotonic() > due_s + scenario.STEP_US / US_PER_S:
-                    self.clients.late.add(number)
-        finally:
-            writer.close()
-
-    def _answer(self, peer: Peer, message: dict[str, Any], kind: str) -> None:
-        if message["kind"] == "CALL" and kind in scenario.NEVER_RAN_KINDS:
+    def _answer(self, peer: Peer, command: Command, kind: str) -> None:
+        if command.kind is CommandKind.CALL and kind in scenario.NEVER_RAN_KINDS:
+            name = command.body.decode()
             for call in self.received.calls:
-                if call.call == message["body"] and call.worker == peer.worker:
+                if call.call == name and call.worker == peer.worker:
                     call.never_ran = True
-        peer.answer(str(message["call"]), kind)
+        peer.answer(command.tag, kind)
 
     async def _change_worker(self, worker: str, kind: EventKind) -> None:
         if kind is EventKind.DRAIN:
@@ -231,14 +217,14 @@
             return
         if kind is EventKind.GONE:
             self.draining_since_s.setdefault(worker, time.monotonic())
-            self.gone.add(worker)
+            self.unlisted.add(worker)
         else:
             await self._restart_worker(worker)
-        self.router.write_file(self.workers.values(), self.gone)
+        self.router.write_file(self.workers.values(), self.unlisted)
         self.router.reload()
 
     async def _restart_worker(self, worker: str) -> None:
-        self.gone.discard(worker)
+        self.unlisted.discard(worker)
         self.draining_since_s.pop(worker, None)
         await self.workers[worker].listen(False)
         self.workers[worker] = ScriptedWorker(worker, self.received)
@@ -254,16 +240,15 @@
     return [link.worker for link in simulation.links]
 
 
-async def _replay(example: Example, root: Path) -> dict[str, Any]:
+async def _replay(example: Example, root: Path) -> ReplayResult:
     with tempfile.TemporaryDirectory() as folder:
         return await SocketReplay(example, Path(folder), root).run()
 
 
-def replay(example: Example, root: Path = ROOT) -> dict[str, Any]:
+def replay(example: Example, root: Path = ROOT) -> ReplayResult:
     """Replay an example on sockets.
 
-    The result has the violated properties, the statuses of each call, and who received it complete. `root` is
-    the folder of the program's package. Raises `CaseError` where an event does not come about on sockets.
+    `root` is the folder of the program's package. Raises `CaseError` where an event does not come about.
     """
     try:
         return asyncio.run(_replay(example, root))
--- a/maplestile/tools/instance_commands.py
+++ b/maplestile/tools/instance_commands.py
@@ -6,7 +6,7 @@
 import argparse
 import json
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -27,6 +27,7 @@
 )
 RUNNER_COMMANDS = frozenset(("suspend", "resume"))
 JSON_COMMANDS = frozenset(("counters", "reload"))  # printed as JSON with and without --json
+ISOLATED_ROW = "(isolated)"
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,6 +39,34 @@
     text: str
 
 
+@dataclass(slots=True, frozen=True)
+class InstanceStatus:
+    """The process of one instance, as the agent reports it."""
+
+    instance: str
+    state: str
+    pid: int | None  # None while no process runs
+    starts: int
+    for_s: float  # in this state
+    last_exit: str
+
+
+@dataclass(slots=True, frozen=True)
+class ViewCell:
+    """What one instance sees of a member."""
+
+    status: str
+    incarnation: int | None = None
+
+    def __str__(self) -> str:
+        """The cell as it is printed."""
+        return self.status if self.incarnation is None else f"{self.status}/{self.incarnation}"
+
+
+View = dict[str, ViewCell]  # of one instance: by member, and by ISOLATED_ROW whether it is isolated
+ABSENT = ViewCell("-")  # in a view that lacks a member
+
+
 def add(commands: Any) -> None:
     """Add the commands to argparse's sub-parsers."""
     for name, text in COMMANDS:
@@ -60,26 +89,38 @@
         return _print_json(reply)
     if name in supervisor.OPERATE:
         return PRINTERS.get(name, _print_answers)(_answers_of(reply[name]))
-    _print_instances(reply["instances"])
+    for instance in _instances_of(reply["instances"]):
+        _print_instance(instance)
     return 0
 
 
-def _answers_of(reply: dict[str, Any]) -> list[InstanceAnswer]:
+def _answers_of(reply: Mapping[str, Any]) -> list[InstanceAnswer]:
     return [InstanceAnswer(instance, answer["ok"], answer["told"]) for instance, answer in reply.items()]
 
 
+def _instances_of(reply: Mapping[str, Any]) -> Iterator[InstanceStatus]:
+    for name, status in reply.items():
+        yield InstanceStatus(
+            instance=name,
+            state=status["state"],
+            pid=status["pid"],
+            starts=status["starts"],
+            for_s=status["for_s"],
+            last_exit=status["last_exit"],
+        )
+
+
 def _print_json(reply: AgentReply) -> int:
     print(json.dumps(reply, indent=2))
     reloads = reply.get("reload", {}).values()
     return int(any(reload is not None and not reload["ok"] for reload in reloads))
 
 
-def _print_instances(instances: dict[str, Any]) -> None:
-    for name, instance in instances.items():
-        pid = f"pid {instance['pid']}" if instance["pid"] else "no process"
-        starts = f"{instance['starts']} starts"
-        age = f"{instance['for_s']} s"
-        print(name, instance["state"], pid, starts, age, instance["last_exit"], sep="\t")
+def _print_instance(status: InstanceStatus) -> None:
+    pid = f"pid {status.pid}" if status.pid else "no process"
+    starts = f"{status.starts} starts"
+    age = f"{status.for_s} s"
+    print(status.instance, status.state, pid, starts, age, status.last_exit, sep="\t")
 
 
 def _print_answers(answers: list[InstanceAnswer]) -> int:
@@ -111,26 +152,31 @@
     There is a row for each member and a column for each instance, with `status/incarnation` in the cells.
     Returns 1 where two views differ in a status; instances without a view are named on standard error.
     """
-    views: dict[str, dict[str, str]] = {}
-    for answer in answers:
-        view = _view_of(answer)
-        if view is None:
-            print(f"maplestile: {answer.instance}: no view: {answer.text.strip()}", file=sys.stderr)
-        else:
-            views[answer.instance] = view
+    views = _views_of(answers)
     print("member", *views, "agree", sep="\t")
     all_agree = True
     for member in sorted({member for view in views.values() for member in view}):
-        cells = [view.get(member, "-") for view in views.values()]
-        statuses = {cell.partition("/")[0] for cell in cells}
-        agree = len(statuses) <= 1
+        cells = [view.get(member, ABSENT) for view in views.values()]
+        agree = len({cell.status for cell in cells}) <= 1
         all_agree = all_agree and agree
         print(member, *cells, "yes" if agree else "NO", sep="\t")
     return int(not all_agree)
 
 
-def _view_of(answer: InstanceAnswer) -> dict[str, str] | None:
-    """Decode a view of the membership as `status/incarnation` by member; None where there is none."""
+def _views_of(answers: list[InstanceAnswer]) -> dict[str, View]:
+    """The views by instance, without the instances that have none, which are named on standard error."""
+    views: dict[str, View] = {}
+    for answer in answers:
+        view = _decode_view(answer)
+        if view is None:
+            print(f"maplestile: {answer.instance}: no view: {answer.text.strip()}", file=sys.stderr)
+        else:
+            views[answer.instance] = view
+    return views
+
+
+def _decode_view(answer: InstanceAnswer) -> View | None:
+    """Decode a view of the membership; None where there is none."""
     if not answer.ok:
         return None
     try:
@@ -139,8 +185,10 @@
         return None
     if message is None:
         return None
-    view = {member["name"]: f"{member['status']}/{member['incarnation']}" for member in message["members"]}
-    view["(isolated)"] = "yes" if message["isolated"] else "no"
+    view = {
+        member["name"]: ViewCell(member["status"], member["incarnation"]) for member in message["members"]
+    }
+    view[ISOLATED_ROW] = ViewCell("yes" if message["isolated"] else "no")
     return view
 
 
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -1,10 +1,10 @@
 """Rollouts on the model: the shipped `ControlState` and `RolloutPlanner` on simpy, with many instances.
 
-Experiments are in `rollout_experiment.py`. Left out are Raft itself (a command is committed after its time),
-lost messages, and the calls.
+Experiments are in `rollout_experiment.py`, what is measured in `rollout_metrics.py`. Left out are Raft itself
+(a command is committed after its time), lost messages, and the calls.
 """
 
-from dataclasses import asdict, dataclass, field
+from dataclasses import asdict
 
 import simpy
 
@@ -19,53 +19,16 @@
     StartRollout,
 )
 from maplestile.control.rollout_planner import RolloutPlanner, RolloutRules
-from maplestile.control.state import ACTIVE, Lease, Phase, Stage
-from maplestile.tools.faults.schedule import US_PER_MS, US_PER_S
+from maplestile.control.state import ACTIVE, Lease, Stage
 from maplestile.tools.model.control_model import ControlModel
 from maplestile.tools.model.experiment import TimeRange
 from maplestile.tools.model.report import Metrics
 from maplestile.tools.model.rollout_experiment import RolloutExperiment
+from maplestile.tools.model.rollout_metrics import RolloutMeasurements, RolloutMetrics
 
 # The intervals of the shipped rollout controller.
-LOOK_US = 50_000
-REPORT_US = 500_000
-
-
-@dataclass(slots=True, frozen=True)
-class RolloutMetrics:
-    """The metrics of one run; None where there is nothing to measure."""
-
-    instances: int
-    budget: int
-    done: int  # instances whose step is done
-    ended: int  # 1 if the rollout is done, else 0
-    seconds: float | None  # until the rollout ended
-    most_out: int  # instances out at the same time
-    most_out_planned: int  # of these, out by a step and not by an outage
-    halts_by_itself: int
-    last_step_after_halt_ms: float | None  # from the operator's halt until the last step began
-
-
-@dataclass(slots=True)
-class RolloutMeasurements:
-    """What a run has counted so far."""
-
-    most_out: int = 0
-    most_out_planned: int = 0
-    begun_us: list[int] = field(default_factory=list)  # when each step began
-    last_after_halt_us: list[int] = field(default_factory=list)  # for each halt of an operator
-    halts: int = 0  # by the planner
-    ended_us: int | None = None
-
-    def record_out(self, out: int, out_planned: int) -> None:
-        """Take in how many instances are out now."""
-        self.most_out = max(self.most_out, out)
-        self.most_out_planned = max(self.most_out_planned, out_planned)
-
-    def record_halt(self, sent_us: int) -> None:
-        """Keep how long after an operator sent a halt the last step began."""
-        later_us = [at_us for at_us in self.begun_us if at_us > sent_us]
-        self.last_after_halt_us.append(max(later_us) - sent_us if later_us else 0)
+PLAN_INTERVAL_US = 50_000
+REPORT_INTERVAL_US = 500_000
 
 
 class RolloutModel(ControlModel):
@@ -75,7 +38,7 @@
         super().__init__(experiment, experiment.instances)
         self.experiment = experiment
         self.measured = RolloutMeasurements()
-        self._out = set[str]()  # instances that do not serve, planned or not
+        self._out_of_service = set[str]()  # instances, by a step or by an outage
         self._in_outage = set[str]()
         self._started_leases = set[int]()  # leases whose agents have started the step
         self._planner: RolloutPlanner | None = RolloutPlanner(RolloutRules(), 0)  # None without a leader
@@ -96,7 +59,8 @@
         if experiment.halt_at_us:
             self._env.process(self._halt_and_resume())
         self._env.run(until=experiment.duration_us)
-        return self._metrics()
+        assert self.control.rollout is not None
+        return self.measured.metrics(self.control.rollout, len(self.names))
 
     # The agents and their leader.
 
@@ -109,7 +73,7 @@
             if rollout is not None and rollout.phase not in ACTIVE:
                 self.measured.ended_us = self.now_us
                 return
-            yield self._env.timeout(LOOK_US)
+            yield self._env.timeout(PLAN_INTERVAL_US)
 
     def _start_steps(self) -> None:
         for lease in list(self.control.leases.values()):
@@ -137,9 +101,9 @@
     def _report_health(self) -> simpy.events.ProcessGenerator:
         while True:
             if self._planner is not None:
-                reports = {name: HealthReport(name not in self._out) for name in self.names}
+                reports = {name: HealthReport(name not in self._out_of_service) for name in self.names}
                 self._planner.record_reports(reports, self.now_us)
-            yield self._env.timeout(REPORT_US)
+            yield self._env.timeout(REPORT_INTERVAL_US)
 
     def _step(self, lease: Lease) -> simpy.events.ProcessGenerator:
         """Drain the lease's instance and start it again."""
@@ -147,11 +111,11 @@
         yield self._commit()
         if isinstance(self.control.apply(begin), Rejected):
             return
-        self.measured.begun_us.append(self.now_us)
+        self.measured.step_starts_us.append(self.now_us)
         self._take_out(lease.instance)
         yield self._env.timeout(self._drain_us() + self.experiment.start_us)
         if lease.instance not in self._in_outage:
-            self._out.discard(lease.instance)
+            self._out_of_service.discard(lease.instance)
         yield self._commit()
         self.control.apply(FinishStep(agent=lease.holder, instance=lease.instance, lease=lease.number))
 
@@ -161,20 +125,22 @@
         return self.experiment.stuck_us if is_stuck else self.experiment.drain_us + jitter_us
 
     def _take_out(self, name: str) -> None:
-        self._out.add(name)
-        self.measured.record_out(len(self._out), len(self._out - self._in_outage))
+        self._out_of_service.add(name)
+        self.measured.record_out_of_service(
+            len(self._out_of_service), len(self._out_of_service - self._in_outage)
+        )
 
     # Faults, and an operator.
 
     def _play_outage(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(outage.at_us)
-        name = self.names[outage.which]
+        name = self.names[outage.index]
         self._in_outage.add(name)
         self._take_out(name)
         yield self._env.timeout(outage.for_us)
         self._in_outage.discard(name)
         if name not in self.control.leases:
-            self._out.discard(name)
+            self._out_of_service.discard(name)
 
     def _play_election(self, election: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(election.at_us)
@@ -192,23 +158,6 @@
         self.measured.record_halt(sent_us)
         self.control.apply(ResumeRollout())
 
-    def _metrics(self) -> RolloutMetrics:
-        rollout = self.control.rollout
-        assert rollout is not None
-        measured = self.measured
-        halted_us = measured.last_after_halt_us
-        return RolloutMetrics(
-            instances=self.experiment.instances,
-            budget=rollout.budget,
-            done=len(rollout.done),
-            ended=int(rollout.phase is Phase.DONE),
-            seconds=None if measured.ended_us is None else round(measured.ended_us / US_PER_S, 3),
-            most_out=measured.most_out,
-            most_out_planned=measured.most_out_planned,
-            halts_by_itself=measured.halts,
-            last_step_after_halt_ms=max(halted_us) / US_PER_MS if halted_us else None,
-        )
-
 
 def run(experiment: RolloutExperiment) -> RolloutMetrics:
     """Run an experiment, and return its metrics."""
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -61,7 +61,7 @@
     def read(self, text: str) -> "RecordedTrace":
         """Read a trace, and record its calls."""
         recorder = arrivals.Recorder(1, CALLS_MOST)
-        trace = Trace(keep=recorder.keep)
+        trace = Trace(on_calls=recorder.record)
         trace.read(io.StringIO(text), "t.csv")
         return RecordedTrace(recorder, trace)
 
