--- a/maplestile/dispatch/context.py
+++ b/maplestile/dispatch/context.py
@@ -40,9 +40,9 @@
         self.salt = salt  # hash of the seed: it makes this dispatcher's slow-start draws its own
         self.timers: dict[int, Callable[[], object]] = {}
         self.last_token = 0
-        self.adopt(settings)
+        self.apply_settings(settings)
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Use another policy's settings from now on."""
         self.settings = settings
         self.classes = {call_class.name: call_class for call_class in settings.classes}
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -67,18 +67,18 @@
             case api.WorkerListReceived():
                 self._on_list(event)
             case api.PolicyChanged(settings):
-                self.adopt(settings)
+                self.apply_settings(settings)
             case api.HealthCheckEnded():
                 self._on_health_check_ended(event)
             case api.CallExpired() | api.ClientDisconnected() | api.StreamStarted():
                 self._on_call_event(event)
         return actions
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Use another policy's settings from now on; pending calls keep those that they came under."""
-        self.context.adopt(settings)
-        self.load_requests.adopt(settings)
-        self.fleet.adopt(settings)
+        self.context.apply_settings(settings)
+        self.load_requests.apply_settings(settings)
+        self.fleet.apply_settings(settings)
 
     def avoids(self, worker: Worker) -> bool:
         """Calls avoid the worker by choice: it is ejected, takes no connection, or its zone is lost."""
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -19,7 +19,7 @@
         self.ranked_us = 0  # when the workers that may be ranked last changed
         self.index: RankingIndex[Worker] = RankingIndex()
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Use another policy's window for what was sent to each worker."""
         for worker in self.workers.values():
             worker.sends.span_us = settings.overload_window_us
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -34,9 +34,9 @@
         self.slow_start = slow_start
         self.arrivals = Window(0)  # calls, for the ration
         self.requests = Window(0)
-        self.adopt(context.settings)
+        self.apply_settings(context.settings)
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Use another policy's window."""
         self.arrivals.span_us = settings.load_request_window_us
         self.requests.span_us = settings.load_request_window_us + 1  # requests count at the edge, too
--- a/maplestile/dispatch/recency.py
+++ b/maplestile/dispatch/recency.py
@@ -18,7 +18,7 @@
     """An entry that can stand in one list at a time."""
 
     tier: int  # the number of its list
-    settled: int  # the number of its last insertion into a list
+    insertion_number: int  # the number of its last insertion into a list
 
     def aged(self) -> int:
         """Return its age, in any unit."""
@@ -42,12 +42,12 @@
 
     def insert(self, entry: E) -> None:
         """Take in an entry that was inserted into the list, or moved to its end."""
-        entry.settled = next(self._numbers)
+        entry.insertion_number = next(self._numbers)
         self.update(entry)
 
     def update(self, entry: E) -> None:
         """Take in the changed age of an entry of the list."""
-        heapq.heappush(self.heap, (-entry.aged(), entry.settled, next(self._numbers), entry))
+        heapq.heappush(self.heap, (-entry.aged(), entry.insertion_number, next(self._numbers), entry))
         if len(self.heap) > self._rebuild_size:
             self._rebuild()
 
@@ -64,5 +64,6 @@
         self._rebuild_size = STALE_FACTOR * len(self.heap) + MIN_REBUILD_SIZE
 
     def _is_current(self, element: HeapElement[E]) -> bool:
-        negative_age, settled, _, entry = element
-        return entry.tier == self.tier and entry.settled == settled and entry.aged() == -negative_age
+        negative_age, insertion_number, _, entry = element
+        is_unmoved = entry.tier == self.tier and entry.insertion_number == insertion_number
+        return is_unmoved and entry.aged() == -negative_age
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -115,7 +115,7 @@
     last_call_us: int = 0
     decayed_work: float = 0.0  # exponentially decayed sum of the own calls' service time, in microseconds
     busy: int = 0  # own calls in flight
-    settled: int = 0  # number of its last insertion into a tier
+    insertion_number: int = 0  # number of its last insertion into a tier
     replica_count: int = 1
     next_retry_us: int = 0  # when the waiting calls are tried again
     memory_mb: float = 0.0  # of one copy; 0 if not known
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -74,7 +74,7 @@
         )
         return self.operator != old
 
-    def adopt(self, new: OperatorSettings) -> None:
+    def apply_settings(self, new: OperatorSettings) -> None:
         """Take another policy's classes and limits, at the moment at which the dispatcher takes them."""
         self._apply(replace(new, listen=self.operator.listen))
 
@@ -200,7 +200,7 @@
             record.waiting.remove(respond)
         if not record.waiting and not record.deferred and record.answer is None:
             record.abandoned = True
-            self.core.client_gone(record.call)
+            self.core.client_disconnected(record.call)
 
     def _admit(self, tenant: str) -> None:
         settings = self.operator.tenants.get(tenant)
--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -43,12 +43,16 @@
     """Sends queries to one name server."""
 
     def __init__(
-        self, server: Address, limits: NameServerLimits, counters: Counter[str], starved: Callable[[], object]
+        self,
+        server: Address,
+        limits: NameServerLimits,
+        counters: Counter[str],
+        on_no_descriptor: Callable[[], object],
     ) -> None:
         self.server = server
         self.limits = limits
         self.counters = counters
-        self.starved = starved  # called where there is no file descriptor for the socket
+        self.on_no_descriptor = on_no_descriptor  # called where there is no file descriptor for the socket
         self.transport: asyncio.DatagramTransport | None = None
         self._socket = QuerySocket(counters)
         first_id = secrets.randbelow(ID_VALUES)  # not to be guessed: a forged reply must not fit
@@ -64,7 +68,7 @@
             )
         except OSError as fault:
             if fault.errno in reads.NO_DESCRIPTOR:
-                self.starved()
+                self.on_no_descriptor()
             raise
         reads.limit_read_size(self.transport, self.limits.read_bytes)
 
@@ -99,7 +103,7 @@
         slots = asyncio.Semaphore(MAX_HOST_QUERIES)
         queries = [
             asyncio.ensure_future(self._add_host(reply, slots, name, kind))
-            for name, kind in reply.lacking(targets)
+            for name, kind in reply.missing_records(targets)
         ]
         if not queries:
             return
--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -38,10 +38,10 @@
         limits: NameServerLimits,
         counters: Counter[str],
         on_change: Callable[[], None],
-        starved: Callable[[], object] = lambda: None,
+        on_no_descriptor: Callable[[], object] = lambda: None,
         replaced: asyncio.Task[None] | None = None,
     ) -> None:
-        self.client = DnsClient(server, limits, counters, starved)
+        self.client = DnsClient(server, limits, counters, on_no_descriptor)
         self.endpoints = endpoints
         self.limits = limits
         self.counters = counters
@@ -94,7 +94,7 @@
         reply = await self.client.query(LIST_NAME, dns.SRV)
         if reply.serial is None:
             raise dns.DnsError("a list without its serial")
-        is_behind = self.endpoints.behind(reply.serial)
+        is_behind = self.endpoints.is_newer_than(reply.serial)
         if is_behind and not self.serial_restart.note_older_serial():
             await self._apply_drains(reply)
             return
--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -148,7 +148,7 @@
         bounds = self.front.bounds
         self.front.idle[self] = None
         try:
-            data = await reads.within(bounds.idle_s, lambda: self.reader.read(READ_BYTES))
+            data = await reads.read_within(bounds.idle_s, lambda: self.reader.read(READ_BYTES))
         finally:
             self.front.idle.pop(self, None)
         self.front.receiving[self] = None
@@ -159,7 +159,7 @@
         """Read more of a request. Raises TooSlow: one a byte at a time must not keep its descriptor."""
         left_s = due_s - asyncio.get_running_loop().time()
         try:
-            return await reads.within(left_s, lambda: self.reader.read(READ_BYTES))
+            return await reads.read_within(left_s, lambda: self.reader.read(READ_BYTES))
         except TimeoutError:
             raise TooSlow from None
 
--- a/maplestile/net/listen.py
+++ b/maplestile/net/listen.py
@@ -34,11 +34,11 @@
         if self.server is not None:
             self.server.close()
 
-    async def finish(self, patience_s: float, starved: Callable[[], object] = lambda: None) -> None:
+    async def finish(self, patience_s: float, on_no_descriptor: Callable[[], object] = lambda: None) -> None:
         """Accept all that waits, and close with the queue empty: what a closed queue holds is reset.
 
-        Where there is no file descriptor, `starved` is to free one; after `patience_s` the socket is closed
-        anyway, so that the process can end.
+        Where there is no file descriptor, `on_no_descriptor` is to free one; after `patience_s` the socket is
+        closed anyway, so that the process can end.
         """
         if self.socket.fileno() < 0:
             return
@@ -53,7 +53,7 @@
             except OSError:
                 if loop.time() >= until_s:
                     break
-                starved()
+                on_no_descriptor()
                 await asyncio.sleep(RETRY_S)
             else:
                 await self._serve_accepted(peer)
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -68,7 +68,7 @@
             host, port, self._serve, new_reader, limits.accept_burst, limits.accept_queue, shared
         )
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Let the classes of these settings be called from now on."""
         known = jsonrpc.KnownNames.from_settings(settings)
         self.requests.known = known
@@ -123,7 +123,7 @@
         now_us = self.core.clock()
         client = Client(reader, writer, jsonrpc.Framer(limits.messages), now_us, last_active_us=now_us)
         self.clients[client] = None
-        reader.on_end = lambda: self.requests.client_gone(client)
+        reader.on_end = lambda: self.requests.client_disconnected(client)
         self.counters["clients.connections"] += 1
         return client
 
@@ -215,7 +215,7 @@
         while True:
             left_us = client.message_since_us + self.limits.clients.message_us - self.core.clock()
             try:
-                return await reads.within(left_us / 1e6, lambda: client.reader.take(max_bytes))
+                return await reads.read_within(left_us / 1e6, lambda: client.reader.take(max_bytes))
             except TimeoutError:
                 if not client.calls:
                     raise jsonrpc.FramingError("no whole message in time") from None
--- a/maplestile/net/reads.py
+++ b/maplestile/net/reads.py
@@ -19,7 +19,7 @@
     transport.max_size = max_bytes  # type: ignore[attr-defined]  # not in the public interface
 
 
-async def within(seconds: float, read: Callable[[], Awaitable[bytes]]) -> bytes:
+async def read_within(seconds: float, read: Callable[[], Awaitable[bytes]]) -> bytes:
     """Read, or raise TimeoutError.
 
     A loop that was busy until the time was over finds the bytes that came in time and the end of the time in
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/rejection.py
@@ -55,7 +55,7 @@
         end_s = loop.time() + limits.clients.grace_us / 1e6
         refused = 0
         while not refused or framer.rest:
-            data = await reads.within(end_s - loop.time(), lambda: reader.take(max_bytes))
+            data = await reads.read_within(end_s - loop.time(), lambda: reader.take(max_bytes))
             if not data:
                 return
             for view in framer.feed(data):
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -54,11 +54,11 @@
             self.core.withdraw(number)
         client.calls.clear()
 
-    def client_gone(self, client: Client) -> None:
+    def client_disconnected(self, client: Client) -> None:
         """Notify the core at once that nobody waits for what is open on this connection."""
         if not client.writer.is_closing():
             for number in list(client.calls.values()):
-                self.core.client_gone(number)
+                self.core.client_disconnected(number)
 
     def _call(self, client: Client, call: jsonrpc.Call, received_us: int) -> None:
         """Pass a call to the core; it is answered once, unless it is cancelled. Raises RpcError."""
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -49,11 +49,11 @@
             async with asyncio.timeout(self.pool.limits.stall_us / 1e6):
                 await self.writer.drain()
         except TimeoutError:
-            self.pool.stalled(self.connection)
+            self.pool.write_stalled(self.connection)
         except OSError:
             return  # the reader sees the same end and closes
         else:
-            self.pool.drained(self.connection)
+            self.pool.write_completed(self.connection)
 
 
 class RunnerPool(Pool):
@@ -62,13 +62,13 @@
     def __init__(self, limits: RunnerLimits, clock: Callable[[], int], counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
         self.tasks: dict[Connection, asyncio.Task[None]] = {}
-        self.starved: Callable[[], object] = lambda: None  # no descriptor is left
+        self.on_no_descriptor: Callable[[], object] = lambda: None  # no descriptor is left
 
     def dial(self, connection: Connection) -> None:
         """Start the task of a connection, which ends by closing it at the pool."""
         self.tasks[connection] = asyncio.get_running_loop().create_task(self._serve(connection))
 
-    def hang_up(self, connection: Connection) -> None:
+    def disconnect(self, connection: Connection) -> None:
         """Cancel the task of a connection that the pool has closed."""
         task = self.tasks.pop(connection, None)
         if task is not None and task is not asyncio.current_task():
@@ -76,7 +76,7 @@
 
     def flush_soon(self, connection: Connection) -> None:
         """Look again, in a millisecond, at lines that wait for their clients' input to be read."""
-        asyncio.get_running_loop().call_later(FLUSH_AGAIN_S, self.settled, connection)
+        asyncio.get_running_loop().call_later(FLUSH_AGAIN_S, self.input_handled, connection)
 
     async def _serve(self, connection: Connection) -> None:
         """Connect, read answers until the connection ends, and report at the pool how it ended."""
@@ -86,7 +86,7 @@
             result = Result.RESET
             reads.limit_read_size(writer.transport, self.limits.read_bytes)
             writer.transport.set_write_buffer_limits(high=0)
-            self.up(connection, StreamSocket(self, connection, writer))
+            self.connected(connection, StreamSocket(self, connection, writer))
             await self._read_answers(connection, reader)
         except wire.LineError as fault:
             self.counters["runners.malformed"] += 1
@@ -94,7 +94,7 @@
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, OSError) and fault.errno in reads.NO_DESCRIPTOR:
                 result = Result.SUPERSEDED  # clients hold all descriptors: that says nothing of the runner
-                self.starved()
+                self.on_no_descriptor()
             log.debug("runner %s: %r", connection.runner.uid, fault)
         finally:
             self.close(connection, result)
@@ -109,11 +109,11 @@
         """Report answers until the runner closes. Raises LineError, or OSError if the connection breaks."""
         lines = wire.LineFramer(self.limits.line_bytes)
         while data := await self._read(reader, lines):
-            self.heard(connection)
+            self.input_received(connection)
             for line in lines.feed(data):
-                self.answered(connection, wire.parse(line))
+                self.answer_received(connection, wire.parse(line))
                 self.core.catch_up()
-            self.settled(connection)
+            self.input_handled(connection)
 
     async def _read(self, reader: asyncio.StreamReader, lines: wire.LineFramer) -> bytes:
         """Return the next input, empty at its end. Raises LineError if a line stops short, or OSError."""
@@ -122,6 +122,6 @@
         # A line that has started comes soon, or never: its writer stopped short, and all behind it waits.
         try:
             max_bytes = self.limits.read_bytes
-            return await reads.within(self.limits.line_pause_us / 1e6, lambda: reader.read(max_bytes))
+            return await reads.read_within(self.limits.line_pause_us / 1e6, lambda: reader.read(max_bytes))
         except TimeoutError:
             raise wire.LineError("a line that does not go on") from None
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -54,7 +54,7 @@
 
     def runners(self) -> list[RunnerView]:
         """Return the runners listed, sorted by id."""
-        in_flight = Counter(attempt.worker for attempt in self.core.flights.values())
+        in_flight = Counter(attempt.worker for attempt in self.core.in_flight.values())
         avoided = self.core.avoided()
         return [
             RunnerView(
--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -30,7 +30,7 @@
         self._timers = runtime.timers
         self._clock = runtime.clock
         self._counters = runtime.counters
-        self.flights: dict[AttemptId, InFlightAttempt] = {}
+        self.in_flight: dict[AttemptId, InFlightAttempt] = {}
         # Where a fleet agrees on the policy: takes note of each attempt with the epoch that decided on it.
         self.on_sent: Callable[[AttemptId, int], None] | None = None
 
@@ -46,7 +46,7 @@
         pending.attempts += 1
         left_us = pending.due_us - now
         wait_us = min(action.timeout_us or left_us, left_us)
-        self.flights[attempt] = InFlightAttempt(action.worker, now)
+        self.in_flight[attempt] = InFlightAttempt(action.worker, now)
         self._counters["attempts.sent"] += 1
         self._epochs.count_attempt(action.epoch)
         if action.epoch != pending.epoch:  # must never be: a call is decided under one policy throughout
@@ -64,7 +64,7 @@
         """Guard against an attempt that waits for its connection and begins long after its client left."""
         for number in range(attempts):
             attempt = (call, number)
-            if attempt in self.flights and self._pool.withhold(attempt):
+            if attempt in self.in_flight and self._pool.withhold(attempt):
                 self.end(attempt, Result.SUPERSEDED)
 
     def end(
@@ -76,7 +76,7 @@
         report: Report = (),
     ) -> None:
         """Report the end of an attempt; a second one, or one after a timeout or a cancel, is only counted."""
-        flight = self.flights.pop(attempt, None)
+        flight = self.in_flight.pop(attempt, None)
         if flight is None:
             self._counters["attempts.late"] += 1
             return
@@ -98,6 +98,6 @@
         self._cancel(attempt, Result.TIMEOUT)
 
     def _cancel(self, attempt: AttemptId, result: Result) -> None:
-        if attempt in self.flights:
+        if attempt in self.in_flight:
             self._pool.cancel(attempt)
             self.end(attempt, result)
--- a/maplestile/requests/connection_closer.py
+++ b/maplestile/requests/connection_closer.py
@@ -21,7 +21,7 @@
         sender: LineSender,
         ends: LineEnds,
         idle_timeout: IdleTimeout,
-        hang_up: Callable[[Connection], None],
+        disconnect: Callable[[Connection], None],
         move: Transition,
         clock: Callable[[], int],
         counters: Counter[str],
@@ -30,12 +30,12 @@
         self._sender = sender
         self._ends = ends
         self._idle_timeout = idle_timeout
-        self._hang_up = hang_up
+        self._disconnect = disconnect
         self._move = move
         self._clock = clock
         self._counters = counters
 
-    def close(self, connection: Connection, result: Result, again: bool) -> None:
+    def close(self, connection: Connection, result: Result, resend: bool) -> None:
         """End a connection, unless it is closed already; see `Pool.close`."""
         if connection.closed():
             return
@@ -44,7 +44,7 @@
         unsent = _take_unsent(connection)
         if connection.socket is not None:
             connection.socket.abort()
-        self._hang_up(connection)
+        self._disconnect(connection)
         attempts, connection.open = connection.open, {}
         control_tags, connection.control_tags = connection.control_tags, {}
         if result is Result.RESET and connection.idle_us:
@@ -54,15 +54,15 @@
         for control in control_tags.values():
             self._ends.end_control(control.number, control.is_health_check, result)
         # A connection that came up and broke says nothing of the runner: the rest goes by another.
-        self._resend(connection.runner, unsent, result, again and connection.socket is not None)
+        self._resend(connection.runner, unsent, result, resend and connection.socket is not None)
 
-    def _resend(self, runner: Runner, unsent: deque[Message], result: Result, again: bool) -> None:
+    def _resend(self, runner: Runner, unsent: deque[Message], result: Result, resend: bool) -> None:
         never_ran = Result.SUPERSEDED if result is Result.SUPERSEDED else Result.CONNECT_FAILED
         for message in unsent:
             # Any other state: it was cancelled or answered meanwhile, and ends as it is.
             if message.state is AttemptState.PARTIALLY_WRITTEN:
                 self._move(message, AttemptState.QUEUED)
-            if not (again and self._sender.put_again(runner, message)):
+            if not (resend and self._sender.requeue(runner, message)):
                 self._ends.end_unsent(message, never_ran)
 
     def _learn_from_break(self, connection: Connection) -> None:
--- a/maplestile/requests/connections.py
+++ b/maplestile/requests/connections.py
@@ -16,7 +16,7 @@
     """One connection, as the driver has it."""
 
     def write(self, line: bytes) -> bool:
-        """Return whether the system has all of it; if not, the driver calls `Pool.drained` once it has."""
+        """Return whether the system has all of it; if not, `Pool.write_completed` is called once it has."""
         ...
 
     def holds(self) -> bool:
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True)
 class Message:
-    """One line to a runner. `fresh` marks what may not go to a runner that drains: all but a CANCEL.
+    """One line to a runner. `is_new_work` marks what may not go to a runner that drains: all but a CANCEL.
 
     A call's line is made when it is written, from `request` and `due_us`: the runner is to know how
     long the client still waits, and it may have waited for its connection since it was decided.
     """
 
     line: bytes
-    fresh: bool
+    is_new_work: bool
     attempt: AttemptId | None = None
     tag: str = ""
     control_number: int = 0  # of a load request or a health check; 0 for all else
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -106,9 +106,9 @@
         return self.requests.answers
 
     @property
-    def flights(self) -> dict[AttemptId, InFlightAttempt]:
+    def in_flight(self) -> dict[AttemptId, InFlightAttempt]:
         """The attempts whose end has not been reported."""
-        return self.attempts.flights
+        return self.attempts.in_flight
 
     @property
     def control_requests(self) -> dict[int, ControlRequest]:
@@ -121,9 +121,9 @@
         return self.numbers.last
 
     @property
-    def leave_us(self) -> int:
+    def exit_us(self) -> int:
         """The time at which the process ends; 0 if it stays."""
-        return self.intake.leave_us
+        return self.intake.exit_us
 
     @property
     def epochs(self) -> dict[int, Counter[str]]:
@@ -147,16 +147,16 @@
 
     # The process.
 
-    def adopt(self, settings: api.Settings, limits: Limits) -> None:
+    def apply_policy(self, settings: api.Settings, limits: Limits) -> None:
         """Set another policy, for the calls that come from now on; `tick_us` has to be the same."""
         self.settings = settings
         self.limits = limits
         self.epoch_counts.enter(settings.epoch)
         self.decisions.give(api.PolicyChanged(settings))
 
-    def leave(self, by_us: int) -> None:
+    def prepare_exit(self, exit_us: int) -> None:
         """Answer all that has been taken, and will be, by the time at which the process ends."""
-        self.intake.leave(by_us)
+        self.intake.prepare_exit(exit_us)
 
     def close(self) -> None:
         """Refuse what comes from now on; what is open ends in its own time."""
@@ -182,9 +182,9 @@
         """Drop a request whose client waits no longer: it needs no answer, and its attempts are cancelled."""
         self.intake.withdraw(call)
 
-    def client_gone(self, call: int) -> None:
+    def client_disconnected(self, call: int) -> None:
         """Begin nothing more for a call whose client has closed its connection, or only its side of it."""
-        self.intake.client_gone(call)
+        self.intake.client_disconnected(call)
 
     # What the pool and the driver of the name server report.
 
--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -48,7 +48,7 @@
         except (TypeError, ValueError, AttributeError) as fault:
             raise EndpointListError(f"known: {fault}") from None
 
-    def behind(self, serial: int) -> bool:
+    def is_newer_than(self, serial: int) -> bool:
         """Return whether a serial is older than the version, in the serial numbers of RFC 1982: they wrap."""
         return self.version >= 0 and 0 < (self.version - serial) % SERIAL_NUMBERS < SERIAL_NUMBERS // 2
 
@@ -60,7 +60,7 @@
         With `replaces` it is applied whatever its version: the numbers have started again, or the list that
         was applied under that version lacked something.
         """
-        is_outdated = version == self.version or self.behind(version)
+        is_outdated = version == self.version or self.is_newer_than(version)
         if is_outdated and not replaces:
             return False
         self.version = version
@@ -80,7 +80,7 @@
         self.entries = dict(other.entries)
         self.addresses = dict(other.addresses)
 
-    def shown(self) -> tuple[api.WorkerEntry, ...]:
+    def visible_entries(self) -> tuple[api.WorkerEntry, ...]:
         """Return the list as decisions and pool see it: a suspended runner drains, whatever is listed."""
         draining = api.WorkerState.DRAINING
         return tuple(
@@ -90,7 +90,7 @@
 
     def event(self, kind: api.ListKind = api.ListKind.FULL) -> api.WorkerListReceived:
         """Return the event by which the decisions get the list."""
-        return api.WorkerListReceived(kind, self.version, self.shown())
+        return api.WorkerListReceived(kind, self.version, self.visible_entries())
 
     def _apply_update(self, update: Mapping[str, Any]) -> None:
         """Apply one event. Raises KeyError, TypeError, ValueError or AttributeError if it cannot be used."""
--- a/maplestile/requests/line_ends.py
+++ b/maplestile/requests/line_ends.py
@@ -51,11 +51,11 @@
         self._move = move
         self._counters = counters
         # The attempts that are queued or written, and not ended.
-        self.where: dict[AttemptId, tuple[Connection, Message]] = {}
+        self.locations: dict[AttemptId, tuple[Connection, Message]] = {}
 
-    def leave(self, attempt: AttemptId, state: AttemptState) -> None:
+    def forget(self, attempt: AttemptId, state: AttemptState) -> None:
         """Forget an attempt in its last state; its end is the caller's to report."""
-        found = self.where.pop(attempt, None)
+        found = self.locations.pop(attempt, None)
         if found is not None:
             self._move(found[1], state)
 
@@ -64,7 +64,7 @@
         attempt = connection.open.pop(answer.call, None)
         control = connection.control_tags.pop(answer.call, None)
         if attempt is not None:
-            self.leave(attempt, AttemptState.ANSWERED)
+            self.forget(attempt, AttemptState.ANSWERED)
             if answer.result in NEVER_RAN:
                 connection.rejected_tags.append(answer.call)
             self.core.attempt_ended(attempt, answer.result, answer.body, answer.queued_ahead, answer.report)
@@ -77,14 +77,14 @@
 
     def end_lost(self, attempt: AttemptId, result: Result) -> None:
         """Report an attempt whose connection has ended, and which may have run."""
-        self.leave(attempt, AttemptState.CONNECTION_LOST)
+        self.forget(attempt, AttemptState.CONNECTION_LOST)
         self.core.attempt_ended(attempt, result)
 
     def end_unsent(self, message: Message, result: Result) -> None:
         """Report a line that never was whole at its runner."""
         self._move(message, AttemptState.UNSENT)
         if message.attempt is not None:
-            self.where.pop(message.attempt, None)
+            self.locations.pop(message.attempt, None)
             self.core.attempt_ended(message.attempt, result)
         elif message.is_health_check:
             self.core.health_check_ended(message.control_number, result)
--- a/maplestile/requests/line_sender.py
+++ b/maplestile/requests/line_sender.py
@@ -25,7 +25,7 @@
         self._writer = writer
         self._counters = counters
 
-    def put(self, worker: str, message: Message) -> bool:
+    def enqueue(self, worker: str, message: Message) -> bool:
         """Queue a line at a connection to the runner; false if there is none, or no room."""
         runner = self._runners.get(worker)
         if runner is None:
@@ -35,12 +35,12 @@
             self._counters["runners.at_capacity"] += 1
             return False
         if message.attempt is not None:
-            self._ends.where[message.attempt] = (connection, message)
+            self._ends.locations[message.attempt] = (connection, message)
         self._writer.write(connection, message)
         return True
 
-    def put_again(self, runner: Runner, message: Message) -> bool:
+    def requeue(self, runner: Runner, message: Message) -> bool:
         """Queue a line whose connection has ended at another one; true also if it is cancelled by now."""
-        if message.attempt is not None and message.attempt not in self._ends.where:
+        if message.attempt is not None and message.attempt not in self._ends.locations:
             return True
-        return self._runners.get(runner.uid) is runner and self.put(runner.uid, message)
+        return self._runners.get(runner.uid) is runner and self.enqueue(runner.uid, message)
--- a/maplestile/requests/line_writer.py
+++ b/maplestile/requests/line_writer.py
@@ -67,7 +67,7 @@
             self._counters["runners.postponed"] += 1
             self._flush_soon(connection)
 
-    def drained(self, connection: Connection) -> None:
+    def write_completed(self, connection: Connection) -> None:
         """Go on: the system has taken the rest of what was written in part."""
         if connection.partial is not None and not connection.closed():
             self._written(connection.partial)
@@ -92,7 +92,7 @@
         now = self._clock()
         forgotten = 0 < message.until_us <= now
         overdue = message.request is not None and message.due_us <= now
-        return message.fresh and (forgotten or overdue or not connection.runner.takes_new)
+        return message.is_new_work and (forgotten or overdue or not connection.runner.takes_new)
 
     def _write_line(self, socket: Socket, connection: Connection, message: Message) -> None:
         """Write one line; what of it the system does not take at once is the connection's `partial`."""
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -38,11 +38,11 @@
         self.directory = RunnerDirectory(self.table, self.close)
         self.runners = self.directory.runners
         self.ends = LineEnds(move, counters)
-        self.where = self.ends.where
+        self.locations = self.ends.locations
         self.writer = LineWriter(self.ends, self.flush_soon, move, clock, counters)
         self.sender = LineSender(self.runners, self.table, self.ends, self.writer, counters)
         self.closer = ConnectionCloser(
-            self.table, self.sender, self.ends, self.idle_timeout, self.hang_up, move, clock, counters
+            self.table, self.sender, self.ends, self.idle_timeout, self.disconnect, move, clock, counters
         )
 
     @property
@@ -76,15 +76,15 @@
     # What a driver implements.
 
     def dial(self, connection: Connection) -> None:
-        """Begin to connect; `up` or `close` follows, and not from within this call."""
+        """Begin to connect; `connected` or `close` follows, and not from within this call."""
         raise NotImplementedError
 
-    def hang_up(self, connection: Connection) -> None:
+    def disconnect(self, connection: Connection) -> None:
         """Report nothing more of a connection that the pool has closed."""
         raise NotImplementedError
 
     def flush_soon(self, connection: Connection) -> None:
-        """Call `settled` once more input has been read."""
+        """Call `input_handled` once more input has been read."""
         raise NotImplementedError
 
     # The endpoint list.
@@ -104,12 +104,12 @@
         """
         due_us = self.clock() + wait_us
         message = Message(b"", True, attempt, request.tag, until_us=until_us, request=request, due_us=due_us)
-        if not self.sender.put(worker, message):
+        if not self.sender.enqueue(worker, message):
             self.core.attempt_ended(attempt, Result.CONNECT_FAILED)
 
     def cancel(self, attempt: AttemptId) -> None:
         """Forget the attempt, and notify its runner if it may have started there."""
-        connection, message = self.where.pop(attempt, (None, None))
+        connection, message = self.locations.pop(attempt, (None, None))
         if connection is None or message is None:
             return
         was_queued = message.state is AttemptState.QUEUED
@@ -126,13 +126,13 @@
 
     def withhold(self, attempt: AttemptId) -> bool:
         """Keep the attempt from beginning: true if not a byte of it was out, and it is forgotten."""
-        connection, message = self.where.get(attempt, (None, None))
+        connection, message = self.locations.get(attempt, (None, None))
         if connection is None or message is None:
             return False
         message.until_us = self.clock()  # should its connection break before all of it is out
         if message.state is not AttemptState.QUEUED:
             return False
-        del self.where[attempt]
+        del self.locations[attempt]
         self.move(message, AttemptState.UNSENT)
         connection.queue.remove(message)
         return True
@@ -141,18 +141,18 @@
         """Have the runner load that many copies of the function."""
         name = f"load-{tag}"
         message = Message(wire.load(name, function, copies), True, None, name, tag)
-        if not self.sender.put(worker, message):
+        if not self.sender.enqueue(worker, message):
             self.core.load_ended(tag, Result.CONNECT_FAILED)
 
     def unload(self, worker: str, function: str) -> None:
         """Have the runner drop its copies of the function; no end is reported."""
-        self.sender.put(worker, Message(wire.unload(function), True))
+        self.sender.enqueue(worker, Message(wire.unload(function), True))
 
     def check_health(self, tag: int, worker: str) -> None:
         """Send a health check."""
         name = f"probe-{tag}"
         message = Message(wire.stats(name), True, None, name, tag, is_health_check=True)
-        if not self.sender.put(worker, message):
+        if not self.sender.enqueue(worker, message):
             self.core.health_check_ended(tag, Result.CONNECT_FAILED)
 
     def forget_control_request(self, tag: int) -> None:
@@ -178,16 +178,16 @@
         for runner in list(self.runners.values()):
             self.table.close_unverified(runner)
             self.table.close_unused(runner, idle_since_us if runner.listed and not over_limit else None)
-            self.directory.forget_if_gone(runner)
+            self.directory.forget_if_unlisted(runner)
 
-    def up(self, connection: Connection, socket: Socket) -> None:
+    def connected(self, connection: Connection, socket: Socket) -> None:
         """Write what waits for a connection that has come up."""
         connection.socket = socket
         self.move(connection, ConnectionState.UP)
         self.writer.flush(connection)
 
-    def heard(self, connection: Connection) -> None:
-        """Take note that bytes have come; any answers in them are reported next, and then `settled`."""
+    def input_received(self, connection: Connection) -> None:
+        """Take note that bytes have come; any answers in them are reported next, and then `input_handled`."""
         connection.used_us = connection.heard_us = self.clock()
         if connection.idle_us:
             self.idle_timeout.learn_survival(connection.heard_us, connection.idle_us)
@@ -195,19 +195,19 @@
         if connection.state is ConnectionState.UNVERIFIED:
             self.move(connection, ConnectionState.UP)
 
-    def answered(self, connection: Connection, answer: wire.Answer) -> None:
+    def answer_received(self, connection: Connection, answer: wire.Answer) -> None:
         """Report an answer to the core; one whose tag is not known here is only counted."""
         self.ends.report_answer(connection, answer)
 
-    def settled(self, connection: Connection) -> None:
+    def input_handled(self, connection: Connection) -> None:
         """Write what waited until the answers of one read were reported."""
         self.writer.flush(connection)
 
-    def drained(self, connection: Connection) -> None:
+    def write_completed(self, connection: Connection) -> None:
         """Go on writing: the system has taken the rest of what was written in part."""
-        self.writer.drained(connection)
+        self.writer.write_completed(connection)
 
-    def stalled(self, connection: Connection) -> None:
+    def write_stalled(self, connection: Connection) -> None:
         """Close a connection that does not take the rest of a line for `stall_us`.
 
         Guards the deadline in the line: it would reach the runner too late to be true. What is not written
@@ -215,15 +215,15 @@
         """
         if connection.partial is not None and not connection.closed():
             self.counters["runners.stalled"] += 1
-            self.close(connection, Result.RESET, again=False)
+            self.close(connection, Result.RESET, resend=False)
 
-    def close(self, connection: Connection, result: Result, again: bool = True) -> None:
+    def close(self, connection: Connection, result: Result, resend: bool = True) -> None:
         """End a connection: what was written whole ends with `result`, all else never ran.
 
-        With `again` what was not written whole goes by another connection to that runner, if this one came
+        With `resend` what was not written whole goes by another connection to that runner, if this one came
         up. A connection that is closed already is left alone.
         """
-        self.closer.close(connection, result, again)
+        self.closer.close(connection, result, resend)
 
     def _doubt_if_silent(self, connection: Connection, message: Message) -> None:
         """Send nothing new by a connection that gave no sign since the line that is given up now.
--- a/maplestile/requests/request_intake.py
+++ b/maplestile/requests/request_intake.py
@@ -38,7 +38,7 @@
         self.limits = limits
         # Where a fleet agrees on the policy: whether new calls are taken now.
         self.admits: Callable[[], bool] | None = None
-        self.leave_us = 0  # when the process ends; 0 if it stays
+        self.exit_us = 0  # when the process ends; 0 if it stays
         self.closed = False  # nothing more is taken
 
     def submit(
@@ -54,9 +54,9 @@
         self._counters["requests.taken"] += 1
         # The client's time runs from the last byte, not from when a busy loop got to it.
         due_us = received_us + request.budget_us
-        leaving = 0 < self.leave_us < due_us
+        leaving = 0 < self.exit_us < due_us
         if leaving:
-            due_us = self.leave_us
+            due_us = self.exit_us
         self._requests.add(call, PendingRequest(request, due_us, answer, presence, epoch=self._epochs.epoch))
         too_late = leaving and due_us - now < self.limits.handover.min_budget_us
         if self._sheds(now - received_us) or too_late:
@@ -76,7 +76,7 @@
         self._decisions.give(api.CallExpired(call))
         self._attempts.withhold(call, pending.attempts)  # where the rules let nothing be cancelled
 
-    def client_gone(self, call: int) -> None:
+    def client_disconnected(self, call: int) -> None:
         """Begin nothing more for a call whose client has closed its connection, or only its side of it.
 
         What is out may still end, and is answered in case somebody reads it.
@@ -88,10 +88,10 @@
         self._decisions.give(api.ClientDisconnected(call))
         self._attempts.withhold(call, pending.attempts)
 
-    def leave(self, by_us: int) -> None:
+    def prepare_exit(self, exit_us: int) -> None:
         """Answer all that has been taken, and will be, by the time at which the process ends."""
-        self.leave_us = by_us
-        self._timers.at(by_us, self.end_all)
+        self.exit_us = exit_us
+        self._timers.at(exit_us, self.end_all)
 
     def end_all(self) -> None:
         """Answer every open request now."""
--- a/maplestile/requests/runner_directory.py
+++ b/maplestile/requests/runner_directory.py
@@ -19,16 +19,16 @@
 
     def update(self, endpoints: EndpointList) -> None:
         """Take another endpoint list: runners drain, go, come, or are other processes than before."""
-        for entry in endpoints.shown():
+        for entry in endpoints.visible_entries():
             self._update_runner(entry, endpoints.addresses[entry.worker])
         for uid in [uid for uid in self.runners if uid not in endpoints.entries]:
             runner = self.runners[uid]
             runner.listed = False
             runner.takes_new = False
             self._table.close_unused(runner)
-            self.forget_if_gone(runner)
+            self.forget_if_unlisted(runner)
 
-    def forget_if_gone(self, runner: Runner) -> None:
+    def forget_if_unlisted(self, runner: Runner) -> None:
         """Forget a runner that is not listed any more and has no connection left."""
         if not runner.listed and not runner.connections:
             self.runners.pop(runner.uid, None)
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -104,15 +104,15 @@
             operator=config.operator,
         )
         self._apply_limits()
-        self.core.adopt(config.settings, self.limits)
+        self.core.apply_policy(config.settings, self.limits)
         if self.platform is not None:
-            self.platform.adopt(config.settings)
+            self.platform.apply_settings(config.settings)
         if self.invoke is not None and config.operator is not None:
-            self.invoke.api.adopt(config.operator)
+            self.invoke.api.apply_settings(config.operator)
 
     def _runner_pool(self) -> RunnerPool:
         runners = RunnerPool(self.limits.runners, clock, self.counters)
-        runners.starved = self.descriptors_exhausted
+        runners.on_no_descriptor = self.descriptors_exhausted
         runners.writer.input_is_old = self.selector.input_is_old
         return runners
 
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -56,7 +56,7 @@
         """Notify each component that the process drains."""
         components = self.components
         if components.platform is not None:
-            components.core.leave(self.end_us)  # what is pending then would never be answered
+            components.core.prepare_exit(self.end_us)  # what is pending then would never be answered
         if components.peers is not None:  # the others learn of the leave, and suspect no failure
             components.peers.leave()
         if components.invoke is not None:
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -113,6 +113,6 @@
         """
         endpoints = self.components.endpoints
         version = config.fleet.version
-        if version != endpoints.version and not endpoints.behind(version):
+        if version != endpoints.version and not endpoints.is_newer_than(version):
             return True
         return config.dns is None and config.fleet.entries != endpoints.entries
--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -91,6 +91,6 @@
         links = self.environment.links
         links.append(Link(self.environment, len(links), connection))
 
-    def hang_up(self, connection: Connection) -> None:
+    def disconnect(self, connection: Connection) -> None:
         """Close a connection."""
         self.environment.link_of(connection).open = False
--- a/maplestile/tools/explore/enabled_events.py
+++ b/maplestile/tools/explore/enabled_events.py
@@ -40,7 +40,7 @@
 
 
 def _client_events(simulation: SimulationState, faults: Sequence[EventKind]) -> Iterator[Event]:
-    has_ended = simulation.stopped and simulation.now_us >= simulation.core.leave_us
+    has_ended = simulation.stopped and simulation.now_us >= simulation.core.exit_us
     if len(simulation.clients) < len(simulation.case.classes) and not has_ended:
         yield Event(EventKind.SUBMIT)
     for number, client in enumerate(simulation.clients):
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -115,7 +115,7 @@
         if self.name.startswith("RequestIntake.submit"):
             return self.variables.get("call") not in core.open
         if self.name.startswith("AttemptTable.send"):
-            return self.variables.get("attempt") not in core.flights
+            return self.variables.get("attempt") not in core.in_flight
         if self.name.startswith("ControlRequests._start"):
             return self.variables.get("tag") not in core.control_requests
         return False
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -39,7 +39,7 @@
     if client.withdrawn:
         simulation.violate("one-answer", f"{name}: an answer after its client left")
     tick_us = simulation.core.settings.tick_us
-    if simulation.stopped and simulation.now_us > simulation.core.leave_us + tick_us:
+    if simulation.stopped and simulation.now_us > simulation.core.exit_us + tick_us:
         simulation.violate("drain-ends", f"{name}: owed past the end")
     if simulation.now_us > client.due_us + tick_us:
         late_ms = (simulation.now_us - client.due_us) / US_PER_MS
@@ -127,7 +127,7 @@
     pending = simulation.core.open.get(client.number)
     if pending is None:
         return
-    in_flight = any(call == client.number for call, _ in simulation.core.flights)
+    in_flight = any(call == client.number for call, _ in simulation.core.in_flight)
     if client.half_closed and not in_flight:
         simulation.violate("nothing-for-the-gone", f"{client.class_name}: waits on")
     if pending.attempts > scenario.attempts_of(client.epoch):
@@ -159,12 +159,12 @@
     overdue_us = simulation.now_us - 2 * scenario.LOAD_TIMEOUT_US
     return {
         "open": core.open,
-        "flights": core.flights,
+        "flights": core.in_flight,
         "bytes": core.open_bytes,
         "errands": [request for request in core.control_requests.values() if request.sent_us < overdue_us],
         "calls": dispatcher.calls,
         "attempts": dispatcher.attempts,
-        "where": pool.where,
+        "where": pool.locations,
         "waiting": [entry.function for entry in dispatcher.tiers.functions.values() if entry.waiting],
         "links": [
             connection.open
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -147,7 +147,7 @@
                 self.core.withdraw(client.number)
             case EventKind.AWAY:
                 client.half_closed = True
-                self.core.client_gone(client.number)
+                self.core.client_disconnected(client.number)
 
     def _play_at_router(self, kind: EventKind) -> None:
         match kind:
@@ -155,10 +155,10 @@
                 self._submit()
             case EventKind.STOP:
                 self.stopped = True
-                self.core.leave(self.now_us + scenario.DRAIN_US)
+                self.core.prepare_exit(self.now_us + scenario.DRAIN_US)
             case EventKind.POLICY:
                 self.epoch += 1
-                self.core.adopt(scenario.settings(self.epoch), self.core.limits)
+                self.core.apply_policy(scenario.settings(self.epoch), self.core.limits)
             case EventKind.TIME:
                 self.steps += 1
                 self.pass_time()
@@ -166,7 +166,7 @@
     def _play_at_link(self, kind: EventKind, link: Link, number: int = 0) -> None:
         match kind:
             case EventKind.UP:
-                self.pool.up(link.connection, link)
+                self.pool.connected(link.connection, link)
             case EventKind.REFUSE:
                 self.pool.close(link.connection, Result.CONNECT_FAILED)
             case EventKind.RESET:
@@ -176,7 +176,7 @@
             case EventKind.DRAINED:
                 line, link.unaccepted = link.unaccepted, b""
                 link.deliver(line)
-                self.pool.drained(link.connection)
+                self.pool.write_completed(link.connection)
             case EventKind.STRAY:
                 self._send_answer(link, "nobody", scenario.ANSWER_KINDS[EventKind.OK])
             case EventKind.AGAIN:
@@ -190,7 +190,7 @@
         class_name = self.case.classes[number]
         due_us = self.now_us + scenario.DEADLINE_US
         if self.stopped:
-            due_us = min(due_us, self.core.leave_us)
+            due_us = min(due_us, self.core.exit_us)
         client = Client(self.core.number + 1, class_name, due_us, self.epoch)
         self.clients.append(client)
         request = Request(
@@ -205,10 +205,10 @@
 
     def _send_answer(self, link: Link, tag: str, kind: str) -> None:
         line = encode_answer(tag, kind)
-        self.pool.heard(link.connection)
-        self.pool.answered(link.connection, wire.parse(memoryview(line)))
+        self.pool.input_received(link.connection)
+        self.pool.answer_received(link.connection, wire.parse(memoryview(line)))
         self.core.catch_up()
-        self.pool.settled(link.connection)
+        self.pool.input_handled(link.connection)
 
     def _change_worker(self, number: int, kind: EventKind) -> None:
         self.workers.change(number, kind, self.now_us)
--- a/maplestile/wire/dns.py
+++ b/maplestile/wire/dns.py
@@ -70,7 +70,7 @@
     targets: list[Target] = field(default_factory=list)
     hosts: dict[str, Host] = field(default_factory=dict)  # by name, in lower case
 
-    def lacking(self, targets: Iterable[Target]) -> Iterator[tuple[str, int]]:
+    def missing_records(self, targets: Iterable[Target]) -> Iterator[tuple[str, int]]:
         """Yield the names and types that must be queried for the targets, since this reply lacks them."""
         for target in targets:
             host = self.hosts.get(target.name.lower(), Host())
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -112,8 +112,8 @@
 class DecidesByLatestSettings(Dispatcher):
     """A new policy changes calls that came under the one before."""
 
-    def adopt(self, settings: api.Settings) -> None:
-        super().adopt(settings)
+    def apply_settings(self, settings: api.Settings) -> None:
+        super().apply_settings(settings)
         for call in self.calls.values():
             call.settings = settings
 
@@ -178,20 +178,20 @@
     """A cancelled attempt can still change its state."""
 
     def cancel(self, attempt: AttemptId) -> None:
-        found = self.where.get(attempt)
+        found = self.locations.get(attempt)
         super().cancel(attempt)
         if found is not None and found[1].state is AttemptState.CANCELLED:
-            self.where[attempt] = found
+            self.locations[attempt] = found
             found[0].open[found[1].tag] = attempt
 
 
 class RaisesOnUnknownAnswers(SimulatedPool):
     """An answer to no open attempt is an error."""
 
-    def answered(self, connection: Any, answer: Answer) -> None:
+    def answer_received(self, connection: Any, answer: Answer) -> None:
         if answer.call not in connection.open and answer.call not in connection.control_tags:
             raise KeyError(answer.call)
-        super().answered(connection, answer)
+        super().answer_received(connection, answer)
 
 
 FAULTS: tuple[tuple[str, str, Components], ...] = (
--- a/tests/record_files.py
+++ b/tests/record_files.py
@@ -130,7 +130,7 @@
     except ConfigError as fault:
         return f"refused: {fault}"
     addresses = [config.name, config.listen, config.dns, config.operation, config.seed]
-    return plain([addresses, config.settings, _limit_values(config.limits), config.fleet.shown()])
+    return plain([addresses, config.settings, _limit_values(config.limits), config.fleet.visible_entries()])
 
 
 def _limit_values(limits: Limits) -> list[float]:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -89,7 +89,7 @@
 
 def test_process_that_ends_soon_answers_all_it_takes_before_and_refuses_what_comes_too_late() -> None:
     harness = CoreHarness(Limits(handover=HandoverLimits(min_budget_us=250_000)))
-    harness.core.intake.leave_us = START_US + 1_000_000
+    harness.core.intake.exit_us = START_US + 1_000_000
     harness.submit(budget_us=5_000_000)
     harness.submit(budget_us=500_000)
     assert len(harness.sent) == 2
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -215,15 +215,15 @@
 
     def __init__(self, limits: RunnerLimits, counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
-        self.connected: list[tuple[Connection, Socket]] = []
+        self.unreported: list[tuple[Connection, Socket]] = []
 
-    def up(self, connection: Connection, socket: Socket) -> None:
-        self.connected.append((connection, socket))
+    def connected(self, connection: Connection, socket: Socket) -> None:
+        self.unreported.append((connection, socket))
 
     def report_connections(self) -> None:
         """Report all connections that have come up."""
-        for connection, socket_ in self.connected:
-            super().up(connection, socket_)
+        for connection, socket_ in self.unreported:
+            super().connected(connection, socket_)
 
 
 class UnreadDepartureTest(unittest.TestCase):
@@ -255,7 +255,7 @@
         listener = await front.start("127.0.0.1", 0, False)
         client = Client(listener.address[1])
         id_ = client.call("review", b"abc", LIMIT_MS)
-        await wait_until(lambda: pool.connected)
+        await wait_until(lambda: pool.unreported)
         leave(client, id_)
         time.sleep(BUSY_S)
         pool.report_connections()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -148,7 +148,7 @@
             client = await self.connect()
             client.send(call_frame(1))
             await self.until_open()
-            (attempt,) = list(self.harness.core.flights)
+            (attempt,) = list(self.harness.core.in_flight)
             self.harness.unwritten = {attempt} if unwritten else set()
             client.writer.close()
             await wait_until(self.disconnect_is_seen)
@@ -166,7 +166,7 @@
         """Check the tables of the core and of the dispatcher."""
         core = self.harness.core
         dispatcher = core.dispatcher
-        self.assertEqual((core.open, core.flights, core.open_bytes), ({}, {}, 0))
+        self.assertEqual((core.open, core.in_flight, core.open_bytes), ({}, {}, 0))
         self.assertEqual((dispatcher.calls, dispatcher.attempts), ({}, {}))
         self.assertEqual([worker.busy for worker in dispatcher.workers.values()], [0, 0])
         self.assertFalse(any(function.waiting for function in dispatcher.tiers.functions.values()))
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -146,7 +146,7 @@
     found = dns.parse(dns_reply())
     entry = api.WorkerEntry("s-1", "east", "std", 2, api.WorkerState.DRAINING, 2.5, 5000)
     assert [dns.worker_entry(found, target) for target in found.targets] == [(entry, ("10.1.0.9", 99))]
-    assert found.serial == 41 and not list(found.lacking(found.targets))
+    assert found.serial == 41 and not list(found.missing_records(found.targets))
 
 
 def test_truncated_looped_and_broken_replies_are_refused() -> None:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -100,7 +100,7 @@
     async def test_connection_without_a_descriptor_says_nothing_of_the_runner(self) -> None:
         """Clients hold them all: one of those has to make room, and the call goes on elsewhere."""
         requests_for_room = list[int]()
-        self.pool.starved = lambda: requests_for_room.append(1)
+        self.pool.on_no_descriptor = lambda: requests_for_room.append(1)
         none_left = OSError(errno.EMFILE, "Too many open files")
         with unittest.mock.patch("asyncio.open_connection", side_effect=none_left):
             self.send(1, b"x")
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -176,7 +176,7 @@
 
     name: int
     tier: int = 0
-    settled: int = 0
+    insertion_number: int = 0
     age: int = 0
 
     def aged(self) -> int:
