--- a/tests/standins/name_server.py
+++ b/tests/standins/name_server.py
@@ -9,6 +9,12 @@
 
 MANY_QUERIES = 1000  # more than a test lasts
 
+A, SOA, TXT, SRV = 1, 6, 16, 33  # types of records
+REPLY = 0x8400  # flags of an authoritative answer
+TRUNCATED_REPLY = 0x8600
+NAME_START = 12  # of a query, behind its head
+SAME_NAME = b"\xc0\x0c"  # a pointer from an answer to that name
+
 
 def name_bytes(name: str) -> bytes:
     """Encode a domain name."""
@@ -54,17 +60,20 @@
             query, peer = self.socket.recvfrom(512)
             self.queries += 1
             fault = self.faults.pop(0) if self.faults else ""
-            if fault == "lost":
-                continue
-            flags = 0x8600 if fault == "cut" else 0x8400
-            answer, extra = b"", b""
-            for uid, port, priority in self.workers:
-                host = name_bytes(f"{uid}.east.hosts")
-                answer += record(b"\xc0\x0c", 33, struct.pack("!3H", priority, 40, port) + host)
-                extra += record(host, 1, bytes([127, 0, 0, 1]))
-                texts = b"kind=std", b"cell=2", b"started=%d" % self.started.get(uid, 0)
-                extra += record(host, 16, b"".join(bytes([len(t)]) + t for t in texts))
-            soa = record(b"\xc0\x0c", 6, b"\0\0" + struct.pack("!5I", self.serial, 0, 0, 0, 0))
-            count = len(self.workers)
-            head = struct.pack("!6H", int.from_bytes(query[:2]), flags, 1, count, 1, 2 * count)
-            self.socket.sendto(head + query[12:] + answer + soa + extra, peer)
+            if fault != "lost":
+                self.socket.sendto(self._reply(query, truncated=fault == "cut"), peer)
+
+    def _reply(self, query: bytes, truncated: bool) -> bytes:
+        """Encode the whole list, with the address and the properties of each worker."""
+        workers = list(self.workers)
+        answer = extra = b""
+        for uid, port, priority in workers:
+            host = name_bytes(f"{uid}.east.hosts")
+            answer += record(SAME_NAME, SRV, struct.pack("!3H", priority, 40, port) + host)
+            texts = b"kind=std", b"cell=2", b"started=%d" % self.started.get(uid, 0)
+            extra += record(host, A, bytes([127, 0, 0, 1]))
+            extra += record(host, TXT, b"".join(bytes([len(text)]) + text for text in texts))
+        soa = record(SAME_NAME, SOA, b"\0\0" + struct.pack("!5I", self.serial, 0, 0, 0, 0))
+        flags = TRUNCATED_REPLY if truncated else REPLY
+        head = struct.pack("!6H", int.from_bytes(query[:2]), flags, 1, len(workers), 1, 2 * len(workers))
+        return head + query[NAME_START:] + answer + soa + extra
