--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -5,10 +5,11 @@
 import socket
 import struct
 import threading
-from collections.abc import Iterable
+from collections.abc import Iterator
 from typing import Any
 
 LONG_ANSWER_BYTES = 230_000
+READ_BYTES = 1 << 16
 
 
 def in_base64(data: bytes) -> str:
@@ -36,7 +37,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def pause(self) -> None:
-        """Read nothing from the next line on."""
+        """Handle no further line, and read nothing from the next read on."""
         self._may_read.clear()
 
     def resume(self) -> None:
@@ -56,8 +57,6 @@
         try:
             for line in self._read_lines(peer):
                 self._may_read.wait()
-                if not line.endswith(b"\n"):
-                    return  # cut off
                 message = json.loads(line)
                 self.lines.append(message)
                 answer = self._answer(message)
@@ -68,9 +67,23 @@
         except OSError:
             return
 
-    def _read_lines(self, peer: socket.socket) -> Iterable[bytes]:
-        """Return the lines of a connection, up to its end."""
-        return peer.makefile("rb")
+    def _read_lines(self, peer: socket.socket) -> Iterator[bytes]:
+        """Yield the whole lines of a connection, up to its end."""
+        parts = list[bytes]()  # of a line that is not whole yet
+        while True:
+            self._may_read.wait()
+            data = self._receive(peer)
+            if not data:
+                return
+            *line_ends, rest = data.split(b"\n")
+            for line_end in line_ends:
+                yield b"".join((*parts, line_end))
+                parts.clear()
+            parts.append(rest)
+
+    def _receive(self, peer: socket.socket) -> bytes:
+        """Return the next bytes of a connection, none at its end."""
+        return peer.recv(READ_BYTES)
 
     def _answer(self, message: dict[str, Any]) -> dict[str, Any] | bytes | None:
         if message["kind"] == "LOAD":
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,7 +11,7 @@
 import time
 import unittest
 from collections import Counter
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
@@ -36,6 +36,7 @@
     params,
     wait_until,
 )
+from tests.standins.worker import READ_BYTES
 
 LIMIT_MS = 6_000
 SLACK_MS = 150  # by how much the time sent to a worker may be over what its client has left
@@ -49,7 +50,6 @@
 # Of Linux, and not in the module `socket`: the time at which the system received the data of a read.
 SO_TIMESTAMPNS = 35
 TIMESPEC = struct.Struct("ll")
-READ_BYTES = 1 << 16
 
 
 @dataclass
@@ -75,17 +75,12 @@
         super().__init__()
         self.listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # connections inherit it
 
-    def _read_lines(self, peer: socket.socket) -> Iterator[bytes]:
-        incomplete = b""
-        while True:
-            data, ancillary, _, _ = peer.recvmsg(READ_BYTES, socket.CMSG_SPACE(TIMESPEC.size))
-            if not data:
-                return
-            ((_, _, timestamp),) = ancillary
+    def _receive(self, peer: socket.socket) -> bytes:
+        data, ancillary, _, _ = peer.recvmsg(READ_BYTES, socket.CMSG_SPACE(TIMESPEC.size))
+        for _, _, timestamp in ancillary:  # none at the end of the connection
             seconds, nanoseconds = TIMESPEC.unpack(timestamp)
             self._read.at_s = seconds + nanoseconds / 1e9
-            *lines, incomplete = (incomplete + data).split(b"\n")
-            yield from (line + b"\n" for line in lines)
+        return data
 
     def _answer(self, message: dict[str, Any]) -> dict[str, Any] | bytes | None:
         if message["kind"] == "CALL":
