--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -49,7 +49,7 @@
             raise EndpointListError(f"known: {fault}") from None
 
     def is_newer_than(self, serial: int) -> bool:
-        """Return whether a serial is older than the version, in the serial numbers of RFC 1982: they wrap."""
+        """Return whether the version is newer than a serial, by the wrapping serial numbers of RFC 1982."""
         return self.version >= 0 and 0 < (self.version - serial) % SERIAL_NUMBERS < SERIAL_NUMBERS // 2
 
     def apply_whole(
