--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -68,7 +68,7 @@
         self.tasks = [asyncio.create_task(raft.run()) for raft in self.rafts]
 
     def _settings(self, voter: Voter, voters: tuple[Voter, ...]) -> ControlSettings:
-        rules = RolloutRules(step_us=60_000_000, settle_us=1_000_000, failed_most=0.1, calls_least=20)
+        rules = RolloutRules(step_us=60_000_000, settle_us=1_000_000, max_failed_share=0.1, min_calls=20)
         return ControlSettings(voter.name, voter.address, self.folder / voter.name, voters, (), 1, rules)
 
     async def ready(self) -> None:
--- a/maplestile/agent/log_reader.py
+++ b/maplestile/agent/log_reader.py
@@ -6,7 +6,7 @@
 
 POLL_INTERVAL_S = 0.05
 READ_BYTES = 65_536  # of one read
-LOG_BYTES_MOST = 8 << 20  # of a log file, which is then truncated
+MAX_LOG_BYTES = 8 << 20  # of a log file, which is then truncated
 
 
 async def lines(path: Path, offset: int, ended: asyncio.Event) -> AsyncIterator[bytes]:
@@ -24,7 +24,7 @@
                 for line in complete:
                     yield line + b"\n"
                 continue
-            if file.tell() > LOG_BYTES_MOST:
+            if file.tell() > MAX_LOG_BYTES:
                 file.seek(0)
                 file.truncate()
             if is_last:
--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -39,7 +39,7 @@
     listen: tuple[str, int]
     instances: tuple[InstanceSettings, ...]
     backoff_s: float  # before the first restart of a process that has ended early
-    backoff_most_s: float
+    max_backoff_s: float
     steady_s: float  # after which a process that ends did not end early
     stop_s: float  # from SIGTERM to SIGKILL
     control: ControlSettings | None = None
@@ -53,10 +53,10 @@
     settings = AgentSettings(
         listen=parse_address(agent.loopback("listen")),
         instances=tuple(_instance_settings(table, path.parent) for table in root.tables("instance")),
-        backoff_s=agent.number("backoff_s", 0.5, least=0.01),
-        backoff_most_s=agent.number("backoff_most_s", 30.0, least=0.01),
+        backoff_s=agent.number("backoff_s", 0.5, minimum=0.01),
+        max_backoff_s=agent.number("backoff_most_s", 30.0, minimum=0.01),
         steady_s=agent.number("steady_s", 10.0),
-        stop_s=agent.number("stop_s", 8.0, least=0.1),
+        stop_s=agent.number("stop_s", 8.0, minimum=0.1),
         control=_control_settings(root),
         folder=Path(agent.text("folder")) if "folder" in agent.values else None,
     )
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -122,7 +122,7 @@
         await self._enter(ProcessState.WAITING)
         await wait_until_set(self.skip_backoff, self.backoff_s)
         self.skip_backoff.clear()
-        self.backoff_s = min(self.agent.backoff_most_s, BACKOFF_FACTOR * self.backoff_s)
+        self.backoff_s = min(self.agent.max_backoff_s, BACKOFF_FACTOR * self.backoff_s)
 
     async def _enter(self, state: ProcessState) -> None:
         async with self.changed:
--- a/maplestile/common/toml_table.py
+++ b/maplestile/common/toml_table.py
@@ -81,19 +81,21 @@
     # Numbers and flags.
 
     def number(
-        self, name: str, default: float | None = None, least: float = 0.0, most: float | None = None
+        self, name: str, default: float | None = None, minimum: float = 0.0, maximum: float | None = None
     ) -> float:
-        """Take a number from `least` to `most`."""
+        """Take a number from `minimum` to `maximum`."""
         value = float(self._take(name, (int, float), "a number", default))
-        if not least <= value < NUMBER_LIMIT or (most is not None and value > most):
-            raise self.wrong(name, _range(least, most))
+        if not minimum <= value < NUMBER_LIMIT or (maximum is not None and value > maximum):
+            raise self.wrong(name, _range(minimum, maximum))
         return value
 
-    def whole(self, name: str, default: int | None = None, least: int = 0, most: int | None = None) -> int:
-        """Take a whole number from `least` to `most`."""
+    def whole(
+        self, name: str, default: int | None = None, minimum: int = 0, maximum: int | None = None
+    ) -> int:
+        """Take a whole number from `minimum` to `maximum`."""
         value = int(self._take(name, (int,), "a whole number", default))
-        if value < least or (most is not None and value > most):
-            raise self.wrong(name, _range(least, most))
+        if value < minimum or (maximum is not None and value > maximum):
+            raise self.wrong(name, _range(minimum, maximum))
         return value
 
     def flag(self, name: str, default: bool) -> bool:
@@ -146,5 +148,5 @@
     return type(value) is int and 0 <= value < below
 
 
-def _range(least: float, most: float | None) -> str:
-    return f"must be {least:g} or more" if most is None else f"must be from {least:g} to {most:g}"
+def _range(minimum: float, maximum: float | None) -> str:
+    return f"must be {minimum:g} or more" if maximum is None else f"must be from {minimum:g} to {maximum:g}"
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -46,6 +46,6 @@
 
 def _timeouts(table: TomlTable) -> FollowerTimeouts:
     return FollowerTimeouts(
-        stale_us=int(table.number("stale_s", 5.0, least=0.5) * US_PER_S),
-        wait_us=int(table.number("wait_s", 10.0, least=0.1) * US_PER_S),
+        stale_us=int(table.number("stale_s", 5.0, minimum=0.5) * US_PER_S),
+        wait_us=int(table.number("wait_s", 10.0, minimum=0.1) * US_PER_S),
     )
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -32,8 +32,8 @@
     outage_us: int = 3_000_000  # more out than the budget for so long halts the rollout
     step_us: int = 60_000_000  # a step that takes longer halts the rollout
     grace_us: int = 5_000_000  # a new leader waits so long at most for a report of every instance
-    calls_least: int = 20  # fewer calls say nothing of an instance's health
-    failed_most: float = 0.1  # share of failed calls of a released instance over which the rollout halts
+    min_calls: int = 20  # fewer calls say nothing of an instance's health
+    max_failed_share: float = 0.1  # share of failed calls of a released instance over which the rollout halts
 
 
 @dataclass(slots=True, frozen=True)
@@ -200,7 +200,7 @@
                 continue
             served, failed = _calls_since(baseline, received.report)
             calls = served + failed
-            if calls >= self.rules.calls_least and failed > self.rules.failed_most * calls:
+            if calls >= self.rules.min_calls and failed > self.rules.max_failed_share * calls:
                 return f"{name} fails {failed} of {calls} calls since its release"
         return ""
 
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -74,10 +74,10 @@
 
 def _rules(table: TomlTable) -> RolloutRules:
     return RolloutRules(
-        step_us=int(table.number("step_s", 60.0, least=0.1) * US_PER_S),
+        step_us=int(table.number("step_s", 60.0, minimum=0.1) * US_PER_S),
         settle_us=int(table.number("settle_s", 1.0) * US_PER_S),
-        failed_most=table.number("failed_most", 0.1, most=1.0),
-        calls_least=table.whole("calls_least", 20, least=1),
+        max_failed_share=table.number("failed_most", 0.1, maximum=1.0),
+        min_calls=table.whole("calls_least", 20, minimum=1),
     )
 
 
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -13,7 +13,7 @@
 
 # Until held calls are tried again: the longest of the three. Shorter waits cost the processor more than
 # they bring, whatever the tick of the timers.
-RETRY_WAIT_LEAST_US = 16_000
+MIN_RETRY_WAIT_US = 16_000
 RETRY_WAIT_SERVICE_TIMES = 0.2
 RETRY_WAIT_LOAD_TIMES = 0.01
 OVERDUE_SERVICE_TIMES = 3.0  # expected service times without an answer from which an attempt is overdue
@@ -21,7 +21,7 @@
 # is no worker's fault.
 UNKNOWN_FUNCTION_ERRORS = 3
 RETRY_AFTER_US = 1_000_000  # for a refused client: at once it would meet the same overload
-HEDGED_ATTEMPTS_MOST = 2  # attempts of one call that are in flight together
+MAX_HEDGED_ATTEMPTS = 2  # attempts of one call that are in flight together
 
 
 class CallRouter:
@@ -72,7 +72,7 @@
         elif self.context.now_us >= entry.next_retry_us:  # one timer a function, however many calls wait
             service_us = RETRY_WAIT_SERVICE_TIMES * entry.service_us
             load_us = RETRY_WAIT_LOAD_TIMES * entry.load_us
-            wait_us = int(max(RETRY_WAIT_LEAST_US, service_us, load_us))
+            wait_us = int(max(MIN_RETRY_WAIT_US, service_us, load_us))
             entry.next_retry_us = self.context.now_us + wait_us
             self.context.set_timer(wait_us, lambda: self.wake(entry))
 
@@ -120,7 +120,7 @@
         A call that is not idempotent is never sent again once an attempt of it may have run. A miss costs
         no budget: the call waits for the copy.
         """
-        unsafe = call.kind.idempotency is Idempotency.NOT_IDEMPOTENT and bool(call.possibly_run())
+        unsafe = call.call_class.idempotency is Idempotency.NOT_IDEMPOTENT and bool(call.possibly_run())
         unknown_function = call.entry.errors_before_success >= UNKNOWN_FUNCTION_ERRORS
         if unsafe or unknown_function or call.client_disconnected:
             self.finish(call)
@@ -139,9 +139,9 @@
         if attempt.result is not None or not call.open or call.streaming:
             return
         silent = self.health.record_overdue(call, attempt)
-        if not self.retry.has_budget() or call.kind.idempotency is Idempotency.NOT_IDEMPOTENT:
+        if not self.retry.has_budget() or call.call_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return
-        if call.settings.may_hedge and len(call.outstanding()) < HEDGED_ATTEMPTS_MOST:
+        if call.settings.may_hedge and len(call.outstanding()) < MAX_HEDGED_ATTEMPTS:
             self.retry.take_from_budget()
             self._hedge(call)
         elif call.settings.may_cancel and silent and not call.settings.may_hedge:
@@ -167,7 +167,7 @@
         """
         if not call.open or call.streaming:
             return
-        objective_us = call.arrived_us + call.kind.latency_objective_us
+        objective_us = call.arrived_us + call.call_class.latency_objective_us
         if self.context.now_us >= min(call.due_us, objective_us):
             self.admission.record_answer(call, late=True)
         if self.admission.may_refuse(call):
--- a/maplestile/dispatch/estimates.py
+++ b/maplestile/dispatch/estimates.py
@@ -30,18 +30,20 @@
     def __init__(self) -> None:
         self.class_service_us: dict[str, float] = {}
 
-    def initial_service_us(self, kind: CallClass) -> float:
+    def initial_service_us(self, call_class: CallClass) -> float:
         """The service time assumed for a new function of the class."""
-        return self.class_service_us.get(kind.name, INITIAL_SERVICE_OBJECTIVES * kind.latency_objective_us)
+        return self.class_service_us.get(
+            call_class.name, INITIAL_SERVICE_OBJECTIVES * call_class.latency_objective_us
+        )
 
-    def initial_load_us(self, kind: CallClass) -> float:
+    def initial_load_us(self, call_class: CallClass) -> float:
         """The load time assumed for a new function of the class."""
-        return INITIAL_LOAD_OBJECTIVES * kind.latency_objective_us
+        return INITIAL_LOAD_OBJECTIVES * call_class.latency_objective_us
 
     def learn_service_time(self, call: Call, worker: Worker, elapsed_us: int) -> None:
         """Take in how long an answer from a warm copy took, for its worker, its function and its class."""
         entry = call.entry
-        name = call.kind.name
+        name = call.call_class.name
         usual_us = call.hinted_us or entry.service_us
         log_ratio = math.log(max(1, elapsed_us) / usual_us)
         worker.latency_log_ratio += SMOOTHING * (log_ratio - worker.latency_log_ratio)
--- a/maplestile/dispatch/intake.py
+++ b/maplestile/dispatch/intake.py
@@ -39,11 +39,11 @@
         """Record the call, then route or refuse it."""
         context = self.context
         now_us = context.now_us
-        kind = context.classes[event.class_name]
-        entry = self._entry(event, kind)
-        group = f"{kind.name} {event.tenant}"
-        due_us = self.admission.due_us(event, kind)
-        call = Call(event.call, entry, kind, group, now_us, due_us, context.settings, event.cost_us)
+        call_class = context.classes[event.class_name]
+        entry = self._entry(event, call_class)
+        group = f"{call_class.name} {event.tenant}"
+        due_us = self.admission.due_us(event, call_class)
+        call = Call(event.call, entry, call_class, group, now_us, due_us, context.settings, event.cost_us)
         self.table.calls[call.id] = call
         self.load_requests.arrivals.add(now_us)
         self.retry.add_to_budget()
@@ -54,11 +54,11 @@
         else:
             self.router.route(call)
 
-    def _entry(self, event: api.CallArrived, kind: api.CallClass) -> FunctionEntry:
+    def _entry(self, event: api.CallArrived, call_class: api.CallClass) -> FunctionEntry:
         entry = self.tiers.functions.get(event.function)
         if entry is None:
-            service_us = self.estimates.initial_service_us(kind)
-            entry = self.tiers.add(event.function, service_us, self.estimates.initial_load_us(kind))
+            service_us = self.estimates.initial_service_us(call_class)
+            entry = self.tiers.add(event.function, service_us, self.estimates.initial_load_us(call_class))
         entry.memory_mb = event.memory_mb
         entry.lanes = max(1, event.lanes)
         return entry
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -12,7 +12,7 @@
 # room for, with at most so many for each worker, and at least one for each.
 LOADS_SHARE_OF_CAPACITY = 0.06
 LOADS_PER_WORKER = 4
-LOADS_LEAST = 2  # loads that each dispatcher may have under way, however small its part of the cap
+MIN_LOADS = 2  # loads that each dispatcher may have under way, however small its part of the cap
 
 
 class LoadRequests:
@@ -46,7 +46,7 @@
         workers = len(self.fleet.workers)
         by_capacity = int(LOADS_SHARE_OF_CAPACITY * self.tiers.capacity)
         fleet_cap = max(workers, min(by_capacity, LOADS_PER_WORKER * workers))
-        return len(self.loads) < max(LOADS_LEAST, fleet_cap // max(1, self.context.settings.router_count))
+        return len(self.loads) < max(MIN_LOADS, fleet_cap // max(1, self.context.settings.router_count))
 
     def request_load(self, entry: FunctionEntry, worker: Worker) -> bool:
         """Request a load of one copy, if the gate admits it; returns whether it did."""
--- a/maplestile/dispatch/outliers.py
+++ b/maplestile/dispatch/outliers.py
@@ -18,7 +18,7 @@
 SLOW_WORKER_LOG_RATIO = 1.1
 CONNECT_BACKOFF_US = 1_000_000  # first backoff at a worker that takes no connection
 FULL_BACKOFF_SERVICE_TIMES = 0.5  # first backoff after a full answer, in service times
-BACKOFF_DOUBLINGS_MOST = 5  # how often a further backoff doubles the one before: 32 times the first, at most
+MAX_BACKOFF_DOUBLINGS = 5  # how often a further backoff doubles the one before: 32 times the first, at most
 MEMORY_EXHAUSTED_LOAD_TIMES = 0.2  # pause of loads at a worker without memory for one, in load times
 
 ALL_GROUPS = ""
@@ -72,7 +72,7 @@
         """
         if self.context.now_us < worker.backoff_until_us.get(group, 0):
             return
-        doublings = min(BACKOFF_DOUBLINGS_MOST, worker.backoff_doublings.get(group, -1) + 1)
+        doublings = min(MAX_BACKOFF_DOUBLINGS, worker.backoff_doublings.get(group, -1) + 1)
         worker.backoff_doublings[group] = doublings
         worker.backoff_until_us[group] = self.context.now_us + int(first_us * 2**doublings)
 
--- a/maplestile/dispatch/placement.py
+++ b/maplestile/dispatch/placement.py
@@ -18,7 +18,7 @@
 PRIOR_CALLS = 15.0
 REPLICA_WORK_SHARE = 0.33  # part of a mean worker's work that one function brings a replica, at most
 REPLICA_UTILIZATION = 0.5  # part of a replica's lanes that the fleet's calls of the function may fill
-CANDIDATES_MOST = 8  # workers looked at where none of the drawn replicas can take the call
+MAX_CANDIDATES = 8  # workers looked at where none of the drawn replicas can take the call
 OVERFLOW_WORKERS = 2  # workers looked at past the replicas
 DRAWN_REPLICAS = 3  # replicas drawn for a call, by weight and with repetition
 FAIR_SHARE_FACTOR = 2.0  # own calls in flight at one worker, at most, in multiples of the fleet's mean
@@ -75,9 +75,9 @@
         count = self.replica_count(entry)
         ranked = self.fleet.ranked(entry, count + max(count, OVERFLOW_WORKERS))
         near = ranked[: count + OVERFLOW_WORKERS]
-        if count > CANDIDATES_MOST:
+        if count > MAX_CANDIDATES:
             # To look at all replicas of a hot function would cost too much.
-            near = self.context.random.sample(near, CANDIDATES_MOST)
+            near = self.context.random.sample(near, MAX_CANDIDATES)
         kept_home = self._kept_home(entry, home, ranked, count)
         if kept_home is not None and not entry.copy(kept_home).busy and self.fits(call, kept_home):
             return kept_home
@@ -178,8 +178,8 @@
             for worker in usable
             if self.warm_copies.is_warm(entry, worker) or self.warm_copies.is_loading(entry, worker)
         ]
-        calls_most = QUEUED_CALLS_PER_LANE * entry.lanes
-        return [worker for worker in queues if entry.copy(worker).busy < calls_most]
+        max_calls = QUEUED_CALLS_PER_LANE * entry.lanes
+        return [worker for worker in queues if entry.copy(worker).busy < max_calls]
 
     def _loads_on_call(self, call: Call, worker: Worker) -> bool:
         """A call may meet the worker without a copy: that loads one, or it is not known to have none."""
--- a/maplestile/dispatch/retry.py
+++ b/maplestile/dispatch/retry.py
@@ -7,7 +7,7 @@
 
 RETRY_AT_SAME_WORKER = (Result.MISS, Result.FULL)  # results that do not speak against the same worker
 RETRIES_PER_CALL = 0.3  # further attempts that each call adds to the budget, against retry storms
-RETRY_BUDGET_MOST = 20.0  # further attempts that may be saved
+MAX_RETRY_BUDGET = 20.0  # further attempts that may be saved
 
 
 class RetryPolicy:
@@ -16,11 +16,11 @@
     def __init__(self, context: Context, *, fleet: Fleet) -> None:
         self.context = context
         self.fleet = fleet
-        self.budget = RETRY_BUDGET_MOST
+        self.budget = MAX_RETRY_BUDGET
 
     def add_to_budget(self) -> None:
         """One more call has come, and earns its part of a further attempt."""
-        self.budget = min(RETRY_BUDGET_MOST, self.budget + RETRIES_PER_CALL)
+        self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRIES_PER_CALL)
 
     def has_budget(self) -> bool:
         """One further attempt may be taken out of the budget."""
@@ -43,7 +43,7 @@
             return False
         return (
             not ran
-            or call.kind.idempotency is Idempotency.IDEMPOTENT
+            or call.call_class.idempotency is Idempotency.IDEMPOTENT
             or self.deduplicates(call, ran, worker.entry)
         )
 
@@ -53,7 +53,7 @@
 
     def deduplicates(self, call: Call, ran: list[Attempt], target: WorkerEntry) -> bool:
         """Whether repeats of a keyed call are dropped at the worker, and are still remembered there."""
-        scope = call.kind.deduplication_scope
+        scope = call.call_class.deduplication_scope
         first = ran[0].worker.entry
         if scope is DeduplicationScope.ZONE:
             in_scope = first.zone == target.zone
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -178,7 +178,7 @@
 
     id: int
     entry: FunctionEntry  # of the function that is called
-    kind: CallClass
+    call_class: CallClass
     group: str  # its class and tenant: some faults hit one group and spare the others
     arrived_us: int
     due_us: int  # when its final answer goes out
@@ -202,8 +202,8 @@
 
         The deduplication window starts with the first attempt that may have run.
         """
-        ran = self.possibly_run() if self.kind.idempotency is Idempotency.WITH_KEY else []
-        return ran[0].sent_us + self.kind.deduplication_window_us if ran else 0
+        ran = self.possibly_run() if self.call_class.idempotency is Idempotency.WITH_KEY else []
+        return ran[0].sent_us + self.call_class.deduplication_window_us if ran else 0
 
     def outstanding(self) -> list[Attempt]:
         """The attempts in flight."""
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -204,9 +204,9 @@
 
     def _admit(self, tenant: str) -> None:
         settings = self.operator.tenants.get(tenant)
-        if settings is not None and settings.open_most and self.in_flight[tenant] >= settings.open_most:
+        if settings is not None and settings.max_open and self.in_flight[tenant] >= settings.max_open:
             self.counters["invoke.over_limit"] += 1
-            detail = f"tenant '{tenant}' has {settings.open_most} calls in hand"
+            detail = f"tenant '{tenant}' has {settings.max_open} calls in hand"
             raise RequestRejected(problem(429, detail, retry_after(POLL_US)))
 
     # Records.
--- a/maplestile/invoke/invocation_request.py
+++ b/maplestile/invoke/invocation_request.py
@@ -107,13 +107,13 @@
 def _budget_us(request: HttpRequest, operator: OperatorSettings, class_name: str) -> int:
     text = request.headers.get(DEADLINE)
     if text is None:
-        return min(operator.deadlines_us[class_name], operator.deadline_most_us)
+        return min(operator.deadlines_us[class_name], operator.max_deadline_us)
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_DEADLINE_DIGITS
     if not is_number or int(text) == 0:
         raise RequestRejected(problem(400, f"{DEADLINE}: must be a whole number of milliseconds, 1 or more"))
     budget_us = int(text) * 1000
-    if budget_us > operator.deadline_most_us:
-        raise RequestRejected(problem(400, f"{DEADLINE}: over {operator.deadline_most_us // 1000}"))
+    if budget_us > operator.max_deadline_us:
+        raise RequestRejected(problem(400, f"{DEADLINE}: over {operator.max_deadline_us // 1000}"))
     return budget_us
 
 
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -53,7 +53,7 @@
     records: int
     record_us: int
     body_bytes: int
-    deadline_most_us: int
+    max_deadline_us: int
     connections: int
     idle_s: float
     node: Mapping[str, Any] = field(hash=False)
@@ -145,19 +145,19 @@
     epoch: int,
 ) -> OperatorSettings:
     limits = single.limits
-    keyed = (kind.name for kind in arrays.classes if kind.semantics == KEYED_SEMANTICS)
+    keyed = (call_class.name for call_class in arrays.classes if call_class.semantics == KEYED_SEMANTICS)
     return OperatorSettings(
         listen=single.invoke.address("listen"),
         functions=arrays.functions,
         tenants=arrays.tenants,
-        deadlines_us={kind.name: kind.deadline_us for kind in arrays.classes},
+        deadlines_us={call_class.name: call_class.deadline_us for call_class in arrays.classes},
         keyed=frozenset(keyed),
-        records=limits.whole("records", 1_000, least=1),
-        record_us=int(limits.number("record_s", 60.0, least=0.1) * 1e6),
-        body_bytes=limits.whole("body_bytes", 16 * 1024, least=1),
-        deadline_most_us=int(limits.number("deadline_most_s", 60.0, least=0.01) * 1e6),
-        connections=limits.whole("connections", 300, least=1),
-        idle_s=limits.number("idle_s", 30.0, least=0.1),
+        records=limits.whole("records", 1_000, minimum=1),
+        record_us=int(limits.number("record_s", 60.0, minimum=0.1) * 1e6),
+        body_bytes=limits.whole("body_bytes", 16 * 1024, minimum=1),
+        max_deadline_us=int(limits.number("deadline_most_s", 60.0, minimum=0.01) * 1e6),
+        connections=limits.whole("connections", 300, minimum=1),
+        idle_s=limits.number("idle_s", 30.0, minimum=0.1),
         node=node,
         policy=policy,
         epoch=epoch,
@@ -172,7 +172,7 @@
     config: dict[str, Any] = {
         "name": name,
         "settings": _router_settings(single, arrays),
-        "limits": {"sockets": single.limits.whole("sockets", 1024, least=64)},
+        "limits": {"sockets": single.limits.whole("sockets", 1024, minimum=64)},
         "known": {"index": 0, "updates": [{"index": 0, "endpoints": endpoints}]},
     }
     if single.platform.values:
@@ -196,7 +196,7 @@
         "grades": [service_class.router_settings() for service_class in arrays.classes],
         "tenants": [{"name": tenant} for tenant in arrays.tenants],
         "kinds": [kind.name for kind in arrays.kinds],
-        "instances": single.rules.whole("routers", 1, least=1),
+        "instances": single.rules.whole("routers", 1, minimum=1),
         "granularityUs": GRANULARITY_US,
         "discovery": "push",
         "familyInfo": _family_info(single.rules, arrays),
@@ -209,7 +209,7 @@
     return {
         "orders": rules.flag("orders", True),
         "whenAbsent": "load",
-        "lingerIdleUs": int(rules.number("keep_s", 10.0, least=0.1) * 1e6),
+        "lingerIdleUs": int(rules.number("keep_s", 10.0, minimum=0.1) * 1e6),
         "machineMb": [kind.memory_mb for kind in arrays.kinds],
         "answerWithinUs": ANSWER_WITHIN_US,
     }
@@ -217,14 +217,14 @@
 
 def _router_limits(rules: TomlTable, limits: TomlTable) -> dict[str, Any]:
     return {
-        "attemptsCap": rules.whole("attempts", 5, least=1),
+        "attemptsCap": rules.whole("attempts", 5, minimum=1),
         "cancelling": True,
         "mayDuplicate": rules.flag("second_copies", True),
         "probes": True,
         "streamsPerConn": STREAMS_PER_CONNECTION,
         "idleCloseUs": CONNECTION_IDLE_US,
-        "connectTimeoutUs": int(rules.number("connect_timeout_ms", 250.0, least=1) * 1e3),
-        "maxOpen": limits.whole("open_requests", 2_000, least=1),
+        "connectTimeoutUs": int(rules.number("connect_timeout_ms", 250.0, minimum=1) * 1e3),
+        "maxOpen": limits.whole("open_requests", 2_000, minimum=1),
     }
 
 
@@ -234,8 +234,8 @@
         "listen": table.loopback("listen"),
         "seeds": table.values.pop("seeds", []),
         "advertise": table.loopback("advertise") if "advertise" in table.values else None,
-        "periodUs": int(table.number("period_ms", 1000.0, least=10) * 1000),
-        "ackUs": int(table.number("ack_ms", 400.0, least=1) * 1000),
+        "periodUs": int(table.number("period_ms", 1000.0, minimum=10) * 1000),
+        "ackUs": int(table.number("ack_ms", 400.0, minimum=1) * 1000),
         "lifeguard": table.flag("lifeguard", True),
         "watchUs": int(table.number("watch_ms", 1000.0) * 1000),
     }
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -31,7 +31,7 @@
     """A tenant and its quota."""
 
     name: str
-    open_most: int  # calls in flight at a time; 0 for no limit
+    max_open: int  # calls in flight at a time; 0 for no limit
 
 
 @dataclass(slots=True, frozen=True)
@@ -112,11 +112,11 @@
 
 
 def _service_class(table: TomlTable) -> ServiceClass:
-    objective_ms = table.number("aim_ms", least=1)
+    objective_ms = table.number("aim_ms", minimum=1)
     service_class = ServiceClass(
         name=table.text("name"),
         latency_objective_us=int(objective_ms * 1e3),
-        deadline_us=int(table.number("deadline_ms", least=objective_ms) * 1e3),
+        deadline_us=int(table.number("deadline_ms", minimum=objective_ms) * 1e3),
         semantics=SEMANTICS[table.choice("semantics", tuple(SEMANTICS))],
         key_scope=table.choice("scope", KEY_SCOPES, "all"),
         key_window_us=int(table.number("window_ms", 0.0) * 1e3),
@@ -130,8 +130,8 @@
     function = FunctionSettings(
         name=table.text("name"),
         class_name=table.choice("class", class_names),
-        memory_mb=table.number("memory_mb", least=0.1),
-        lanes=table.whole("lanes", 1, least=1),
+        memory_mb=table.number("memory_mb", minimum=0.1),
+        lanes=table.whole("lanes", 1, minimum=1),
     )
     table.end()
     return function
@@ -144,7 +144,7 @@
 
 
 def _kind(table: TomlTable) -> MachineKind:
-    kind = MachineKind(table.text("name"), table.number("memory_mb", least=1))
+    kind = MachineKind(table.text("name"), table.number("memory_mb", minimum=1))
     table.end()
     return kind
 
@@ -157,7 +157,7 @@
         "model": table.choice("kind", kind_names, kind_names[0]),
         "pod_group": table.whole("cell", 0),
         "state": "Ready",
-        "capacity_hint": table.number("weight", 1.0, least=0.001),
+        "capacity_hint": table.number("weight", 1.0, minimum=0.001),
         "boot_ms": 0,
     }
     table.end()
--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -47,7 +47,7 @@
 NAME_BYTES = 64
 RUNNER_BYTES = 128
 HOST_CHARACTERS = 255
-ENTRIES_MOST = 4096  # in any list of a datagram
+MAX_ENTRIES = 4096  # in any list of a datagram
 SEQUENCE_BITS = 32
 DIGEST_BITS = 64
 COUNTER_BITS = 63  # of incarnations and versions
@@ -140,7 +140,7 @@
 
 def _unpack(datagram: bytes) -> dict[str, Any]:
     try:
-        payload = msgpack.unpackb(datagram, raw=False, strict_map_key=True, max_array_len=ENTRIES_MOST)
+        payload = msgpack.unpackb(datagram, raw=False, strict_map_key=True, max_array_len=MAX_ENTRIES)
     except (ValueError, msgpack.ExtraData, msgpack.FormatError, msgpack.StackError) as error:
         raise DatagramError(f"datagram: not msgpack: {type(error).__name__}") from None
     if not isinstance(payload, dict):
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -26,11 +26,11 @@
         self.handover = handover
         limits = components.limits
         started_us = clock()
-        longest_deadline_us = max(kind.deadline_us for kind in components.core.settings.classes)
+        longest_deadline_us = max(call_class.deadline_us for call_class in components.core.settings.classes)
         spare_us = limits.handover.spare_us
         self.end_us = started_us + limits.kill_after_us(longest_deadline_us) - spare_us  # of the process
         # Clients learn of the end late, so they go on calling here until then.
-        self.serve_until_us = min(started_us + limits.shutdown.drain_least_us, self.end_us)
+        self.serve_until_us = min(started_us + limits.shutdown.min_drain_us, self.end_us)
         self.last_pending_us = started_us  # when a call was last open
 
     async def run(self) -> None:
--- a/maplestile/tools/faults/relay_commands.py
+++ b/maplestile/tools/faults/relay_commands.py
@@ -96,11 +96,11 @@
     last_member = default.members - 1
     match table.choice("do", COMMANDS):
         case "udp":
-            member = table.whole("member", most=last_member)
+            member = table.whole("member", maximum=last_member)
             return RegisterMember(member, parse_address(table.loopback("address")))
         case "tcp":
-            origin = table.whole("from", most=last_member)
-            target = table.whole("to", most=last_member)
+            origin = table.whole("from", maximum=last_member)
+            target = table.whole("to", maximum=last_member)
             return OpenLink(origin, target, parse_address(table.loopback("address")))
         case "begin":
             return Begin(_schedule(table, default))
--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -165,8 +165,8 @@
 
     Raises `ScheduleError` naming the field.
     """
-    members = top.whole("members", least=2, most=MAX_MEMBERS)
-    seed = top.whole("seed", most=MAX_SEED)
+    members = top.whole("members", minimum=2, maximum=MAX_MEMBERS)
+    seed = top.whole("seed", maximum=MAX_SEED)
     net = _net(top.table("net"))
     faults = [
         _fault(kind, table, members) for kind in FaultKind for table in top.tables(kind.value, needed=False)
@@ -176,11 +176,11 @@
 
 def _net(table: TomlTable) -> Net:
     net = Net(
-        loss=table.number("loss", 0.0, most=1.0),
+        loss=table.number("loss", 0.0, maximum=1.0),
         delay_us=_milliseconds(table, "delay_ms", 0.5),
         jitter_us=_milliseconds(table, "jitter_ms", 1.0),
-        duplicate=table.number("duplicate", 0.0, most=1.0),
-        reorder=table.number("reorder", 0.0, most=1.0),
+        duplicate=table.number("duplicate", 0.0, maximum=1.0),
+        reorder=table.number("reorder", 0.0, maximum=1.0),
         reorder_us=_milliseconds(table, "reorder_ms", 20.0),
     )
     table.end()
@@ -224,13 +224,13 @@
 
 
 def _milliseconds(table: TomlTable, name: str, default: float) -> int:
-    return int(table.number(name, default, most=MAX_DELAY_MS) * US_PER_MS)
+    return int(table.number(name, default, maximum=MAX_DELAY_MS) * US_PER_MS)
 
 
 def required_time_us(table: TomlTable, name: str, least: float = 0.0) -> int:
     """Take a time in seconds that has to be there, as microseconds. Raises the table's error."""
-    return int(table.number(name, least=least, most=MAX_DURATION_S) * US_PER_S)
+    return int(table.number(name, minimum=least, maximum=MAX_DURATION_S) * US_PER_S)
 
 
 def _member(table: TomlTable, members: int) -> frozenset[int]:
-    return frozenset((table.whole("member", most=members - 1),))
+    return frozenset((table.whole("member", maximum=members - 1),))
--- a/maplestile/tools/model/control_experiment.py
+++ b/maplestile/tools/model/control_experiment.py
@@ -27,18 +27,18 @@
 
 def seed_from(table: TomlTable) -> int:
     """Take the seed. Raises the table's error."""
-    return table.whole("seed", most=MAX_SEED)
+    return table.whole("seed", maximum=MAX_SEED)
 
 
 def microseconds_from_ms(table: TomlTable, name: str, default: float) -> int:
     """Take a duration in milliseconds. Raises the table's error."""
-    return int(table.number(name, default, most=MAX_DURATION_S * MS_PER_S) * US_PER_MS)
+    return int(table.number(name, default, maximum=MAX_DURATION_S * MS_PER_S) * US_PER_MS)
 
 
 def microseconds_from_s(table: TomlTable, name: str, default: float) -> int:
     """Take a duration in seconds. Raises the table's error."""
     # The same limit by number as in milliseconds: a larger duration than other experiments may have.
-    return int(table.number(name, default, most=MAX_DURATION_S * MS_PER_S) * US_PER_S)
+    return int(table.number(name, default, maximum=MAX_DURATION_S * MS_PER_S) * US_PER_S)
 
 
 def with_seeds(experiment: ExperimentT, count: int) -> list[ExperimentT]:
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -55,7 +55,7 @@
     """
     at_us = required_time_us(table, "at_s")
     for_us = required_time_us(table, "for_s")
-    index = table.whole(name, most=count - 1) if name else 0
+    index = table.whole(name, maximum=count - 1) if name else 0
     table.end()
     return TimeRange(at_us, for_us, index)
 
@@ -82,8 +82,8 @@
         schedule_from(top),
         duration_us=required_time_us(top, "duration_s", MIN_DURATION_S),
         lifeguard=top.flag("lifeguard", True),
-        period_us=int(top.number("period_ms", 1000, least=10, most=60_000) * US_PER_MS),
-        duties=top.whole("duties", 0, most=10_000),
+        period_us=int(top.number("period_ms", 1000, minimum=10, maximum=60_000) * US_PER_MS),
+        duties=top.whole("duties", 0, maximum=10_000),
     )
     top.end()
     return experiment
--- a/maplestile/tools/model/policy_experiment.py
+++ b/maplestile/tools/model/policy_experiment.py
@@ -69,13 +69,13 @@
     """Read an experiment out of a file's tables. Raises `ScheduleError` naming the field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("policy",))
-    routers = top.whole("routers", least=1, most=MAX_ROUTERS)
-    agents = top.whole("agents", 3, least=1, most=routers)
+    routers = top.whole("routers", minimum=1, maximum=MAX_ROUTERS)
+    agents = top.whole("agents", 3, minimum=1, maximum=routers)
     experiment = PolicyExperiment(
         seed=seed_from(top),
         routers=routers,
         agents=agents,
-        changes=top.whole("changes", 10, least=1, most=MAX_CHANGES),
+        changes=top.whole("changes", 10, minimum=1, maximum=MAX_CHANGES),
         pause_us=microseconds_from_ms(top, "pause_ms", 500.0),
         duration_us=microseconds_from_s(top, "duration_s", 600.0),
         rate=top.number("rate", 20.0),
@@ -83,9 +83,9 @@
         replica_us=microseconds_from_ms(top, "replica_ms", 100.0),
         call_us=microseconds_from_ms(top, "call_ms", 3.0),
         check_us=microseconds_from_ms(top, "check_ms", 5.0),
-        loss=top.number("loss", 0.0, most=MAX_LOSS),
+        loss=top.number("loss", 0.0, maximum=MAX_LOSS),
         retry_us=microseconds_from_ms(top, "retry_ms", 500.0),
-        refuse=top.number("refuse", 0.0, most=1.0),
+        refuse=top.number("refuse", 0.0, maximum=1.0),
         cuts=tuple(time_range_from(cut, "agent", agents) for cut in top.tables("cut", needed=False)),
         downs=tuple(time_range_from(down, "router", routers) for down in top.tables("down", needed=False)),
     )
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -69,14 +69,14 @@
     """Read an experiment out of a file's tables. Raises `ScheduleError` naming the field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("rollout",))
-    instances = top.whole("instances", least=2, most=MAX_INSTANCES)
+    instances = top.whole("instances", minimum=2, maximum=MAX_INSTANCES)
     budget = _budget_from(top, instances)
     outages = [time_range_from(table, "instance", instances) for table in top.tables("outage", needed=False)]
     elections = [time_range_from(table) for table in top.tables("election", needed=False)]
     experiment = RolloutExperiment(
         seed=seed_from(top),
         instances=instances,
-        agents=top.whole("agents", 3, least=1, most=instances),
+        agents=top.whole("agents", 3, minimum=1, maximum=instances),
         action=top.choice("action", MODELLED_ACTIONS, "restart"),
         budget=budget,
         duration_us=microseconds_from_s(top, "duration_s", 600.0),
@@ -84,7 +84,7 @@
         drain_us=microseconds_from_ms(top, "drain_ms", 1000.0),
         drain_jitter_us=microseconds_from_ms(top, "drain_jitter_ms", 300.0),
         start_us=microseconds_from_ms(top, "start_ms", 300.0),
-        stuck=top.number("stuck", 0.0, most=1.0),
+        stuck=top.number("stuck", 0.0, maximum=1.0),
         stuck_us=microseconds_from_s(top, "stuck_s", 30.0),
         halt_at_us=microseconds_from_s(top, "halt_at_s", 0.0),
         halt_for_us=microseconds_from_s(top, "halt_for_s", 2.0),
--- a/maplestile/tools/trace_output.py
+++ b/maplestile/tools/trace_output.py
@@ -34,9 +34,9 @@
             calls=int(usage.calls),
             rate_per_s=_rounded(usage.rate()),
             mean_gap_s=_rounded(usage.gap_s()),
-            longest_gap_s=_rounded(usage.gap_most_s if usage.gaps else None),
+            longest_gap_s=_rounded(usage.max_gap_s if usage.gaps else None),
             mean_ms=_rounded(usage.duration_ms()),
-            most_ms=_rounded(usage.duration_most_ms if usage.durations else None),
+            most_ms=_rounded(usage.max_duration_ms if usage.durations else None),
             memory_mb=_rounded(trace.memory_mb(usage)),
         )
 
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -54,10 +54,10 @@
     span_s: float = 0.0
     gap_sum_s: float = 0.0
     gaps: int = 0
-    gap_most_s: float = 0.0
+    max_gap_s: float = 0.0
     duration_sum_ms: float = 0.0
     durations: float = 0.0
-    duration_most_ms: float = 0.0
+    max_duration_ms: float = 0.0
     last_s: float = -math.inf
 
     def rate(self) -> float:
@@ -74,7 +74,7 @@
 
     def add_gap(self, gap_s: float) -> None:
         """Count the time between the starts of two calls."""
-        self.gap_most_s = max(self.gap_most_s, gap_s)
+        self.max_gap_s = max(self.max_gap_s, gap_s)
         self.gap_sum_s += gap_s
         self.gaps += 1
 
@@ -82,7 +82,7 @@
         """Count some calls' durations."""
         self.duration_sum_ms += mean_ms * count
         self.durations += count
-        self.duration_most_ms = max(self.duration_most_ms, most_ms)
+        self.max_duration_ms = max(self.max_duration_ms, most_ms)
 
 
 @dataclass(slots=True)
@@ -112,7 +112,7 @@
         total, weight = self.memory.get(usage.app, (0.0, 0.0))
         return total / weight if weight else None
 
-    def read(self, file: TextIO, name: str, bad_most: int = MAX_BAD_ROWS) -> None:
+    def read(self, file: TextIO, name: str, max_bad_rows: int = MAX_BAD_ROWS) -> None:
         """Read one file; a row that cannot be used is named by its line and left out.
 
         Raises `TraceError` where the file is no known trace.
@@ -131,7 +131,7 @@
             except StopIteration:
                 break
             except (RowError, csv.Error) as error:
-                if len(self.bad) < bad_most:
+                if len(self.bad) < max_bad_rows:
                     self.bad.append(f"{name}, line {reader.line_num}: {error}")
         self._set_spans()
 
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -161,7 +161,7 @@
 class ShutdownLimits:
     """Shutdown: connections still come for 0.4 s after SIGTERM, requests on open ones for 0.2 s more."""
 
-    drain_least_us: int = 900_000
+    min_drain_us: int = 900_000
     # And then for a moment without open requests: where clients never stop, nothing more is accepted later.
     drain_patience_us: int = 1_000_000
     collect_us: int = 2_500_000  # for callers to poll for deferred results: they are to retry after 1 s
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -69,7 +69,7 @@
         replace_method(self.retry, "deduplicates", self.deduplicates)
 
     def deduplicates(self, call: Call, ran: list[Attempt], target: api.WorkerEntry) -> bool:
-        return call.kind.idempotency is api.Idempotency.WITH_KEY
+        return call.call_class.idempotency is api.Idempotency.WITH_KEY
 
 
 class IgnoresDeduplicationWindow(Dispatcher):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-ENTRIES_MOST = 3
+MAX_ENTRIES = 3
 FILE = "KNOWN-RED.txt"
 KNOWN_FAILURES = pytest.StashKey[list["KnownFailure"]]()
 
@@ -35,8 +35,8 @@
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"{FILE}: line {number}: must be test | cause | issue")
         failures.append(KnownFailure(*parts))
-    if len(failures) > ENTRIES_MOST:
-        raise pytest.UsageError(f"{FILE}: {len(failures)} lines, {ENTRIES_MOST} at most")
+    if len(failures) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{FILE}: {len(failures)} lines, {MAX_ENTRIES} at most")
     return failures
 
 
--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -15,7 +15,7 @@
 ROUTERS = 5
 POLICY = "stale_s = 2\nwait_s = 4\ntrace = true\n"
 APPLIED_WITHIN_S = 5.0  # from a commit until every live, connected router has applied it; idle machine: 0.3 s
-CALLS_LEAST = 20  # calls whose attempts the logs have to show under load
+MIN_CALLS = 20  # calls whose attempts the logs have to show under load
 METRIC_MISSING = -1.0
 
 
@@ -121,7 +121,7 @@
         if result is not None:
             self.assertLessEqual(set(result["ends"]), {"served", "refused", "nowhere"}, result)
             self.assertGreater(result["served_share"], served_share_least, result)
-            self.assertGreater(len(epochs), CALLS_LEAST)
+            self.assertGreater(len(epochs), MIN_CALLS)
 
     def _check_applied_epochs(self) -> None:
         """Epochs are committed without a gap; a router applies committed ones only, and never goes back."""
--- a/tests/record_datagrams.py
+++ b/tests/record_datagrams.py
@@ -86,7 +86,7 @@
         )
     ),
     {1: 2},
-    PING | {"g": [0] * (messages.ENTRIES_MOST + 1)},
+    PING | {"g": [0] * (messages.MAX_ENTRIES + 1)},
 ]
 FOREIGN_MAPS = [PING | {"z": 1}, PING | {"a": 5}, PING | {"g": [], "f": []}, PING | {"": {"a": [None]}}]
 
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -19,8 +19,8 @@
 LOAD_SEED = 4
 LOAD_RESULT_S = 60.0  # patience with the load tool's report
 UNSAFE_FUNCTION = "keep-result"  # its calls may not run twice
-UNSAFE_CALLS_LEAST = 10  # of a load, for its check to mean anything
-SERVED_SHARE_LEAST = 0.9
+MIN_UNSAFE_CALLS = 10  # of a load, for its check to mean anything
+MIN_SERVED_SHARE = 0.9
 REFUSED = 503  # the HTTP status of a call that may be sent again
 
 
@@ -70,7 +70,7 @@
     def assert_no_call_lost_or_run_twice(self, result: dict[str, Any]) -> None:
         """Check the load's result, and that no call of the unsafe function ran twice."""
         self.assertLessEqual(set(result["ends"]), {"served", "refused"}, result)
-        self.assertGreater(result["served_share"], SERVED_SHARE_LEAST)
+        self.assertGreater(result["served_share"], MIN_SERVED_SHARE)
         # A safe call may go out twice, such as when its worker is late on a busy machine; this one never.
         ran = [
             call
@@ -78,7 +78,7 @@
             for call in worker.ran
             if call["head"]["key"] == UNSAFE_FUNCTION
         ]
-        self.assertGreater(len(ran), UNSAFE_CALLS_LEAST)
+        self.assertGreater(len(ran), MIN_UNSAFE_CALLS)
         runs = Counter(call["call"] for call in ran)
         self.assertEqual([call for call, count in runs.items() if count > 1], [])
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -39,7 +39,7 @@
         self.assertEqual((rig.apply_next_command(200_000) or {})["instance"], "r4")
 
     def test_each_step_that_ends_between_two_decisions_is_watched(self) -> None:
-        rig = ControlRig(self, calls_least=20)
+        rig = ControlRig(self, min_calls=20)
         rig.accept("start", action="restart", targets=["r0", "r1", "r2"], budget=2)
         rig.apply_next_command()
         rig.apply_next_command()
@@ -92,7 +92,7 @@
 
     def test_a_released_instance_that_fails_calls_halts(self) -> None:
         for failed, halts in ((1, False), (5, True)):
-            rig = ControlRig(self, calls_least=20, failed_most=0.1)
+            rig = ControlRig(self, min_calls=20, max_failed_share=0.1)
             rig.reports["r0"] = HealthReport(True, 500, 200)  # what it failed before does not count
             rig.accept("start", action="replace", targets=["r0", "r1"], budget=1)
             rig.apply_next_command()
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -23,7 +23,7 @@
 from tests.faulty import FAULTS, IgnoresDeduplicationWindow
 from tests.standins import ROOT
 
-STATES_LEAST = 500  # that a small case visits
+MIN_STATES = 500  # that a small case visits
 CLASSES = ("safe", "unsafe", "keyed-all", "keyed-zone", "keyed-cell")
 FAULT_EVENTS = (
     EventKind.ERROR,
@@ -71,7 +71,7 @@
 def test_small_cases_hold(name: str) -> None:
     report = explore(CASES[name], depth=SMALL[name])
     assert report.example is None, report.as_json()
-    assert report.visited > STATES_LEAST
+    assert report.visited > MIN_STATES
 
 
 def test_a_case_is_explored_to_its_end_or_reported_as_incomplete() -> None:
@@ -187,12 +187,12 @@
     dispatch = folder / "maplestile" / "dispatch"
     put_fault_in(
         dispatch / "call_router.py",
-        "unsafe = call.kind.idempotency is Idempotency.NOT_IDEMPOTENT",
+        "unsafe = call.call_class.idempotency is Idempotency.NOT_IDEMPOTENT",
         "unsafe = False",
     )
     put_fault_in(
         dispatch / "retry.py",
-        "not ran\n            or call.kind.idempotency is Idempotency.IDEMPOTENT",
+        "not ran\n            or call.call_class.idempotency is Idempotency.IDEMPOTENT",
         "True",
     )
     result = sockets.replay(Example("unsafe", "unsafe-once", events_of(f"{events}, up 1")), folder).as_json()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -22,7 +22,7 @@
     "agent",
     "tools",
 )
-ENTRIES_MOST = 12  # of the package, without `__init__` and `__main__`
+MAX_ENTRIES = 12  # of the package, without `__init__` and `__main__`
 
 
 def modules() -> dict[str, Path]:
@@ -67,7 +67,7 @@
 def test_the_package_has_few_entries_and_each_is_a_layer() -> None:
     entries = {entry.name for entry in PACKAGE.iterdir() if not entry.name.startswith("__")}
     assert entries == set(LAYERS)
-    assert len(entries) <= ENTRIES_MOST
+    assert len(entries) <= MAX_ENTRIES
 
 
 @pytest.mark.parametrize("module", MODULES)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -87,7 +87,7 @@
     "handover.spare_us": 250_000,
     "handover.min_budget_us": 250_000,
     "handover.linger_us": 100_000,
-    "shutdown.drain_least_us": 900_000,
+    "shutdown.min_drain_us": 900_000,
     "shutdown.drain_patience_us": 1_000_000,
     "shutdown.collect_us": 2_500_000,
     "shutdown.kill_spare_us": 700_000,
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -19,7 +19,7 @@
 
 Arrival = arrivals.Arrival
 Address = tuple[str, int]
-CALLS_MOST = 100  # that are kept of a trace
+MAX_CALLS = 100  # that are kept of a trace
 PATIENCE_S = 5.0
 
 
@@ -60,7 +60,7 @@
 
     def read(self, text: str) -> "RecordedTrace":
         """Read a trace, and record its calls."""
-        recorder = arrivals.Recorder(1, CALLS_MOST)
+        recorder = arrivals.Recorder(1, MAX_CALLS)
         trace = Trace(on_calls=recorder.record)
         trace.read(io.StringIO(text), "t.csv")
         return RecordedTrace(recorder, trace)
--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -107,4 +107,4 @@
     ration = dispatcher.load_requests
     windows = ration.arrivals.span_us, ration.requests.span_us, dispatcher.workers["w0"].sends.span_us
     assert windows == (7, 8, 9)
-    assert dispatcher.calls[1].kind is kind and dispatcher.context.keep_alive_us == 2 * SECOND_US
+    assert dispatcher.calls[1].call_class is kind and dispatcher.context.keep_alive_us == 2 * SECOND_US
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -15,7 +15,7 @@
 
 from maplestile.agent.supervisor import send_command
 from tests.fleet_files import NON_VOTER, NON_VOTER_ROUTER
-from tests.policy_fleet import CALLS_LEAST, ROUTERS, PolicyFleet, PolicyTest
+from tests.policy_fleet import MIN_CALLS, ROUTERS, PolicyFleet, PolicyTest
 from tests.rollout_fleet import Calls
 from tests.standins import PATIENCE_S, ROOT, eventually
 
@@ -27,7 +27,7 @@
 
     def test_a_change_is_applied_by_all_under_load_and_is_rolled_back(self) -> None:
         calls = Calls(self.fleet, 8)
-        eventually(lambda: len(self.fleet.events_of("attempt")) > CALLS_LEAST, "calls")
+        eventually(lambda: len(self.fleet.events_of("attempt")) > MIN_CALLS, "calls")
         self.assert_succeeded(self.fleet.propose(0, attempts=3))
         self.fleet.wait_for_epoch(1, 1)
         self.assert_succeeded(self.fleet.run(2, "policy", "rollback"))
