--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -64,7 +64,9 @@
         self._suspicions = SuspicionTimers(self.member_list, self._merger, tuning)
         self._gossip_timer = GossipTimer(self._sender, self._merger, self._local_health, now_us)
         self._exchange = StateExchange(self.member_list, self._sender, self._merger, self._log, now_us)
-        self._isolation = IsolationDetector(self.member_list, self._log, health_checks)
+        self._isolation = IsolationDetector(
+            self.member_list, self._log, health_checks, tuning, self._local_health
+        )
 
     def _new_merger(self) -> UpdateMerger:
         return UpdateMerger(
@@ -182,7 +184,7 @@
         self._suspicions.tick(now_us)
         self._gossip_timer.tick(now_us)
         self._exchange.tick(now_us)
-        self._isolation.evaluate()
+        self._isolation.evaluate(now_us)
 
     def due_us(self) -> int:
         """Return the next time at which `tick` has something to do."""
