--- a/maplestile/agent/process_output.py
+++ b/maplestile/agent/process_output.py
@@ -9,39 +9,49 @@
 DRAINED_LINE = b"stops; nothing is owed"
 
 
-class ProcessOutput:
-    """The lines that one instance logs, over all its processes.
+class SignalAnswers:
+    """The answers of a router to SIGUSR1 and SIGHUP.
 
-    A router answers SIGUSR1 and SIGHUP by a line with a JSON object of one key, as `{"counters": ...}`.
+    Each is a line with a JSON object of one key, as `{"counters": ...}`.
     """
 
-    def __init__(self, name: str) -> None:
-        self.name = name
-        self.drained = False  # the running process has logged that its drain is over
-        self.pending: dict[str, asyncio.Future[Any]] = {}  # by the key of the line that is waited for
+    def __init__(self) -> None:
+        self._pending: dict[str, asyncio.Future[Any]] = {}  # by the key of the line that is waited for
 
     def expect(self, key: str) -> asyncio.Future[Any]:
         """The value of the next line that is an object with that key alone."""
-        answer = self.pending[key] = asyncio.get_running_loop().create_future()
+        answer = self._pending[key] = asyncio.get_running_loop().create_future()
         return answer
 
-    def handle(self, line: bytes) -> None:
-        """Take one line: an answer that is waited for, or else a line to be printed."""
-        # An adopted process has no exit code to tell a clean end from a kill; this line serves instead.
-        if line.rstrip().endswith(DRAINED_LINE):
-            self.drained = True
-        if line.startswith(b'{"') and self._is_answer(line):
-            return
-        sys.stderr.write(f"[{self.name}] {line.decode(errors='replace')}")
-        sys.stderr.flush()
-
-    def _is_answer(self, line: bytes) -> bool:
+    def accept(self, line: bytes) -> bool:
+        """Take a line if it is an answer that is waited for; whether it is one."""
+        if not line.startswith(b'{"'):
+            return False
         try:
             ((key, value),) = json.loads(line).items()
         except ValueError:
             return False
-        answer = self.pending.pop(key, None)
+        answer = self._pending.pop(key, None)
         if answer is None or answer.done():
             return False
         answer.set_result(value)
         return True
+
+
+class ProcessOutput:
+    """The lines that one instance logs, over all its processes."""
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.drained = False  # the running process has logged that its drain is over
+        self.answers = SignalAnswers()
+
+    def handle(self, line: bytes) -> None:
+        """Take one line: an answer that is waited for, or else a line to be printed."""
+        # An adopted process has no exit code to tell a clean end from a kill; this line serves instead.
+        if line.rstrip().endswith(DRAINED_LINE):
+            self.drained = True
+        if self.answers.accept(line):
+            return
+        sys.stderr.write(f"[{self.name}] {line.decode(errors='replace')}")
+        sys.stderr.flush()
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -198,7 +198,7 @@
             await process.wait()
 
     async def _signal_answer(self, number: signal.Signals, key: str) -> Any:
-        answer = self.output.expect(key)
+        answer = self.output.answers.expect(key)
         if not self.send(number):
             return None
         try:
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -1,7 +1,6 @@
 """The router of a replay on sockets: its file, and its process, `maplestile serve`."""
 
 import asyncio
-import json
 import os
 import signal
 import sys
@@ -9,6 +8,7 @@
 from collections.abc import Collection, Iterable
 from pathlib import Path
 
+from maplestile.agent.process_output import SignalAnswers
 from maplestile.common.address import Address, parse_address
 from maplestile.operation.client import CallError, call
 from maplestile.tools.dispatcher_settings import US_PER_MS
@@ -19,7 +19,6 @@
 TIMEOUT_S = 10.0  # of the start, of the end, and of a request of an operator
 
 FRONTS = ("operator", "invoke")
-COUNTERS_PREFIX = '{"counters":'  # of the line that a router prints at SIGUSR1
 FILE_HEAD = f"""[invoke]
 listen = "127.0.0.1:0"
 [operation]
@@ -79,7 +78,7 @@
         self.process: Process | None = None
         self.reader: asyncio.Task[None] | None = None
         self.fronts: dict[str, Address] = {}
-        self.counters_line: asyncio.Future[str] | None = None  # the next one, where it is waited for
+        self.answers = SignalAnswers()
 
     def write_file(self, workers: Iterable[ScriptedWorker], unlisted: Collection[str]) -> None:
         """Write the operator's file, without the unlisted workers."""
@@ -120,12 +119,11 @@
 
     async def counters(self) -> dict[str, int]:
         """Return the counters of the process. Raises `TimeoutError`."""
-        self.counters_line = asyncio.get_running_loop().create_future()
+        answer = self.answers.expect("counters")
         if self.process is not None:
             self.process.send_signal(signal.SIGUSR1)
         async with asyncio.timeout(TIMEOUT_S):
-            line = await self.counters_line
-        counters: dict[str, int] = json.loads(line)["counters"]
+            counters: dict[str, int] = await answer
         return counters
 
     async def request(self, method: str, path: str) -> None:
@@ -154,9 +152,6 @@
             self.reader.cancel()
 
     async def _read(self, stderr: asyncio.StreamReader) -> None:
-        """Read the log to its end; of its lines only the counters are of use."""
+        """Read the log to its end; of its lines only the answers to signals are of use."""
         while line := await stderr.readline():
-            text = line.decode()
-            waiting = self.counters_line
-            if text.startswith(COUNTERS_PREFIX) and waiting is not None and not waiting.done():
-                waiting.set_result(text)
+            self.answers.accept(line)
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -16,7 +16,7 @@
 from tests.agent_doubles import PATIENCE_S, ScriptedAgent, control_after_script, without_ports
 from tests.control_recordings import as_lines, control_settings
 from tests.control_script import POLICY_CHANGES, REGISTRATIONS, SCRIPT
-from tests.polling import wait_until
+from tests.standins import wait_until
 
 INSTANCE = {"state": "running", "pid": 17, "starts": 2, "for_s": 3.5, "last_exit": "ended with 1"}
 STOPPED = {"state": "stopped", "pid": None, "starts": 0, "for_s": 0.1, "last_exit": ""}
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -16,7 +16,7 @@
 from tests.control_recordings import NOBODY, as_lines, control_settings
 from tests.control_script import DOCUMENT
 from tests.policy_driver_rig import PolicyDriverRig
-from tests.polling import wait_until
+from tests.standins import wait_until
 
 STALE = re.compile(r'"stale_s": [0-9.]+')
 
--- a/tests/record_voter.py
+++ b/tests/record_voter.py
@@ -12,7 +12,7 @@
 from maplestile.control.settings import ControlSettings
 from tests.control_recordings import RECORDED, control_settings
 from tests.control_script import HEARTBEAT, POLICY_READ, SCRIPT
-from tests.polling import wait_until
+from tests.standins import wait_until
 
 FOLDER = RECORDED / "voter"
 JOURNAL_HEAD = 40  # bytes before the records
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -10,7 +10,7 @@
 from maplestile.tools.faults.control_port import ControlPort
 from maplestile.tools.faults.relay import Relay
 from maplestile.tools.faults.schedule import Fault, FaultKind, Net, Schedule, ScheduleError, schedule_from
-from tests.polling import wait_until
+from tests.standins import wait_until
 
 PATIENCE_S = 10.0
 PAYLOAD_BYTES = 100_000
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -96,6 +96,15 @@
     "process.memory_mb": 192,
 }
 # What differs from the defaults for a process that is alone, and for one of 2, 3 and 4.
+TINY: dict[str, float] = {
+    "clients.connections": 1,
+    "clients.unread_bytes": 1_048_576,
+    "clients.all_unread_bytes": 1_048_576,
+    "requests.open_bytes": 2_796_202,
+    "runners.connections": 1,
+    "process.descriptors": 64,
+    "process.memory_mb": 20,
+}
 CHANGES: dict[str, list[dict[str, float]]] = {
     "bare": [
         {"clients.connections": 496, "requests.open_bytes": 60_118_357, "runners.connections": 448},
@@ -224,44 +233,7 @@
             "process.memory_mb": 80.5,
         },
     ],
-    "tiny": [
-        {
-            "clients.connections": 1,
-            "clients.unread_bytes": 1_048_576,
-            "clients.all_unread_bytes": 1_048_576,
-            "requests.open_bytes": 2_796_202,
-            "runners.connections": 1,
-            "process.descriptors": 64,
-            "process.memory_mb": 20,
-        },
-        {
-            "clients.connections": 1,
-            "clients.unread_bytes": 1_048_576,
-            "clients.all_unread_bytes": 1_048_576,
-            "requests.open_bytes": 2_796_202,
-            "runners.connections": 1,
-            "process.descriptors": 64,
-            "process.memory_mb": 20,
-        },
-        {
-            "clients.connections": 1,
-            "clients.unread_bytes": 1_048_576,
-            "clients.all_unread_bytes": 1_048_576,
-            "requests.open_bytes": 2_796_202,
-            "runners.connections": 1,
-            "process.descriptors": 64,
-            "process.memory_mb": 20,
-        },
-        {
-            "clients.connections": 1,
-            "clients.unread_bytes": 1_048_576,
-            "clients.all_unread_bytes": 1_048_576,
-            "requests.open_bytes": 2_796_202,
-            "runners.connections": 1,
-            "process.descriptors": 64,
-            "process.memory_mb": 20,
-        },
-    ],
+    "tiny": 4 * [TINY],
 }
 
 
