--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -110,6 +110,7 @@
     def test_a_successor_killed_before_it_is_ready_changes_nothing(self) -> None:
         until_ready(self.program)
         client = self.connect()
+        client.call_until_served("review", b"abc")  # a new connection has a time limit for its first message
         self.names.lose_queries()
         successor = self.start_router(self.program.port("platform"))
         successor.find("(taking over)")
