--- a/maplestile/control/__init__.py
+++ b/maplestile/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane of a fleet: rollouts under a disruption budget, agreed among voters by Raft."""
+"""The control plane of a fleet: rollouts within a disruption budget and the policy, replicated by Raft."""
--- a/maplestile/control/budget.py
+++ b/maplestile/control/budget.py
@@ -1,4 +1,4 @@
-"""How many instances a rollout may have out at once."""
+"""The disruption budget of a rollout: how many instances may be out of service at once."""
 
 from maplestile.common.errors import CommandRejected
 
@@ -6,12 +6,13 @@
 
 
 def budget_of(value: object, instances: int) -> int:
-    """A count (`2`), or a share of the fleet (`"25%"`, rounded down, at least 1).
+    """Convert a budget to a number of instances.
 
-    Raises CommandRejected.
+    The budget is a count (`2` or `"2"`) or a share of the fleet (`"25%"`, rounded down, but at least 1).
+    Raises CommandRejected if it is invalid.
     """
     if isinstance(value, str) and value.endswith("%") and value[:-1].isdigit():
-        return _share_of(value, instances)
+        return _parse_percentage(value, instances)
     if isinstance(value, str) and value.isdigit():
         value = int(value)
     if isinstance(value, bool) or not isinstance(value, int) or value < 1:
@@ -19,7 +20,7 @@
     return value
 
 
-def _share_of(value: str, instances: int) -> int:
+def _parse_percentage(value: str, instances: int) -> int:
     percent = int(value[:-1])
     if not 1 <= percent <= PERCENT:
         raise CommandRejected(f"budget: {value} is not from 1% to 100%")
--- a/maplestile/control/commands/__init__.py
+++ b/maplestile/control/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands of the replicated log, their replies, and the codec of both."""
+"""The commands of the replicated log, the replies to them, and their codec."""
 
 from maplestile.control.commands.codec import (
     EncodedCommand,
--- a/maplestile/control/commands/codec.py
+++ b/maplestile/control/commands/codec.py
@@ -1,7 +1,8 @@
-"""The codec between the commands of the replicated log, their replies, and the wire form of both.
+"""Encodes and decodes the commands of the replicated log and the replies to them.
 
-The wire form of a command is a map whose `"do"` names it; it goes into the journal of every voter, and to a
-voter's agent as JSON. The wire form of a reply is `{"ok": true, ...}`, or `{"ok": false, "reason": text}`.
+The wire form of a command is a dict whose key `"do"` holds the command's name. It is written to the journal
+of every voter, and sent as JSON to a voter's agent. The wire form of a reply is `{"ok": true, ...}` or
+`{"ok": false, "reason": text}`.
 """
 
 from collections.abc import Callable, Mapping
@@ -58,17 +59,17 @@
 
 
 def name_of(command: Command) -> str:
-    """The command's name on the wire, the value of its `"do"`."""
+    """Return the command's name on the wire, the value of its `"do"`."""
     return _NAMES[type(command)]
 
 
 def encode(command: Command) -> EncodedCommand:
-    """The wire form of a command. An optional field that has its default is left out."""
+    """Return the wire form of a command. An optional field that has its default value is omitted."""
     encoded: EncodedCommand = {"do": name_of(command)}
-    for one in fields(command):
-        value = getattr(command, one.name)
-        if one.default is MISSING or value != one.default:
-            encoded[one.metadata.get(WIRE_KEY, one.name)] = _encoded_value(value)
+    for item in fields(command):
+        value = getattr(command, item.name)
+        if item.default is MISSING or value != item.default:
+            encoded[item.metadata.get(WIRE_KEY, item.name)] = _encoded_value(value)
     return encoded
 
 
@@ -87,9 +88,9 @@
 
 
 def decode(encoded: Mapping[str, Any]) -> Command:
-    """The command of a wire form; a key that the command does not have is ignored.
+    """Decode a command from its wire form; unknown keys are ignored.
 
-    Raises CommandRejected for an unknown command, for one that lacks a field, and for an invalid field.
+    Raises CommandRejected for an unknown command and for a missing or invalid field.
     """
     name = encoded.get("do")
     if str(name) not in _COMMANDS:
@@ -97,28 +98,29 @@
     _, decode_fields = _COMMANDS[str(name)]
     try:
         return decode_fields(encoded)
-    except (KeyError, TypeError, ValueError) as fault:
-        raise CommandRejected(f"damaged command: {type(fault).__name__}: {fault}") from None
+    except (KeyError, TypeError, ValueError) as error:
+        raise CommandRejected(f"damaged command: {type(error).__name__}: {error}") from None
 
 
 def as_encoded(command: Command | EncodedCommand) -> EncodedCommand:
-    """The wire form of a command for the log; one that is encoded already is passed on unchanged.
+    """Return the wire form of a command; one that is already encoded is returned unchanged, without a check.
 
-    The replicas decode it, so that the log rejects a damaged one as any command that does not fit.
+    The replicas decode it, so a malformed command is rejected in the same way as one that does not fit the
+    state.
     """
     return command if isinstance(command, dict) else encode(command)
 
 
 def encode_reply(reply: Reply) -> EncodedReply:
-    """The wire form of a reply."""
+    """Return the wire form of a reply."""
     if isinstance(reply, Rejected):
         return {"ok": False, "reason": reply.reason}
-    content = {one.name: _encoded_value(getattr(reply, one.name)) for one in fields(reply)}
+    content = {item.name: _encoded_value(getattr(reply, item.name)) for item in fields(reply)}
     return {"ok": True, **content}
 
 
 def decode_reply(command: Command, encoded: Mapping[str, Any]) -> Reply:
-    """The reply to this command. Raises KeyError where it lacks a field."""
+    """Decode the reply to this command. Raises KeyError or TypeError if a field is missing."""
     if not encoded["ok"]:
         return Rejected(str(encoded["reason"]))
     if isinstance(command, ReadPolicy):
--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -1,10 +1,10 @@
-"""Decoding the fields of a command's wire form.
+"""Decodes the fields of commands from their wire form.
 
-Each public function is named for the type that it decodes to, and raises KeyError, TypeError or ValueError
-for a field that is missing or invalid, and CommandRejected for a document that is no policy.
+Each public function is named after the type that it decodes. It raises KeyError, TypeError or ValueError for
+a missing or invalid field, and CommandRejected for an invalid policy document.
 
-The numbers and agents that say what a sender believes are decoded as they are: a value of another type equals
-none of the agreed state's, so it is refused with the same text as an outdated one.
+The numbers and agents that a sender last saw are not converted or checked: a value of a wrong type equals
+none in the replicated state, so it is rejected with the same text as an outdated one.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,16 +14,16 @@
 from maplestile.control.commands import types
 from maplestile.control.policy.document import PolicyError, document_of
 
-NAME_BYTES_MAX = 64
+MAX_NAME_BYTES = 64
 
 
-def _name(value: object) -> str:
-    if not isinstance(value, str) or not 0 < len(value.encode()) <= NAME_BYTES_MAX:
-        raise ValueError(f"a name must be a text of 1 to {NAME_BYTES_MAX} bytes")
+def _decode_name(value: object) -> str:
+    if not isinstance(value, str) or not 0 < len(value.encode()) <= MAX_NAME_BYTES:
+        raise ValueError(f"a name must be a text of 1 to {MAX_NAME_BYTES} bytes")
     return value
 
 
-def _texts(values: Iterable[object], place: str) -> tuple[str, ...]:
+def _decode_strings(values: Iterable[object], place: str) -> tuple[str, ...]:
     texts = []
     for value in values:
         if not isinstance(value, str):
@@ -32,14 +32,14 @@
     return tuple(texts)
 
 
-def _hashable(values: Iterable[object]) -> tuple[object, ...]:
+def _require_hashable(values: Iterable[object]) -> tuple[object, ...]:
     hashable = tuple(values)
     for value in hashable:
         hash(value)
     return hashable
 
 
-def _table(value: object, place: str) -> Mapping[str, Any]:
+def _require_table(value: object, place: str) -> Mapping[str, Any]:
     if not isinstance(value, Mapping):
         raise TypeError(f"{place}: must be a table")
     return value
@@ -48,19 +48,19 @@
 def register(encoded: Mapping[str, Any]) -> types.Register:
     """Decode the fields of a `register` command."""
     runners = None
-    agent = _name(encoded["agent"])
-    instances = tuple(_name(name) for name in encoded["instances"])
+    agent = _decode_name(encoded["agent"])
+    instances = tuple(_decode_name(name) for name in encoded["instances"])
     if "runners" in encoded:
-        listed = _table(encoded["runners"], "runners")
-        runners = {_name(name): bool(managed) for name, managed in listed.items()}
+        listed = _require_table(encoded["runners"], "runners")
+        runners = {_decode_name(name): bool(managed) for name, managed in listed.items()}
     return types.Register(instances=instances, runners=runners, agent=agent)
 
 
 def heartbeat(encoded: Mapping[str, Any]) -> types.Heartbeat:
     """Decode the fields of a `word` command."""
-    encoded_reports = _table(encoded["words"], "words")
+    encoded_reports = _require_table(encoded["words"], "words")
     reports = {name: types.HealthReport(*report) for name, report in encoded_reports.items()}
-    return types.Heartbeat(agent=_name(encoded["agent"]), reports=reports)
+    return types.Heartbeat(agent=_decode_name(encoded["agent"]), reports=reports)
 
 
 def start_rollout(encoded: Mapping[str, Any]) -> types.StartRollout:
@@ -68,7 +68,7 @@
     return types.StartRollout(
         action=str(encoded["action"]),
         budget=encoded["budget"],
-        targets=_texts(encoded["targets"] or (), "targets"),
+        targets=_decode_strings(encoded["targets"] or (), "targets"),
         kind=str(encoded.get("kind", types.ROUTERS)),
         agent=encoded.get("agent"),
     )
@@ -95,7 +95,7 @@
     """Decode the fields of a `release` command."""
     lease = encoded.get("lease")
     if lease is None and "lease" in encoded:
-        lease = types.NO_LEASE  # it names a lease, but none that exists
+        lease = types.NO_LEASE  # an explicit null matches no lease, while an omitted one matches any
     return types.ReleaseLease(instance=str(encoded["instance"]), lease=lease, agent=encoded.get("agent"))
 
 
@@ -111,24 +111,24 @@
     )
 
 
-def _holder(encoded: Mapping[str, Any]) -> dict[str, Any]:
-    """The fields by which the holder of a lease names it."""
+def _decode_holder_fields(encoded: Mapping[str, Any]) -> dict[str, Any]:
+    """Decode the fields that all commands of a lease's holder have."""
     return {"instance": str(encoded["instance"]), "agent": encoded["agent"], "lease": encoded["lease"]}
 
 
 def begin_step(encoded: Mapping[str, Any]) -> types.BeginStep:
     """Decode the fields of a `begin` command."""
-    return types.BeginStep(**_holder(encoded))
+    return types.BeginStep(**_decode_holder_fields(encoded))
 
 
 def finish_step(encoded: Mapping[str, Any]) -> types.FinishStep:
     """Decode the fields of a `back` command."""
-    return types.FinishStep(**_holder(encoded))
+    return types.FinishStep(**_decode_holder_fields(encoded))
 
 
 def confirm_drained(encoded: Mapping[str, Any]) -> types.ConfirmDrained:
     """Decode the fields of an `out` command."""
-    return types.ConfirmDrained(**_holder(encoded))
+    return types.ConfirmDrained(**_decode_holder_fields(encoded))
 
 
 def report_part(encoded: Mapping[str, Any]) -> types.ReportPart:
@@ -143,7 +143,7 @@
 
 def confirm_renewed(encoded: Mapping[str, Any]) -> types.ConfirmRenewed:
     """Decode the fields of a `renewed` command."""
-    return types.ConfirmRenewed(**_holder(encoded))
+    return types.ConfirmRenewed(**_decode_holder_fields(encoded))
 
 
 def propose_policy(encoded: Mapping[str, Any]) -> types.ProposePolicy:
@@ -191,10 +191,10 @@
 def read_policy(encoded: Mapping[str, Any]) -> types.ReadPolicy:
     """Decode the fields of a `policy read` command.
 
-    Every release counts a read even where a name or the status in it is invalid. Voters of all releases must
-    count alike, so the invalid parts are left out and the rest is taken.
+    All releases count a read even if a name or the status in it is invalid, and voters of different releases
+    must count the same. Invalid parts are therefore dropped, and the rest is decoded.
     """
-    instances = _hashable(encoded["instances"])
+    instances = _require_hashable(encoded["instances"])
     agent = encoded["agent"]
     hash(agent)
     status = encoded.get("told")
--- a/maplestile/control/commands/replies.py
+++ b/maplestile/control/commands/replies.py
@@ -1,78 +1,78 @@
-"""The replies of the agreed state to the commands of the replicated log."""
+"""Replies of the replicated state to commands."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Rejected:
-    """The command does not fit the agreed state, which it has left as it was."""
+    """The reply to a command that does not fit the replicated state and has not changed it."""
 
-    reason: str
+    reason: str  # shown to operators and in the log
 
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The command has been applied, and there is nothing more to say about it."""
+    """The reply to an applied command that has no result."""
 
 
 @dataclass(slots=True, frozen=True)
 class RolloutStarted:
-    """The number of the new rollout, and the most instances that it may have out at once."""
+    """The reply to the start of a rollout."""
 
-    rollout: int
-    budget: int
+    rollout: int  # its number
+    budget: int  # the most instances that may be out of service at once
 
 
 @dataclass(slots=True, frozen=True)
 class RolloutChanged:
-    """The number of the rollout that was halted, resumed or undone."""
+    """The reply to the halt, resume or undo of a rollout."""
 
-    rollout: int
+    rollout: int  # its number
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """The number of the lease that was granted or released."""
+    """The reply to the grant or release of a lease."""
 
-    lease: int
+    lease: int  # its number
 
 
 @dataclass(slots=True, frozen=True)
 class StepBegun:
-    """What the holder has to do with the instance."""
+    """The reply to the begin of a router's step."""
 
-    action: str
+    action: str  # what the holder must do with the instance
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeProposed:
-    """The number of the change, and the epoch that it was made on."""
+    """The reply to the proposal of a policy change or rollback."""
 
-    change: int
-    base: int
+    change: int  # its number
+    base: int  # the number of the epoch that it is based on
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeUpdated:
-    """The number of the change that was voted on or aborted."""
+    """The reply to a verdict on a policy change or to its abort."""
 
-    change: int
+    change: int  # its number
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyCommitted:
-    """The new epoch, and the number of the change that it came from."""
+    """The reply to the commit of a policy change."""
 
-    epoch: int
-    change: int
+    epoch: int  # the number of the new epoch
+    change: int  # the number of the change
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyRead:
-    """The committed epoch, and the instances of the read that the agent manages."""
+    """The reply to a policy read."""
 
-    epoch: int
-    named: tuple[str, ...]
+    epoch: int  # the number of the committed epoch
+    named: tuple[str, ...]  # those instances of the read that the agent manages
 
 
 Acceptance = (
--- a/maplestile/control/commands/types.py
+++ b/maplestile/control/commands/types.py
@@ -1,7 +1,7 @@
-"""The commands of the replicated log.
+"""Commands of the replicated log.
 
-The numbers and agents that say what a sender believes (`rollout`, `lease`, `after`, `change`, the holder's
-`agent`) are only compared with the agreed state.
+The fields `rollout`, `lease`, `after`, `change` and the holder's `agent` hold what the sender last saw of the
+replicated state. They are only compared with it, to reject a sender with outdated information.
 """
 
 from collections.abc import Mapping
@@ -12,38 +12,38 @@
 
 ROUTERS = "routers"
 RUNNERS = "runners"
-NO_LEASE = 0  # the number of no lease: they are counted from 1
-WIRE_KEY = "key"  # in a field's metadata: its key on the wire, where that is not its name
+NO_LEASE = 0  # a number that no lease has: they start at 1
+WIRE_KEY = "key"  # the entry of a field's metadata that holds its key on the wire, if not the field's name
 
 
 @dataclass(slots=True, frozen=True)
 class HealthReport:
-    """An agent's report on one instance: whether it can serve, and its calls since its start."""
+    """An agent's report on the health of one router instance."""
 
-    ready: bool
-    served: int = 0
-    failed: int = 0
+    ready: bool  # whether it takes calls
+    served: int = 0  # calls served since its process started
+    failed: int = 0  # calls failed since its process started
 
 
-# Commands of the agents about their instances.
+# Commands of agents about their instances.
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Register:
-    """Replace the list of the instances that an agent manages, and of the runners that its routers list."""
+    """Replace the lists of the instances that an agent manages and of the runners that its routers list."""
 
     instances: tuple[str, ...]
-    # Each runner, and whether the agent manages its process; None leaves the agent's list as it is.
+    # By runner: whether the agent manages its process. None leaves the agent's list unchanged.
     runners: Mapping[str, bool] | None = None
     agent: str
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Heartbeat:
-    """Report the health of an agent's instances. It changes nothing of what is agreed."""
+    """Report the health of an agent's instances. It does not change the replicated state."""
 
     agent: str
-    reports: Mapping[str, HealthReport] = field(metadata={WIRE_KEY: "words"})
+    reports: Mapping[str, HealthReport] = field(metadata={WIRE_KEY: "words"})  # by instance
 
 
 # Commands of operators about rollouts.
@@ -51,47 +51,47 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartRollout:
-    """Begin a rollout to the targets, or to all instances of the kind where none is named."""
+    """Start a rollout."""
 
-    action: str
-    targets: tuple[str, ...]
+    action: str  # one of `rollout.ACTIONS`
+    targets: tuple[str, ...]  # in the order of the steps; empty for all instances of the kind
     budget: int | str  # a count, or a share such as "25%"
-    kind: str = ROUTERS
-    agent: str | None = None
+    kind: str = ROUTERS  # of the targets: `ROUTERS` or `RUNNERS`
+    agent: str | None = None  # the sender, which is not checked
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class HaltRollout:
-    """Grant no new step; also by the leader, where the rollout does harm."""
+    """Halt the rollout; sent by an operator, or by the leader if the rollout does harm."""
 
-    rollout: int | None = None
-    reason: str = ""
+    rollout: int | None = None  # its number; None for the current one
+    reason: str = ""  # shown to operators
     agent: str | None = None
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ResumeRollout:
-    """Go on with a halted rollout."""
+    """Resume a halted rollout."""
 
-    rollout: int | None = None
+    rollout: int | None = None  # its number; None for the current one
     agent: str | None = None
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class UndoRollout:
-    """Bring back what was taken out, in reverse order."""
+    """Undo the completed steps of a rollout in reverse order."""
 
-    rollout: int | None = None
-    reason: str = ""
+    rollout: int | None = None  # its number; None for the current one
+    reason: str = ""  # shown to operators
     agent: str | None = None
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ReleaseLease:
-    """Drop the lease of an instance; the operator vouches that it serves."""
+    """Drop the lease of an instance, which the operator has checked to serve."""
 
     instance: str
-    lease: int | None = None
+    lease: int | None = None  # its number; None for any
     agent: str | None = None
 
 
@@ -100,56 +100,56 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class GrantLease:
-    """Grant the next step of the rollout to the agent that manages the instance; by the leader."""
+    """Grant the lease for the next step to the agent that manages the instance; sent by the leader."""
 
-    rollout: int | None = None
+    rollout: int | None = None  # its number; None for the current one
     instance: str
-    down: tuple[str, ...]  # instances that are out without a lease: they take up budget as well
-    after: int  # the last number given by the state that the leader decided on
-    term: int
+    down: tuple[str, ...]  # instances that are out of service without a lease, which also count
+    after: int  # the last number allocated in the state that the leader decided on
+    term: int  # the leader's Raft term
     agent: str | None = None
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class HolderCommand:
-    """A command by the holder of a lease, which names the lease that it believes to hold."""
+    """A command of a lease's holder."""
 
     instance: str
-    lease: int
-    agent: str  # the holder
+    lease: int  # the number of the lease that the sender believes it holds
+    agent: str  # the sender
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class BeginStep(HolderCommand):
-    """Begin the step, before the instance is touched."""
+    """Begin the step, before the instance is changed."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class FinishStep(HolderCommand):
-    """End the step and its lease: the instance serves again."""
+    """End the step and its lease, because the instance serves again."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ConfirmDrained(HolderCommand):
-    """End the step of a drain: the instance has nothing in flight and stays out."""
+    """End the step of a drain: the instance has no calls in flight and stays out of service."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ConfirmRenewed(HolderCommand):
-    """Report that a runner's process has been replaced, and routers may use it again."""
+    """Report that a runner's process has been replaced, so that routers may use it again."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ReportPart:
-    """Report what the routers of one agent have done with a leased runner: `begun`, `out` or `in`."""
+    """Report the progress of one agent's routers with a leased runner."""
 
-    part: str = field(metadata={WIRE_KEY: "did"})
-    instance: str
+    part: str = field(metadata={WIRE_KEY: "did"})  # `PART_BEGUN`, `PART_OUT` or `PART_IN` of `rollout`
+    instance: str  # the runner
     lease: int
     agent: str
 
 
-# Commands about changes of the policy.
+# Commands about the policy.
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
@@ -157,16 +157,16 @@
     """Propose a document as the policy of the next epoch."""
 
     document: Document | None  # None: the policy of each router's own file
-    base: int  # the epoch that the change was made on
+    base: int  # the number of the epoch that the change is based on
     agent: str
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RollBackPolicy:
-    """Propose the document of an older epoch: the one named, or the one before the current."""
+    """Propose the document of an older epoch."""
 
-    base: int
-    to: int | None = None
+    base: int  # the number of the epoch that the change is based on
+    to: int | None = None  # the number of the older epoch; None for the one before the current
     agent: str
 
 
@@ -177,21 +177,21 @@
     agent: str
     change: int
     instance: str
-    reason: str  # why the router refuses it; "" where it accepts
+    reason: str  # why the router refuses the change; "" if it accepts
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CommitPolicy:
-    """Commit the change that has been checked; by the leader."""
+    """Commit the change that has been checked; sent by the leader."""
 
     change: int
-    absent: tuple[str, ...]  # without a verdict, and named by no read since the change was proposed
+    absent: tuple[str, ...]  # instances without a verdict that no read has named since the proposal
     agent: str | None = None
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class AbortPolicy:
-    """Give up the change that is being checked; by the leader."""
+    """Abort the change that is being checked; sent by the leader."""
 
     change: int
     reason: str
@@ -200,11 +200,11 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ReadPolicy:
-    """Learn the committed epoch, and name the routers that are let serve by the answer."""
+    """Read the committed epoch, and name the routers to which the agent will announce it."""
 
     agent: str
-    instances: tuple[str, ...]
-    # By instance, what each router says of its policy. It changes nothing of what is agreed.
+    instances: tuple[str, ...]  # the named routers, which may serve by the epoch
+    # By instance: the router's own report on its policy. It is not part of the replicated state.
     router_status: Mapping[str, Any] | None = field(default=None, metadata={WIRE_KEY: "told"})
 
 
--- a/maplestile/control/errors.py
+++ b/maplestile/control/errors.py
@@ -1,13 +1,13 @@
-"""The errors of submitting a command to the replicated log."""
+"""Errors raised when a command is submitted to the replicated log."""
 
 
 class LogError(Exception):
-    """A command that got no answer; the text says whether it may yet take effect."""
+    """A submitted command got no reply; the text says whether it may still take effect."""
 
 
-class CommandNotTaken(LogError):
-    """The command is surely not in the log: no leader took it in time."""
+class CommandNotLogged(LogError):
+    """No leader accepted the command in time, so it is certainly not in the log."""
 
 
 class OutcomeUnknown(LogError):
-    """The command may be in the log, or may still get there, and no answer to it came."""
+    """No reply came; the command may be in the log or may still be appended to it."""
--- a/maplestile/control/fleet.py
+++ b/maplestile/control/fleet.py
@@ -1,4 +1,4 @@
-"""The instances of a fleet, its rollout and its leases: what the transitions read and change."""
+"""The fleet's part of the replicated state: instances, the rollout and leases."""
 
 from dataclasses import dataclass
 
@@ -16,96 +16,96 @@
     Stage,
 )
 
-ROLLOUTS_KEPT = 20
+MAX_PAST_ROLLOUTS = 20  # past rollouts, shown to operators
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """The next instance of a rollout, and what is to be done with it."""
+    """The next instance of a rollout and the action to perform on it."""
 
     instance: str
-    action: str
+    action: str  # one of `rollout.ACTIONS`; one of `UNDO_ACTIONS` for an undo
 
 
 class FleetState:
-    """Everything of the agreed state but the policy."""
+    """The replicated state except the policy."""
 
     def __init__(self) -> None:
-        self.instances: dict[str, str] = {}  # to the agent that manages each
-        self.runners: dict[str, str] = {}  # to the agent that manages its process, "" where none does
-        self.listed: dict[str, list[str]] = {}  # the runners that the routers of each agent list
-        self.rollout: Rollout | None = None
-        self.history: list[Rollout] = []
-        self.leases: dict[str, Lease] = {}  # by instance
-        self.number = 0  # of the last rollout or lease: one count for both, so that no number is reused
-        self.worst_out = dict.fromkeys(KINDS, 0)  # the most that were ever out at once by leases
+        self.instances: dict[str, str] = {}  # by router instance: the agent that manages it
+        self.runners: dict[str, str] = {}  # by runner: the agent that manages its process; "" if none does
+        self.listed: dict[str, list[str]] = {}  # by agent: the runners that its routers list
+        self.rollout: Rollout | None = None  # the latest rollout; None before the first
+        self.history: list[Rollout] = []  # earlier rollouts, the oldest first
+        self.leases: dict[str, Lease] = {}  # by instance or runner
+        self.number = 0  # of the last rollout or lease, which share one sequence; 0 before the first
+        self.worst_out = dict.fromkeys(KINDS, 0)  # by kind: the most instances ever leased at once
 
     def agents(self) -> list[str]:
-        """The agents that manage instances."""
+        """Return the agents that manage router instances, sorted by name."""
         return sorted(set(self.instances.values()))
 
     def out(self, kind: str) -> list[str]:
-        """The instances of a kind that are counted out by a lease."""
-        return [name for name, lease in self.leases.items() if lease.of_runner == (kind == RUNNERS)]
+        """Return the instances of a kind that are out of service under a lease."""
+        return [name for name, lease in self.leases.items() if lease.is_for_runner == (kind == RUNNERS)]
 
     def managers(self, kind: str) -> dict[str, str]:
-        """The instances of a kind, and the agent that manages each."""
+        """Return the instances of a kind, each with the agent that manages it."""
         return self.runners if kind == RUNNERS else self.instances
 
     def active_rollout(self) -> Rollout | None:
-        """The rollout, unless it has ended."""
+        """Return the rollout, or None if there is none or it has ended."""
         rollout = self.rollout
         return rollout if rollout is not None and rollout.phase in ACTIVE else None
 
-    def next_number(self) -> int:
-        """Give out the number of a rollout or lease."""
+    def allocate_number(self) -> int:
+        """Allocate the number of a rollout or lease."""
         self.number += 1
         return self.number
 
     def replace_rollout(self, rollout: Rollout) -> None:
-        """Make this the current rollout; the one before is kept in the history."""
+        """Make this the current rollout and move the previous one to the history."""
         if self.rollout is not None:
-            self.history = [*self.history, self.rollout][-ROLLOUTS_KEPT:]
+            self.history = [*self.history, self.rollout][-MAX_PAST_ROLLOUTS:]
         self.rollout = rollout
 
-    def record_worst_out(self) -> None:
-        """Record how many are out by leases now, if that is the most so far."""
+    def update_worst_out(self) -> None:
+        """Update the largest number of instances of each kind that were leased at once."""
         for kind in KINDS:
             self.worst_out[kind] = max(self.worst_out[kind], len(self.out(kind)))
 
     # Progress of the rollout.
 
     def next_step(self) -> Step | None:
-        """The step that may be granted next, as far as the budget allows; None where there is none."""
+        """Return the step to grant next if the budget allows it; None if there is none."""
         if self.rollout is None:
             return None
         if self.rollout.phase is Phase.RUNNING:
-            return self._next_forward(self.rollout)
+            return self._next_rollout_step(self.rollout)
         if self.rollout.phase is Phase.UNDOING:
-            return self._next_back(self.rollout)
+            return self._next_undo_step(self.rollout)
         return None
 
-    def _next_forward(self, rollout: Rollout) -> Step | None:
+    def _next_rollout_step(self, rollout: Rollout) -> Step | None:
         for name in rollout.targets:
             if name not in rollout.done and name not in self.leases:
                 return Step(name, rollout.action)
         return None
 
-    def _next_back(self, rollout: Rollout) -> Step | None:
+    def _next_undo_step(self, rollout: Rollout) -> Step | None:
         if rollout.action == RESTART:
-            return None  # what was restarted serves already, and what is under way will
-        if self._steps_under_way():
-            return None  # one after the other, so that they also end in the reverse order
+            return None  # restarted instances serve again, or will when their step ends: nothing to undo
+        if self._has_steps_in_progress():
+            return None  # undo one step at a time, so that the steps also end in reverse order
         for name in reversed(rollout.done):
             if name not in rollout.undone:
                 return Step(name, START if rollout.action == DRAIN else RESTORE)
         return None
 
-    def _steps_under_way(self) -> bool:
+    def _has_steps_in_progress(self) -> bool:
         return any(lease.stage is not Stage.OUT for lease in self.leases.values())
 
     def complete_step(self, lease: Lease) -> None:
-        """Record in the rollout that the step of a lease has ended."""
+        """Record in the rollout that the step of a lease is complete."""
         rollout = self.rollout
         if rollout is None:
             return
@@ -115,16 +115,19 @@
         self.finish_if_complete(rollout)
 
     def finish_if_complete(self, rollout: Rollout) -> None:
-        """End the rollout if every target has ended, and no step is under way."""
-        if self._steps_under_way():
+        """End the rollout if the steps of all its targets are complete and none is in progress."""
+        if self._has_steps_in_progress():
             return
         if rollout.phase is Phase.RUNNING and set(rollout.done) >= set(rollout.targets):
             rollout.phase = Phase.DONE
         elif rollout.phase is Phase.UNDOING and self.next_step() is None:
             rollout.phase = Phase.UNDONE
 
-    def drop_untouched_leases(self) -> None:
-        """Withdraw the leases whose step no agent has begun. One granted for an undo goes back to OUT."""
+    def withdraw_unstarted_leases(self) -> None:
+        """Withdraw the leases whose step no agent has begun.
+
+        A lease that was granted to undo a drain is not removed, but returns to the stage OUT.
+        """
         for name, lease in list(self.leases.items()):
             if lease.stage is not Stage.GRANTED:
                 continue
--- a/maplestile/control/lease_transitions.py
+++ b/maplestile/control/lease_transitions.py
@@ -1,4 +1,4 @@
-"""The transitions of the leases: by the leader, by the agents, and the release by an operator."""
+"""Lease transitions: grants by the leader, reports by agents, and releases by operators."""
 
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import (
@@ -30,38 +30,38 @@
 
 
 def grant_lease(fleet: FleetState, command: GrantLease) -> LeaseChanged:
-    """Grant the rollout's next step, where the budget has room for it."""
+    """Grant a lease for the rollout's next step if the budget allows it."""
     rollout = current_rollout(fleet, command.rollout)
     step = fleet.next_step()
     if command.after != fleet.number:
         raise CommandRejected("something else was granted since")
     if step is None or step.instance != command.instance:
         raise CommandRejected(f"it is not the turn of '{command.instance}'")
-    counted = {*fleet.out(rollout.kind), *command.down, step.instance}
-    if len(counted) > rollout.budget:
-        raise CommandRejected(f"{len(counted)} would be out, and the budget is {rollout.budget}")
+    would_be_out = {*fleet.out(rollout.kind), *command.down, step.instance}
+    if len(would_be_out) > rollout.budget:
+        raise CommandRejected(f"{len(would_be_out)} would be out, and the budget is {rollout.budget}")
     lease = _new_lease(fleet, rollout.kind, step, command.term)
     fleet.leases[lease.instance] = lease
     return LeaseChanged(lease.number)
 
 
 def _new_lease(fleet: FleetState, kind: str, step: Step, term: int) -> Lease:
-    number = fleet.next_number()
+    number = fleet.allocate_number()
     holder = fleet.managers(kind).get(step.instance)
     if holder is None:
-        # Its agent has removed it since the start of the rollout. Every release has used up a number here and
-        # has answered with this text; voters of all releases must number alike.
+        # Its agent has removed the instance since the rollout started. All releases use up a number here and
+        # reply with this text, and voters of different releases must assign the same numbers.
         raise CommandRejected(f"damaged command: KeyError: {step.instance!r}")
     lease = Lease(number, step.instance, holder, step.action, Stage.GRANTED, term)
     if kind == RUNNERS:
         lease.parts = dict.fromkeys(fleet.agents(), PART_UNTOUCHED)
-        if step.action == START:  # nothing is taken out by it, so no halt has to come before its begin
+        if step.action == START:  # takes nothing out of service, so a halt need not be able to withdraw it
             lease.stage = Stage.RETURNING
     return lease
 
 
 def release_lease(fleet: FleetState, command: ReleaseLease) -> LeaseChanged:
-    """Drop a lease that will not end by itself; the operator vouches for the instance."""
+    """Drop a lease that does not end by itself; the operator has checked that the instance serves."""
     lease = fleet.leases.get(command.instance)
     if lease is None:
         raise CommandRejected(f"'{command.instance}' is not out")
@@ -73,22 +73,25 @@
     return LeaseChanged(lease.number)
 
 
-# Steps of routers, by the holder of the lease.
+# Steps of routers, reported by the holder of the lease.
 
 
 def begin_step(fleet: FleetState, command: BeginStep) -> StepBegun:
-    """Let the holder touch the instance: what it read of the lease may be outdated."""
+    """Let the holder start to change the instance.
+
+    The holder may have read the lease from an outdated replica, so it must ask before it acts.
+    """
     lease = _held_lease(fleet, command)
-    if lease.stage is not Stage.GRANTED or lease.of_runner:
+    if lease.stage is not Stage.GRANTED or lease.is_for_runner:
         raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
     lease.stage = Stage.BEGUN
     return StepBegun(lease.action)
 
 
 def finish_step(fleet: FleetState, command: FinishStep) -> Accepted:
-    """End a step: its holder has seen the instance serve again."""
+    """End a step and its lease, after the holder has seen the instance serve again."""
     lease = _held_lease(fleet, command)
-    if lease.stage is Stage.GRANTED or lease.action == DRAIN or lease.of_runner:
+    if lease.stage is Stage.GRANTED or lease.action == DRAIN or lease.is_for_runner:
         raise CommandRejected(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
     del fleet.leases[lease.instance]
     fleet.complete_step(lease)
@@ -96,9 +99,9 @@
 
 
 def confirm_drained(fleet: FleetState, command: ConfirmDrained) -> Accepted:
-    """End the step of a drain: the instance has nothing in flight, and stays out."""
+    """End the step of a drain: the instance has no calls in flight and stays out of service."""
     lease = _held_lease(fleet, command)
-    if lease.stage is not Stage.BEGUN or lease.action != DRAIN or lease.of_runner:
+    if lease.stage is not Stage.BEGUN or lease.action != DRAIN or lease.is_for_runner:
         raise CommandRejected(f"lease {lease.number} to {lease.action} is {lease.stage.value}")
     lease.stage = Stage.OUT
     fleet.complete_step(lease)
@@ -112,11 +115,11 @@
     return lease
 
 
-# Steps of runners, in which every agent has a part.
+# Steps of runners, reported by every agent for its own routers.
 
 
 def report_part(fleet: FleetState, command: ReportPart) -> Accepted:
-    """Take one agent's report; the lease moves on once all agents have reported the same."""
+    """Record one agent's progress; the lease reaches its next stage once all agents report the same."""
     lease = fleet.leases.get(command.instance)
     if lease is None or lease.number != command.lease or lease.parts is None:
         raise CommandRejected(f"there is no lease {command.lease} of a runner '{command.instance}'")
@@ -155,7 +158,7 @@
 
 
 def confirm_renewed(fleet: FleetState, command: ConfirmRenewed) -> Accepted:
-    """Let routers use a runner again: its holder has replaced the process."""
+    """Let routers use a runner again, after the holder has replaced its process."""
     lease = _held_lease(fleet, command)
     if lease.stage is not Stage.AWAY or lease.parts is None:
         raise CommandRejected(f"lease {lease.number} is {lease.stage.value}")
--- a/maplestile/control/log_view.py
+++ b/maplestile/control/log_view.py
@@ -1,4 +1,4 @@
-"""What an agent sees of the replicated log beside the agreed state, and its wire form."""
+"""What an agent sees of the replicated log besides the replicated state, and the wire form of it."""
 
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True, frozen=True)
 class VoterStatus:
-    """The voter of this agent as operators see it."""
+    """The Raft status of this agent's voter, as shown to operators."""
 
-    voter: str | None  # its name; None of an agent that is no voter
-    leading: bool
-    leader: str | None  # the leader's name, where one is known
-    term: int  # Raft's
-    index: int  # of the last committed entry
+    voter: str | None  # the voter's name; None for an agent that is not a voter
+    leading: bool  # whether this voter is the leader
+    leader: str | None  # the leader's name; None if unknown
+    term: int  # the current Raft term
+    index: int  # the log index of the last committed entry
 
     def encoded(self) -> dict[str, Any]:
-        """The wire form, as a table of the operators' status replies."""
+        """Return the status as a table of the operators' status replies."""
         return asdict(self)
 
 
@@ -30,34 +30,34 @@
 class ReceivedHeartbeat:
     """The last heartbeat of an agent."""
 
-    number: int  # how many have come from this agent
+    number: int  # how many heartbeats of this agent the voter has applied
     reports: Mapping[str, HealthReport]  # by instance
 
 
 @dataclass(slots=True, frozen=True)
 class RouterStatus:
-    """What an agent has last reported on the policy of its routers."""
+    """An agent's last report on the policy of its routers."""
 
-    age_s: float  # since the report came to the voter
-    routers: Mapping[str, Any]  # by instance: the router's own report, as it came
+    age_s: float  # since the voter received the report
+    routers: Mapping[str, Any]  # by instance: the router's own report, unchanged
 
 
 @dataclass(slots=True, frozen=True)
 class LogAnswer:
-    """A voter's answer to an agent that is none: the agreed state, and the reply to that agent's command."""
+    """A voter's answer to an agent that is not a voter: the replicated state and the reply to a command."""
 
-    ready: bool
+    ready: bool  # whether the voter has caught up with the log
     control: ControlState
     router_status: Mapping[str, RouterStatus]  # by agent
-    reply: EncodedReply | None = None  # None where no command came
+    reply: EncodedReply | None = None  # None if the agent sent no command
 
     def encoded(self) -> dict[str, Any]:
-        """The wire form, which `RemoteLog` reads."""
+        """Return the wire form, which `RemoteLog` decodes."""
         reply = {} if self.reply is None else {"reply": self.reply}
         reported = {agent: [status.age_s, status.routers] for agent, status in self.router_status.items()}
         return {"ready": self.ready, **reply, "state": self.control.encoded(), "told": reported}
 
 
 def decode_router_status(encoded: Mapping[str, Any]) -> dict[str, RouterStatus]:
-    """The status by agent of the `told` table of an answer. Raises TypeError or ValueError."""
+    """Decode the `told` table of an answer to the status by agent. Raises TypeError or ValueError."""
     return {agent: RouterStatus(age_s, routers) for agent, (age_s, routers, *_) in encoded.items()}
--- a/maplestile/control/policy/__init__.py
+++ b/maplestile/control/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The policy that a fleet agrees on, in force on every router or on none. Free of I/O but for `store`."""
+"""The policy that all routers of a fleet share, changed on all of them or on none. Only `store` does I/O."""
--- a/maplestile/control/policy/agreed.py
+++ b/maplestile/control/policy/agreed.py
@@ -1,7 +1,7 @@
-"""The agreed state of the policy: its epochs, and the change that is being checked.
+"""The policy's part of the replicated state: the epochs, and the change that routers are checking.
 
-It is a part of `control.state.ControlState`, and only the functions of `policy.transitions` change it. It
-reads no clock and draws no random numbers, so every voter has the same.
+It belongs to `control.state.ControlState` and changes only through the functions of `policy.transitions`. It
+uses no clock and no random numbers, so that it is the same at every voter.
 """
 
 from collections.abc import Mapping
@@ -18,68 +18,77 @@
 
 __all__ = ["AgreedPolicies", "Change", "Epoch", "Phase"]
 
-EPOCHS_KEPT = 8  # for rollbacks
-CHANGES_KEPT = 20  # shown to operators, without their documents
-NO_EPOCH = -1
+MAX_EPOCHS = 8  # the current epoch, and earlier ones that a rollback can bring back
+MAX_PAST_CHANGES = 20  # past changes, shown to operators without their documents
+NO_EPOCH = -1  # the number of no epoch
 
 
 class AgreedPolicies:
-    """The epochs, the last change, and which instances have been let serve by which read."""
+    """The epochs, the last change, and the last policy read that named each instance."""
 
     def __init__(self) -> None:
-        self.epochs = [Epoch(0, None)]
-        self.change: Change | None = None
-        self.history: list[Change] = []  # decided, their documents left out
-        self.number = 0  # of the last change
-        self.reads = 0
-        self.members: dict[str, int] = {}  # by instance: the number of the last read that let it serve
+        self.epochs = [Epoch(0, None)]  # the oldest first; the last one is committed
+        self.change: Change | None = None  # the last proposed change; None before the first
+        self.history: list[Change] = []  # earlier changes, the oldest first, without their documents
+        self.number = 0  # of the last change; 0 before the first
+        self.reads = 0  # how many policy reads have been applied
+        self.members: dict[str, int] = {}  # by instance: the number of the last read that named it
 
     @property
     def epoch(self) -> Epoch:
         """The committed epoch."""
         return self.epochs[-1]
 
-    def serves(self, name: str) -> bool:
-        """Whether a read has let this instance serve since the change was proposed."""
+    def was_named_since_proposal(self, name: str) -> bool:
+        """Return whether a read since the proposal of the last change has named this instance.
+
+        Such an instance may be serving by the committed epoch.
+        """
         return self.change is not None and self.members.get(name, 0) > self.change.reads
 
     def checking(self) -> Change | None:
-        """The change that is being checked."""
+        """Return the change that is being checked; None if there is none."""
         change = self.change
         return change if change is not None and change.phase is Phase.CHECKING else None
 
     def kept_epoch(self, number: int) -> Epoch | None:
-        """The epoch of this number, where it is still kept."""
+        """Return the epoch with this number; None if it is no longer kept."""
         return next((epoch for epoch in self.epochs if epoch.number == number), None)
 
     def previous_epoch_number(self) -> int:
-        """The epoch in force before the current one; of a rollback, before what it brought back."""
+        """Return the number of the epoch before the current one, or `NO_EPOCH`.
+
+        If the current epoch is a rollback, that is the epoch before the one that it brought back.
+        """
         current = self.epoch.number if self.epoch.rollback is None else self.epoch.rollback
         return max((epoch.number for epoch in self.epochs if epoch.number < current), default=NO_EPOCH)
 
     def replace_change(self, change: Change) -> None:
-        """Make this the change that is being checked; the decided one is kept without its document."""
+        """Make this the change that is being checked, and move the last one to the history.
+
+        The history keeps changes without their documents.
+        """
         if self.change is not None:
             self.change.document = None
-            self.history = [*self.history, self.change][-CHANGES_KEPT:]
+            self.history = [*self.history, self.change][-MAX_PAST_CHANGES:]
         self.number = change.number
         self.change = change
 
     def add_epoch(self, change: Change) -> Epoch:
-        """Make the change's document the policy of a new epoch."""
+        """Add an epoch with the document of this change and return it."""
         epoch = Epoch(self.epoch.number + 1, change.document, change.number, change.rollback)
-        self.epochs = [*self.epochs, epoch][-EPOCHS_KEPT:]
+        self.epochs = [*self.epochs, epoch][-MAX_EPOCHS:]
         return epoch
 
-    def forget_members(self, instances: Mapping[str, str]) -> None:
-        """Remove those that are no longer among the instances."""
+    def remove_unregistered_members(self, instances: Mapping[str, str]) -> None:
+        """Remove the reads of names that are no longer among the instances."""
         self.members = {name: read for name, read in self.members.items() if name in instances}
 
     # The wire form.
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> "AgreedPolicies":
-        """The state of a wire form. Raises KeyError, TypeError or ValueError."""
+        """Decode the state from its wire form. Raises KeyError, TypeError or ValueError if it is invalid."""
         agreed = cls()
         change = encoded["change"]
         agreed.epochs = [decode_epoch(epoch) for epoch in encoded["epochs"]]
@@ -91,7 +100,7 @@
         return agreed
 
     def encoded(self) -> dict[str, Any]:
-        """The wire form: everything, in JSON's types."""
+        """Return the whole state as JSON types."""
         return {
             "epochs": [encode_record(epoch) for epoch in self.epochs],
             "change": None if self.change is None else encode_record(self.change),
--- a/maplestile/control/policy/change.py
+++ b/maplestile/control/policy/change.py
@@ -1,10 +1,12 @@
-"""A change of the policy, the epochs that changes lead to, and their wire form.
+"""Changes of the policy, the epochs that they create, and the wire form of both.
 
-    propose, by an operator --> CHECKING --commit, by the leader: live routers have checked it--> COMMITTED
-                                   +--a verdict refuses it, or abort: one gave none in time--> ABORTED
+    proposed by an operator --> CHECKING --commit by the leader: all live routers accept--> COMMITTED
+                                   +--a router refuses--> ABORTED
+                                   +--abort by the leader: a verdict is missing in time--> ABORTED
 
-A committed change is a new epoch, one more than the last; a rollback is a new epoch with an older document. A
-change names the epoch that it was made on (`base`), so of two changes at once only one can win.
+A committed change creates a new epoch, numbered one higher than the last; a rollback is a new epoch with an
+older document. A change names the epoch that it is based on (`base`), so that only one of two concurrent
+changes can be committed.
 """
 
 from collections.abc import Mapping
@@ -16,7 +18,7 @@
 
 
 class Phase(Enum):
-    """How far a change has come."""
+    """The phase of a change."""
 
     CHECKING = "checking"
     COMMITTED = "committed"
@@ -25,18 +27,18 @@
 
 @dataclass(slots=True)
 class Change:
-    """A proposed change, and what the routers said of it."""
+    """A proposed change and the routers' verdicts on it."""
 
     number: int
-    reads: int  # how many reads had come when it was proposed
-    base: int  # the epoch that it was made on
+    reads: int  # how many policy reads had been applied when the change was proposed
+    base: int  # the number of the epoch that the change is based on
     by: str  # the agent that submitted it
-    document: Tables | None  # None: the files' own
+    document: Tables | None  # None: the policy of each router's own file
     phase: Phase
-    rollback: int | None = None  # the epoch whose document it brings back
-    reason: str = ""
-    verdicts: dict[str, str] = field(default_factory=dict)  # by instance; "" accepts
-    absent: list[str] = field(default_factory=list)  # not live at the commit
+    rollback: int | None = None  # the number of the epoch that it brings back; None if it is not a rollback
+    reason: str = ""  # of the abort; "" if it is not aborted
+    verdicts: dict[str, str] = field(default_factory=dict)  # by instance: the reason to refuse; "" accepts
+    absent: list[str] = field(default_factory=list)  # instances that were down or cut off at the commit
 
 
 @dataclass(slots=True)
@@ -44,16 +46,16 @@
     """A committed policy."""
 
     number: int
-    document: Tables | None
-    change: int = 0
-    rollback: int | None = None
+    document: Tables | None  # None: the policy of each router's own file
+    change: int = 0  # the number of the change that created it; 0 for the first epoch
+    rollback: int | None = None  # the number of the epoch that it brought back; None if it is not a rollback
 
 
 def decode_change(encoded: Mapping[str, Any]) -> Change:
-    """The change of a wire form. Raises KeyError, TypeError or ValueError; a foreign key is a TypeError."""
+    """Decode a change. Raises KeyError, TypeError or ValueError; an unknown key raises TypeError."""
     return Change(**{**encoded, "phase": Phase(encoded["phase"])})
 
 
 def decode_epoch(encoded: Mapping[str, Any]) -> Epoch:
-    """The epoch of a wire form. Raises TypeError, also for a foreign key."""
+    """Decode an epoch. Raises TypeError for a missing or unknown key."""
     return Epoch(**encoded)
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -1,12 +1,12 @@
-"""A policy as one document: the tables of an operator's file that steer decisions.
+"""Policy documents: the tables of an operator's file that control routing decisions.
 
-    [rules]                   # all of it
-    [[class]]                 # all of it
-    [limits]                  # `POLICY_LIMITS` of it; those of a machine or a listener stay the file's
+    [rules]                   # the whole table
+    [[class]]                 # the whole array
+    [limits]                  # only `POLICY_LIMITS`; limits of a machine or a listener stay in each file
 
-A document replaces all of these tables of each router's file: what it does not name has the checker's
-default, and nothing of the file's own policy is left in force. It is checked as a file is at start,
-by `invoke/operator_file.py`; here only its shape is checked.
+A document replaces these settings in each router's file completely: what it omits gets its default, and none
+of the file's own policy stays in force. `invoke/operator_file.py` validates the values as it does those of a
+file at start; this module only checks the table names, the limits and the size.
 """
 
 import hashlib
@@ -22,7 +22,7 @@
 LIMITS_TABLE = "limits"
 POLICY_TABLES = (RULES_TABLE, CLASS_TABLE, LIMITS_TABLE)
 POLICY_LIMITS = ("open_requests", "records", "record_s", "body_bytes", "deadline_most_s")
-# The largest document: some hundred classes. Those of the kept epochs are sent with the agreed state.
+# Enough for about a hundred classes. The documents of all kept epochs are sent with the replicated state.
 DOCUMENT_BYTES = 16_384
 DIGEST_BYTES = 8
 
@@ -30,35 +30,36 @@
 
 
 class PolicyError(ConfigError):
-    """A document that cannot be used; the text names the field."""
+    """A policy document or setting is invalid; the text names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    """A checked document, as canonical JSON: the same policy is the same text."""
+    """A policy document as canonical JSON, so that equal policies have equal texts."""
 
     text: str
 
     @classmethod
     def from_tables(cls, tables: object) -> "Document":
-        """The document of these tables.
+        """Return the document of these tables.
 
-        Raises PolicyError for what is no table of policy, and for a document that is too large.
+        Raises PolicyError for a table or limit that is not part of a policy, and for a document that is too
+        large.
         """
         if not isinstance(tables, Mapping):
             raise PolicyError("policy: must be a table")
-        _check_names(tables)
+        _check_table_names(tables)
         try:
             text = json.dumps(tables, sort_keys=True, separators=(",", ":"), allow_nan=False)
-        except (TypeError, ValueError) as fault:  # a date of TOML, or no number
-            raise PolicyError(f"policy: has a value of no use: {fault}") from None
+        except (TypeError, ValueError) as error:  # a TOML date, NaN or infinity
+            raise PolicyError(f"policy: has a value of no use: {error}") from None
         if len(text.encode()) > DOCUMENT_BYTES:
             raise PolicyError(f"policy: is over {DOCUMENT_BYTES} bytes")
         return cls(text)
 
     @classmethod
     def from_file(cls, root: Mapping[str, Any]) -> "Document":
-        """The policy of an operator's file itself. Raises PolicyError."""
+        """Return the policy of an operator's file, given its root table. Raises PolicyError."""
         tables = {name: root[name] for name in (RULES_TABLE, CLASS_TABLE) if name in root}
         limits = root.get(LIMITS_TABLE)
         if isinstance(limits, Mapping):
@@ -66,34 +67,34 @@
         return cls.from_tables(tables)
 
     def tables(self) -> Tables:
-        """The tables of the document; each call makes new ones."""
+        """Return the tables of the document, as a new copy on each call."""
         tables: Tables = json.loads(self.text)
         return tables
 
     def digest(self) -> str:
-        """A hash of the policy, as hexadecimal digits."""
+        """Return a hash of the policy as hexadecimal digits."""
         return hashlib.blake2b(self.text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
     def applied_to(self, root: Mapping[str, Any]) -> Tables:
-        """The tables of an operator's file, with this document in place of its own policy."""
+        """Return the tables of an operator's file with its own policy replaced by this document."""
         merged = {name: value for name, value in root.items() if name not in POLICY_TABLES}
         tables = self.tables()
         file_limits = root.get(LIMITS_TABLE, {})
-        if isinstance(file_limits, Mapping):  # else the checker refuses it
+        if isinstance(file_limits, Mapping):  # otherwise `invoke/operator_file.py` rejects the file
             kept = {name: value for name, value in file_limits.items() if name not in POLICY_LIMITS}
             tables[LIMITS_TABLE] = {**kept, **tables.get(LIMITS_TABLE, {})}
         return {**merged, **tables}
 
 
-def _check_names(tables: Mapping[str, Any]) -> None:
-    _refuse_other_names(tables, POLICY_TABLES, "")
+def _check_table_names(tables: Mapping[str, Any]) -> None:
+    _reject_unknown_names(tables, POLICY_TABLES, "")
     limits = tables.get(LIMITS_TABLE, {})
     if not isinstance(limits, Mapping):
         raise PolicyError("limits: must be a table")
-    _refuse_other_names(limits, POLICY_LIMITS, f"{LIMITS_TABLE}.")
+    _reject_unknown_names(limits, POLICY_LIMITS, f"{LIMITS_TABLE}.")
 
 
-def _refuse_other_names(names: Iterable[str], allowed: tuple[str, ...], place: str) -> None:
+def _reject_unknown_names(names: Iterable[str], allowed: tuple[str, ...], place: str) -> None:
     for name in names:
         if name not in allowed:
             raise PolicyError(f"{place}{name}: is no part of policy; it stays in each router's file")
@@ -101,19 +102,19 @@
 
 @dataclass(slots=True, frozen=True)
 class AdoptedPolicy:
-    """An epoch and its document; None is the file's own policy."""
+    """An epoch that a router has put in force."""
 
     epoch: int
-    document: Document | None
+    document: Document | None  # None: the policy of the router's own file
 
 
 def digest_of(document: Document | None) -> str:
-    """The digest of a document; empty for the files' own policy."""
+    """Return the digest of a document; "" for the policy of each router's own file."""
     return "" if document is None else document.digest()
 
 
 def document_of(tables: object) -> Document | None:
-    """Decode the document of a message or a log entry: tables, or None for the files' own policy.
+    """Decode the document of a message or a log entry; None stands for the policy of each router's own file.
 
     Raises PolicyError.
     """
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -1,16 +1,17 @@
-"""One router's part: which epoch it decides by, and whether it may take new calls. Free of I/O.
+"""Decides which epoch one router applies and whether it may take new calls. Does no I/O.
 
     WAITING --the committed epoch is announced--> CURRENT <--announced again-- STALE
        |                                             +--no announcement for `stale_us`--> STALE
-       +--no announcement for `wait_us`, and an epoch is on record--> STALE
-    any --paused for `pause_us`, as a stopped process is--> WAITING
-    any --its build or file refuses what is committed--> REFUSED --one that fits is announced--> CURRENT
+       +--no announcement for `wait_us`, and an epoch is on disk--> STALE
+    CURRENT, STALE --the process was paused for over `pause_us`--> WAITING
+    any --its build or file refuses the committed epoch--> REFUSED --one that fits is adopted--> CURRENT
 
-A router that starts, or that was paused, may have missed a commit, so it takes no new calls until its agent
-announces what was committed after that moment. One that only gets no announcements is cut off, and serves
-with the last epoch it knows: all of its epochs were committed. It never goes back.
+A router that starts, or whose process was paused, may have missed a commit. It takes no new calls until its
+agent announces an epoch that was the committed one after that moment. A router that merely gets no
+announcements is cut off and goes on with the last epoch that it knows, which was committed. A router never
+returns to an older epoch.
 
-Times are microseconds of the machine's monotonic clock, which its agent shares.
+Times are microseconds of the machine's monotonic clock, which the router and its agent share.
 """
 
 from dataclasses import dataclass, field
@@ -18,53 +19,57 @@
 
 from maplestile.control.policy.document import Document
 
-NO_EPOCH = -1  # the epoch of a router that has none on record
+NO_EPOCH = -1  # the epoch of a router that has none on disk
 
 
 class PolicyStatus(Enum):
-    """The state of a router's epoch in relation to the fleet's."""
+    """How a router's epoch relates to the committed one."""
 
-    WAITING = "waiting"
-    CURRENT = "current"
-    STALE = "stale"
-    REFUSED = "refused"
+    WAITING = "waiting"  # the committed epoch is not known yet; no new calls are taken
+    CURRENT = "current"  # the epoch was confirmed as the committed one within `stale_us`
+    STALE = "stale"  # the router is cut off and applies the last epoch that it knows
+    REFUSED = "refused"  # the router cannot apply the committed epoch; no new calls are taken
 
 
 class Step(Enum):
-    """What the driver has to do about an announcement."""
+    """What the caller of `take_announcement` must do with the announcement."""
 
     NOTHING = "nothing"
-    ADOPT = "adopt"
-    FETCH = "fetch"  # the document was not sent along
-    OLDER = "older"  # an epoch before the one in force: it came late, and changes nothing
+    ADOPT = "adopt"  # store the announced epoch and put it in force
+    FETCH = "fetch"  # ask for the document, which the announcement lacks
+    OLDER = "older"  # ignore a late announcement of an epoch before the one in force
 
 
 @dataclass(slots=True, frozen=True)
 class FollowerTimeouts:
-    """The timeouts of a router that gets no announcements, in microseconds."""
+    """The timeouts of a router's policy, in microseconds."""
 
-    stale_us: int = 5_000_000
-    wait_us: int = 10_000_000
-    pause_us: int = 2_000_000  # a router that is silent for so long counts as absent at the leader
+    stale_us: int = 5_000_000  # a CURRENT router without an announcement for longer becomes STALE
+    wait_us: int = 10_000_000  # a WAITING router without an announcement for longer becomes STALE
+    # A longer gap between ticks counts as a pause: by then the leader may consider the router absent.
+    pause_us: int = 2_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyAnnouncement:
-    """What the agent announces: at `fenced_us` or later this epoch was the committed one."""
+    """An agent's announcement that `epoch` was the committed one at `fenced_us` or later."""
 
     epoch: int
-    fenced_us: int
-    checking: int = 0  # the change that is being checked; 0 for none
-    has_document: bool = False  # the document was sent along
-    document: Document | None = None  # None, if it was sent along: the file's own
+    fenced_us: int  # when the agent requested the read of the log that returned the epoch
+    checking: int = 0  # the number of the change that is being checked; 0 for none
+    has_document: bool = False  # whether the announcement contains the document
+    document: Document | None = None  # None, if `has_document`: the policy of the router's own file
 
 
 @dataclass(slots=True, frozen=True)
 class PreparedPolicy:
-    """A change that was found to fit, and may be committed any moment: nothing may make it unfit."""
+    """A change that fits this router and may be committed at any moment.
 
-    change: int
-    document: Document | None
+    Until it is decided, the router must not take a new file that the change does not fit.
+    """
+
+    change: int  # its number
+    document: Document | None  # None: the policy of the router's own file
 
 
 @dataclass(slots=True)
@@ -72,66 +77,66 @@
     """The state machine of one router's policy."""
 
     timeouts: FollowerTimeouts
-    epoch: int  # on record, or NO_EPOCH
-    since_us: int  # since when it may have missed a commit: its start, or the end of a pause
-    ticked_us: int = field(init=False)
-    confirmed_us: int = 0  # the last moment at which its epoch is known to have been the committed one
+    epoch: int  # the epoch on disk; NO_EPOCH if there is none
+    since_us: int  # since when it may have missed a commit: its start or the end of a pause
+    last_tick_us: int = field(init=False)  # the time of the last tick
+    confirmed_us: int = 0  # when its epoch was last known to be the committed one; 0 if it never was
     status: PolicyStatus = PolicyStatus.WAITING
-    reason: str = ""  # of a refusal
-    prepared: PreparedPolicy | None = None
+    reason: str = ""  # why the committed epoch was refused; "" if it was not
+    prepared: PreparedPolicy | None = None  # None if no change is being checked that fits
 
     def __post_init__(self) -> None:
-        """Count the time without a tick from the start."""
-        self.ticked_us = self.since_us
+        """Start to measure gaps between ticks at `since_us`."""
+        self.last_tick_us = self.since_us
 
     def tick(self, now_us: int) -> None:
-        """Advance the clock; called at intervals, and before each decision."""
-        gap_us = now_us - self.ticked_us
-        self.ticked_us = now_us
+        """Update the status to the current time; called at intervals and before each decision."""
+        gap_us = now_us - self.last_tick_us
+        self.last_tick_us = now_us
         if gap_us > self.timeouts.pause_us:
-            self._restart(now_us)
+            self._wait_after_pause(now_us)
         if self.status is PolicyStatus.CURRENT and now_us - self.confirmed_us > self.timeouts.stale_us:
             self.status = PolicyStatus.STALE
         has_waited = now_us - self.since_us > self.timeouts.wait_us
         if self.status is PolicyStatus.WAITING and has_waited and self.epoch != NO_EPOCH:
             self.status = PolicyStatus.STALE
 
-    def _restart(self, now_us: int) -> None:
-        """Wait for a new announcement: a commit may have been missed while the process was paused."""
+    def _wait_after_pause(self, now_us: int) -> None:
+        """Wait for a new announcement, because a commit may have been missed while the process was paused."""
         self.since_us = now_us
         if self.status in (PolicyStatus.CURRENT, PolicyStatus.STALE):
             self.status = PolicyStatus.WAITING
 
     def admits(self, now_us: int) -> bool:
-        """Whether new calls are taken."""
+        """Return whether the router may take new calls."""
         self.tick(now_us)
         return self.status in (PolicyStatus.CURRENT, PolicyStatus.STALE)
 
     def stale_us(self, now_us: int) -> int:
-        """For how long its epoch has not been known to be the committed one; 0 while it is."""
+        """Return for how long the epoch has not been confirmed as the committed one; 0 unless STALE."""
         if self.status is not PolicyStatus.STALE:
             return 0
         return now_us - (self.confirmed_us or self.since_us)
 
     def prepare(self, change: int, document: Document | None) -> None:
-        """Remember that the driver has found the change to fit this build and file."""
+        """Record that the caller has checked that the change fits this build and file."""
         self.prepared = PreparedPolicy(change, document)
 
     def take_announcement(self, announcement: PolicyAnnouncement, now_us: int) -> Step:
-        """Take an announcement, and return what the driver has to do about it."""
+        """Process an announcement and return what the caller must do with it."""
         self.tick(now_us)
         if announcement.epoch < self.epoch:
             return Step.OLDER
         if self.prepared is not None and announcement.checking != self.prepared.change:
-            self.prepared = None  # decided; if it was committed the document comes with its epoch
-        # A refused epoch may be the one on record, which this file or build does not fit any more.
+            self.prepared = None  # the change is decided; if committed, its document comes with the new epoch
+        # A refused epoch may be the one on disk, which no longer fits this file or build.
         if announcement.epoch > self.epoch or self.status is PolicyStatus.REFUSED:
             return Step.ADOPT if announcement.has_document else Step.FETCH
         self._confirm(announcement, now_us)
         return Step.NOTHING
 
     def adopted(self, announcement: PolicyAnnouncement, now_us: int) -> None:
-        """Record that the driver has stored the announced epoch and put it in force."""
+        """Record that the caller has stored the announced epoch and put it in force."""
         self.epoch = announcement.epoch
         self.reason = ""
         if self.status is PolicyStatus.REFUSED:
@@ -139,13 +144,13 @@
         self._confirm(announcement, now_us)
 
     def refused(self, reason: str) -> None:
-        """Record that the build or file refuses the committed epoch: no new call is taken meanwhile."""
+        """Record that the committed epoch does not fit this build or file, so that no new calls are taken."""
         self.status = PolicyStatus.REFUSED
         self.reason = reason
 
     def _confirm(self, announcement: PolicyAnnouncement, now_us: int) -> None:
         fenced_us = announcement.fenced_us
         if fenced_us < self.since_us or now_us - fenced_us > self.timeouts.stale_us:
-            return  # what was committed since then is not known
+            return  # the fence is too old: a later commit may have been missed
         self.confirmed_us = max(self.confirmed_us, fenced_us)
         self.status = PolicyStatus.CURRENT
--- a/maplestile/control/policy/planner.py
+++ b/maplestile/control/policy/planner.py
@@ -1,8 +1,8 @@
-"""When a change of policy may be committed, and when it is given up. Free of I/O.
+"""Decides when a change of the policy is committed or aborted. Does no I/O.
 
-The leader's driver passes in the agreed state with its own monotonic time in microseconds, and submits the
-command that is returned to the log, where `transitions` checks it once more. A newly elected leader starts
-with an empty `PolicyPlanner`: verdicts and reads are in the log, and its timeouts start from zero.
+The leading agent passes in the replicated state with its own monotonic time in microseconds, and submits the
+returned command to the log, where `transitions` checks it again. A newly elected leader starts with an empty
+`PolicyPlanner`: verdicts and reads are in the replicated state, and the timeouts start again.
 """
 
 from collections.abc import Iterable
@@ -12,23 +12,27 @@
 from maplestile.control.policy.agreed import AgreedPolicies
 
 US_PER_S = 1e6
-CHECK_US = 6_000_000  # a router that gives no verdict within this time has the change aborted
-ABSENT_US = 3_000_000  # one that none of the six reads within this time has named is down or cut off
+CHECK_US = 6_000_000  # a change is aborted if a verdict is missing after this time
+# A router that no read has named for this long, in which its agent makes six reads, is down or cut off.
+ABSENT_US = 3_000_000
 
 
 @dataclass(slots=True)
 class PolicyPlanner:
-    """The leader's own memory of the change that is being checked, and its decisions."""
+    """Decides for one leader on the change that is being checked."""
 
     check_us: int = CHECK_US
     absent_us: int = ABSENT_US
-    change: int = 0
-    since_us: int = 0  # when this leader first saw the change
+    change: int = 0  # the number of the last change that this leader saw; 0 for none
+    since_us: int = 0  # when this leader first saw that change
 
     def next_command(
         self, agreed: AgreedPolicies, instances: Iterable[str], now_us: int
     ) -> CommitPolicy | AbortPolicy | None:
-        """At most one command: the log answers it before the next is decided on."""
+        """Return the next command for the log, or None.
+
+        The caller waits for the reply before it asks for another command.
+        """
         change = agreed.checking()
         if change is None:
             return None
@@ -37,8 +41,8 @@
             self.since_us = now_us
         waited_us = now_us - self.since_us
         unchecked = [name for name in sorted(instances) if change.verdicts.get(name) != ""]
-        absent = [name for name in unchecked if not agreed.serves(name)]
-        present = [name for name in unchecked if agreed.serves(name)]
+        absent = [name for name in unchecked if not agreed.was_named_since_proposal(name)]
+        present = [name for name in unchecked if agreed.was_named_since_proposal(name)]
         absence_is_certain = not absent or waited_us >= self.absent_us
         if change.verdicts and not present and absence_is_certain:
             return CommitPolicy(change=change.number, absent=tuple(absent))
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -1,10 +1,10 @@
-"""The `[policy]` table of an operator's file: this router's policy is agreed on by the fleet.
+"""The `[policy]` table of an operator's file, which makes a router follow the fleet's policy.
 
-[policy]                          # needs [operation], by which its agent announces what is committed
-folder = "/var/lib/maplestile/r1" # the last committed epoch is kept there
-stale_s = 5                       # no announcement for so long: cut off, and its epoch may be old
-wait_s = 10                       # a router that starts cut off serves by its record after so long
-trace = false                     # an event for each attempt, with its epoch, for checkers
+[policy]                          # requires [operation] listen, where the agent announces committed epochs
+folder = "/var/lib/maplestile/r1" # holds the last committed epoch
+stale_s = 5                       # without an announcement for this long, the router reports a stale policy
+wait_s = 10                       # a router that starts cut off applies its stored epoch after this time
+trace = false                     # logs an event for each attempt with its epoch, for tools that check them
 """
 
 from collections.abc import Mapping
@@ -21,17 +21,17 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicySettings:
-    """A router's part in the agreed policy."""
+    """A router's settings for the fleet's policy."""
 
-    folder: Path
+    folder: Path  # holds the last committed epoch
     timeouts: FollowerTimeouts
-    trace: bool = False
+    trace: bool = False  # whether to log an event for each attempt with its epoch
 
 
 def policy_settings_of(tables: Mapping[str, Any]) -> PolicySettings | None:
-    """The settings of an operator's file; None where it has no such table.
+    """Parse the settings of an operator's file; return None if it has no `[policy]` table.
 
-    Raises PolicyError naming the field.
+    Raises PolicyError, which names the invalid field.
     """
     if "policy" not in tables:
         return None
@@ -39,12 +39,12 @@
     operation = TomlTable(tables.get("operation", {}), "operation", PolicyError)
     if "listen" not in operation.values:
         raise PolicyError("policy: needs [operation] listen: there its agent tells what is committed")
-    settings = PolicySettings(Path(table.text("folder")), _timeouts(table), table.flag("trace", False))
+    settings = PolicySettings(Path(table.text("folder")), _parse_timeouts(table), table.flag("trace", False))
     table.end()
     return settings
 
 
-def _timeouts(table: TomlTable) -> FollowerTimeouts:
+def _parse_timeouts(table: TomlTable) -> FollowerTimeouts:
     return FollowerTimeouts(
         stale_us=int(table.number("stale_s", 5.0, minimum=0.5) * US_PER_S),
         wait_us=int(table.number("wait_s", 10.0, minimum=0.1) * US_PER_S),
--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -1,4 +1,4 @@
-"""The last committed epoch of one router, on disk."""
+"""Stores the last committed epoch of one router on disk."""
 
 import logging
 from pathlib import Path
@@ -9,22 +9,22 @@
 
 log = logging.getLogger("maplestile.policy")
 
-VERSION = 1
+RECORD_VERSION = 1
 NAME = "policy.json"
 
 
 def read(folder: Path) -> AdoptedPolicy | None:
-    """The stored epoch.
+    """Return the stored epoch, or None if there is none or it is invalid.
 
-    None where there is none, or none that can be used, which is logged: the router then waits for its agent.
+    An invalid one is logged. Without a stored epoch the router waits for its agent to announce one.
     """
-    record = durable.read(folder / NAME, VERSION)
+    record = durable.read(folder / NAME, RECORD_VERSION)
     if record is None:
         return None
     try:
         return _decode(record)
-    except (ValueError, KeyError, TypeError, PolicyError) as fault:
-        log.warning("policy: the record in %s is of no use: %s", folder, fault)
+    except (ValueError, KeyError, TypeError, PolicyError) as error:
+        log.warning("policy: ignoring the invalid record of the last epoch in %s: %s", folder, error)
         return None
 
 
@@ -37,6 +37,6 @@
 
 
 def write(folder: Path, adopted: AdoptedPolicy) -> None:
-    """Store an epoch. Raises OSError, and leaves the stored one in place."""
+    """Store an epoch. Raises OSError, in which case the previous record stays."""
     tables = None if adopted.document is None else adopted.document.tables()
-    durable.write(folder / NAME, VERSION, {"epoch": adopted.epoch, "document": tables})
+    durable.write(folder / NAME, RECORD_VERSION, {"epoch": adopted.epoch, "document": tables})
--- a/maplestile/control/policy/transitions.py
+++ b/maplestile/control/policy/transitions.py
@@ -1,9 +1,11 @@
-"""The transitions of the agreed policy, by the type of the command.
-
-A read is how an agent learns what is committed: its answer was agreed on after the read was submitted. It
-names the routers that the agent lets serve by that answer, and a change cannot be committed without the
-verdict of those that were named since it was proposed: so no router serves by the old policy beside the new
-one. One that was not named since got no announcement since, and its next read comes after the commit.
+"""Transitions of the policy in the replicated state.
+
+An agent learns the committed epoch by a read, a command in the log whose reply is at least as new as the
+moment when the agent submitted it. The read names the routers to which the agent will announce the reply, and
+which may then serve by it. A change cannot be committed without a verdict of every router that a read has
+named since the change was proposed, so no router goes on with the old policy next to others with the new one.
+A router that no read has named since the proposal has got no announcement since then, and the next read that
+names it returns the new epoch.
 """
 
 from collections.abc import Callable, Mapping
@@ -27,22 +29,22 @@
 from maplestile.control.policy.change import Change, Epoch, Phase
 from maplestile.control.policy.document import Document, digest_of, document_of
 
-REASON_CHARACTERS_MAX = 300
+MAX_REASON_LENGTH = 300
 
 Managers = Mapping[str, str]  # by instance: the agent that manages it
 
 
-# By operators.
+# Commands of operators.
 
 
 def propose_policy(agreed: AgreedPolicies, command: ProposePolicy, managers: Managers) -> ChangeProposed:
-    """Have a document checked by the routers."""
-    del managers  # any agent may submit it
+    """Propose a document for the routers to check."""
+    del managers  # any agent may submit this command
     return _begin_change(agreed, command, command.document, rollback=None)
 
 
 def roll_back_policy(agreed: AgreedPolicies, command: RollBackPolicy, managers: Managers) -> ChangeProposed:
-    """Have the document of an older epoch checked by the routers."""
+    """Propose the document of an older epoch for the routers to check."""
     del managers
     _check_base(agreed, command.base)
     epoch = _rollback_target(agreed, command.to)
@@ -62,7 +64,7 @@
 
 
 def _check_base(agreed: AgreedPolicies, base: int) -> None:
-    """Refuse a change while another is checked, and one made on another epoch than the current."""
+    """Reject a change while another one is being checked, or if it is not based on the current epoch."""
     checking = agreed.checking()
     if checking is not None:
         raise CommandRejected(f"change {checking.number} is being checked: ask again once it is decided")
@@ -93,15 +95,15 @@
     return ChangeProposed(change.number, change.base)
 
 
-# By agents.
+# Commands of agents.
 
 
 def submit_verdict(agreed: AgreedPolicies, command: SubmitVerdict, managers: Managers) -> ChangeUpdated:
-    """Take a router's verdict: one that refuses aborts the change for all."""
-    change = _checked_change(agreed, command.change)
+    """Record a router's verdict; a refusal aborts the change for the whole fleet."""
+    change = _change_being_checked(agreed, command.change)
     if managers.get(command.instance) != command.agent:
         raise CommandRejected(f"{command.agent} does not manage '{command.instance}'")
-    reason = command.reason[:REASON_CHARACTERS_MAX]
+    reason = command.reason[:MAX_REASON_LENGTH]
     change.verdicts[command.instance] = reason
     if reason:
         change.phase = Phase.ABORTED
@@ -110,24 +112,25 @@
 
 
 def read_policy(agreed: AgreedPolicies, command: ReadPolicy, managers: Managers) -> PolicyRead:
-    """Answer with the committed epoch, and record which instances are let serve by this answer."""
+    """Return the committed epoch, and record which instances may serve by this answer."""
     named = tuple(name for name in command.instances if managers.get(name) == command.agent)
     agreed.reads += 1
     agreed.members.update(dict.fromkeys(named, agreed.reads))
-    # The others are not registered as this agent's, or not yet.
+    # `named` omits instances that are not registered for this agent, or not yet.
     return PolicyRead(agreed.epoch.number, named)
 
 
-# By the leader.
+# Commands of the leader.
 
 
 def commit_policy(agreed: AgreedPolicies, command: CommitPolicy, managers: Managers) -> PolicyCommitted:
-    """Commit the change, where each router has checked it but for those that are down or cut off.
+    """Commit the change if every router has accepted it, except those that are down or cut off.
 
-    Those learn of it on return; `absent` names them, and none of them has been named by a read since.
+    The command lists these in `absent`, and no read may have named them since the change was proposed. They
+    learn of the new epoch when they return.
     """
-    change = _checked_change(agreed, command.change)
-    serving = [name for name in command.absent if agreed.serves(name)]
+    change = _change_being_checked(agreed, command.change)
+    serving = [name for name in command.absent if agreed.was_named_since_proposal(name)]
     if serving:
         raise CommandRejected(f"not absent: {', '.join(serving)}")
     missing = [
@@ -139,28 +142,28 @@
         raise CommandRejected("no router has checked it")
     change.phase = Phase.COMMITTED
     change.absent = list(command.absent)
-    agreed.forget_members(managers)
+    agreed.remove_unregistered_members(managers)
     epoch = agreed.add_epoch(change)
     return PolicyCommitted(epoch.number, change.number)
 
 
 def abort_policy(agreed: AgreedPolicies, command: AbortPolicy, managers: Managers) -> ChangeUpdated:
-    """Give the change up, everywhere."""
+    """Abort the change for the whole fleet."""
     del managers
-    change = _checked_change(agreed, command.change)
+    change = _change_being_checked(agreed, command.change)
     change.phase = Phase.ABORTED
-    change.reason = command.reason[:REASON_CHARACTERS_MAX]
+    change.reason = command.reason[:MAX_REASON_LENGTH]
     return ChangeUpdated(change.number)
 
 
-def _checked_change(agreed: AgreedPolicies, number: int) -> Change:
+def _change_being_checked(agreed: AgreedPolicies, number: int) -> Change:
     change = agreed.checking()
     if change is None or change.number != number:
         raise CommandRejected(f"change {number} is not being checked")
     return change
 
 
-# The transition of each command about the policy.
+# The transition for each type of command about the policy.
 POLICY_TRANSITIONS: dict[type[Any], Callable[[AgreedPolicies, Any, Managers], Acceptance]] = {
     ProposePolicy: propose_policy,
     RollBackPolicy: roll_back_policy,
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -1,8 +1,8 @@
-"""The agreed state of the control plane on Raft, by pysyncobj: this voter's replica, and commands to the log.
+"""A voter's replica of the control plane's state, and the submission of commands to the Raft log.
 
-The library does the consensus (Ongaro and Ousterhout, "In search of an understandable consensus algorithm",
-2014): elections, the log, its journal on disk, snapshots. It runs on this process's event loop by ticks, so
-`ControlState` is touched by one thread alone.
+The pysyncobj library implements Raft (Ongaro and Ousterhout, "In search of an understandable consensus
+algorithm", 2014): elections, the log, its journal on disk and snapshots. It is driven by periodic ticks on
+this process's event loop, so only one thread accesses `ControlState`.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
     decode,
     encode_reply,
 )
-from maplestile.control.errors import CommandNotTaken, LogError, OutcomeUnknown
+from maplestile.control.errors import CommandNotLogged, LogError, OutcomeUnknown
 from maplestile.control.log_storage import check_folder
 from maplestile.control.log_view import ReceivedHeartbeat, RouterStatus, VoterStatus
 from maplestile.control.settings import ControlSettings, Voter
@@ -42,15 +42,15 @@
 __all__ = ["LogError", "RaftLog"]
 
 TICK_S = 0.01
-# For a command to be agreed on: an election takes up to 1.4 s, a lossy link more than one.
+# For a command to be replicated: an election takes up to 1.4 s, and a lossy link may need more than one.
 ANSWER_TIMEOUT_S = 5.0
 RETRY_INTERVAL_S = 0.1
 US_PER_S = 1e6
-# The library's reasons for which a command is surely not in the log: its queue was full, no leader was
-# known, or another entry took its place.
-NOT_TAKEN = (FAIL_REASON.QUEUE_FULL, FAIL_REASON.MISSING_LEADER, FAIL_REASON.DISCARDED)
-LEADER_STATE = 2  # the library's number
-# Commands are rare, and have to be applied soon: a lost leader is replaced within 0.4 to 1.4 s of its last
+# The library's failure reasons that mean that a command is certainly not in the log: the queue was full, no
+# leader was known, or another entry took its place.
+NOT_LOGGED_REASONS = (FAIL_REASON.QUEUE_FULL, FAIL_REASON.MISSING_LEADER, FAIL_REASON.DISCARDED)
+LEADER_STATE = 2  # the library's code for a leader
+# Commands are rare but must be applied promptly: a lost leader is replaced within 0.4 to 1.4 s of its last
 # heartbeat.
 RAFT_TIMES_S = {
     "raftMinTimeout": 0.5,
@@ -63,42 +63,45 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StampedStatus:
-    """What an agent has reported on its routers' policy, and when it came by this machine's clock."""
+class ReceivedRouterStatus:
+    """An agent's last report on the policy of its routers, and when it arrived."""
 
-    received_s: float  # monotonic
-    routers: Mapping[str, Any]  # by instance
+    received_s: float  # by this machine's monotonic clock
+    routers: Mapping[str, Any]  # by instance: the router's own report, unchanged
 
 
 class Replica(SyncObj):  # type: ignore[misc]  # the library has no types
-    """What the log's entries are applied to, on every voter alike."""
+    """The object to which the library applies the entries of the log, in the same order on every voter."""
 
     def __init__(self, own_node: TCPNode, other_nodes: list[TCPNode], conf: SyncObjConf) -> None:
-        # See docs/ROADMAP.md: the snapshot lacks these.
+        # The library's snapshots omit attributes that are set before its constructor runs, so they lack these
+        # (see docs/ROADMAP.md).
         self.control = ControlState()
         self.heartbeats: dict[str, ReceivedHeartbeat] = {}  # by agent
-        self.router_status: dict[str, StampedStatus] = {}  # by agent
+        self.router_status: dict[str, ReceivedRouterStatus] = {}  # by agent
         super().__init__(own_node, other_nodes, conf)
 
     @replicated  # type: ignore[untyped-decorator]  # the library has no types
     def apply_command(self, command: EncodedCommand) -> EncodedReply:
-        """Apply an entry of the log."""
+        """Apply an entry of the log and return the reply to its command."""
         try:
             decoded = decode(command)
-        except CommandRejected as refusal:
-            return encode_reply(Rejected(str(refusal)))
-        if isinstance(decoded, Heartbeat):  # no part of what is agreed
+        except CommandRejected as rejection:
+            return encode_reply(Rejected(str(rejection)))
+        if isinstance(decoded, Heartbeat):  # not part of the replicated state
             last = self.heartbeats.get(decoded.agent)
             number = 1 if last is None else last.number + 1
             self.heartbeats[decoded.agent] = ReceivedHeartbeat(number, decoded.reports)
             return encode_reply(Accepted())
-        if isinstance(decoded, ReadPolicy) and decoded.router_status is not None:  # nor is this
-            self.router_status[decoded.agent] = StampedStatus(time.monotonic(), dict(decoded.router_status))
+        if isinstance(decoded, ReadPolicy) and decoded.router_status is not None:  # nor is this status
+            self.router_status[decoded.agent] = ReceivedRouterStatus(
+                time.monotonic(), dict(decoded.router_status)
+            )
         return encode_reply(self.control.apply(decoded))
 
 
 class RelayedNode(TCPNode):  # type: ignore[misc]  # the library has no types
-    """A voter that is known to all by one address, and is reached from here at another."""
+    """A voter that is identified by one address and connected to at another."""
 
     def __init__(self, address: str, reach: str) -> None:
         super().__init__(address)
@@ -107,33 +110,36 @@
 
     @property
     def ip(self) -> str:
-        """The host to connect to."""
+        """The host to connect to, which overrides that of the address."""
         return self._reach_host
 
     @property
     def port(self) -> int:
-        """The port to connect to."""
+        """The port to connect to, which overrides that of the address."""
         return self._reach_port
 
 
-def node_of(voter: Voter) -> TCPNode:
-    """The library's view of another voter."""
+def create_node(voter: Voter) -> TCPNode:
+    """Return the library's node for another voter."""
     return TCPNode(voter.address) if voter.reach == voter.address else RelayedNode(voter.address, voter.reach)
 
 
 @dataclass(slots=True, frozen=True)
 class SubmitOutcome:
-    """What the library answers to a command."""
+    """The library's answer to a submitted command."""
 
-    reply: EncodedReply | None
-    failure: int  # the library's reason where the command failed; 0 for none
+    reply: EncodedReply | None  # None if the command failed
+    failure: int  # the library's failure reason; 0 for none
 
 
 class RaftLog:
-    """The voter of this process."""
+    """The replicated log as seen by this process's own voter."""
 
     def __init__(self, settings: ControlSettings, counters: Counter[str]) -> None:
-        """Raises CommandRejected or OSError where the voter's folder cannot be used."""
+        """Check the voter's folder and open its journal.
+
+        Raises CommandRejected or OSError if the folder cannot be used.
+        """
         assert settings.folder is not None
         self.settings = settings
         self.counters = counters
@@ -141,9 +147,9 @@
         check_folder(settings.folder, settings.name)
         own_node = TCPNode(next(voter.address for voter in settings.voters if voter.name == settings.name))
         others = [voter for voter in settings.voters if voter.name != settings.name]
-        other_nodes = [node_of(voter) for voter in others]
-        # No command waits here for a leader: one submitted to a voter that is cut off must not take effect
-        # once the link is back, long after its operator has seen it fail.
+        other_nodes = [create_node(voter) for voter in others]
+        # With `commandsWaitLeader`, a command submitted to a voter that is cut off would wait for a leader
+        # and take effect when the link is back, long after its operator has seen it fail.
         conf = SyncObjConf(
             autoTick=False,
             bindAddress=settings.listen,
@@ -157,7 +163,7 @@
 
     @property
     def control(self) -> ControlState:
-        """The agreed state, as far as this voter has applied the log."""
+        """The replicated state, as far as this voter has applied the log."""
         control: ControlState = self.replica.control
         return control
 
@@ -177,11 +183,11 @@
         }
 
     def ready(self) -> bool:
-        """Whether the replica holds what was agreed up to its start, and a leader is known."""
+        """Return whether the replica has caught up with a leader's committed entries since its start."""
         return bool(self.replica.isReady())
 
     def status(self) -> VoterStatus:
-        """The voter as operators see it."""
+        """Return the Raft status of this voter."""
         status = self.replica.getStatus()
         leader_address = str(status["leader"])
         leaders = (voter.name for voter in self.settings.voters if voter.address == leader_address)
@@ -194,7 +200,7 @@
         )
 
     async def run(self) -> None:
-        """Take part in the consensus until cancelled."""
+        """Take part in Raft until cancelled."""
         try:
             while True:
                 self.replica.doTick(0.0)
@@ -203,9 +209,9 @@
             self.replica.destroy()
 
     async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
-        """Have a command agreed on and applied; the wire form of the reply.
+        """Append a command to the log, wait until it is applied, and return the wire form of the reply.
 
-        Raises CommandNotTaken where no leader took it in time, and OutcomeUnknown where it may yet take
+        Raises CommandNotLogged if no leader accepted it in time, and OutcomeUnknown if it may still take
         effect.
         """
         encoded = as_encoded(command)
@@ -216,16 +222,16 @@
             if outcome.reply is not None and not outcome.failure:
                 self._count_command(int((time.monotonic() - start_s) * US_PER_S))
                 return outcome.reply
-            if outcome.failure not in NOT_TAKEN:
+            if outcome.failure not in NOT_LOGGED_REASONS:
                 reason = f"the leader changed meanwhile (reason {outcome.failure}); it may yet take effect"
                 raise OutcomeUnknown(reason)
             if time.monotonic() - start_s > ANSWER_TIMEOUT_S - RETRY_INTERVAL_S:
                 self.counters["control.no_leader"] += 1
-                raise CommandNotTaken(f"no leader within {ANSWER_TIMEOUT_S:.0f} s: it was not taken")
+                raise CommandNotLogged(f"no leader within {ANSWER_TIMEOUT_S:.0f} s: it was not taken")
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _submit_once(self, encoded: EncodedCommand, timeout_s: float) -> SubmitOutcome:
-        """Give a command to the library. Raises OutcomeUnknown where it gives no answer in time."""
+        """Submit a command to the library once. Raises OutcomeUnknown if there is no answer in time."""
         answer: asyncio.Future[SubmitOutcome] = asyncio.get_running_loop().create_future()
 
         def on_answer(reply: EncodedReply | None, failure: int) -> None:
@@ -241,6 +247,6 @@
             reason = f"no majority agreed within {ANSWER_TIMEOUT_S:.0f} s; it may yet take effect"
             raise OutcomeUnknown(reason) from None
 
-    def _count_command(self, took_us: int) -> None:
+    def _count_command(self, duration_us: int) -> None:
         self.counters["control.commands"] += 1
-        self.counters["control.slowest_us"] = max(self.counters["control.slowest_us"], took_us)
+        self.counters["control.slowest_us"] = max(self.counters["control.slowest_us"], duration_us)
--- a/maplestile/control/record_codec.py
+++ b/maplestile/control/record_codec.py
@@ -1,4 +1,4 @@
-"""The encoder of the records that the agreed state consists of."""
+"""Encodes the dataclass records of the replicated state."""
 
 from dataclasses import fields
 from enum import Enum
@@ -9,8 +9,8 @@
 
 
 def encode_record(record: "DataclassInstance") -> dict[str, Any]:
-    """The wire form of a record: its fields by name, in JSON's types; a later change of it has no effect."""
-    return {one.name: _encoded_value(getattr(record, one.name)) for one in fields(record)}
+    """Return a record's fields by name as JSON types; the lists and dicts are copies."""
+    return {item.name: _encoded_value(getattr(record, item.name)) for item in fields(record)}
 
 
 def _encoded_value(value: object) -> object:
--- a/maplestile/control/registration.py
+++ b/maplestile/control/registration.py
@@ -1,4 +1,4 @@
-"""Which instances and runners each agent has: the transition of `Register`."""
+"""The transition of `Register`, by which an agent reports its instances and runners."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def register(fleet: FleetState, command: Register) -> Accepted:
-    """Replace the agent's list of instances; one that is no longer in it, and has no lease, is removed."""
+    """Replace the agent's list of instances; those no longer listed are removed unless they have a lease."""
     for name in command.instances:
         if fleet.instances.get(name, command.agent) != command.agent:
             raise CommandRejected(f"instance '{name}' is managed by {fleet.instances[name]}")
@@ -18,12 +18,15 @@
             del fleet.instances[name]
     fleet.instances.update(dict.fromkeys(command.instances, command.agent))
     if command.runners is not None:
-        _list_runners(fleet, command.agent, command.runners)
+        _update_runners(fleet, command.agent, command.runners)
     return Accepted()
 
 
-def _list_runners(fleet: FleetState, agent: str, runners: Mapping[str, bool]) -> None:
-    """Take the runners that the agent's routers list, and whether the agent manages their processes."""
+def _update_runners(fleet: FleetState, agent: str, runners: Mapping[str, bool]) -> None:
+    """Update the runners that the agent's routers list; the values tell whether it manages their processes.
+
+    Runners that no agent lists any more are removed unless they have a lease.
+    """
     fleet.listed[agent] = sorted(runners)
     for name, managed in runners.items():
         if managed or name not in fleet.runners:
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -1,7 +1,7 @@
-"""The agreed state for an agent that is no voter: read, and changed, through the agents of voters.
+"""Access to the replicated log for an agent that is not a voter, through the agents of voters.
 
-What it reads may be a little old. Every command is checked by the log against what the command's sender
-believed, so that does no harm.
+The state that it reads may be slightly outdated. That does no harm, because a command carries what its sender
+last saw of the state, and is rejected if that is outdated.
 """
 
 import asyncio
@@ -27,47 +27,47 @@
 
 POLL_INTERVAL_S = 0.2
 
-# Sends a command to another agent (address, name of the command, instances, further keys); its reply.
+# Sends a command to another agent and returns its reply: (address, command name, instances, **further keys).
 AgentClient = Callable[..., Awaitable[dict[str, Any]]]
 
 
 class RemoteLog:
-    """The log as this agent reaches it: by the voters' agents that its file names."""
+    """The replicated log as seen through the agents of voters that the settings file lists."""
 
     def __init__(self, settings: ControlSettings, client: AgentClient, counters: Counter[str]) -> None:
         self.settings = settings
         self.client = client
         self.counters = counters
         self.control = ControlState()
-        self.heartbeats: Mapping[str, ReceivedHeartbeat] = {}  # only a leader needs them
+        self.heartbeats: Mapping[str, ReceivedHeartbeat] = {}  # always empty: only a leader needs them
         self.router_status: Mapping[str, RouterStatus] = {}  # by agent
-        self.current = False
+        self.is_voter_ready = False
 
     def ready(self) -> bool:
-        """Whether the last answer came from a voter that is ready."""
-        return self.current
+        """Return whether the last request was answered by a voter that was ready."""
+        return self.is_voter_ready
 
     def status(self) -> VoterStatus:
-        """The status of an agent that is no voter, and never leads."""
+        """Return the status of an agent that is not a voter and never leads."""
         return NO_VOTER_STATUS
 
     async def run(self) -> None:
-        """Poll the agreed state until cancelled."""
+        """Poll the replicated state until cancelled."""
         while True:
             try:
                 await self._request(None)
             except LogError as error:
-                self.current = False
-                log.warning("control: no voter's agent answers: %s", error)
+                self.is_voter_ready = False
+                log.warning("control: no voter's agent answers, the replicated state may be outdated, retrying: %s", error)
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
-        """Have a command agreed on and applied; the wire form of the reply. Raises LogError."""
+        """Submit a command, wait until it is applied, and return the reply's wire form. Raises LogError."""
         reply: EncodedReply = (await self._request(as_encoded(command)))["reply"]
         return reply
 
     async def _request(self, command: EncodedCommand | None) -> dict[str, Any]:
-        """The answer of the first of the voters' agents that gives one, in the order of the file."""
+        """Return the answer of the first voter's agent that gives one, in the order of the settings file."""
         failures = list[str]()
         for host, port in self.settings.voter_agents:
             try:
@@ -82,6 +82,6 @@
             raise LogError(answer["error"])
         control: dict[str, Any] = answer["control"]
         self.control = ControlState.decode(control["state"])
-        self.current = bool(control["ready"])
+        self.is_voter_ready = bool(control["ready"])
         self.router_status = decode_router_status(control.get("told", {}))
         return control
--- a/maplestile/control/rollout.py
+++ b/maplestile/control/rollout.py
@@ -1,20 +1,21 @@
-"""A rollout, the leases of its steps, and their wire form.
+"""Rollouts, the leases of their steps, and the wire form of both.
 
-    lease of a router's step:
+The stages of the lease of a router:
 
-        GRANTED --begin, by its holder--> BEGUN --back: seen serving--> gone, counted in again
-           |                                |--out: drained, of a drain--> OUT --(undo)--> ...
-           +--halt, undo: never begun--> gone
-           +--release, by an operator--> gone
+    GRANTED --begin, by the holder--> BEGUN --back, once it serves again--> lease removed
+       |                                +--out, once drained (drains only)--> OUT --undo--> GRANTED
+       +--halt or undo before the begin--> lease removed (OUT again, if it was granted to undo a drain)
 
-An instance is counted out from the grant until its lease is gone. A lease whose holder has died stays.
+An operator can release a lease at any stage. An instance counts as out of service from the grant until its
+lease is removed. A lease whose holder has died stays.
 
-Routers are instances of agents. A runner is out at all routers, so its lease concerns every agent: each has a
-part in it, and the lease moves on once all have reported the same.
+A runner is taken out of service at all routers, so each agent reports on its own routers, and the lease
+reaches its next stage once all agents have reported the same. The stages of the lease of a runner:
 
-        GRANTED --begun by any--> BEGUN --out, by all agents--> AWAY --renewed, by its holder--> RETURNING
-           |                        (of a drain: OUT, until an undo)                --in, by all--> gone
-           +--halt, undo: never begun--> gone
+    GRANTED --begun, by any agent--> BEGUN --out, by all agents--> AWAY (OUT for a drain)
+       +--halt or undo before that--> lease removed
+    AWAY --renewed, by the holder--> RETURNING --in, by all agents--> lease removed
+    OUT --undo--> RETURNING
 """
 
 from collections.abc import Mapping
@@ -29,22 +30,23 @@
 RESTART = "restart"
 DRAIN = "drain"
 REPLACE = "replace"
-ACTIONS = (RESTART, DRAIN, REPLACE)  # what an operator may roll out
-START = "start"  # the undo of a drain
-RESTORE = "restore"  # the undo of a replacement
+ACTIONS = (RESTART, DRAIN, REPLACE)  # the actions that an operator can roll out
+START = "start"  # undoes a drain
+RESTORE = "restore"  # undoes a replacement
 UNDO_ACTIONS = (START, RESTORE)
 
-PART_UNTOUCHED = ""
-PART_BEGUN = "begun"
-PART_OUT = "out"
-PART_IN = "in"
+# The progress of one agent in the lease of a runner.
+PART_UNTOUCHED = ""  # not reported yet
+PART_BEGUN = "begun"  # its routers are being told to stop using the runner
+PART_OUT = "out"  # none of its routers uses the runner
+PART_IN = "in"  # its routers use the runner again
 
 
 class Phase(Enum):
-    """How far a rollout has come."""
+    """The phase of a rollout."""
 
     RUNNING = "running"
-    HALTED = "halted"  # no new step; what is under way finishes
+    HALTED = "halted"  # no new step is granted; steps in progress finish
     UNDOING = "undoing"
     DONE = "done"
     UNDONE = "undone"
@@ -54,53 +56,53 @@
 
 
 class Stage(Enum):
-    """How far the step of a lease has come."""
+    """The stage of a lease."""
 
-    GRANTED = "granted"  # counted out, not yet touched
-    BEGUN = "begun"  # its holder is at work on it
-    OUT = "out"  # drained, until an undo brings it back
-    AWAY = "away"  # a runner that no router uses any more
-    RETURNING = "returning"  # a runner that routers use again one by one
+    GRANTED = "granted"  # the instance counts as out of service, but is still untouched
+    BEGUN = "begun"  # the instance is being taken out of service or changed
+    OUT = "out"  # the instance is drained, until an undo brings it back
+    AWAY = "away"  # no router uses the runner, so its process may be replaced
+    RETURNING = "returning"  # the agents' routers start to use the runner again
 
 
 @dataclass(slots=True)
 class Lease:
-    """The permission to take one instance out; it is counted out for as long as it has one."""
+    """The permission to take one instance out of service; the instance counts as out while it has a lease."""
 
     number: int
-    instance: str
-    holder: str  # the agent that manages the instance
-    action: str  # one of ACTIONS; of an undo, one of UNDO_ACTIONS
+    instance: str  # the name of the router instance or runner
+    holder: str  # the agent that manages the instance; "" for a runner that no agent manages
+    action: str  # one of ACTIONS; one of UNDO_ACTIONS for an undo
     stage: Stage
-    term: int  # Raft's, at the grant
-    parts: dict[str, str] | None = None  # of a runner: each agent's PART_...; None of a router
+    term: int  # the Raft term of the grant
+    parts: dict[str, str] | None = None  # for a runner, by agent: one of PART_...; None for a router
 
     @property
-    def of_runner(self) -> bool:
-        """Whether the instance is a runner, in which every agent has a part."""
+    def is_for_runner(self) -> bool:
+        """Whether the lease is for a runner, on which every agent reports."""
         return self.parts is not None
 
 
 @dataclass(slots=True)
 class Rollout:
-    """A change of instances one after another, under a budget."""
+    """One action performed on several instances step by step, within a budget."""
 
     number: int
-    action: str
-    targets: tuple[str, ...]
-    budget: int  # the most out at once of its kind, planned or not
+    action: str  # one of ACTIONS
+    targets: tuple[str, ...]  # names of router instances or runners, in the order of the steps
+    budget: int  # the most instances of its kind that may be out of service at once, for any cause
     phase: Phase
-    reason: str = ""
-    done: list[str] = field(default_factory=list)  # in the order in which they ended
-    undone: list[str] = field(default_factory=list)
-    kind: str = ROUTERS
+    reason: str = ""  # of the halt or undo; "" if there is none
+    done: list[str] = field(default_factory=list)  # targets whose step is complete, in that order
+    undone: list[str] = field(default_factory=list)  # targets whose step has been undone, in that order
+    kind: str = ROUTERS  # of the targets: one of KINDS
 
 
 def decode_lease(encoded: Mapping[str, Any]) -> Lease:
-    """The lease of a wire form. Raises KeyError, TypeError or ValueError; a foreign key is a TypeError."""
+    """Decode a lease. Raises KeyError, TypeError or ValueError; an unknown key raises TypeError."""
     return Lease(**{**encoded, "stage": Stage(encoded["stage"])})
 
 
 def decode_rollout(encoded: Mapping[str, Any]) -> Rollout:
-    """The rollout of a wire form. Raises KeyError, TypeError or ValueError; a foreign key is a TypeError."""
+    """Decode a rollout. Raises KeyError, TypeError or ValueError; an unknown key raises TypeError."""
     return Rollout(**{**encoded, "phase": Phase(encoded["phase"]), "targets": tuple(encoded["targets"])})
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -1,9 +1,8 @@
-"""When the next step of a rollout may start, and when a rollout halts by itself. Free of I/O.
+"""Decides when the next step of a rollout may start and when a rollout halts by itself. Does no I/O.
 
-The leader's driver passes in the reports it received, with its own monotonic time in microseconds, and
-submits the command that is returned to the log, where `state.ControlState` checks it once more. A newly
-elected leader starts with an empty `RolloutPlanner`: it waits for a report of every instance before it grants
-a step.
+The leading agent passes in the health reports that it received, with its own monotonic time in microseconds,
+and submits the returned command to the log, where `state.ControlState` checks it again. A newly elected
+leader starts with an empty `RolloutPlanner` and waits for a report on every instance before it grants a step.
 """
 
 from collections.abc import Mapping, Sequence
@@ -25,58 +24,59 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutRules:
-    """What an operator's file may set; times in microseconds."""
+    """The timeouts and thresholds of rollouts; times in microseconds."""
 
-    fresh_us: int = 2_000_000  # a health report counts for so long
-    settle_us: int = 1_000_000  # one that is back counts as out so long: its health is yet to be seen
-    outage_us: int = 3_000_000  # more out than the budget for so long halts the rollout
-    step_us: int = 60_000_000  # a step that takes longer halts the rollout
-    grace_us: int = 5_000_000  # a new leader waits so long at most for a report of every instance
-    min_calls: int = 20  # fewer calls say nothing of an instance's health
-    max_failed_share: float = 0.1  # share of failed calls of a released instance over which the rollout halts
+    report_max_age_us: int = 2_000_000  # an instance with an older last report counts as out of service
+    settle_us: int = 1_000_000  # an instance still counts as out for this long after its step: health unknown
+    outage_us: int = 3_000_000  # the rollout halts if the budget is exceeded for this long
+    step_us: int = 60_000_000  # the rollout halts if a step takes longer
+    grace_us: int = 5_000_000  # the longest that a new leader waits for reports on every instance
+    min_calls: int = 20  # an instance with fewer calls since its step is not judged by their failures
+    max_failed_share: float = 0.1  # the rollout halts if an instance fails more of its calls after its step
 
 
 @dataclass(slots=True, frozen=True)
 class ReceivedReport:
-    """The last health report of an instance, and when it came."""
+    """The last health report on an instance and the time of its arrival."""
 
     report: HealthReport
-    at_us: int
+    at_us: int  # by the leader's monotonic clock
 
 
 @dataclass(slots=True, frozen=True)
 class Progress:
-    """How many ended steps of a rollout have been seen."""
+    """How many completed steps of a rollout the planner has already processed."""
 
-    rollout: int = 0
-    done: int = 0
-    undone: int = 0
+    rollout: int = 0  # the rollout's number; 0 before the first rollout
+    done: int = 0  # the processed entries of `Rollout.done`
+    undone: int = 0  # the processed entries of `Rollout.undone`
 
 
 @dataclass(slots=True)
 class RolloutPlanner:
-    """The leader's own memory of the rollout, and its decisions."""
+    """Plans the steps of a rollout for one leader, from what that leader has observed."""
 
     rules: RolloutRules
-    began_us: int
+    started_us: int  # when this leader began to lead
     reports: dict[str, ReceivedReport] = field(default_factory=dict)  # by instance
-    lease_seen_us: dict[int, int] = field(default_factory=dict)  # when each lease was seen first, by number
-    baselines: dict[str, HealthReport] = field(default_factory=dict)  # by instance: at the end of its step
-    settling_us: dict[str, int] = field(default_factory=dict)  # instances whose steps ended of late, and when
+    lease_seen_us: dict[int, int] = field(default_factory=dict)  # by lease number: when it was first seen
+    baselines: dict[str, HealthReport] = field(default_factory=dict)  # by instance: report at its step's end
+    settling_us: dict[str, int] = field(default_factory=dict)  # by instance: when its step ended, if recently
     progress: Progress = Progress()
-    excess_since_us: int = 0  # since when more are out than the budget; 0 if they are not
+    over_budget_since_us: int = 0  # since when more are out than the budget allows; 0 if they are not
 
     def record_reports(self, reports: Mapping[str, HealthReport], now_us: int) -> None:
-        """Record the health reports of an agent's instances."""
+        """Record the health reports on an agent's instances."""
         for name, report in reports.items():
             self.reports[name] = ReceivedReport(report, now_us)
 
     def next_command(
         self, control: ControlState, members_out: frozenset[str], term: int, now_us: int
     ) -> GrantLease | HaltRollout | None:
-        """At most one command: the log answers it before the next is decided on.
+        """Return the next command for the log, or None.
 
-        `members_out` are instances and runners that the membership finds gone, `term` is Raft's.
+        The caller waits for the reply before it asks for another command. `members_out` are the instances and
+        runners that the membership considers gone, `term` is the Raft term.
         """
         rollout = control.rollout
         self._track_leases(control, now_us)
@@ -92,26 +92,29 @@
         return self._grant(control, rollout, down, term)
 
     def down(self, control: ControlState, kind: str, members_out: frozenset[str], now_us: int) -> list[str]:
-        """The instances of a kind that are out without a lease.
+        """Return the instances of a kind that are out of service without a lease.
 
-        Routers: not ready, without a recent report, or out of the membership. Runners: those that the routers
-        which check them find silent (`members_out` holds them, too).
+        A router is out of service if it is not ready, has no recent report or is in `members_out`. A runner
+        is if it is in `members_out`, because the routers that health-check it get no answers.
         """
         if kind == RUNNERS:
             return [name for name in control.runners if name not in control.leases and name in members_out]
         unleased = [name for name in sorted(control.instances) if name not in control.leases]
-        return [name for name in unleased if name in members_out or not self._serves(name, now_us)]
+        return [name for name in unleased if name in members_out or not self._is_serving(name, now_us)]
 
-    def _serves(self, name: str, now_us: int) -> bool:
+    def _is_serving(self, name: str, now_us: int) -> bool:
         received = self.reports.get(name)
         if received is None or not received.report.ready:
             return False
-        return now_us - received.at_us <= self.rules.fresh_us
+        return now_us - received.at_us <= self.rules.report_max_age_us
 
     def _has_enough_reports(self, control: ControlState, now_us: int) -> bool:
-        """Whether an instance without a report counts as lost: not at once under a new leader."""
+        """Return whether an instance without a report may be counted as out of service.
+
+        A new leader first waits up to `grace_us` for a report on every instance.
+        """
         all_reported = all(name in self.reports for name in control.instances)
-        return all_reported or now_us - self.began_us >= self.rules.grace_us
+        return all_reported or now_us - self.started_us >= self.rules.grace_us
 
     def _grant(
         self, control: ControlState, rollout: Rollout, down: Sequence[str], term: int
@@ -119,9 +122,9 @@
         step = control.next_step()
         if step is None:
             return None
-        # One already out, by its own lease or by an outage, takes up no more of the budget by its step.
-        counted = {*control.out(rollout.kind), *down, *self.settling_us, step.instance}
-        if len(counted) > rollout.budget:
+        # An instance that is already out, by its own lease or by an outage, is not counted twice.
+        would_be_out = {*control.out(rollout.kind), *down, *self.settling_us, step.instance}
+        if len(would_be_out) > rollout.budget:
             return None
         return GrantLease(
             rollout=rollout.number,
@@ -131,7 +134,7 @@
             term=term,
         )
 
-    # What this leader has seen.
+    # Observations of this leader.
 
     def _track_leases(self, control: ControlState, now_us: int) -> None:
         numbers = {lease.number for lease in control.leases.values()}
@@ -139,7 +142,7 @@
 
     def _track_ended_steps(self, rollout: Rollout | None, now_us: int) -> None:
         if rollout is not None:
-            self._see_progress(rollout, now_us)
+            self._track_progress(rollout, now_us)
         self.settling_us = {
             name: ended_us
             for name, ended_us in self.settling_us.items()
@@ -148,10 +151,11 @@
         if rollout is None or rollout.phase not in (Phase.RUNNING, Phase.HALTED):
             self.baselines = {}
 
-    def _see_progress(self, rollout: Rollout, now_us: int) -> None:
+    def _track_progress(self, rollout: Rollout, now_us: int) -> None:
         seen = self.progress
         if seen.rollout != rollout.number:
-            # A new leader does not know when they ended: as many as may be out at once count as the last.
+            # A new leader does not know when the steps ended. It treats the last ones, as many as the budget
+            # allows at once, as having just ended.
             done = max(0, len(rollout.done) - rollout.budget)
             undone = max(0, len(rollout.undone) - rollout.budget)
             seen = Progress(rollout.number, done, undone)
@@ -162,10 +166,10 @@
             self.baselines[name] = HealthReport(False) if received is None else received.report
         self.progress = Progress(rollout.number, len(rollout.done), len(rollout.undone))
 
-    # Why a rollout has to halt.
+    # Reasons to halt a rollout.
 
     def _halt_reason(self, control: ControlState, rollout: Rollout, down: Sequence[str], now_us: int) -> str:
-        """Why the rollout has to halt; "" if it need not."""
+        """Return why the rollout must halt; "" if it may go on."""
         return (
             self._outage_reason(control, rollout, down, now_us)
             or self._slow_step_reason(control, now_us)
@@ -177,19 +181,19 @@
     ) -> str:
         out = len(control.out(rollout.kind)) + len(down)
         if not down or out <= rollout.budget:
-            self.excess_since_us = 0
+            self.over_budget_since_us = 0
             return ""
-        # One that is just back may still be out in the eyes of others: an excess has to last. No step is
-        # granted meanwhile.
-        self.excess_since_us = self.excess_since_us or now_us
-        if now_us - self.excess_since_us < self.rules.outage_us:
+        # An instance that has just come back may still be reported as out, so the rollout halts only if the
+        # excess lasts. No step is granted meanwhile.
+        self.over_budget_since_us = self.over_budget_since_us or now_us
+        if now_us - self.over_budget_since_us < self.rules.outage_us:
             return ""
         return f"{out} out and the budget is {rollout.budget}: {', '.join(down)} without a step"
 
     def _slow_step_reason(self, control: ControlState, now_us: int) -> str:
         for lease in control.leases.values():
-            took_us = now_us - self.lease_seen_us[lease.number]
-            if lease.stage is not Stage.OUT and took_us > self.rules.step_us:
+            duration_us = now_us - self.lease_seen_us[lease.number]
+            if lease.stage is not Stage.OUT and duration_us > self.rules.step_us:
                 return f"the step of {lease.instance} takes over {self.rules.step_us // US_PER_S} s"
         return ""
 
@@ -206,7 +210,7 @@
 
 
 def _calls_since(baseline: HealthReport, report: HealthReport) -> tuple[int, int]:
-    """The calls served and failed since the baseline, or since the start of a new process."""
+    """Return the calls served and failed since the baseline, or since a restart that came after it."""
     is_same_process = report.served + report.failed >= baseline.served + baseline.failed
     if not is_same_process:
         return report.served, report.failed
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -1,19 +1,20 @@
-"""The `[control]` table of an agent's file.
+"""The `[control]` and `[[voter]]` tables of an agent's settings file.
 
     [control]
-    listen = "127.0.0.1:7401"         # Raft, TCP, loopback only
-    folder = "/var/lib/maplestile/a1" # its journal and snapshots outlive the process
-    budget = 1                        # of a rollout that names none: a count, or a share such as "25%"
-    step_s = 60                       # a step that takes longer halts the rollout
-    failed_most = 0.1                 # share of failed calls of a released instance that halts it
-
-    [[voter]]                         # three or five, this agent among them; the same at all of them
+    name = "a1"                       # this agent
+    listen = "127.0.0.1:7401"         # TCP address for Raft, loopback only
+    folder = "/var/lib/maplestile/a1" # the Raft journal and snapshots, kept across restarts
+    budget = 1                        # default budget of a rollout: a count, or a share such as "25%"
+    step_s = 60                       # the rollout halts if a step takes longer
+    failed_most = 0.1                 # it also halts if an instance fails a larger share of its calls
+
+    [[voter]]                         # one of three or five, this agent among them; the same at all of them
     name = "a1"
     address = "127.0.0.1:7401"
-    reach = "127.0.0.1:8401"          # where this agent reaches it, if not there (a relay between)
+    reach = "127.0.0.1:8401"          # address that this agent connects to instead, such as that of a relay
 
-An agent that is no voter leaves `listen` and `folder` out, names itself by `name`, and names the agents of
-voters that it submits to by `ask = ["127.0.0.1:7070", ...]`.
+An agent that is not a voter omits `listen` and `folder`, and lists the agents of voters through which it
+submits commands: `ask = ["127.0.0.1:7070", ...]`.
 """
 
 from dataclasses import dataclass
@@ -25,42 +26,42 @@
 from maplestile.control.budget import budget_of
 from maplestile.control.rollout_planner import RolloutRules
 
-VOTER_COUNTS = (1, 3, 5)  # one is for trying things out: it outlives no failure
-INSTANCES_FOR_CHECK = 100  # any number does: only the form of a budget is checked here
+VOTER_COUNTS = (1, 3, 5)  # a single voter is for experiments only: it tolerates no failure
+INSTANCES_FOR_CHECK = 100  # any positive number: only the format of the budget is checked
 US_PER_S = 1e6
 
 
 @dataclass(slots=True, frozen=True)
 class Voter:
-    """An agent that takes part in the consensus, and where it is reached."""
+    """An agent that takes part in Raft, and its addresses."""
 
     name: str
-    address: str
-    reach: str
+    address: str  # host:port that identifies the voter, the same at all voters
+    reach: str  # host:port that this agent connects to
 
 
 @dataclass(slots=True, frozen=True)
 class ControlSettings:
-    """An agent's part in the control plane."""
+    """An agent's settings for the control plane."""
 
     name: str  # of this agent
-    listen: str  # "" for one that is no voter
-    folder: Path | None
-    voters: tuple[Voter, ...]
-    voter_agents: tuple[Address, ...]  # that an agent which is no voter submits to
-    budget: int | str
+    listen: str  # host:port for Raft; "" for an agent that is not a voter
+    folder: Path | None  # of the Raft journal and snapshots; None for an agent that is not a voter
+    voters: tuple[Voter, ...]  # all voters; may be empty for an agent that is not a voter
+    voter_agents: tuple[Address, ...]  # agents of voters through which a non-voter submits commands
+    budget: int | str  # default of a rollout: a count, or a share such as "25%"
     rules: RolloutRules
 
 
 def control_from(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
-    """The settings of a file's tables. Raises the table's own error, naming the field."""
-    rules = _rules(table)
-    budget = _budget(table)
+    """Parse the settings. Raises the error type of the table, naming the invalid field."""
+    rules = _parse_rules(table)
+    budget = _parse_budget(table)
     name = table.text("name")
     listen = table.loopback("listen") if "listen" in table.values else ""
     folder = Path(table.text("folder")) if listen else None
-    voter_agents = _voter_agents(table)
-    named = tuple(_voter(voter) for voter in voters)
+    voter_agents = _parse_voter_agents(table)
+    named = tuple(_parse_voter(voter) for voter in voters)
     names = [voter.name for voter in named]
     if listen and (len(named) not in VOTER_COUNTS or name not in names):
         raise table.wrong("name", "must be one of one, three or five [[voter]]")
@@ -72,7 +73,7 @@
     return ControlSettings(name, listen, folder, named, voter_agents, budget, rules)
 
 
-def _rules(table: TomlTable) -> RolloutRules:
+def _parse_rules(table: TomlTable) -> RolloutRules:
     return RolloutRules(
         step_us=int(table.number("step_s", 60.0, minimum=0.1) * US_PER_S),
         settle_us=int(table.number("settle_s", 1.0) * US_PER_S),
@@ -81,27 +82,27 @@
     )
 
 
-def _budget(table: TomlTable) -> int | str:
+def _parse_budget(table: TomlTable) -> int | str:
     budget: int | str = table.values.pop("budget", 1)
     try:
         budget_of(budget, INSTANCES_FOR_CHECK)
-    except CommandRejected as refusal:
-        raise table.error(f"{table.place('budget')}: {refusal}") from None
+    except CommandRejected as rejection:
+        raise table.error(f"{table.place('budget')}: {rejection}") from None
     return budget
 
 
-def _voter_agents(table: TomlTable) -> tuple[Address, ...]:
+def _parse_voter_agents(table: TomlTable) -> tuple[Address, ...]:
     addresses = table.values.pop("ask", [])
     if not isinstance(addresses, list) or not all(isinstance(address, str) for address in addresses):
         raise table.wrong("ask", "must be a list of host:port")
-    return tuple(_loopback_address(table, address) for address in addresses)
+    return tuple(_parse_loopback_address(table, address) for address in addresses)
 
 
-def _loopback_address(table: TomlTable, address: str) -> Address:
+def _parse_loopback_address(table: TomlTable, address: str) -> Address:
     return parse_address(TomlTable({"ask": address}, table.path, table.error).loopback("ask"))
 
 
-def _voter(table: TomlTable) -> Voter:
+def _parse_voter(table: TomlTable) -> Voter:
     address = table.loopback("address")
     reach = table.loopback("reach") if "reach" in table.values else address
     voter = Voter(table.text("name"), address, reach)
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -1,11 +1,12 @@
-"""What the fleet has agreed on: its instances, the rollout, the leases of its steps, and its policy.
-
-Every voter applies the same commands of the Raft log in the same order, so each transition is a function of
-the state and the command alone: no clock, no randomness, no I/O (a replicated state machine, as in Schneider,
-"Implementing fault-tolerant services using the state machine approach", 1990). A command that does not fit
-the state changes nothing and is answered with the reason. Each command therefore carries what its sender
-believed (the number of the rollout, of the lease), and a sender whose belief is outdated, such as a deposed
-leader or an agent that was cut off, is refused.
+"""The replicated state of the control plane: the fleet's instances, rollout, leases and policy.
+
+This is a replicated state machine (Schneider, "Implementing fault-tolerant services using the state machine
+approach", 1990). Every voter applies the commands of the Raft log in the same order, so each transition
+depends only on the state and the command: it uses no clock, no randomness and no I/O.
+
+A command that does not fit the state changes nothing, and its reply gives the reason. Commands carry the
+numbers of the rollout and the lease that their sender last saw, so that a sender with outdated information,
+such as a deposed leader or an agent that was cut off from the voters, is rejected.
 """
 
 from collections.abc import Callable, Mapping
@@ -67,7 +68,7 @@
     "budget_of",
 ]
 
-# The transition of each command about instances, rollouts and leases.
+# The transition for each type of command about instances, rollouts and leases.
 FLEET_TRANSITIONS: dict[type[Any], Callable[[FleetState, Any], Acceptance]] = {
     Register: register,
     StartRollout: rollouts.start_rollout,
@@ -85,32 +86,35 @@
 
 
 class ControlState(FleetState):
-    """The agreed state. `apply` is the one way to change it."""
+    """The replicated state, which changes only through `apply`."""
 
     def __init__(self) -> None:
         super().__init__()
         self.policy = AgreedPolicies()
 
     def __setstate__(self, attributes: dict[str, Any]) -> None:
-        """Take the attributes of a snapshot; what an earlier release did not have yet is empty."""
-        self.__init__()  # type: ignore[misc]  # fills in what the snapshot lacks
+        """Restore the state from a snapshot.
+
+        Attributes that are missing in a snapshot of an earlier release get their initial values.
+        """
+        self.__init__()  # type: ignore[misc]  # sets the initial value of every attribute
         self.__dict__.update(attributes)
 
     def apply(self, command: Command) -> Reply:
-        """Apply a command; `Rejected` has changed nothing."""
+        """Apply a command and return its reply; a rejected command changes nothing."""
         try:
             reply = self._transition(command)
-        except CommandRejected as refusal:
-            return Rejected(str(refusal))
-        self.record_worst_out()
+        except CommandRejected as rejection:
+            return Rejected(str(rejection))
+        self.update_worst_out()
         return reply
 
     def apply_encoded(self, encoded: Mapping[str, Any]) -> EncodedReply:
-        """Apply the wire form of a command, and give that of the reply; a damaged one changes nothing."""
+        """Apply a command in wire form and return its reply in wire form; a malformed one changes nothing."""
         try:
             command = decode(encoded)
-        except CommandRejected as refusal:
-            return encode_reply(Rejected(str(refusal)))
+        except CommandRejected as rejection:
+            return encode_reply(Rejected(str(rejection)))
         return encode_reply(self.apply(command))
 
     def _transition(self, command: Command) -> Acceptance:
@@ -126,7 +130,7 @@
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> "ControlState":
-        """The state of a wire form. Raises KeyError, TypeError or ValueError."""
+        """Decode a state from its wire form. Raises KeyError, TypeError or ValueError if it is invalid."""
         control = cls()
         rollout = encoded["rollout"]
         control.instances = dict(encoded["instances"])
@@ -142,7 +146,7 @@
         return control
 
     def encoded(self) -> dict[str, Any]:
-        """The wire form, for operators and for agents that are no voters: everything, in JSON's types."""
+        """Return the whole state as JSON types, for operators and for agents that are not voters."""
         return {
             "instances": dict(self.instances),
             "runners": dict(self.runners),
--- a/tests/test_policy_follower.py
+++ b/tests/test_policy_follower.py
@@ -19,8 +19,8 @@
 
 def tick_until(router: Follower, until_us: int) -> None:
     """Let time pass, with a tick each second."""
-    while router.ticked_us < until_us:
-        router.tick(min(until_us, router.ticked_us + S))
+    while router.last_tick_us < until_us:
+        router.tick(min(until_us, router.last_tick_us + S))
 
 
 def test_a_router_that_starts_takes_no_calls_until_it_knows_what_was_committed_since() -> None:
