--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -58,7 +58,9 @@
                 await self._request(None)
             except LogError as error:
                 self.is_voter_ready = False
-                log.warning("control: no voter's agent answers, the replicated state may be outdated, retrying: %s", error)
+                log.warning(
+                    "control: no voter's agent answers, keeping the last known state, retrying: %s", error
+                )
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
