--- a/tests/control_script.py
+++ b/tests/control_script.py
@@ -1,4 +1,4 @@
-"""The commands of the replicated log, in wire form, on which the recordings of the control plane rest."""
+"""The script of log commands in wire form from which the recorded files of the control plane are made."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def _grant(instance: str, after: int, *down: str, rollout: int | None = None) -> Command:
-    """The leader's grant of a lease, on the state after command `after`."""
+    """Return the leader's grant of a lease, decided when `after` was the last allocated number."""
     return {
         "do": "grant",
         "rollout": rollout,
@@ -20,14 +20,14 @@
     }
 
 
-def _step(do: str, instance: str, lease: int, agent: str = "a0", **more: Any) -> Command:
-    """An agent's report on a step under a lease."""
-    return {"do": do, **more, "instance": instance, "lease": lease, "agent": agent}
+def _step(do: str, instance: str, lease: int, agent: str = "a0", **fields: Any) -> Command:
+    """Return an agent's report on the step of a lease."""
+    return {"do": do, **fields, "instance": instance, "lease": lease, "agent": agent}
 
 
-def _start(action: str, targets: list[str], budget: Any = 1, **more: Any) -> Command:
-    """An operator's start of a rollout."""
-    return {"do": "start", "action": action, "targets": targets, "budget": budget, **more, "agent": "a0"}
+def _start(action: str, targets: list[str], budget: Any = 1, **fields: Any) -> Command:
+    """Return an operator's command to start a rollout."""
+    return {"do": "start", "action": action, "targets": targets, "budget": budget, **fields, "agent": "a0"}
 
 
 REGISTRATIONS: list[Command] = [
@@ -152,7 +152,8 @@
     {"do": "policy propose", "document": SECOND_DOCUMENT, "base": 2, "agent": "a1"},
     {"do": "policy verdict", "change": 5, "instance": "r2", "reason": "", "agent": "a1"},
 ]
-DAMAGED: list[Command] = [
+# Commands with missing, invalid or unknown fields.
+MALFORMED: list[Command] = [
     {},
     {"do": "fly"},
     {"do": None},
@@ -178,6 +179,6 @@
     {"do": "policy abort", "change": 9, "reason": ""},
     {"do": "policy read", "agent": "a0", "instances": ["r0"], "foreign": {"a": [1]}},
 ]
-SCRIPT = REGISTRATIONS + ROUTER_ROLLOUTS + RUNNER_ROLLOUTS + POLICY_CHANGES + DAMAGED
+SCRIPT = REGISTRATIONS + ROUTER_ROLLOUTS + RUNNER_ROLLOUTS + POLICY_CHANGES + MALFORMED
 HEARTBEAT: Command = {"do": "word", "agent": "a0", "words": {"r0": [True, 5, 1], "r1": [False, 0, 0]}}
 POLICY_READ: Command = {"do": "policy read", "instances": ["r0"], "told": {"r0": {"epoch": 2}}, "agent": "a0"}
--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -1,7 +1,7 @@
 """Records what the control plane writes: `python -m tests.record_control` rewrites `tests/recorded/control`.
 
-`recorded()` gives each file's name and content; the test compares them with the files. A voter's folder is
-recorded only by `--folder`, since parts of it depend on time; the program has to go on reading that one.
+A test compares the files with what `recorded()` returns. The folder of a voter depends in part on the time:
+it is recorded only with `--folder`, and the tests only check that a voter can still read it.
 """
 
 import sys
@@ -19,12 +19,12 @@
 from tests.record_datagrams import datagrams
 from tests.record_voter import record_folder, voter_files
 
-REGISTRY_FILE = "roster.json"  # of processes that are not there: read and written again by the test
+REGISTRY_FILE = "roster.json"  # lists processes that do not exist; a test reads and rewrites a copy of it
 LONG_NAME = "runner/with space:8080%é"
 
 
 def log_commands() -> dict[str, bytes]:
-    """Each command of the script with its reply, what it changed, and the states before all and after all."""
+    """Return the script's commands with their replies and state changes, the final and the empty state."""
     control = ControlState()
     exchanges = list[object]()
     changes = list[object]()
@@ -41,7 +41,7 @@
 
 
 def disk_records() -> dict[str, bytes]:
-    """A durable record, a router's policies, and the names of suspended runners."""
+    """Return a durable record, two records of a router's policy, and the names of suspended runners."""
     with tempfile.TemporaryDirectory() as path:
         folder = Path(path)
         durable.write(folder / "durable.json", 3, {"b": [1, None, True], "a": {"é": 1.5}})
@@ -59,12 +59,12 @@
 
 
 def recorded() -> dict[str, bytes]:
-    """The content of every recorded file but the registry's and the voter's folder, by file name."""
+    """Return the recorded files' content by name, except the process registry and the voter's folder."""
     return {**log_commands(), **voter_files(), **disk_records(), **datagrams(), **agent_lines()}
 
 
 def main(arguments: list[str]) -> None:
-    """Write the recorded files, and with `--folder` the voter's folder."""
+    """Write the recorded files, and the voter's folder if `--folder` is given."""
     RECORDED.mkdir(parents=True, exist_ok=True)
     for name, content in recorded().items():
         (RECORDED / name).write_bytes(content)
--- a/tests/record_voter.py
+++ b/tests/record_voter.py
@@ -1,4 +1,4 @@
-"""Records what a voter of the control plane has on disk."""
+"""Records the files of a voter of the control plane."""
 
 import asyncio
 import shutil
@@ -14,34 +14,34 @@
 from tests.control_script import HEARTBEAT, POLICY_READ, SCRIPT
 from tests.standins import wait_until
 
-FOLDER = RECORDED / "voter"
-JOURNAL_HEAD = 40  # bytes before the records
-JOURNAL_END_AT = 36  # the offset of the 4 bytes that have the end of the records
-PATIENCE_S = 30.0
-VOTER = """listen = "127.0.0.1:0"
+RECORDED_FOLDER = RECORDED / "voter"
+JOURNAL_HEADER_BYTES = 40  # bytes before the records
+RECORDS_END_OFFSET = 36  # the offset of the 4-byte field in the header that holds the end of the records
+TIMEOUT_S = 30.0
+VOTER_LINES = """listen = "127.0.0.1:0"
 folder = "{folder}"
 """
-VOTERS = """
+VOTERS_TABLE = """
 [[voter]]
 name = "a0"
 address = "127.0.0.1:1"
 """
-FIRST_RUN = 100  # commands of the script in the first of two runs
+FIRST_RUN_COMMANDS = 100  # how many commands of the script the first of two runs submits
 
 
 def voter_settings(folder: Path) -> ControlSettings:
-    """The settings of a voter that is alone in its cluster, with its state below this folder."""
-    return control_settings(folder, VOTER.format(folder=folder / "voter"), VOTERS)
+    """Return the settings of the only voter of a cluster, with its files below this folder."""
+    return control_settings(folder, VOTER_LINES.format(folder=folder / "voter"), VOTERS_TABLE)
 
 
 async def run_voter(settings: ControlSettings, commands: list[dict[str, Any]]) -> RaftLog:
-    """A voter alone in its cluster, started on its folder, given commands, and stopped."""
+    """Start the only voter of a cluster on its folder, submit the commands, stop it, and return it."""
     raft = RaftLog(settings, Counter())
     running = asyncio.get_running_loop().create_task(raft.run())
     try:
-        async with asyncio.timeout(PATIENCE_S):
-            await wait_until(raft.ready, PATIENCE_S)
-            # All are submitted in this order before the first is answered.
+        async with asyncio.timeout(TIMEOUT_S):
+            await wait_until(raft.ready, TIMEOUT_S)
+            # All commands are submitted in this order before the first reply comes.
             await asyncio.gather(*(raft.submit(command) for command in commands))
     finally:
         running.cancel()
@@ -50,20 +50,23 @@
 
 
 def state_folder(settings: ControlSettings) -> Path:
-    """The folder of a voter's state."""
+    """Return the folder of a voter's files."""
     assert settings.folder is not None
     return settings.folder
 
 
 def journal_records(path: Path) -> bytes:
-    """The records of a journal, without its head, which names the library's version, and without its rest."""
+    """Return the records of a journal.
+
+    The header is left out because it contains the library's version, as is the unused rest of the file.
+    """
     data = path.read_bytes()
-    end: int = struct.unpack_from("<I", data, JOURNAL_END_AT)[0]
-    return data[JOURNAL_HEAD:end]
+    end: int = struct.unpack_from("<I", data, RECORDS_END_OFFSET)[0]
+    return data[JOURNAL_HEADER_BYTES:end]
 
 
 def voter_files() -> dict[str, bytes]:
-    """The parts of a voter's folder that do not depend on time."""
+    """Return the content of those files of a voter that do not depend on the time, by recorded name."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         settings = voter_settings(folder)
@@ -74,13 +77,13 @@
 
 
 def record_folder() -> None:
-    """Record the folder after two runs.
+    """Record the voter's folder after two runs.
 
-    The library writes a snapshot at the start; the whole script is in the journal.
+    The library writes a snapshot at the start; the journal contains the whole script.
     """
-    shutil.rmtree(FOLDER, ignore_errors=True)
+    shutil.rmtree(RECORDED_FOLDER, ignore_errors=True)
     with tempfile.TemporaryDirectory() as name:
         settings = voter_settings(Path(name))
-        asyncio.run(run_voter(settings, SCRIPT[:FIRST_RUN]))
-        asyncio.run(run_voter(settings, [*SCRIPT[FIRST_RUN:], HEARTBEAT]))
-        shutil.copytree(state_folder(settings), FOLDER)
+        asyncio.run(run_voter(settings, SCRIPT[:FIRST_RUN_COMMANDS]))
+        asyncio.run(run_voter(settings, [*SCRIPT[FIRST_RUN_COMMANDS:], HEARTBEAT]))
+        shutil.copytree(state_folder(settings), RECORDED_FOLDER)
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -1,4 +1,4 @@
-"""The codec of the replicated log's commands and replies, against the recorded wire forms."""
+"""Tests of the codec of the replicated log's commands and replies, against recorded wire forms."""
 
 import json
 from typing import Any, get_args
@@ -30,29 +30,29 @@
 
 
 def submitted() -> list[dict[str, Any]]:
-    """The recorded commands that agents put into the log, in wire form."""
+    """Return the recorded commands that agents submitted to the log, in wire form."""
     return [command for name in SUBMITTED for command in recorded_lines(name)]
 
 
-def test_what_an_agent_submits_by_itself_is_encoded_in_the_recorded_order() -> None:
+def test_encodes_fields_of_agents_commands_in_recorded_order() -> None:
     seen = set()
     for encoded in submitted():
         if encoded["do"] in SUBMITTED_BY_AGENTS:
             seen.add(encoded["do"])
-            again = commands.encode(commands.decode(encoded))
-            assert json.dumps(again) == json.dumps(encoded)
+            reencoded = commands.encode(commands.decode(encoded))
+            assert json.dumps(reencoded) == json.dumps(encoded)
     assert seen == SUBMITTED_BY_AGENTS
 
 
-def test_what_the_leader_decides_is_encoded_in_the_recorded_order() -> None:
+def test_encodes_fields_of_leaders_commands_in_recorded_order() -> None:
     halt = commands.HaltRollout(rollout=1, reason="r0 fails 30 of 30 calls", agent="a0")
     abort = commands.AbortPolicy(change=3, reason="no word of r1 in 5 s", agent="a0")
     for command in (halt, abort):
         encoded = commands.encode(command)
-        assert json.dumps(encoded) in [json.dumps(one) for one in SCRIPT]
+        assert json.dumps(encoded) in [json.dumps(scripted) for scripted in SCRIPT]
 
 
-def test_each_command_of_the_script_is_decoded_alike_after_it_was_encoded() -> None:
+def test_commands_of_script_survive_encoding_and_decoding() -> None:
     decoded = 0
     for encoded in (*SCRIPT, HEARTBEAT, POLICY_READ):
         try:
@@ -64,7 +64,7 @@
     assert decoded > 100
 
 
-def test_every_command_has_a_name_and_is_in_the_script() -> None:
+def test_script_contains_every_command() -> None:
     decoded = set[str]()
     for encoded in (*SCRIPT, HEARTBEAT):
         try:
@@ -114,19 +114,19 @@
         ),
     ],
 )
-def test_a_command_of_no_use_is_refused_with_its_place(encoded: dict[str, Any], reason: str) -> None:
+def test_rejects_invalid_command_with_reason(encoded: dict[str, Any], reason: str) -> None:
     with pytest.raises(CommandRejected) as refused:
         commands.decode(encoded)
     assert str(refused.value) == reason
 
 
-def test_a_lease_that_is_given_as_null_matches_no_lease() -> None:
-    named = commands.decode({"do": "release", "instance": "r0", "lease": None})
-    assert named == commands.ReleaseLease(instance="r0", lease=commands.NO_LEASE)
+def test_explicit_null_lease_matches_no_lease() -> None:
+    decoded = commands.decode({"do": "release", "instance": "r0", "lease": None})
+    assert decoded == commands.ReleaseLease(instance="r0", lease=commands.NO_LEASE)
     assert commands.decode({"do": "release", "instance": "r0"}) == commands.ReleaseLease(instance="r0")
 
 
-def test_each_recorded_reply_is_decoded_and_encoded_again() -> None:
+def test_recorded_replies_survive_decoding_and_encoding() -> None:
     for exchange in recorded_lines("log-commands.jsonl"):
         encoded = exchange["reply"]
         try:
@@ -138,9 +138,9 @@
         assert json.dumps(commands.encode_reply(reply)) == json.dumps(encoded)
 
 
-def test_a_command_from_the_wire_goes_to_the_log_as_it_is() -> None:
-    damaged = {"reason": "", "do": "fly", "agent": "a0"}
-    assert commands.as_encoded(damaged) is damaged
+def test_passes_encoded_command_to_log_unchanged() -> None:
+    unknown = {"reason": "", "do": "fly", "agent": "a0"}
+    assert commands.as_encoded(unknown) is unknown
     proposal = commands.ProposePolicy(document=Document.from_tables({"rules": {}}), base=0, agent="a0")
     assert commands.as_encoded(proposal) == {
         "do": "policy propose",
@@ -150,7 +150,7 @@
     }
 
 
-def test_a_grant_for_a_target_that_its_agent_has_dropped_is_refused_and_spends_a_number() -> None:
+def test_rejects_grant_for_target_removed_by_its_agent_and_uses_up_number() -> None:
     control = ControlState()
     control.apply(commands.Register(instances=("r0",), agent="a0"))
     control.apply(commands.StartRollout(action="restart", targets=("r0",), budget=1))
@@ -160,31 +160,31 @@
     assert (control.number, control.leases) == (2, {})
 
 
-def test_a_heartbeat_is_no_command_of_the_agreed_state() -> None:
+def test_replicated_state_rejects_heartbeat() -> None:
     reply = ControlState().apply(commands.Heartbeat(agent="a0", reports={}))
     assert reply == commands.Rejected("no command 'word'")
 
 
-def test_a_damaged_command_leaves_the_state_as_it_was() -> None:
+def test_malformed_command_does_not_change_state() -> None:
     control = ControlState()
     before = control.encoded()
     runners = {"w0": True, "": False}
-    for damaged in (
+    for malformed in (
         {"do": "register", "agent": "a0", "instances": ["r0"], "runners": runners},
         {"do": "register", "agent": "a0", "instances": ["r0"], "runners": ["w0"]},
         {"do": "policy propose", "document": {"rules": {}}, "base": 0},
     ):
-        assert not control.apply_encoded(damaged)["ok"]
+        assert not control.apply_encoded(malformed)["ok"]
         assert control.encoded() == before
 
 
-def test_every_command_of_the_agreed_state_has_one_transition() -> None:
+def test_every_state_command_has_exactly_one_transition() -> None:
     assert not set(FLEET_TRANSITIONS) & set(POLICY_TRANSITIONS)
     assert {*FLEET_TRANSITIONS, *POLICY_TRANSITIONS} == set(get_args(commands.StateCommand))
     assert set(get_args(commands.Command)) == {*get_args(commands.StateCommand), commands.Heartbeat}
 
 
-def test_a_read_is_counted_also_where_a_name_or_the_status_is_of_no_use() -> None:
+def test_counts_policy_read_with_invalid_name_or_status() -> None:
     control = ControlState()
     control.apply(commands.Register(instances=("r0",), agent="a0"))
     for count, status in enumerate((None, 3, ["r0"]), 1):
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -1,4 +1,4 @@
-"""The agreed state and the decisions of rollouts in random orders of events."""
+"""Property-based tests of rollouts: the replicated state and the planner under random sequences of events."""
 
 import random
 import unittest
@@ -15,14 +15,14 @@
 
 
 class UnusedRunner(NamedTuple):
-    """A runner that no router of an agent uses."""
+    """A runner that none of an agent's routers uses."""
 
     agent: str
     runner: str
 
 
 class RolloutMachine(RuleBasedStateMachine):
-    """Operators, agents, losses and elections in any order: the invariants hold after each event."""
+    """Operators' commands, agents' reports, outages and elections in any order; invariants always hold."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,14 +30,14 @@
         self.now_us = 100 * SECOND_US
         self.planner = RolloutPlanner(RolloutRules(settle_us=0, step_us=20 * SECOND_US), self.now_us)
         self.chance = random.Random(1)
-        self.lost = set[str]()  # out without a lease
+        self.lost = set[str]()  # the routers that are out of service without a lease
         for agent, managed in (("a0", True), ("a1", False)):
             names = [name for name, owner in self.control.instances.items() if owner == agent]
             runners = {"w0": managed, "w1": False}
             command = {"do": "register", "agent": agent, "instances": names, "runners": runners}
             assert self.control.apply_encoded(command)["ok"]
         self.unused = set[UnusedRunner]()
-        self.begun = set[str]()  # the instances whose steps agents really have begun, whatever the state says
+        self.begun = set[str]()  # the routers whose steps agents have in fact begun, whatever the state says
 
     @rule(
         action=st.sampled_from(("restart", "drain", "replace")),
@@ -71,8 +71,8 @@
         fields = {"agent": agent, "instance": lease.instance, "lease": lease.number}
         if did == "renewed":
             if self.control.apply_encoded({"do": did, **fields})["ok"]:
-                # Its process is touched only while no router anywhere uses it.
-                assert {UnusedRunner(one, lease.instance) for one in ("a0", "a1")} <= self.unused
+                # The runner's process may be replaced only while no router of any agent uses it.
+                assert {UnusedRunner(user, lease.instance) for user in ("a0", "a1")} <= self.unused
             return
         if self.control.apply_encoded({"do": "part", "did": did, **fields})["ok"]:
             if did == "out":
@@ -80,24 +80,24 @@
             elif did == "in":
                 self.unused.discard(UnusedRunner(agent, lease.instance))
 
-    @rule(what=st.sampled_from(("halt", "resume", "undo")))
-    def operate(self, what: str) -> None:
+    @rule(do=st.sampled_from(("halt", "resume", "undo")))
+    def operate(self, do: str) -> None:
         """An operator halts, resumes or undoes the rollout."""
-        self.control.apply_encoded({"do": what})
+        self.control.apply_encoded({"do": do})
 
     @rule(name=st.sampled_from(NAMES), is_lost=st.booleans())
     def lose(self, name: str, is_lost: bool) -> None:
-        """A router is lost without a lease, or is back."""
+        """A router goes out of service without a lease, or comes back."""
         (self.lost.add if is_lost else self.lost.discard)(name)
 
     @rule()
     def elect(self) -> None:
-        """A new leader starts with a planner that knows nothing."""
+        """A new leader starts with an empty planner."""
         self.planner = RolloutPlanner(self.planner.rules, self.now_us)
 
     @rule(pause_us=st.sampled_from((0, SECOND_US, 7 * SECOND_US)))
     def decide(self, pause_us: int) -> None:
-        """The leader decides on its next command, which the state accepts."""
+        """The leader submits its next command, which the state must accept."""
         self.now_us += pause_us
         reports = {name: HealthReport(name not in self.lost and name not in self.begun) for name in NAMES}
         self.planner.record_reports(reports, self.now_us)
@@ -105,7 +105,7 @@
         if command is None:
             return
         reply = self.control.apply(command)
-        assert not isinstance(reply, Rejected), reply  # nothing came between
+        assert not isinstance(reply, Rejected), reply  # the state has not changed since the decision
         rollout = self.control.rollout
         assert rollout is not None
         is_grant = isinstance(command, GrantLease) and command.instance not in self.begun
@@ -126,7 +126,7 @@
     @precondition(lambda self: self.control.leases)
     @rule(pick=st.integers(0, 9))
     def release(self, pick: int) -> None:
-        """An operator releases a lease, and with that says that the instance serves."""
+        """An operator releases a lease, which confirms that the instance serves."""
         name = sorted(self.control.leases)[pick % len(self.control.leases)]
         assert self.control.apply_encoded({"do": "release", "instance": name})["ok"]
         self.begun.discard(name)
@@ -137,11 +137,11 @@
         assert self.begun <= set(self.control.leases), (self.begun, self.control.leases)
 
     @invariant()
-    def leases_keep_to_the_budget(self) -> None:
+    def leases_stay_within_budget(self) -> None:
         rollout = self.control.rollout
         rollouts = [*self.control.history, *([rollout] if rollout is not None else [])]
         for kind in ("routers", "runners"):
-            budgets = [one.budget for one in rollouts if one.kind == kind]
+            budgets = [earlier.budget for earlier in rollouts if earlier.kind == kind]
             assert len(self.control.out(kind)) <= max(budgets, default=0)
 
     @invariant()
@@ -157,7 +157,7 @@
             assert not set(rollout.done) & set(self.control.leases)
 
     @invariant()
-    def the_wire_form_is_decoded_to_the_same_state(self) -> None:
+    def state_survives_encoding_and_decoding(self) -> None:
         assert ControlState.decode(self.control.encoded()).encoded() == self.control.encoded()
 
 
--- a/tests/test_control_runners.py
+++ b/tests/test_control_runners.py
@@ -1,4 +1,4 @@
-"""The agreed state of rollouts of runners, without I/O."""
+"""Tests of rollouts of runners in the replicated state, without I/O."""
 
 import unittest
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 class RunnerLeaseTest(unittest.TestCase):
-    """Leases of runners: every agent has a part, since a runner is out at all routers."""
+    """Tests of runners' leases, on which every agent reports, because a runner is out at all routers."""
 
     def setUp(self) -> None:
         self.control = ControlState()
@@ -17,31 +17,31 @@
             self.accept("register", agent=agent, instances=names, runners=runners)
 
     def accept(self, do: str, **more: Any) -> None:
-        """Apply a command that has to be accepted."""
+        """Apply a command that must be accepted."""
         reply = self.control.apply_encoded({"do": do, **more})
         self.assertTrue(reply["ok"], reply)
 
     def assert_rejected(self, reason: str, do: str, **more: Any) -> None:
-        """Apply a command that has to be rejected for this reason."""
+        """Apply a command that must be rejected for this reason."""
         reply = self.control.apply_encoded({"do": do, **more})
-        self.assertIn(reason, reply.get("reason", "it was agreed on"))
+        self.assertIn(reason, reply.get("reason", "the command was accepted"))
 
     def grant(self, name: str, **more: Any) -> dict[str, Any]:
-        """Grant a lease; the fields that name it."""
+        """Grant a lease and return the fields that name it in commands."""
         fields = {"instance": name, "down": [], "after": self.control.number, "term": 1, **more}
         self.accept("grant", **fields)
         return {"instance": name, "lease": self.control.number}
 
     def all_report(self, did: str, lease: dict[str, Any]) -> None:
-        """Both agents report the same of a leased runner."""
+        """Submit the same report on a leased runner for both agents."""
         for agent in ("a0", "a1"):
             self.accept("part", agent=agent, did=did, **lease)
 
     def stage(self, name: str) -> Stage:
-        """The stage of a runner's lease."""
+        """Return the stage of a runner's lease."""
         return self.control.leases[name].stage
 
-    def test_a_runner_is_out_once_all_agents_report_it_and_back_once_all_use_it(self) -> None:
+    def test_restart_waits_for_reports_of_all_agents_at_each_stage(self) -> None:
         self.assert_rejected(
             "no agent manages w1", "start", action="restart", kind="runners", targets=["w1"], budget=1
         )
@@ -49,7 +49,7 @@
         lease = self.grant("w0")
         self.all_report("begun", lease)
         self.accept("part", agent="a0", did="out", **lease)
-        self.assert_rejected("is begun", "renewed", agent="a0", **lease)  # a1 may still have calls there
+        self.assert_rejected("is begun", "renewed", agent="a0", **lease)  # a1's routers may still use w0
         self.accept("part", agent="a1", did="out", **lease)
         self.assertIs(self.stage("w0"), Stage.AWAY)
         self.assert_rejected("a1 holds no lease", "renewed", agent="a1", **lease)
@@ -61,7 +61,7 @@
         assert self.control.rollout is not None
         self.assertEqual((self.control.leases, self.control.rollout.phase), ({}, Phase.DONE))
 
-    def test_a_drained_runner_stays_out_until_undone_and_routers_have_a_budget_of_their_own(self) -> None:
+    def test_drained_runner_stays_out_until_undo_and_takes_no_budget_of_routers(self) -> None:
         self.accept("start", action="drain", kind="runners", targets=["w1", "w2"], budget=2)
         for name in ("w1", "w2"):
             lease = self.grant(name)
@@ -82,18 +82,18 @@
         self.assertIs(self.control.rollout.phase, Phase.UNDONE)
         self.accept("start", action="restart", targets=[], budget=1)
 
-    def test_a_halt_takes_back_what_no_agent_has_begun(self) -> None:
+    def test_halt_withdraws_leases_that_no_agent_has_begun(self) -> None:
         self.accept("start", action="drain", kind="runners", targets=["w1", "w2"], budget=2)
         begun = self.grant("w1")
         self.accept("part", agent="a1", did="begun", **begun)
         unbegun = self.grant("w2")
         self.accept("halt")
         self.assert_rejected("there is no lease", "part", agent="a0", did="begun", **unbegun)
-        self.accept("part", agent="a0", did="begun", **begun)  # under way: it finishes
+        self.accept("part", agent="a0", did="begun", **begun)  # a step in progress finishes
         self.all_report("out", begun)
         self.assertEqual(list(self.control.leases), ["w1"])
 
-    def test_a_silent_runner_counts_against_the_budget(self) -> None:
+    def test_runner_gone_from_membership_counts_against_budget(self) -> None:
         self.accept("start", action="drain", kind="runners", targets=["w1"], budget=1)
         planner = RolloutPlanner(RolloutRules(settle_us=0), 0)
         planner.record_reports({"r0": HealthReport(True), "r1": HealthReport(True)}, 1)
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -1,4 +1,4 @@
-"""The agreed state of rollouts, without I/O: routers, their leases and budgets."""
+"""Tests of rollouts of routers in the replicated state, without I/O."""
 
 import unittest
 
@@ -8,9 +8,9 @@
 
 
 class StateTest(unittest.TestCase):
-    """Commands on routers, accepted and rejected."""
+    """Tests of accepted and rejected commands about routers."""
 
-    def test_commands_on_an_outdated_state_are_rejected(self) -> None:
+    def test_rejects_commands_based_on_outdated_state(self) -> None:
         rig = ControlRig(self)
         rig.accept("start", action="restart", targets=["r0", "r1"], budget=1)
         number = rig.control.number
@@ -34,13 +34,13 @@
             self.assertIn(reason, reply["reason"])
             self.assertEqual(rig.control.encoded(), before)
         rig.accept("halt", reason="look")
-        self.assertFalse(rig.submit("begin", **lease)["ok"])  # revoked before it was begun
+        self.assertFalse(rig.submit("begin", **lease)["ok"])  # the halt has withdrawn the lease
         rig.accept("resume")
         rig.accept("grant", **{**grant, "after": rig.control.number})
         rig.accept("begin", **rig.lease_fields("r0"))
         self.assertIn("is begun", rig.submit("begin", **rig.lease_fields("r0"))["reason"])
 
-    def test_a_drain_stays_out_and_comes_back_in_reverse_order(self) -> None:
+    def test_drained_routers_stay_out_and_undo_brings_them_back_in_reverse_order(self) -> None:
         rig = ControlRig(self)
         rig.accept("start", action="drain", targets=["r0", "r2"], budget=2)
         for name in ("r0", "r2"):
@@ -52,21 +52,21 @@
         self.assertFalse(rig.submit("start", action="restart", targets=["r1"], budget=2)["ok"])
         rig.accept("undo")
         for name in ("r2", "r0"):
-            # An undo grants anew what is out already: it takes nothing more of the budget.
+            # An undo grants a lease for an instance that is already out, so it uses no further budget.
             self.assertEqual((rig.apply_next_command() or {})["instance"], name)
             self.assertIsNone(rig.apply_next_command())
             rig.run_step(name)
         self.assertIs(rig.control.rollout.phase, Phase.UNDONE)
         self.assertEqual(rig.control.leases, {})
 
-    def test_budgets(self) -> None:
+    def test_converts_budget_to_count_or_rejects_it(self) -> None:
         for budget, expected in ((2, 2), ("3", 3), ("25%", 2), ("1%", 1), ("100%", 10)):
             self.assertEqual(budget_of(budget, 10), expected)
-        for bad in (0, -1, True, None, "x", "0%", "101%", 1.5, "-2"):
+        for invalid in (0, -1, True, None, "x", "0%", "101%", 1.5, "-2"):
             with self.assertRaises(CommandRejected):
-                budget_of(bad, 10)
+                budget_of(invalid, 10)
 
-    def test_the_wire_form_is_decoded_to_the_same_state(self) -> None:
+    def test_state_survives_encoding_and_decoding(self) -> None:
         rig = ControlRig(self)
         rig.accept("start", action="drain", targets=["r0"], budget=1)
         rig.apply_next_command()
--- a/tests/test_log_storage.py
+++ b/tests/test_log_storage.py
@@ -1,4 +1,4 @@
-"""What a voter has on disk, checked at its start."""
+"""Tests of the check of a voter's files at its start."""
 
 import gzip
 import pickle
@@ -14,7 +14,7 @@
 
 
 class FolderTest(unittest.TestCase):
-    """A voter's folder is accepted if it is undamaged, and else refused with the place of the damage."""
+    """Tests that an intact folder is accepted, and a damaged one is rejected with the place of the damage."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -26,27 +26,28 @@
         with gzip.open(self.folder / "snapshot", "wb") as file:
             file.write(bytes(1000))
         check_folder(self.folder, "a1")
-        self.undamaged = {path.name: path.read_bytes() for path in self.folder.iterdir()}
+        self.intact = {path.name: path.read_bytes() for path in self.folder.iterdir()}
 
-    def refusal(self, name: str, content: bytes | None) -> str:
-        """Damage one file, or with None remove it; the text of the error by which the folder is refused."""
-        for known, before in self.undamaged.items():
-            (self.folder / known).write_bytes(before)
+    def rejection_reason(self, name: str, content: bytes | None) -> str:
+        """Replace the content of one file, or remove it if None, and return the text of the check's error."""
+        for intact_name, intact_content in self.intact.items():
+            (self.folder / intact_name).write_bytes(intact_content)
         if content is None:
             (self.folder / name).unlink()
         else:
             (self.folder / name).write_bytes(content)
         with self.assertRaises(CommandRejected) as caught:
             check_folder(self.folder, "a1")
-        self.assertEqual((self.folder / name).exists(), content is not None)  # nothing is changed
+        # The check must not create or remove the file.
+        self.assertEqual((self.folder / name).exists(), content is not None)
         return str(caught.exception).replace(str(self.folder), "")
 
-    def test_undamaged_folder_is_accepted_again_and_a_new_one_as_well(self) -> None:
+    def test_accepts_intact_folder_and_empty_folder(self) -> None:
         check_folder(self.folder, "a1")
         check_folder(Path(tempfile.mkdtemp()), "a1")
 
-    def test_journal_that_is_cut_or_of_other_bytes_is_refused(self) -> None:
-        journal = self.undamaged["journal"]
+    def test_rejects_missing_truncated_or_damaged_journal(self) -> None:
+        journal = self.intact["journal"]
         for content, place in (
             (b"", "/journal: no journal"),
             (b"x" * 500, "/journal: no journal"),
@@ -58,25 +59,26 @@
             (journal[:83] + b"\xff" * 8 + journal[91:], "/journal: byte 71: entry 2 of term"),
         ):
             with self.subTest(place):
-                self.assertIn(place, self.refusal("journal", content))
+                self.assertIn(place, self.rejection_reason("journal", content))
 
-    def test_voter_that_forgot_its_term_might_vote_twice_and_is_refused(self) -> None:
+    def test_rejects_missing_outdated_or_damaged_term(self) -> None:
+        """A voter that does not know its last term might vote twice in it."""
         old = pickle.dumps({"currentTerm": 2, "votedForNodeId": "127.0.0.1:1"})
         for content, place in (
             (None, "its term is 0, and the journal has one of 3"),
             (old, "its term is 2"),
             (b"", "of no use"),
-            (self.undamaged["journal.meta"][:-9], "of no use"),
+            (self.intact["journal.meta"][:-9], "of no use"),
             (pickle.dumps({"currentTerm": "3"}), "currentTerm"),
             (pickle.dumps(Path("x")), "of no use"),
         ):
             with self.subTest(place):
-                self.assertIn(f"/journal.meta: {place}", self.refusal("journal.meta", content))
+                self.assertIn(f"/journal.meta: {place}", self.rejection_reason("journal.meta", content))
 
-    def test_snapshot_that_is_cut_and_another_voters_folder_are_refused(self) -> None:
-        snapshot = self.undamaged["snapshot"]
+    def test_rejects_damaged_snapshot_and_folder_of_another_voter(self) -> None:
+        snapshot = self.intact["snapshot"]
         for content in (b"", snapshot[:-3], b"x" * 50, snapshot[:-8] + b"\0" * 8):
-            self.assertIn("/snapshot: not whole", self.refusal("snapshot", content))
+            self.assertIn("/snapshot: not whole", self.rejection_reason("snapshot", content))
         with self.assertRaisesRegex(CommandRejected, "the folder is of voter 'a1'"):
             check_folder(self.folder, "a2")
 
--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -1,4 +1,4 @@
-"""Documents of policy, their record on disk, and how the decisions take another policy."""
+"""Tests of policy documents, their record on disk, and the dispatcher's change to another policy."""
 
 import tempfile
 from pathlib import Path
@@ -20,7 +20,7 @@
 ONE_ATTEMPT: dict[str, Any] = {"rules": {"attempts": 1}}
 
 
-def test_a_document_replaces_the_whole_policy_of_the_file() -> None:
+def test_document_replaces_whole_policy_of_file() -> None:
     text = OPERATOR.replace("[rules]", '[policy]\nfolder = "x"\n[rules]')
     tables = operator.tables_of(text)
     document = Document.from_tables(
@@ -53,20 +53,20 @@
         ("", "class: at least one"),
     ],
 )
-def test_a_bad_policy_file_is_refused_by_its_field(text: str, place: str, tmp_path: Path) -> None:
-    grade = '\n[[class]]\nname = "c"\naim_ms = 1\ndeadline_ms = 1\nsemantics = "safe"\n'
+def test_rejects_invalid_policy_file_naming_field(text: str, place: str, tmp_path: Path) -> None:
+    class_table = '\n[[class]]\nname = "c"\naim_ms = 1\ndeadline_ms = 1\nsemantics = "safe"\n'
     file = tmp_path / "policy.toml"
-    file.write_text(text + (grade if text and "class" not in text else ""))
+    file.write_text(text + (class_table if text and "class" not in text else ""))
     with pytest.raises(ConfigError, match=place.replace("[", r"\[")):
         load_policy(file)
 
 
-def test_a_document_that_is_too_large_is_refused() -> None:
+def test_rejects_too_large_document() -> None:
     with pytest.raises(PolicyError, match="is over 16384 bytes"):
         Document.from_tables({"rules": {"x": "y" * DOCUMENT_BYTES}})
 
 
-def test_a_damaged_record_is_not_read() -> None:
+def test_reads_written_record_and_ignores_damaged_one() -> None:
     folder = Path(tempfile.mkdtemp())
     assert store.read(folder) is None
     for adopted in (AdoptedPolicy(0, None), AdoptedPolicy(3, Document.from_tables(ONE_ATTEMPT))):
@@ -78,33 +78,37 @@
         assert store.read(folder) is None
 
 
-def test_a_call_keeps_the_rules_that_were_in_force_when_it_came() -> None:
+def test_call_keeps_rules_in_force_at_its_arrival() -> None:
     workers = [entry(f"w{n}") for n in range(4)]
-    for before, after, more in ((1, 4, False), (4, 1, True)):
+    for before, after, is_retried in ((1, 4, False), (4, 1, True)):
         driver = Driver(settings(max_attempts=before, epoch=1), workers)
         (first,) = sends(driver.give(arrival(1)))
         driver.give(api.PolicyChanged(settings(max_attempts=after, epoch=2)))
         driver.give(ended(1, 0, first.worker, api.Result.ERROR))
         driver.run(200 * MS)
-        again = [a for _, a in driver.log if isinstance(a, api.SendAttempt)][1:]
-        assert bool(again) is more and all(a.epoch == 1 for a in (first, *again))
+        retries = [effect for _, effect in driver.log if isinstance(effect, api.SendAttempt)][1:]
+        assert bool(retries) is is_retried and all(attempt.epoch == 1 for attempt in (first, *retries))
         (new,) = sends(driver.give(arrival(2)))
         assert new.epoch == 2
 
 
-def test_another_policy_changes_the_classes_and_windows_of_new_calls() -> None:
+def test_new_policy_changes_classes_and_windows_for_new_calls() -> None:
     driver = Driver(settings(), [entry("w0")])
-    kind = api.CallClass(
+    call_class = api.CallClass(
         "exam", 500 * MS, 900 * MS, api.Idempotency.NOT_IDEMPOTENT, api.DeduplicationScope.ALL, 0
     )
     driver.give(
         api.PolicyChanged(
-            settings(classes=(kind,), load_request_window_us=7, overload_window_us=9, keep_alive_us=0)
+            settings(classes=(call_class,), load_request_window_us=7, overload_window_us=9, keep_alive_us=0)
         )
     )
     assert sends(driver.give(arrival(1, "f", "exam")))
     dispatcher = driver.dispatcher
-    ration = dispatcher.load_requests
-    windows = ration.arrivals.span_us, ration.requests.span_us, dispatcher.workers["w0"].sends.span_us
+    load_requests = dispatcher.load_requests
+    windows = (
+        load_requests.arrivals.span_us,
+        load_requests.requests.span_us,
+        dispatcher.workers["w0"].sends.span_us,
+    )
     assert windows == (7, 8, 9)
-    assert dispatcher.calls[1].call_class is kind and dispatcher.context.keep_alive_us == 2 * SECOND_US
+    assert dispatcher.calls[1].call_class is call_class and dispatcher.context.keep_alive_us == 2 * SECOND_US
--- a/tests/test_policy_random.py
+++ b/tests/test_policy_random.py
@@ -1,4 +1,4 @@
-"""Changes of the fleet's policy and three routers, in random orders of events."""
+"""Property-based tests of policy changes with three routers, under random sequences of events."""
 
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -17,13 +17,14 @@
 from maplestile.control.state import ControlState
 
 SECOND_US = 1_000_000
-ROUTERS = {"r0": "a0", "r1": "a0", "r2": "a1"}  # each with its agent
+ROUTERS = {"r0": "a0", "r1": "a0", "r2": "a1"}  # by router: its agent
 
 
 class PolicyMachine(RuleBasedStateMachine):
     """Three routers of two agents: changes, reads, restarts, elections and late announcements in any order.
 
-    A router is sent what its agent read, perhaps long ago; it is compared with what the log committed.
+    A router gets the last announcement that its agent read, perhaps long ago. Its epoch is compared with the
+    epochs that the log has committed.
     """
 
     def __init__(self) -> None:
@@ -38,14 +39,14 @@
         self.routers = {name: Follower(FollowerTimeouts(), NO_EPOCH, self.now_us) for name in ROUTERS}
         self.announcements = dict.fromkeys(ROUTERS, PolicyAnnouncement(0, 0, has_document=True))
         self.recorded_epoch = dict.fromkeys(ROUTERS, NO_EPOCH)
-        self.committed = [0]  # the epochs of the log
-        self.committed_us = {0: 0}  # when each epoch was committed
+        self.committed = [0]  # the epochs that the log has committed, in order
+        self.committed_us = {0: 0}  # by epoch: when it was committed
         self.applied_epoch = dict.fromkeys(ROUTERS, NO_EPOCH)
         self.documents = 0
 
     @rule(base=st.integers(0, 1))
     def propose(self, base: int) -> None:
-        """An operator proposes a new document on the last epoch, or on the one before."""
+        """An operator proposes a new document based on the last epoch or on the one before."""
         self.documents += 1
         command = {"do": "policy propose", "agent": "a0", "base": self.control.policy.epoch.number - base}
         self.control.apply_encoded({**command, "document": {"rules": {"attempts": self.documents}}})
@@ -69,7 +70,7 @@
 
     @rule(name=st.sampled_from(tuple(ROUTERS)))
     def deliver(self, name: str) -> None:
-        """A router gets the announcement that its agent read last, perhaps again."""
+        """A router gets the last announcement that its agent read, perhaps again."""
         router = self.routers[name]
         announcement = self.announcements[name]
         if router.take_announcement(announcement, self.now_us) is Step.ADOPT:
@@ -79,14 +80,14 @@
 
     @rule(name=st.sampled_from(tuple(ROUTERS)), refuses=st.integers(0, 9))
     def check(self, name: str, refuses: int) -> None:
-        """A router checks the change, and refuses one in ten."""
+        """A router submits its verdict on the change, and refuses one change in ten."""
         if (change := self.control.policy.checking()) is not None:
             verdict = {"agent": ROUTERS[name], "instance": name, "reason": "no" if not refuses else ""}
             self.control.apply_encoded({"do": "policy verdict", "change": change.number, **verdict})
 
     @rule(name=st.sampled_from(tuple(ROUTERS)))
     def restart(self, name: str) -> None:
-        """A router starts again with the epoch on its record."""
+        """A router restarts with its stored epoch."""
         self.routers[name] = Follower(FollowerTimeouts(), self.recorded_epoch[name], self.now_us)
 
     @rule(pause_us=st.sampled_from((SECOND_US // 10, SECOND_US, 3 * SECOND_US, 12 * SECOND_US)))
@@ -100,13 +101,13 @@
 
     @rule()
     def elect(self) -> None:
-        """A new leader starts with a planner that knows nothing."""
+        """A new leader starts with an empty planner."""
         self.planner = PolicyPlanner()
 
     @precondition(lambda self: self.control.policy.checking() is not None)
     @rule()
     def decide(self) -> None:
-        """The leader decides on its next command, which the state accepts."""
+        """The leader submits its next command, which the state must accept."""
         decided = self.planner.next_command(self.control.policy, self.control.instances, self.now_us)
         command = None if decided is None else encode(decided)
         if command is None:
@@ -120,11 +121,11 @@
             self.committed_us[reply["epoch"]] = self.now_us
             accepted = {name for name, reason in change.verdicts.items() if reason == ""}
             assert accepted | set(command["absent"]) >= set(ROUTERS)
-            for name in command["absent"]:  # it learns of the commit before it may serve again
+            for name in command["absent"]:  # it must learn of the new epoch before it may serve again
                 assert self.announcements[name].epoch < reply["epoch"]
 
     @invariant()
-    def routers_apply_only_committed_epochs_and_never_go_back(self) -> None:
+    def routers_apply_only_committed_epochs_in_order(self) -> None:
         assert self.committed == list(range(len(self.committed)))
         for name, router in self.routers.items():
             assert router.epoch in (NO_EPOCH, *self.committed)
@@ -132,7 +133,7 @@
             self.applied_epoch[name] = router.epoch
 
     @invariant()
-    def a_current_router_has_what_was_committed_when_its_announcement_was_read(self) -> None:
+    def current_router_has_epoch_committed_at_its_last_read(self) -> None:
         for router in self.routers.values():
             if router.status is PolicyStatus.CURRENT:
                 assert self.now_us - router.confirmed_us <= router.timeouts.stale_us
@@ -142,7 +143,7 @@
                 )
 
     @invariant()
-    def the_wire_form_is_decoded_to_the_same_state(self) -> None:
+    def state_survives_encoding_and_decoding(self) -> None:
         assert ControlState.decode(self.control.encoded()).encoded() == self.control.encoded()
 
 
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -1,4 +1,4 @@
-"""The bytes that the control plane writes and reads, against those recorded in `tests/recorded/control`."""
+"""Tests that the control plane writes and reads the bytes recorded in `tests/recorded/control`."""
 
 import asyncio
 import json
@@ -25,11 +25,11 @@
 from tests.control_script import DOCUMENT, POLICY_READ, SCRIPT
 from tests.record_control import LONG_NAME, REGISTRY_FILE, recorded
 
-HEALTH_REPORTS = {"r0": HealthReport(True, 5, 1), "r1": HealthReport(False, 0, 0)}  # those of HEARTBEAT
+HEALTH_REPORTS = {"r0": HealthReport(True, 5, 1), "r1": HealthReport(False, 0, 0)}  # as in HEARTBEAT
 
 
 def states() -> list[dict[str, Any]]:
-    """The empty state, and that after each command."""
+    """Return the recorded states: the empty one, and the one after each command."""
     found = [json.loads(recorded_bytes("state-empty.json"))]
     for change in recorded_lines("log-changes.jsonl"):
         found.append({**found[-1], **change})
@@ -37,11 +37,11 @@
 
 
 class WrittenTest(unittest.TestCase):
-    """All recorded files, written anew."""
+    """Tests of the recorded files' content."""
 
     maxDiff = None
 
-    def test_the_same_bytes_are_written(self) -> None:
+    def test_writes_recorded_bytes(self) -> None:
         rewritten = recorded()
         for name, written in rewritten.items():
             with self.subTest(name):
@@ -51,9 +51,9 @@
 
 
 class ReplicatedLogTest(unittest.TestCase):
-    """The agreed state, and the commands of the script."""
+    """Tests of the replicated state with the commands of the script."""
 
-    def test_each_command_is_answered_as_recorded_and_leaves_the_recorded_state(self) -> None:
+    def test_replies_and_states_after_each_command_are_as_recorded(self) -> None:
         control = ControlState()
         for exchange, state in zip(recorded_lines("log-commands.jsonl"), states()[1:], strict=True):
             with self.subTest(exchange["command"]):
@@ -61,14 +61,14 @@
                 self.assertEqual(control.encoded(), state)
         self.assertEqual(control.encoded(), json.loads(recorded_bytes("state.json")))
 
-    def test_a_refused_command_changes_nothing(self) -> None:
+    def test_rejected_command_does_not_change_state(self) -> None:
         for exchange, change in zip(
             recorded_lines("log-commands.jsonl"), recorded_lines("log-changes.jsonl"), strict=True
         ):
             if not exchange["reply"]["ok"]:
                 self.assertEqual(change, {}, exchange)
 
-    def test_each_state_is_read_back_and_takes_the_next_command_alike(self) -> None:
+    def test_decoded_state_applies_next_command_as_recorded(self) -> None:
         exchanges = recorded_lines("log-commands.jsonl")
         for exchange, before, after in zip(exchanges, states()[:-1], states()[1:], strict=True):
             control = ControlState.decode(json.loads(json.dumps(before)))
@@ -76,7 +76,7 @@
             self.assertEqual(control.apply_encoded(exchange["command"]), exchange["reply"])
             self.assertEqual(control.encoded(), after)
 
-    def test_a_state_of_no_use_is_refused(self) -> None:
+    def test_rejects_invalid_state(self) -> None:
         state = json.loads(recorded_bytes("state.json"))
         for key in state:
             with self.subTest(key), self.assertRaises((KeyError, TypeError, ValueError)):
@@ -87,35 +87,37 @@
 
 
 class VoterTest(unittest.TestCase):
-    """A voter started on a copy of the recorded folder."""
+    """Tests of a voter that is started on a copy of the recorded folder."""
 
     def setUp(self) -> None:
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         self.settings = record_voter.voter_settings(Path(temporary.name))
         self.folder = record_voter.state_folder(self.settings)
-        shutil.copytree(record_voter.FOLDER, self.folder)
+        shutil.copytree(record_voter.RECORDED_FOLDER, self.folder)
 
-    def test_the_recorded_folder_is_taken_for_this_voter_alone(self) -> None:
+    def test_accepts_recorded_folder_only_for_its_voter(self) -> None:
         check_folder(self.folder, "a0")
         with self.assertRaises(CommandRejected) as refused:
             check_folder(self.folder, "a1")
         self.assertEqual(str(refused.exception), f"{self.folder / 'voter'}: the folder is of voter 'a0'")
 
-    def test_a_voter_started_on_the_recorded_folder_has_the_recorded_state(self) -> None:
+    def test_voter_on_recorded_folder_has_recorded_state(self) -> None:
         raft = asyncio.run(record_voter.run_voter(self.settings, []))
         self.assertEqual(raft.control.encoded(), json.loads(recorded_bytes("state.json")))
         self.assertEqual(dict(raft.heartbeats), {"a0": ReceivedHeartbeat(1, HEALTH_REPORTS)})
 
-    def test_a_voter_started_on_recorded_records_alone_has_the_recorded_state(self) -> None:
+    def test_voter_on_recorded_journal_records_has_state_of_script(self) -> None:
         shutil.rmtree(self.folder)
         self.folder.mkdir()
         records = recorded_bytes("journal-records.bin")
-        head = bytearray((record_voter.FOLDER / "journal").read_bytes()[: record_voter.JOURNAL_HEAD])
-        end = record_voter.JOURNAL_HEAD + len(records)
-        head[record_voter.JOURNAL_END_AT :] = end.to_bytes(4, "little")
-        (self.folder / "journal").write_bytes(bytes(head) + records)
-        shutil.copy(record_voter.FOLDER / "journal.meta", self.folder)
+        header = bytearray(
+            (record_voter.RECORDED_FOLDER / "journal").read_bytes()[: record_voter.JOURNAL_HEADER_BYTES]
+        )
+        end = record_voter.JOURNAL_HEADER_BYTES + len(records)
+        header[record_voter.RECORDS_END_OFFSET :] = end.to_bytes(4, "little")
+        (self.folder / "journal").write_bytes(bytes(header) + records)
+        shutil.copy(record_voter.RECORDED_FOLDER / "journal.meta", self.folder)
         raft = asyncio.run(record_voter.run_voter(self.settings, []))
         expected = ControlState()
         for command in (*SCRIPT, POLICY_READ):
@@ -124,25 +126,25 @@
         reported = {agent: status.routers for agent, status in raft.router_status.items()}
         self.assertEqual(reported, {"a0": POLICY_READ["told"]})
 
-    def test_a_damaged_heartbeat_is_answered_and_leaves_the_last_one(self) -> None:
-        damaged: list[dict[str, Any]] = [
+    def test_malformed_heartbeat_is_answered_and_does_not_replace_last_one(self) -> None:
+        malformed: list[dict[str, Any]] = [
             {"do": "word"},
             {"do": "word", "agent": "a0"},
             {"do": "word", "agent": "a0", "words": [1]},
         ]
-        raft = asyncio.run(record_voter.run_voter(self.settings, damaged))
+        raft = asyncio.run(record_voter.run_voter(self.settings, malformed))
         self.assertEqual(dict(raft.heartbeats), {"a0": ReceivedHeartbeat(1, HEALTH_REPORTS)})
-        self.assertEqual(raft.counters["control.commands"], len(damaged))
+        self.assertEqual(raft.counters["control.commands"], len(malformed))
 
-    def test_the_recorded_journal_holds_the_script(self) -> None:
+    def test_recorded_journal_contains_script(self) -> None:
         journal = FileJournal(str(self.folder / "journal"))
         self.addCleanup(journal._destroy)
-        # Two entries of the library's own at the first start, one at the second.
+        # The 3 are the library's own entries: two of the first start and one of the second.
         self.assertEqual(len(journal), len(SCRIPT) + 1 + 3)
 
 
 class DiskTest(unittest.TestCase):
-    """Records on disk, each read from a copy of the recorded file."""
+    """Tests of records on disk, each read from a copy of the recorded file."""
 
     def setUp(self) -> None:
         temporary = tempfile.TemporaryDirectory()
@@ -155,7 +157,7 @@
         path.write_bytes(recorded_bytes(recording))
         return path
 
-    def test_a_durable_record_is_read_in_its_version_alone(self) -> None:
+    def test_reads_durable_record_only_in_its_version_and_undamaged(self) -> None:
         path = self.copy_recorded("durable.json", "durable.json")
         self.assertEqual(durable.read(path, 3), {"b": [1, None, True], "a": {"é": 1.5}})
         with self.assertLogs("maplestile.durable") as logged:
@@ -165,13 +167,13 @@
         warning = f"{path} is of no use: another version, or not as it was written"
         self.assertEqual([line.getMessage() for line in logged.records], [warning, warning])
 
-    def test_the_policy_of_a_router_is_read(self) -> None:
+    def test_reads_policy_record_of_router(self) -> None:
         self.copy_recorded("policy-own.json", "policy.json")
         self.assertEqual(store.read(self.folder), AdoptedPolicy(7, None))
         self.copy_recorded("policy-document.json", "policy.json")
         self.assertEqual(store.read(self.folder), AdoptedPolicy(7, document_of(DOCUMENT)))
 
-    def test_the_process_registry_is_read_and_written_as_recorded(self) -> None:
+    def test_reads_and_rewrites_process_registry_as_recorded(self) -> None:
         path = self.copy_recorded("roster.json", "roster.json")
         registry = ProcessRegistry(self.folder)
         self.assertEqual(registry.processes, {"r0": (4194300, 17), "w0": (4194301, 18)})
@@ -181,7 +183,7 @@
         registry.record("r0", None)
         self.assertEqual(durable.read(path, 1), {})
 
-    def test_the_suspended_runners_are_read(self) -> None:
+    def test_reads_names_of_suspended_runners(self) -> None:
         for name in recorded_lines("suspended.txt"):
             (self.folder / name).touch()
         (self.folder / "other").touch()
--- a/tests/test_recorded_remote_log.py
+++ b/tests/test_recorded_remote_log.py
@@ -1,4 +1,4 @@
-"""The log as an agent without a vote sees it, against the answers recorded in `tests/recorded/control`."""
+"""Tests of `RemoteLog`, the log of an agent that is not a voter, with recorded answers of a voter's agent."""
 
 import json
 import tempfile
@@ -15,10 +15,10 @@
 
 
 class RemoteLogTest(unittest.IsolatedAsyncioTestCase):
-    """An agent that is no voter, and the answers of one that is."""
+    """Tests of how an agent that is not a voter handles the answers of a voter's agent."""
 
     async def log_after(self, answer: bytes) -> RemoteLog:
-        """A log that submitted a command and got this answer; its reply to the command is kept."""
+        """Return a log that submitted a command and got this answer; store the reply in `self.reply`."""
         voter = ScriptedAgent([answer])
         self.addCleanup(voter.close)
         with tempfile.TemporaryDirectory() as name:
@@ -28,11 +28,11 @@
         return remote_log
 
     def answers(self) -> list[bytes]:
-        """The recorded answers that have the state of the control plane."""
+        """Return the recorded answers that contain the state of the control plane."""
         answers = [exchange["answer"].encode() for exchange in recorded_lines("agent-answers.jsonl")]
         return [answer for answer in answers if "control" in json.loads(answer)]
 
-    async def test_a_recorded_answer_is_read(self) -> None:
+    async def test_reads_recorded_answers(self) -> None:
         answered = 0
         for answer in self.answers():
             control = json.loads(answer)["control"]
@@ -49,13 +49,13 @@
             self.assertTrue(remote_log.ready())
         self.assertEqual(answered, 2)
 
-    async def test_a_foreign_key_is_passed_over(self) -> None:
+    async def test_ignores_unknown_keys(self) -> None:
         answer = json.loads(self.answers()[-2])
         answer["control"]["foreign"] = answer["foreign"] = [1]
         remote_log = await self.log_after(json.dumps(answer).encode() + b"\n")
         self.assertEqual(remote_log.control.encoded(), answer["control"]["state"])
 
-    async def test_an_answer_of_no_use_is_refused_with_the_recorded_text(self) -> None:
+    async def test_reports_invalid_answer_with_its_error(self) -> None:
         answer = json.loads(self.answers()[-2])["control"]
         state = answer["state"]
         for sent, reason in (
