--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/fields.py
@@ -24,12 +24,12 @@
 
 
 def _decode_strings(values: Iterable[object], place: str) -> tuple[str, ...]:
-    texts = []
+    strings = []
     for value in values:
         if not isinstance(value, str):
             raise TypeError(f"{place}: must be texts, not {value!r}")
-        texts.append(value)
-    return tuple(texts)
+        strings.append(value)
+    return tuple(strings)
 
 
 def _require_hashable(values: Iterable[object]) -> tuple[object, ...]:
--- a/maplestile/control/commands/replies.py
+++ b/maplestile/control/commands/replies.py
@@ -7,61 +7,61 @@
 class Rejected:
     """The reply to a command that does not fit the replicated state and has not changed it."""
 
-    reason: str  # shown to operators and in the log
+    reason: str  # for the sender, which logs it or shows it to an operator
 
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The reply to an applied command that has no result."""
+    """The reply to any other command that has been applied."""
 
 
 @dataclass(slots=True, frozen=True)
 class RolloutStarted:
-    """The reply to the start of a rollout."""
+    """The reply to `StartRollout`."""
 
-    rollout: int  # its number
+    rollout: int  # the number of the new rollout
     budget: int  # the most instances that may be out of service at once
 
 
 @dataclass(slots=True, frozen=True)
 class RolloutChanged:
-    """The reply to the halt, resume or undo of a rollout."""
+    """The reply to `HaltRollout`, `ResumeRollout` and `UndoRollout`."""
 
-    rollout: int  # its number
+    rollout: int  # the number of the rollout
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """The reply to the grant or release of a lease."""
+    """The reply to `GrantLease` and `ReleaseLease`."""
 
-    lease: int  # its number
+    lease: int  # the number of the lease
 
 
 @dataclass(slots=True, frozen=True)
 class StepBegun:
-    """The reply to the begin of a router's step."""
+    """The reply to `BeginStep`."""
 
     action: str  # what the holder must do with the instance
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeProposed:
-    """The reply to the proposal of a policy change or rollback."""
+    """The reply to `ProposePolicy` and `RollBackPolicy`."""
 
-    change: int  # its number
+    change: int  # the number of the new change
     base: int  # the number of the epoch that it is based on
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeUpdated:
-    """The reply to a verdict on a policy change or to its abort."""
+    """The reply to `SubmitVerdict` and `AbortPolicy`."""
 
-    change: int  # its number
+    change: int  # the number of the change
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyCommitted:
-    """The reply to the commit of a policy change."""
+    """The reply to `CommitPolicy`."""
 
     epoch: int  # the number of the new epoch
     change: int  # the number of the change
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyRead:
-    """The reply to a policy read."""
+    """The reply to `ReadPolicy`."""
 
     epoch: int  # the number of the committed epoch
     named: tuple[str, ...]  # those instances of the read that the agent manages
--- a/maplestile/control/commands/types.py
+++ b/maplestile/control/commands/types.py
@@ -1,7 +1,8 @@
 """Commands of the replicated log.
 
 The fields `rollout`, `lease`, `after`, `change` and the holder's `agent` hold what the sender last saw of the
-replicated state. They are only compared with it, to reject a sender with outdated information.
+replicated state. They are only compared with it, to reject a sender with outdated information. `agent` is the
+agent that submits the command; it is optional in commands whose transition does not use it.
 """
 
 from collections.abc import Mapping
@@ -57,7 +58,7 @@
     targets: tuple[str, ...]  # in the order of the steps; empty for all instances of the kind
     budget: int | str  # a count, or a share such as "25%"
     kind: str = ROUTERS  # of the targets: `ROUTERS` or `RUNNERS`
-    agent: str | None = None  # the sender, which is not checked
+    agent: str | None = None
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
@@ -88,7 +89,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ReleaseLease:
-    """Drop the lease of an instance, which the operator has checked to serve."""
+    """Drop the lease of an instance; the operator confirms that the instance serves."""
 
     instance: str
     lease: int | None = None  # its number; None for any
@@ -145,7 +146,7 @@
 
     part: str = field(metadata={WIRE_KEY: "did"})  # `PART_BEGUN`, `PART_OUT` or `PART_IN` of `rollout`
     instance: str  # the runner
-    lease: int
+    lease: int  # the number of its lease
     agent: str
 
 
@@ -175,8 +176,8 @@
     """Report whether a router accepts the change that is being checked."""
 
     agent: str
-    change: int
-    instance: str
+    change: int  # its number
+    instance: str  # the router
     reason: str  # why the router refuses the change; "" if it accepts
 
 
@@ -184,7 +185,7 @@
 class CommitPolicy:
     """Commit the change that has been checked; sent by the leader."""
 
-    change: int
+    change: int  # its number
     absent: tuple[str, ...]  # instances without a verdict that no read has named since the proposal
     agent: str | None = None
 
@@ -193,8 +194,8 @@
 class AbortPolicy:
     """Abort the change that is being checked; sent by the leader."""
 
-    change: int
-    reason: str
+    change: int  # its number
+    reason: str  # shown to operators
     agent: str | None = None
 
 
@@ -203,7 +204,7 @@
     """Read the committed epoch, and name the routers to which the agent will announce it."""
 
     agent: str
-    instances: tuple[str, ...]  # the named routers, which may serve by the epoch
+    instances: tuple[str, ...]  # the routers, which may then take calls under that epoch
     # By instance: the router's own report on its policy. It is not part of the replicated state.
     router_status: Mapping[str, Any] | None = field(default=None, metadata={WIRE_KEY: "told"})
 
--- a/maplestile/control/fleet.py
+++ b/maplestile/control/fleet.py
@@ -37,14 +37,14 @@
         self.rollout: Rollout | None = None  # the latest rollout; None before the first
         self.history: list[Rollout] = []  # earlier rollouts, the oldest first
         self.leases: dict[str, Lease] = {}  # by instance or runner
-        self.number = 0  # of the last rollout or lease, which share one sequence; 0 before the first
+        self.number = 0  # of the last rollout or lease: one sequence for both, so that no number is reused
         self.worst_out = dict.fromkeys(KINDS, 0)  # by kind: the most instances ever leased at once
 
     def agents(self) -> list[str]:
         """Return the agents that manage router instances, sorted by name."""
         return sorted(set(self.instances.values()))
 
-    def out(self, kind: str) -> list[str]:
+    def leased_instances(self, kind: str) -> list[str]:
         """Return the instances of a kind that are out of service under a lease."""
         return [name for name, lease in self.leases.items() if lease.is_for_runner == (kind == RUNNERS)]
 
@@ -69,9 +69,9 @@
         self.rollout = rollout
 
     def update_worst_out(self) -> None:
-        """Update the largest number of instances of each kind that were leased at once."""
+        """Update the largest number of instances of each kind that were ever leased at once."""
         for kind in KINDS:
-            self.worst_out[kind] = max(self.worst_out[kind], len(self.out(kind)))
+            self.worst_out[kind] = max(self.worst_out[kind], len(self.leased_instances(kind)))
 
     # Progress of the rollout.
 
--- a/maplestile/control/lease_transitions.py
+++ b/maplestile/control/lease_transitions.py
@@ -37,7 +37,7 @@
         raise CommandRejected("something else was granted since")
     if step is None or step.instance != command.instance:
         raise CommandRejected(f"it is not the turn of '{command.instance}'")
-    would_be_out = {*fleet.out(rollout.kind), *command.down, step.instance}
+    would_be_out = {*fleet.leased_instances(rollout.kind), *command.down, step.instance}
     if len(would_be_out) > rollout.budget:
         raise CommandRejected(f"{len(would_be_out)} would be out, and the budget is {rollout.budget}")
     lease = _new_lease(fleet, rollout.kind, step, command.term)
@@ -49,19 +49,21 @@
     number = fleet.allocate_number()
     holder = fleet.managers(kind).get(step.instance)
     if holder is None:
-        # Its agent has removed the instance since the rollout started. All releases use up a number here and
-        # reply with this text, and voters of different releases must assign the same numbers.
+        # The instance's agent has removed it since the rollout started. The rejected command still uses up a
+        # number and gets this reply, as in all earlier releases: voters of different releases must assign the
+        # same numbers.
         raise CommandRejected(f"damaged command: KeyError: {step.instance!r}")
     lease = Lease(number, step.instance, holder, step.action, Stage.GRANTED, term)
     if kind == RUNNERS:
         lease.parts = dict.fromkeys(fleet.agents(), PART_UNTOUCHED)
-        if step.action == START:  # takes nothing out of service, so a halt need not be able to withdraw it
+        # Undoing a drain takes nothing out of service, so it skips GRANTED, where a halt withdraws leases.
+        if step.action == START:
             lease.stage = Stage.RETURNING
     return lease
 
 
 def release_lease(fleet: FleetState, command: ReleaseLease) -> LeaseChanged:
-    """Drop a lease that does not end by itself; the operator has checked that the instance serves."""
+    """Drop a lease that does not end by itself; the operator confirms that the instance serves."""
     lease = fleet.leases.get(command.instance)
     if lease is None:
         raise CommandRejected(f"'{command.instance}' is not out")
--- a/maplestile/control/log_view.py
+++ b/maplestile/control/log_view.py
@@ -1,4 +1,4 @@
-"""What an agent sees of the replicated log besides the replicated state, and the wire form of it."""
+"""What an agent sees of the replicated log besides the replicated state, with its wire form."""
 
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass
--- a/maplestile/control/policy/agreed.py
+++ b/maplestile/control/policy/agreed.py
@@ -20,7 +20,7 @@
 
 MAX_EPOCHS = 8  # the current epoch, and earlier ones that a rollback can bring back
 MAX_PAST_CHANGES = 20  # past changes, shown to operators without their documents
-NO_EPOCH = -1  # the number of no epoch
+NO_EPOCH = -1  # a number that no epoch has
 
 
 class AgreedPolicies:
@@ -42,7 +42,7 @@
     def was_named_since_proposal(self, name: str) -> bool:
         """Return whether a read since the proposal of the last change has named this instance.
 
-        Such an instance may be serving by the committed epoch.
+        Such an instance may be taking calls under the committed epoch.
         """
         return self.change is not None and self.members.get(name, 0) > self.change.reads
 
--- a/maplestile/control/policy/transitions.py
+++ b/maplestile/control/policy/transitions.py
@@ -1,10 +1,10 @@
 """Transitions of the policy in the replicated state.
 
-An agent learns the committed epoch by a read, a command in the log whose reply is at least as new as the
-moment when the agent submitted it. The read names the routers to which the agent will announce the reply, and
-which may then serve by it. A change cannot be committed without a verdict of every router that a read has
-named since the change was proposed, so no router goes on with the old policy next to others with the new one.
-A router that no read has named since the proposal has got no announcement since then, and the next read that
+An agent learns the committed epoch by a read, a command in the log whose reply is at least as recent as the
+moment when the agent submitted it. The read names the routers to which the agent will announce the epoch, and
+which may then take calls under it. A change cannot be committed without a verdict of every router that a read
+has named since the change was proposed, so no router uses the old policy while others use the new one. A
+router that no read has named since the proposal has got no announcement since then, and the next read that
 names it returns the new epoch.
 """
 
@@ -112,7 +112,7 @@
 
 
 def read_policy(agreed: AgreedPolicies, command: ReadPolicy, managers: Managers) -> PolicyRead:
-    """Return the committed epoch, and record which instances may serve by this answer."""
+    """Return the committed epoch, and record that the named instances may take calls under it."""
     named = tuple(name for name in command.instances if managers.get(name) == command.agent)
     agreed.reads += 1
     agreed.members.update(dict.fromkeys(named, agreed.reads))
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -41,7 +41,7 @@
 
 __all__ = ["LogError", "RaftLog"]
 
-TICK_S = 0.01
+TICK_INTERVAL_S = 0.01
 # For a command to be replicated: an election takes up to 1.4 s, and a lossy link may need more than one.
 ANSWER_TIMEOUT_S = 5.0
 RETRY_INTERVAL_S = 0.1
@@ -93,7 +93,8 @@
             number = 1 if last is None else last.number + 1
             self.heartbeats[decoded.agent] = ReceivedHeartbeat(number, decoded.reports)
             return encode_reply(Accepted())
-        if isinstance(decoded, ReadPolicy) and decoded.router_status is not None:  # nor is this status
+        # The routers' status in a read is not part of the replicated state either.
+        if isinstance(decoded, ReadPolicy) and decoded.router_status is not None:
             self.router_status[decoded.agent] = ReceivedRouterStatus(
                 time.monotonic(), dict(decoded.router_status)
             )
@@ -204,7 +205,7 @@
         try:
             while True:
                 self.replica.doTick(0.0)
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(TICK_INTERVAL_S)
         finally:
             self.replica.destroy()
 
--- a/maplestile/control/registration.py
+++ b/maplestile/control/registration.py
@@ -23,9 +23,10 @@
 
 
 def _update_runners(fleet: FleetState, agent: str, runners: Mapping[str, bool]) -> None:
-    """Update the runners that the agent's routers list; the values tell whether it manages their processes.
+    """Update the runners that the agent's routers list.
 
-    Runners that no agent lists any more are removed unless they have a lease.
+    `runners` tells for each whether the agent manages its process. Runners that no agent lists any more are
+    removed unless they have a lease.
     """
     fleet.listed[agent] = sorted(runners)
     for name, managed in runners.items():
--- a/maplestile/control/rollout.py
+++ b/maplestile/control/rollout.py
@@ -4,7 +4,7 @@
 
     GRANTED --begin, by the holder--> BEGUN --back, once it serves again--> lease removed
        |                                +--out, once drained (drains only)--> OUT --undo--> GRANTED
-       +--halt or undo before the begin--> lease removed (OUT again, if it was granted to undo a drain)
+       +--halt or undo--> lease removed (OUT again, if it was granted to undo a drain)
 
 An operator can release a lease at any stage. An instance counts as out of service from the grant until its
 lease is removed. A lease whose holder has died stays.
@@ -13,7 +13,7 @@
 reaches its next stage once all agents have reported the same. The stages of the lease of a runner:
 
     GRANTED --begun, by any agent--> BEGUN --out, by all agents--> AWAY (OUT for a drain)
-       +--halt or undo before that--> lease removed
+       +--halt or undo--> lease removed
     AWAY --renewed, by the holder--> RETURNING --in, by all agents--> lease removed
     OUT --undo--> RETURNING
 """
@@ -35,7 +35,7 @@
 RESTORE = "restore"  # undoes a replacement
 UNDO_ACTIONS = (START, RESTORE)
 
-# The progress of one agent in the lease of a runner.
+# The progress that an agent reports on the lease of a runner, for its own routers.
 PART_UNTOUCHED = ""  # not reported yet
 PART_BEGUN = "begun"  # its routers are being told to stop using the runner
 PART_OUT = "out"  # none of its routers uses the runner
--- a/maplestile/control/rollout_planner.py
+++ b/maplestile/control/rollout_planner.py
@@ -27,12 +27,13 @@
     """The timeouts and thresholds of rollouts; times in microseconds."""
 
     report_max_age_us: int = 2_000_000  # an instance with an older last report counts as out of service
-    settle_us: int = 1_000_000  # an instance still counts as out for this long after its step: health unknown
+    settle_us: int = 1_000_000  # an instance counts as out for this long after its step: health unknown
     outage_us: int = 3_000_000  # the rollout halts if the budget is exceeded for this long
     step_us: int = 60_000_000  # the rollout halts if a step takes longer
     grace_us: int = 5_000_000  # the longest that a new leader waits for reports on every instance
-    min_calls: int = 20  # an instance with fewer calls since its step is not judged by their failures
-    max_failed_share: float = 0.1  # the rollout halts if an instance fails more of its calls after its step
+    min_calls: int = 20  # `max_failed_share` applies to an instance only after this many calls
+    # The rollout halts if an instance whose step has ended fails a larger share of its calls since then.
+    max_failed_share: float = 0.1
 
 
 @dataclass(slots=True, frozen=True)
@@ -85,17 +86,19 @@
             return None
         if not self._has_enough_reports(control, now_us):
             return None
-        down = self.down(control, rollout.kind, members_out, now_us)
+        down = self.down_instances(control, rollout.kind, members_out, now_us)
         halt_reason = self._halt_reason(control, rollout, down, now_us)
         if halt_reason and rollout.phase is Phase.RUNNING:
             return HaltRollout(rollout=rollout.number, reason=halt_reason)
         return self._grant(control, rollout, down, term)
 
-    def down(self, control: ControlState, kind: str, members_out: frozenset[str], now_us: int) -> list[str]:
+    def down_instances(
+        self, control: ControlState, kind: str, members_out: frozenset[str], now_us: int
+    ) -> list[str]:
         """Return the instances of a kind that are out of service without a lease.
 
         A router is out of service if it is not ready, has no recent report or is in `members_out`. A runner
-        is if it is in `members_out`, because the routers that health-check it get no answers.
+        is out of service if it is in `members_out`, which includes runners that fail their health checks.
         """
         if kind == RUNNERS:
             return [name for name in control.runners if name not in control.leases and name in members_out]
@@ -123,7 +126,7 @@
         if step is None:
             return None
         # An instance that is already out, by its own lease or by an outage, is not counted twice.
-        would_be_out = {*control.out(rollout.kind), *down, *self.settling_us, step.instance}
+        would_be_out = {*control.leased_instances(rollout.kind), *down, *self.settling_us, step.instance}
         if len(would_be_out) > rollout.budget:
             return None
         return GrantLease(
@@ -179,8 +182,8 @@
     def _outage_reason(
         self, control: ControlState, rollout: Rollout, down: Sequence[str], now_us: int
     ) -> str:
-        out = len(control.out(rollout.kind)) + len(down)
-        if not down or out <= rollout.budget:
+        out_count = len(control.leased_instances(rollout.kind)) + len(down)
+        if not down or out_count <= rollout.budget:
             self.over_budget_since_us = 0
             return ""
         # An instance that has just come back may still be reported as out, so the rollout halts only if the
@@ -188,7 +191,7 @@
         self.over_budget_since_us = self.over_budget_since_us or now_us
         if now_us - self.over_budget_since_us < self.rules.outage_us:
             return ""
-        return f"{out} out and the budget is {rollout.budget}: {', '.join(down)} without a step"
+        return f"{out_count} out and the budget is {rollout.budget}: {', '.join(down)} without a step"
 
     def _slow_step_reason(self, control: ControlState, now_us: int) -> str:
         for lease in control.leases.values():
--- a/maplestile/control/rollout_transitions.py
+++ b/maplestile/control/rollout_transitions.py
@@ -56,11 +56,11 @@
     leased = [name for name in targets if name in fleet.leases]
     if leased:
         raise CommandRejected(f"out already: {', '.join(leased)}")
-    out = len(fleet.out(command.kind))
-    if command.action == DRAIN and len(targets) + out > budget:
+    out_count = len(fleet.leased_instances(command.kind))
+    if command.action == DRAIN and len(targets) + out_count > budget:
         raise CommandRejected(f"a drain leaves {len(targets)} out, and the budget is {budget}")
-    if out >= budget:
-        raise CommandRejected(f"{out} out already, and the budget is {budget}")
+    if out_count >= budget:
+        raise CommandRejected(f"{out_count} out already, and the budget is {budget}")
 
 
 def halt_rollout(fleet: FleetState, command: HaltRollout) -> RolloutChanged:
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -8,13 +8,14 @@
     step_s = 60                       # the rollout halts if a step takes longer
     failed_most = 0.1                 # it also halts if an instance fails a larger share of its calls
 
-    [[voter]]                         # one of three or five, this agent among them; the same at all of them
+    [[voter]]                         # one table for each voter, also for this agent
     name = "a1"
     address = "127.0.0.1:7401"
     reach = "127.0.0.1:8401"          # address that this agent connects to instead, such as that of a relay
 
-An agent that is not a voter omits `listen` and `folder`, and lists the agents of voters through which it
-submits commands: `ask = ["127.0.0.1:7070", ...]`.
+There are three or five voters, and all of them list the same ones. An agent that is not a voter omits
+`listen` and `folder`, and lists the agents of voters through which it submits commands:
+`ask = ["127.0.0.1:7070", ...]`.
 """
 
 from dataclasses import dataclass
@@ -27,7 +28,7 @@
 from maplestile.control.rollout_planner import RolloutRules
 
 VOTER_COUNTS = (1, 3, 5)  # a single voter is for experiments only: it tolerates no failure
-INSTANCES_FOR_CHECK = 100  # any positive number: only the format of the budget is checked
+EXAMPLE_FLEET_SIZE = 100  # any positive number: only the format of the budget is checked
 US_PER_S = 1e6
 
 
@@ -61,16 +62,16 @@
     listen = table.loopback("listen") if "listen" in table.values else ""
     folder = Path(table.text("folder")) if listen else None
     voter_agents = _parse_voter_agents(table)
-    named = tuple(_parse_voter(voter) for voter in voters)
-    names = [voter.name for voter in named]
-    if listen and (len(named) not in VOTER_COUNTS or name not in names):
+    parsed_voters = tuple(_parse_voter(voter) for voter in voters)
+    names = [voter.name for voter in parsed_voters]
+    if listen and (len(parsed_voters) not in VOTER_COUNTS or name not in names):
         raise table.wrong("name", "must be one of one, three or five [[voter]]")
     if len(set(names)) < len(names):
         raise table.wrong("voter", "a name stands twice")
     if not listen and not voter_agents:
         raise table.wrong("ask", "must name agents of voters where there is no 'listen'")
     table.end()
-    return ControlSettings(name, listen, folder, named, voter_agents, budget, rules)
+    return ControlSettings(name, listen, folder, parsed_voters, voter_agents, budget, rules)
 
 
 def _parse_rules(table: TomlTable) -> RolloutRules:
@@ -85,7 +86,7 @@
 def _parse_budget(table: TomlTable) -> int | str:
     budget: int | str = table.values.pop("budget", 1)
     try:
-        budget_of(budget, INSTANCES_FOR_CHECK)
+        budget_of(budget, EXAMPLE_FLEET_SIZE)
     except CommandRejected as rejection:
         raise table.error(f"{table.place('budget')}: {rejection}") from None
     return budget
--- a/tests/control_rig.py
+++ b/tests/control_rig.py
@@ -26,7 +26,7 @@
         self.test = test
         self.control = registered_control()
         self.now_us = 100 * SECOND_US
-        self.out = frozenset[str]()
+        self.members_out = frozenset[str]()
         self.planner = RolloutPlanner(RolloutRules(**{"settle_us": 0, **rules}), self.now_us)
         self.reports = {name: HealthReport(True) for name in NAMES}
 
@@ -44,7 +44,7 @@
         """Advance the clock, pass the health reports to the planner, and apply and return its command."""
         self.now_us += after_us
         self.planner.record_reports(self.reports, self.now_us)
-        command = self.planner.next_command(self.control, self.out, 1, self.now_us)
+        command = self.planner.next_command(self.control, self.members_out, 1, self.now_us)
         if command is None:
             return None
         encoded = encode(command)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -50,9 +50,9 @@
         rig = ControlRig(self)
         rig.apply_next_command()
         rig.accept("start", action="restart", targets=["r0"], budget=1)
-        rig.out = frozenset({"r3"})
+        rig.members_out = frozenset({"r3"})
         self.assertIsNone(rig.apply_next_command())
-        rig.out = frozenset()
+        rig.members_out = frozenset()
         del rig.reports["r3"]
         rig.now_us += 3 * SECOND_US
         self.assertIsNone(rig.apply_next_command())
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -29,7 +29,7 @@
         self.control = registered_control()
         self.now_us = 100 * SECOND_US
         self.planner = RolloutPlanner(RolloutRules(settle_us=0, step_us=20 * SECOND_US), self.now_us)
-        self.chance = random.Random(1)
+        self.random = random.Random(1)
         self.lost = set[str]()  # the routers that are out of service without a lease
         for agent, managed in (("a0", True), ("a1", False)):
             names = [name for name, owner in self.control.instances.items() if owner == agent]
@@ -58,7 +58,7 @@
         command = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
         self.control.apply_encoded(command)
 
-    @precondition(lambda self: self.control.out("runners"))
+    @precondition(lambda self: self.control.leased_instances("runners"))
     @rule(
         pick=st.integers(0, 1),
         agent=st.sampled_from(("a0", "a1")),
@@ -66,8 +66,8 @@
     )
     def report_runner(self, pick: int, agent: str, did: str) -> None:
         """An agent reports on a leased runner."""
-        out = self.control.out("runners")
-        lease = self.control.leases[out[pick % len(out)]]
+        leased = self.control.leased_instances("runners")
+        lease = self.control.leases[leased[pick % len(leased)]]
         fields = {"agent": agent, "instance": lease.instance, "lease": lease.number}
         if did == "renewed":
             if self.control.apply_encoded({"do": did, **fields})["ok"]:
@@ -110,15 +110,15 @@
         assert rollout is not None
         is_grant = isinstance(command, GrantLease) and command.instance not in self.begun
         if is_grant and rollout.kind == "routers":
-            down = self.lost | set(self.control.out("routers"))
+            down = self.lost | set(self.control.leased_instances("routers"))
             assert len(down) <= rollout.budget, (down, rollout)
 
-    @precondition(lambda self: self.control.out("routers"))
+    @precondition(lambda self: self.control.leased_instances("routers"))
     @rule(pick=st.integers(0, 9), do=st.sampled_from(("begin", "back", "out")))
     def report_router(self, pick: int, do: str) -> None:
         """The holder of a router's lease reports on its step."""
-        out = self.control.out("routers")
-        lease = self.control.leases[out[pick % len(out)]]
+        leased = self.control.leased_instances("routers")
+        lease = self.control.leases[leased[pick % len(leased)]]
         fields = {"agent": lease.holder, "instance": lease.instance, "lease": lease.number}
         if self.control.apply_encoded({"do": do, **fields})["ok"]:
             (self.begun.discard if do == "back" else self.begun.add)(lease.instance)
@@ -142,7 +142,7 @@
         rollouts = [*self.control.history, *([rollout] if rollout is not None else [])]
         for kind in ("routers", "runners"):
             budgets = [earlier.budget for earlier in rollouts if earlier.kind == kind]
-            assert len(self.control.out(kind)) <= max(budgets, default=0)
+            assert len(self.control.leased_instances(kind)) <= max(budgets, default=0)
 
     @invariant()
     def ended_rollouts_are_complete(self) -> None:
--- a/tests/test_control_runners.py
+++ b/tests/test_control_runners.py
@@ -16,19 +16,19 @@
             runners = {"w0": agent == "a0", "w1": False, "w2": False}
             self.accept("register", agent=agent, instances=names, runners=runners)
 
-    def accept(self, do: str, **more: Any) -> None:
+    def accept(self, do: str, **extra_fields: Any) -> None:
         """Apply a command that must be accepted."""
-        reply = self.control.apply_encoded({"do": do, **more})
+        reply = self.control.apply_encoded({"do": do, **extra_fields})
         self.assertTrue(reply["ok"], reply)
 
-    def assert_rejected(self, reason: str, do: str, **more: Any) -> None:
+    def assert_rejected(self, reason: str, do: str, **extra_fields: Any) -> None:
         """Apply a command that must be rejected for this reason."""
-        reply = self.control.apply_encoded({"do": do, **more})
+        reply = self.control.apply_encoded({"do": do, **extra_fields})
         self.assertIn(reason, reply.get("reason", "the command was accepted"))
 
-    def grant(self, name: str, **more: Any) -> dict[str, Any]:
+    def grant(self, name: str, **extra_fields: Any) -> dict[str, Any]:
         """Grant a lease and return the fields that name it in commands."""
-        fields = {"instance": name, "down": [], "after": self.control.number, "term": 1, **more}
+        fields = {"instance": name, "down": [], "after": self.control.number, "term": 1, **extra_fields}
         self.accept("grant", **fields)
         return {"instance": name, "lease": self.control.number}
 
@@ -68,7 +68,10 @@
             self.all_report("begun", lease)
             self.all_report("out", lease)
             self.assertIs(self.stage(name), Stage.OUT)
-        self.assertEqual((self.control.out("runners"), self.control.out("routers")), (["w1", "w2"], []))
+        self.assertEqual(
+            (self.control.leased_instances("runners"), self.control.leased_instances("routers")),
+            (["w1", "w2"], []),
+        )
         self.assert_rejected(
             "2 out already", "start", action="restart", kind="runners", targets=["w0"], budget=2
         )
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -17,7 +17,7 @@
         grant = {"instance": "r0", "down": [], "after": number, "term": 1, "rollout": number}
         rig.accept("grant", **grant)
         lease = rig.lease_fields("r0")
-        for do, more, reason in (
+        for do, fields, reason in (
             ("grant", grant, "something else was granted"),
             ("grant", {**grant, "instance": "r1", "after": number + 1}, "2 would be out"),
             ("grant", {**grant, "instance": "r1", "after": number + 1, "rollout": 99}, "the rollout is 1"),
@@ -29,7 +29,7 @@
             ("grant", {"instance": "r1"}, "damaged command"),
         ):
             before = rig.control.encoded()
-            reply = rig.submit(do, **more)
+            reply = rig.submit(do, **fields)
             self.assertFalse(reply["ok"])
             self.assertIn(reason, reply["reason"])
             self.assertEqual(rig.control.encoded(), before)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -121,7 +121,7 @@
     assert rig.next_command(0) is None
     command = rig.next_command(3 * SECOND_US)
     assert command is not None and command["absent"] == ["r1"]
-    rig.submit_read(1)  # r1 returns just before the commit and may serve by the old epoch
+    rig.submit_read(1)  # r1 returns just before the commit and may take calls under the old epoch
     assert not rig.control.apply_encoded(command)["ok"]
     assert rig.next_command(4 * SECOND_US) is None
     rig.submit_verdict(1)
--- a/tests/test_policy_random.py
+++ b/tests/test_policy_random.py
@@ -121,7 +121,7 @@
             self.committed_us[reply["epoch"]] = self.now_us
             accepted = {name for name, reason in change.verdicts.items() if reason == ""}
             assert accepted | set(command["absent"]) >= set(ROUTERS)
-            for name in command["absent"]:  # it must learn of the new epoch before it may serve again
+            for name in command["absent"]:  # an absent router has yet to learn of the new epoch
                 assert self.announcements[name].epoch < reply["epoch"]
 
     @invariant()
