--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -28,7 +28,8 @@
     )
     config = operator.from_tables(tables, AdoptedPolicy(4, document))
     assert (config.epoch, config.records, config.node["settings"]["limits"]["attemptsCap"]) == (4, 7, 2)
-    assert config.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000  # the default, not the file's 9.7 s
+    # The default applies, not the file's 9.7 s.
+    assert config.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000
     bare = operator.from_tables(tables, AdoptedPolicy(4, Document.from_tables({"class": tables["class"]})))
     assert bare.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000
     assert config.node["settings"]["limits"]["maxOpen"] == 2000 and config.body_bytes == 16384
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -37,7 +37,7 @@
 
 
 class WrittenTest(unittest.TestCase):
-    """Tests of the recorded files' content."""
+    """Tests that the recorded files are written again with the same content."""
 
     maxDiff = None
 
