--- a/maplestile/control/commands/replies.py
+++ b/maplestile/control/commands/replies.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejected:
-    """The reply to a command that does not fit the replicated state and has not changed it."""
+    """The reply to a command that does not fit the replicated state and was not applied."""
 
     reason: str  # for the sender, which logs it or shows it to an operator
 
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -4,7 +4,7 @@
 approach", 1990). Every voter applies the commands of the Raft log in the same order, so each transition
 depends only on the state and the command: it uses no clock, no randomness and no I/O.
 
-A command that does not fit the state changes nothing, and its reply gives the reason. Commands carry the
+A command that does not fit the state is not applied, and its reply gives the reason. Commands carry the
 numbers of the rollout and the lease that their sender last saw, so that a sender with outdated information,
 such as a deposed leader or an agent that was cut off from the voters, is rejected.
 """
@@ -101,7 +101,10 @@
         self.__dict__.update(attributes)
 
     def apply(self, command: Command) -> Reply:
-        """Apply a command and return its reply; a rejected command changes nothing."""
+        """Apply a command and return its reply.
+
+        A rejected command changes nothing, except that a rejected grant may use up a number.
+        """
         try:
             reply = self._transition(command)
         except CommandRejected as rejection:
