--- a/maplestile/dispatch/__init__.py
+++ b/maplestile/dispatch/__init__.py
@@ -1,10 +1,10 @@
-"""The decisions, free of I/O: which worker gets a call, whether it is retried, what is rejected.
+"""The routing decisions, free of I/O: which worker gets a call, and which calls are retried or rejected.
 
-To read it, follow an event from `dispatcher.py`. A call that arrives goes through `intake.py` (is it
-admitted: `admission.py`), `call_router.py` (send, wait, retry, hedge, answer) and `placement.py` (which
-worker), past the one gate before every attempt, `send_gate.py`. What comes back goes through `outcomes.py`
-to `worker_health.py` (`outliers.py`, `zone_failure.py`) and `copy_records.py` (`loads.py`,
-`warm_copies.py`). Load requests go through the one gate of `load_requests.py`; `keep_warm.py` makes those
-that no call brings about. The records that all of them keep are in `state.py`, the workers in `fleet.py` and
-`ranking.py`, the functions in `tiers.py`.
+A good place to start reading is `dispatcher.py`, which handles each event. An arriving call goes through
+`intake.py` (with admission control in `admission.py`), `call_router.py` (sending, waiting, retrying, hedging
+and answering) and `placement.py` (choosing a worker). Every attempt must pass the check in `send_gate.py`.
+The outcomes of attempts go through `outcomes.py` to `worker_health.py` (`outliers.py`, `zone_failure.py`) and
+`copy_records.py` (`loads.py`, `warm_copies.py`). Every load request must pass the check in
+`load_requests.py`; `keep_warm.py` makes the load requests that are not caused by a call. The shared records
+are in `state.py`, the workers in `fleet.py` and `ranking.py`, and the functions in `tiers.py`.
 """
--- a/maplestile/dispatch/actions.py
+++ b/maplestile/dispatch/actions.py
@@ -1,6 +1,6 @@
-"""The actions that a dispatcher answers an event with; all times are whole microseconds.
+"""The actions that a dispatcher returns for an event; all times are whole microseconds.
 
-Records that are made for each call are not frozen: freezing would double the time of making one.
+Dataclasses that are created for each call are not frozen: that would double the time to create one.
 """
 
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Send the call's next attempt; attempts are numbered from 0 in the order of their sends."""
+    """Send the call's next attempt; attempts are numbered from 0 in the order of their sending."""
 
     call: int
     worker: str
     timeout_us: int
-    epoch: int = 0  # of the policy that the call is decided under
-    until_us: int = 0  # if over 0, not to be written from then on: workers forget the idempotency key
+    epoch: int = 0  # of the policy that applies to the call
+    until_us: int = 0  # do not write the attempt from then on, as workers forget its key; 0 for no limit
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send a `TimerFired` with this token at a time of the dispatcher's clock."""
+    """Give the dispatcher a `TimerFired` event with this token at the given time of its clock."""
 
     due_us: int
     token: int
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestLoad:
-    """Have the worker hold at least `copies` of the function; 0 only asks for their number."""
+    """Ask the worker to hold at least `copies` copies of the function; 0 only asks how many it has."""
 
     worker: str
     function: str
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestUnload:
-    """Have the worker drop its copies of the function."""
+    """Ask the worker to unload its copies of the function."""
 
     worker: str
     function: str
@@ -89,12 +89,12 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Have the changes of the worker list sent from now on."""
+    """Subscribe to changes of the worker list."""
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpoints:
-    """Fetch the whole worker list once."""
+    """Fetch the complete worker list once."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/dispatch/api.py
+++ b/maplestile/dispatch/api.py
@@ -1,4 +1,4 @@
-"""The public types of the dispatcher: the events that it handles, its actions, and its settings."""
+"""The public types of the dispatcher: the events that it handles, the actions it returns, its settings."""
 
 from maplestile.dispatch.actions import (
     Action,
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -1,4 +1,4 @@
-"""The pending calls: placing them, holding them, sending, retrying and hedging, and their final answer."""
+"""The handling of pending calls: placing, holding, sending, retrying, hedging, and the final answer."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
@@ -11,21 +11,21 @@
 from maplestile.dispatch.state import Attempt, Call, CallTable, FunctionEntry, Worker
 from maplestile.dispatch.worker_health import WorkerHealth
 
-# Until held calls are tried again: the longest of the three. Shorter waits cost the processor more than
-# they bring, whatever the tick of the timers.
+# Held calls are tried again after the longest of these three waits. Shorter waits cost more processor time
+# than they gain, whatever the tick of the timers.
 MIN_RETRY_WAIT_US = 16_000
 RETRY_WAIT_SERVICE_TIMES = 0.2
 RETRY_WAIT_LOAD_TIMES = 0.01
-OVERDUE_SERVICE_TIMES = 3.0  # expected service times without an answer from which an attempt is overdue
-# Errors of a function that was never served, from which no call of it is retried: its name is wrong, which
-# is no worker's fault.
+OVERDUE_SERVICE_TIMES = 3.0  # an attempt without an answer is overdue after so many expected service times
+# After so many errors of a function that has never succeeded, its calls are no longer retried: its name is
+# probably wrong, and no worker is to blame.
 UNKNOWN_FUNCTION_ERRORS = 3
-RETRY_AFTER_US = 1_000_000  # for a refused client: at once it would meet the same overload
-MAX_HEDGED_ATTEMPTS = 2  # attempts of one call that are in flight together
+RETRY_AFTER_US = 1_000_000  # told to a rejected client: a retry at once would meet the same overload
+MAX_HEDGED_ATTEMPTS = 2  # attempts of one call in flight at the same time, the first one included
 
 
 class CallRouter:
-    """Moves each call on, from its arrival to its one final answer."""
+    """Takes each call from its arrival to its single final answer."""
 
     def __init__(
         self,
@@ -46,11 +46,11 @@
         self.health = health
         self.admission = admission
 
-    # Placing and holding.
+    # Placing and holding calls.
 
     def route(self, call: Call) -> None:
-        """Begin the call's next attempt, or hold the call; nothing where one is in flight."""
-        if not call.open or call.outstanding():
+        """Begin the call's next attempt or hold the call; do nothing while an attempt is in flight."""
+        if not call.open or call.attempts_in_flight():
             return
         worker = self.placement.choose(call)
         if worker is None:
@@ -59,17 +59,17 @@
             self.send(call, worker)
 
     def hold(self, call: Call) -> None:
-        """Let the call wait for a worker; it is given up where none may ever take it.
+        """Let the call wait for a worker, or give it up if no worker may ever take it.
 
-        A call past its latency objective is given up too if its client may try again: the place goes to a
-        call that can still be in time.
+        A call past its latency objective is also given up if its client may safely retry: its place goes to
+        a call that can still be answered in time.
         """
         entry = call.entry
         entry.waiting[call.id] = call
         too_late = self.admission.is_late(call) and self.admission.may_refuse(call)
         if too_late or not self.retry.may_repeat_anywhere(call):
             self.finish(call)
-        elif self.context.now_us >= entry.next_retry_us:  # one timer a function, however many calls wait
+        elif self.context.now_us >= entry.next_retry_us:  # one timer per function, however many calls wait
             service_us = RETRY_WAIT_SERVICE_TIMES * entry.service_us
             load_us = RETRY_WAIT_LOAD_TIMES * entry.load_us
             wait_us = int(max(MIN_RETRY_WAIT_US, service_us, load_us))
@@ -77,22 +77,22 @@
             self.context.set_timer(wait_us, lambda: self.wake(entry))
 
     def wake(self, entry: FunctionEntry) -> None:
-        """Try the function's waiting calls again, until one has to wait on."""
+        """Try the function's waiting calls again, until one of them still has to wait."""
         for held in list(entry.waiting.values()):
             entry.waiting.pop(held.id, None)
             self.route(held)
             if held.id in entry.waiting:
-                return  # back at the end: one try a wake, and it must not block others
+                return  # it is now last in the queue, so the next wake tries another call first
 
-    # Sending.
+    # Sending attempts.
 
     def send(self, call: Call, worker: Worker) -> None:
-        """Begin an attempt that the send gate has admitted."""
+        """Send the call to a worker that the send gate has admitted it to."""
         context = self.context
         now_us = context.now_us
         entry = call.entry
         needs_load = self.copy_records.record_send(call, worker)
-        dedup_until_us = call.dedup_until_us()  # of the attempts before this one
+        dedup_until_us = call.dedup_until_us()  # read before this attempt is added: only earlier ones count
         attempt = Attempt(len(call.attempts), worker, now_us, needs_load)
         call.attempts.append(attempt)
         self.table.attempts[call.id, attempt.number] = (call, attempt)
@@ -108,21 +108,23 @@
         )
         load_us = entry.load_us if needs_load else 0
         overdue_us = OVERDUE_SERVICE_TIMES * expected_service_us(call) + load_us
-        # A call that ends before needs no timer: it would only keep the call in memory.
+        # If the call ends before that, a timer would only keep the call in memory.
         if now_us + overdue_us < call.due_us:
             context.set_timer(overdue_us, lambda: self.on_overdue(call, attempt))
 
     # Retries and hedged attempts.
 
     def retry_after(self, call: Call, result: Result) -> None:
-        """No attempt is in flight any more: one more, out of the retry budget, or the final answer.
+        """Retry a call that has no attempt left in flight, or give its final answer.
 
-        A call that is not idempotent is never sent again once an attempt of it may have run. A miss costs
-        no budget: the call waits for the copy.
+        A retry is taken from the retry budget. A call that is not idempotent is never sent again once one of
+        its attempts may have run. After a miss, the call waits for a copy without using the budget.
         """
-        unsafe = call.call_class.idempotency is Idempotency.NOT_IDEMPOTENT and bool(call.possibly_run())
-        unknown_function = call.entry.errors_before_success >= UNKNOWN_FUNCTION_ERRORS
-        if unsafe or unknown_function or call.client_disconnected:
+        is_unsafe = call.call_class.idempotency is Idempotency.NOT_IDEMPOTENT and bool(
+            call.possibly_run_attempts()
+        )
+        is_unknown_function = call.entry.errors_before_success >= UNKNOWN_FUNCTION_ERRORS
+        if is_unsafe or is_unknown_function or call.client_disconnected:
             self.finish(call)
         elif result is Result.MISS or not self.retry.has_budget():
             self.hold(call)
@@ -131,20 +133,20 @@
             self.route(call)
 
     def on_overdue(self, call: Call, attempt: Attempt) -> None:
-        """No answer in several expected times: the worker hangs or is slow; hedge or move the call.
+        """Hedge a call whose attempt is overdue, or move it to another worker.
 
-        The call is moved, by cancelling the attempt, only off a silent worker and where hedging is not
-        allowed. The budget is taken from also where no worker may take the hedged attempt.
+        The call is moved by cancelling the attempt. This is done only if the worker is silent and hedging is
+        not allowed. A hedged attempt is charged to the retry budget even if no worker can take it.
         """
         if attempt.result is not None or not call.open or call.streaming:
             return
-        silent = self.health.record_overdue(call, attempt)
+        is_silent = self.health.record_overdue(call, attempt)
         if not self.retry.has_budget() or call.call_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return
-        if call.settings.may_hedge and len(call.outstanding()) < MAX_HEDGED_ATTEMPTS:
+        if call.settings.may_hedge and len(call.attempts_in_flight()) < MAX_HEDGED_ATTEMPTS:
             self.retry.take_from_budget()
             self._hedge(call)
-        elif call.settings.may_cancel and silent and not call.settings.may_hedge:
+        elif call.settings.may_cancel and is_silent and not call.settings.may_hedge:
             self.context.actions.append(api.CancelAttempt(call.id, attempt.number))
 
     def _hedge(self, call: Call) -> None:
@@ -152,18 +154,21 @@
         if worker is not None:
             self.send(call, worker)
 
-    # The end of a call.
+    # Ending calls.
 
     def abandon(self, call: Call) -> None:
-        """Its client has disconnected: nothing more begins; what is in flight may end, and is its answer."""
+        """Begin no more attempts for a call whose client has disconnected.
+
+        Attempts in flight may still end, and their answer ends the call; without any, it ends now.
+        """
         call.client_disconnected = True
-        if not call.outstanding():
+        if not call.attempts_in_flight():
             self.finish(call)
 
     def finish(self, call: Call) -> None:
-        """Give the call up, with its final answer at once; a call whose answer streams goes on.
+        """Give the call up and send its final answer now, unless an answer is already streaming.
 
-        The client is invited to try again where a repeat is harmless, and gets an error otherwise.
+        The client is told to retry if a repeat is harmless, and gets an error otherwise.
         """
         if not call.open or call.streaming:
             return
@@ -177,11 +182,11 @@
         self.close(call)
 
     def close(self, call: Call) -> None:
-        """The call has its answer: forget it, and cancel what is in flight for it."""
+        """Forget a call that has been answered, and cancel its attempts in flight."""
         if self.table.calls.pop(call.id, None) is None:
             return
         call.open = False
         call.entry.waiting.pop(call.id, None)
         if call.settings.may_cancel and not call.streaming:
-            cancelled = [api.CancelAttempt(call.id, attempt.number) for attempt in call.outstanding()]
+            cancelled = [api.CancelAttempt(call.id, attempt.number) for attempt in call.attempts_in_flight()]
             self.context.actions.extend(cancelled)
--- a/maplestile/dispatch/context.py
+++ b/maplestile/dispatch/context.py
@@ -1,65 +1,65 @@
-"""What the parts of one dispatcher share: the clock, settings, actions, timers and random draws."""
+"""The state that the components of one dispatcher share: time, settings, actions, timers, random numbers."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol, TypeVar
 
 from maplestile.dispatch import api
 
-DEFAULT_KEEP_ALIVE_US = 2_000_000  # where the settings name no keep-alive
+DEFAULT_KEEP_ALIVE_US = 2_000_000  # used if the settings give no keep-alive time
 
 T = TypeVar("T")
 
 
 class RandomSource(Protocol):
-    """The draws that decisions use; `random.Random` has them, with the dispatcher's own seed."""
+    """The random functions that decisions use; `random.Random` provides them."""
 
     def random(self) -> float:
-        """Return a float from 0 up to, and without, 1."""
+        """Return a random float in the range from 0 to 1, excluding 1."""
         ...
 
     def choice(self, seq: Sequence[T], /) -> T:
-        """Return one element."""
+        """Return a random element."""
         ...
 
     def choices(self, population: Sequence[T], weights: Sequence[float], *, k: int) -> list[T]:
-        """Return `k` elements by their weights, with replacement."""
+        """Return `k` random elements, drawn by weight with replacement."""
         ...
 
     def sample(self, population: Sequence[T], k: int) -> list[T]:
-        """Return `k` elements without replacement."""
+        """Return `k` random elements, drawn without replacement."""
         ...
 
 
 class Context:
-    """The shared state of one event: the parts read the time here and append their actions here."""
+    """The state shared by all components, which read the current time and append their actions here."""
 
     def __init__(self, settings: api.Settings, random: RandomSource, salt: int) -> None:
         self.now_us = 0
         self.actions: list[api.Action] = []
         self.random = random
-        self.salt = salt  # hash of the seed: it makes this dispatcher's slow-start draws its own
+        self.salt = salt  # hash of the seed, so that slow-start limits differ between dispatchers
         self.timers: dict[int, Callable[[], object]] = {}
         self.last_token = 0
         self.apply_settings(settings)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Use another policy's settings from now on."""
+        """Use the settings of a new policy from now on."""
         self.settings = settings
         self.classes = {call_class.name: call_class for call_class in settings.classes}
         self.keep_alive_us = settings.keep_alive_us or DEFAULT_KEEP_ALIVE_US
 
-    def set_timer(self, delay_us: float, then: Callable[[], object]) -> None:
-        """Have `then` called after at least one microsecond."""
+    def set_timer(self, delay_us: float, callback: Callable[[], object]) -> None:
+        """Schedule `callback` after the delay, or after one microsecond if the delay is shorter."""
         self.last_token += 1
-        self.timers[self.last_token] = then
+        self.timers[self.last_token] = callback
         self.actions.append(api.SetTimer(self.now_us + max(1, int(delay_us)), self.last_token))
 
     def fire_timer(self, token: int) -> None:
-        """Call what a timer was set for; a timer that is unknown or has fired already does nothing."""
-        then = self.timers.pop(token, None)
-        if then is not None:
-            then()
+        """Call the timer's callback; do nothing if the timer is unknown or has already fired."""
+        callback = self.timers.pop(token, None)
+        if callback is not None:
+            callback()
 
     def decay_factor(self, since_us: int, half_life_keep_alives: float) -> float:
-        """What remains, since a time, of a value that halves in so many keep-alives."""
+        """Return the fraction that remains now of a value at `since_us` with this half-life."""
         return float(0.5 ** ((self.now_us - since_us) / (half_life_keep_alives * self.keep_alive_us)))
--- a/maplestile/dispatch/copy_records.py
+++ b/maplestile/dispatch/copy_records.py
@@ -1,23 +1,23 @@
-"""What sends, answers and load requests show of a function's copies at a worker."""
+"""Keeps track of a function's copies at a worker from sent attempts, answers and load requests."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import Result, Warmth
 from maplestile.dispatch.context import Context
-from maplestile.dispatch.estimates import learn_load_time
+from maplestile.dispatch.estimates import update_load_time
 from maplestile.dispatch.load_requests import LoadRequests
-from maplestile.dispatch.loads import LoadsUnderWay
+from maplestile.dispatch.loads import LoadsInProgress
 from maplestile.dispatch.state import Attempt, Call, FunctionEntry, Worker
 from maplestile.dispatch.warm_copies import WarmCopies
 
 
 class CopyRecords:
-    """Keeps the records of copies, of loads under way and of each function's home up to date."""
+    """Updates the records of copies, of loads in progress and of each function's home."""
 
     def __init__(
         self,
         context: Context,
         *,
-        loads: LoadsUnderWay,
+        loads: LoadsInProgress,
         warm_copies: WarmCopies,
         load_requests: LoadRequests,
     ) -> None:
@@ -27,19 +27,20 @@
         self.load_requests = load_requests
 
     def record_send(self, call: Call, worker: Worker) -> bool:
-        """A call goes to the worker; returns whether no copy is known there, so that it needs a load.
+        """Record that a call is sent to the worker; return whether it needs a load.
 
-        Where the worker loads a copy on a miss, the call itself brings that load about.
+        It needs one if no warm copy is known there. If workers load a copy on a miss, the call starts that
+        load itself.
         """
         entry = call.entry
         needs_load = not self.warm_copies.is_warm(entry, worker)
-        loads_now = needs_load and call.settings.loads_on_miss and not entry.copy(worker).load_started_us
-        if loads_now and not self.warm_copies.is_inferred_warm(entry, worker):
+        is_unloaded = needs_load and call.settings.loads_on_miss and not entry.copy(worker).load_started_us
+        if is_unloaded and not self.warm_copies.is_inferred_warm(entry, worker):
             self.loads.begin(entry, worker, requested=False)
         return needs_load
 
     def record_answer(self, entry: FunctionEntry, worker: Worker) -> None:
-        """The worker has given a good answer: it holds a copy, and no load is under way there."""
+        """Record a successful answer: the worker has a copy, and no load is in progress there."""
         copy = entry.copy(worker)
         copy.count = max(1, copy.count)
         copy.last_used_us = self.context.now_us
@@ -47,7 +48,7 @@
         self.loads.end(entry, worker)
 
     def record_failure(self, entry: FunctionEntry, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """An attempt has ended without a good answer; a requested load outlives it, but for a lost worker."""
+        """Record an attempt that did not succeed; a requested load goes on unless the connection failed."""
         connect_failed = event.result is Result.CONNECT_FAILED
         if event.result is Result.MISS or event.warmth is Warmth.LOAD_FAILED:
             self._record_miss(entry, attempt, event)
@@ -55,21 +56,22 @@
             self.loads.end(entry, attempt.worker, lost=connect_failed)
 
     def record_load_request(self, entry: FunctionEntry, worker: Worker, event: api.LoadRequestEnded) -> None:
-        """A load request has ended: take in how many copies are loaded now.
+        """Record the end of a load request, with the number of copies that are loaded now.
 
-        An answer without an error and without a copy leaves the load under way: the worker still loads.
+        A successful answer with no copies means that the worker is still loading, so the load stays in
+        progress.
         """
         now_us = self.context.now_us
         copy = entry.copy(worker)
         succeeded = event.result is Result.OK
         if copy.load_requested and (event.copies or not succeeded):
             if succeeded:
-                learn_load_time(entry, event.elapsed_us)
+                update_load_time(entry, event.elapsed_us)
             self.loads.end(entry, worker)
             if event.copies:
                 entry.home = event.worker
             else:
-                entry.load_started_us = now_us  # no new request at once where no copy fits
+                entry.load_started_us = now_us  # delays the next load request, since no copy fits there now
         if succeeded:
             if not self.warm_copies.is_warm(entry, worker):
                 copy.last_used_us = now_us
@@ -77,7 +79,10 @@
             copy.missing_since_us = 0 if event.copies else now_us
 
     def _record_miss(self, entry: FunctionEntry, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """The worker has no copy: request one there, under the cap of loads; the call waits or moves on."""
+        """Record that the worker has no copy, and request one there if the cap on loads allows it.
+
+        The call is then held or retried elsewhere.
+        """
         copy = entry.copy(attempt.worker)
         copy.missing_since_us = self.context.now_us
         copy.count = 0
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -1,7 +1,8 @@
-"""The dispatcher: passes each event to the part that decides about it, and returns the actions.
+"""The dispatcher: passes each event to the component that handles it, and returns the resulting actions.
 
-It reads no clock, file or socket: the time comes with each event, and timers are actions. Equal events with
-an equal seed give equal actions; the order in which the parts draw random numbers is part of that.
+It reads no clock, file or socket: each event comes with the current time, and timers are set by actions. The
+same events with the same seed give the same actions. This depends on the order in which the components draw
+random numbers.
 """
 
 from random import Random
@@ -19,7 +20,7 @@
 from maplestile.dispatch.keep_warm import KeepWarm
 from maplestile.dispatch.load_rate import LoadRate
 from maplestile.dispatch.load_requests import LoadRequests
-from maplestile.dispatch.loads import LoadsUnderWay
+from maplestile.dispatch.loads import LoadsInProgress
 from maplestile.dispatch.outcomes import OutcomeRecorder
 from maplestile.dispatch.outliers import OutlierDetector
 from maplestile.dispatch.placement import Placement
@@ -32,23 +33,23 @@
 from maplestile.dispatch.worker_health import WorkerHealth
 from maplestile.dispatch.zone_failure import ZoneFailureDetector
 
-SWEEPS_PER_KEEP_ALIVE = 20  # how often periodic work is done, and the endpoint list polled, in one keep-alive
+SWEEPS_PER_KEEP_ALIVE = 20  # runs of the periodic work, and polls of the worker list, per keep-alive time
 
 
 class Dispatcher:
-    """All decisions of one router."""
+    """Makes all decisions of one router."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = Context(settings, Random(seed), salt=digest(str(seed)))
-        self._make_records()
-        self._make_worker_rules()
-        self._make_load_rules()
-        self._make_call_rules()
+        self._create_records()
+        self._create_worker_rules()
+        self._create_load_rules()
+        self._create_call_rules()
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Decide about one event; returns the actions to take, in their order.
+        """Handle one event and return the actions to take, in order.
 
-        The first event also starts the periodic work, whose timer then sets itself again.
+        The first event also starts the periodic work, which then sets its own next timer on each run.
         """
         context = self.context
         context.now_us = now_us
@@ -65,7 +66,7 @@
             case api.TimerFired():
                 context.fire_timer(event.token)
             case api.WorkerListReceived():
-                self._on_list(event)
+                self._on_worker_list(event)
             case api.PolicyChanged(settings):
                 self.apply_settings(settings)
             case api.HealthCheckEnded():
@@ -75,28 +76,31 @@
         return actions
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Use another policy's settings from now on; pending calls keep those that they came under."""
+        """Use the settings of a new policy; pending calls keep the settings that they arrived under."""
         self.context.apply_settings(settings)
         self.load_requests.apply_settings(settings)
         self.fleet.apply_settings(settings)
 
     def avoids(self, worker: Worker) -> bool:
-        """Calls avoid the worker by choice: it is ejected, takes no connection, or its zone is lost."""
+        """Return whether calls avoid the worker: it is ejected or unreachable, or its zone is lost."""
         return self.health.avoids(worker)
 
-    def _make_records(self) -> None:
-        """The records of workers, calls, functions and loads, and what is estimated from them."""
+    def _create_records(self) -> None:
+        """Create the records of workers, calls, functions and loads, and the estimates based on them."""
         context = self.context
         self.table = CallTable()
         self.fleet = Fleet(context)
         self.load_rate = LoadRate(context)
-        self.loads = LoadsUnderWay(context)
+        self.loads = LoadsInProgress(context)
         self.estimates = ServiceTimeEstimates()
         self.tiers = FunctionTiers(context, fleet=self.fleet, load_rate=self.load_rate, loads=self.loads)
         self.warm_copies = WarmCopies(context, fleet=self.fleet, load_rate=self.load_rate)
 
-    def _make_worker_rules(self) -> None:
-        """Which workers may get work: outliers, lost zones, slow start, repeats, and the gate of sends."""
+    def _create_worker_rules(self) -> None:
+        """Create the components that decide which workers may get work.
+
+        These are outlier detection, zone failure detection, slow start, the retry policy and the send gate.
+        """
         context = self.context
         self.outliers = OutlierDetector(context)
         self.zones = ZoneFailureDetector(context, fleet=self.fleet)
@@ -112,8 +116,8 @@
             slow_start=self.slow_start,
         )
 
-    def _make_load_rules(self) -> None:
-        """Which copies are loaded and kept warm."""
+    def _create_load_rules(self) -> None:
+        """Create the components that decide which copies are loaded and kept warm."""
         context = self.context
         self.load_requests = LoadRequests(
             context, fleet=self.fleet, tiers=self.tiers, loads=self.loads, slow_start=self.slow_start
@@ -129,8 +133,8 @@
             context, loads=self.loads, warm_copies=self.warm_copies, load_requests=self.load_requests
         )
 
-    def _make_call_rules(self) -> None:
-        """How a call goes from its arrival to its final answer."""
+    def _create_call_rules(self) -> None:
+        """Create the components that take a call from its arrival to its final answer."""
         context = self.context
         self.admission = AdmissionController(context, load_rate=self.load_rate)
         self.placement = Placement(
@@ -173,15 +177,15 @@
             router=self.router,
         )
 
-    def _on_list(self, event: api.WorkerListReceived) -> None:
+    def _on_worker_list(self, event: api.WorkerListReceived) -> None:
         context = self.context
         if context.settings.must_poll_list and event.kind in (ListKind.CACHED, ListKind.FAILED):
             delay_us = context.keep_alive_us / SWEEPS_PER_KEEP_ALIVE
             context.set_timer(delay_us, lambda: context.actions.append(api.WatchEndpoints()))
         if event.kind is ListKind.FAILED:
             return
-        for worker in self.fleet.take_list(event):
-            self.zones.record_answer(worker.entry.zone)  # a worker that starts shows that the zone is alive
+        for worker in self.fleet.apply_list(event):
+            self.zones.record_answer(worker.entry.zone)  # a worker that starts shows that its zone is alive
         self.loads.forget_unlisted_workers(self.fleet.workers)
         self.fleet.update_ranking()
 
@@ -193,7 +197,7 @@
     def _on_call_event(self, event: api.CallExpired | api.ClientDisconnected | api.StreamStarted) -> None:
         call = self.calls.get(event.call)
         if call is None:
-            return  # it has its answer already
+            return  # the call has already been answered
         match event:
             case api.CallExpired():
                 self.router.close(call)
@@ -203,26 +207,26 @@
                 call.streaming = True
 
     def _sweep(self) -> None:
-        """Do the periodic work, and set the timer of the next time."""
+        """Do the periodic work, and set the timer for the next run."""
         self.context.set_timer(self.context.keep_alive_us / SWEEPS_PER_KEEP_ALIVE, self._sweep)
         self.outliers.update_fleet_latency(self.fleet.workers.values())
         self.zones.probe_lost_zones()
-        self.keep_warm.move_homes_off_draining()
+        self.keep_warm.move_homes_off_draining_workers()
         self.keep_warm.renew_idle_copies()
 
-    # Views of the parts' state, for tools and tests.
+    # Access to the state of the components, for tools and tests.
 
     @property
     def workers(self) -> dict[str, Worker]:
-        """The listed workers by name."""
+        """The workers of the current list, by name."""
         return self.fleet.workers
 
     @property
     def calls(self) -> dict[int, Call]:
-        """The pending calls by their number."""
+        """The pending calls, by call number."""
         return self.table.calls
 
     @property
     def attempts(self) -> dict[tuple[int, int], tuple[Call, Attempt]]:
-        """The attempts in flight, by the numbers of their call and of the attempt."""
+        """The attempts in flight with their calls, by call number and attempt number."""
         return self.table.attempts
--- a/maplestile/dispatch/events.py
+++ b/maplestile/dispatch/events.py
@@ -1,6 +1,6 @@
 """The events that a dispatcher handles; all times are whole microseconds, memory is in megabytes.
 
-Records that are made for each call are not frozen: freezing would double the time of making one.
+Dataclasses that are created for each call are not frozen: that would double the time to create one.
 """
 
 from dataclasses import dataclass
@@ -14,27 +14,27 @@
 class CallArrived:
     """A client's call has arrived."""
 
-    call: int  # its number at this dispatcher
+    call: int  # number of the call at this dispatcher
     function: str
     class_name: str
-    budget_us: int  # the time that the client still gives it
-    memory_mb: float  # of one copy of the function; 0 if not known
-    lanes: int  # calls that one copy runs at a time
-    cost_us: int  # the client's estimate of the work; 0 if it gave none
+    budget_us: int  # time that the client still allows for the call
+    memory_mb: float  # memory of one copy of the function; 0 if not known
+    lanes: int  # calls that one copy can run at the same time
+    cost_us: int  # the client's estimate of the service time; 0 without an estimate
     tenant: str = ""
-    repeat: bool = False  # the client says that it has sent the call before
+    repeat: bool = False  # whether the client says that it has sent the call before
 
 
 @dataclass(slots=True, frozen=True)
 class CallExpired:
-    """The budget of a call is over."""
+    """The time budget of a call has run out."""
 
     call: int
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has closed its connection: no new attempt begins; those in flight may still end."""
+    """The client has closed its connection: no new attempt begins, but those in flight may still end."""
 
     call: int
 
@@ -58,9 +58,9 @@
     worker: str
     result: Result
     elapsed_us: int  # since the attempt was sent
-    call_ended: bool  # the client has got this answer, and the call is complete
+    call_ended: bool  # whether the client has received this answer, which completes the call
     warmth: Warmth
-    queued_ahead: int  # requests for the same function that the runner held when this one arrived
+    queued_ahead: int  # requests for the same function already at the worker when this one arrived
     report: tuple[tuple[str, float], ...]  # the worker's load report, as names and values
 
 
@@ -82,19 +82,19 @@
     function: str
     result: Result
     elapsed_us: int  # since it was sent
-    copies: int  # that the worker has now
+    copies: int  # number of copies that the worker has now
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyChanged:
-    """New calls are decided under these settings; open calls keep those that they arrived under."""
+    """A new policy's settings apply to new calls; pending calls keep the settings they arrived under."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message of another dispatcher."""
+    """A message from another dispatcher."""
 
     peer: int
     content: bytes
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the dispatcher set is due."""
+    """A timer that the dispatcher has set is due."""
 
     token: int
 
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -1,4 +1,4 @@
-"""The workers of the endpoint list, and their weighted rendezvous ranking for each function."""
+"""The workers of the current worker list, and their weighted rendezvous ranking for each function."""
 
 from maplestile.dispatch.api import Settings, WorkerListReceived, WorkerState
 from maplestile.dispatch.context import Context
@@ -8,60 +8,65 @@
 
 
 class Fleet:
-    """The listed workers, and which of them calls may be placed at."""
+    """The listed workers, and which of them may get calls."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.workers: dict[str, Worker] = {}
-        self.draining: set[str] = set()
+        self.workers: dict[str, Worker] = {}  # by name
+        self.draining: set[str] = set()  # names of the listed workers that are not running
         self.lost_zones: set[str] = set()
-        self.total_weight = 0.0  # of the running workers; 1 where there are none
-        self.ranked_us = 0  # when the workers that may be ranked last changed
+        self.total_weight = 0.0  # of the running workers; 1 if there are none
+        self.ranking_updated_us = 0  # when the set of workers that may be ranked was last updated
         self.index: RankingIndex[Worker] = RankingIndex()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use another policy's window for what was sent to each worker."""
+        """Use the overload window of a new policy for each worker's record of sent work."""
         for worker in self.workers.values():
             worker.sends.span_us = settings.overload_window_us
 
-    def take_list(self, event: WorkerListReceived) -> list[Worker]:
-        """Take over a list or its changes; returns the workers that have come up."""
+    def apply_list(self, event: WorkerListReceived) -> list[Worker]:
+        """Apply a worker list or its changes; return the workers that have started."""
         self.workers, started = apply_worker_list(
             self.workers, event, self.context.settings.overload_window_us
         )
         return started
 
     def set_lost_zones(self, names: set[str]) -> None:
-        """Rank no worker of these zones, as long as there are others."""
+        """Set the lost zones; their workers are not ranked as long as there are others."""
         self.lost_zones = names
         self.update_ranking()
 
     def update_ranking(self) -> None:
-        """Compare who may be ranked with before; a function's ranking follows at its next call.
+        """Update the set of workers that may be ranked.
 
-        A deploy brings many lists, so that only the functions in use pay for them.
+        Each function's ranking is updated only at its next call. A deployment brings many lists, and only the
+        functions in use should pay for them.
         """
         running = [w for w in self.workers.values() if w.entry.state is WorkerState.RUNNING]
         self.draining = {n for n, w in self.workers.items() if w.entry.state is not WorkerState.RUNNING}
         self.total_weight = sum([w.entry.weight for w in running]) or 1.0
-        self.ranked_us = self.context.now_us
+        self.ranking_updated_us = self.context.now_us
         self.index.update([w for w in running if w.entry.zone not in self.lost_zones] or running)
 
     def ranked(self, entry: FunctionEntry, count: int = 1) -> list[Worker]:
-        """The function's preferred workers, at least `count` of them or all, the most preferred first.
+        """Return the function's preferred workers, best first: at least `count` of them, or all.
 
-        The hash is of the function's and the worker's name without a seed, so all dispatchers rank alike.
+        The hash of the function's and the worker's names has no seed, so the ranking is the same at all
+        dispatchers.
         """
         before = entry.ranking[: entry.replica_count]
-        changed = entry.preferred.seen != self.index.version
+        changed = entry.preferred.seen_version != self.index.version
         self.index.refresh(entry.preferred, max(count, entry.replica_count))
         if changed:
             entry.forget_unlisted_workers(self.workers)
         for replica in entry.ranking[: entry.replica_count] if changed and before else []:
             if replica not in before:
-                entry.copy(replica).replica_since_us = self.ranked_us
+                entry.copy(replica).replica_since_us = self.ranking_updated_us
         return entry.ranking
 
     def is_running(self, worker: Worker) -> bool:
-        """The worker may get new work: nothing begins there once its drain is notified, even in its grace."""
+        """Return whether the worker may get new work.
+
+        Nothing new begins there once its drain has been announced, even during the grace period.
+        """
         return worker.entry.state is WorkerState.RUNNING and self.workers.get(worker.entry.worker) is worker
--- a/maplestile/dispatch/hashing.py
+++ b/maplestile/dispatch/hashing.py
@@ -1,16 +1,17 @@
-"""Hashes without a seed, so that all dispatchers and all runs of the program agree on them."""
+"""Hash functions without a seed, which give the same results at all dispatchers and in all processes."""
 
 import hashlib
 
 HASH_BITS = 64
-MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio, odd: Fibonacci hashing (Knuth, TAOCP, 6.4)
+# 2**64 divided by the golden ratio and made odd, for Fibonacci hashing (Knuth, TAOCP, section 6.4).
+MULTIPLIER = 0x9E3779B97F4A7C15
 
 
 def digest(text: str) -> int:
-    """Return the hash of a text, a whole number under 2**64."""
+    """Return the hash of a text, an integer below 2**64."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=HASH_BITS // 8).digest())
 
 
 def unit_hash(a: int, b: int) -> float:
-    """Return the hash of two hashes as a fraction: at least 0, and under 1 but for rounding."""
+    """Return the combined hash of two hashes, scaled to the range from 0 to 1 (1 only by rounding)."""
     return float(((a ^ b) * MULTIPLIER % 2**HASH_BITS) / 2**HASH_BITS)
--- a/maplestile/dispatch/intake.py
+++ b/maplestile/dispatch/intake.py
@@ -1,4 +1,4 @@
-"""The arrival of a call: its record, its function's tier, its deadline, and whether it is admitted."""
+"""The intake of arriving calls: creates the call's record, updates its function, and admits or rejects it."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
@@ -12,7 +12,7 @@
 
 
 class CallIntake:
-    """Takes arriving calls in."""
+    """Records arriving calls and passes them to the call router."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
         self.router = router
 
     def on_arrival(self, event: api.CallArrived) -> None:
-        """Record the call, then route or refuse it."""
+        """Record the call, then route or reject it."""
         context = self.context
         now_us = context.now_us
         call_class = context.classes[event.class_name]
-        entry = self._entry(event, call_class)
+        entry = self._function_entry(event, call_class)
         group = f"{call_class.name} {event.tenant}"
         due_us = self.admission.due_us(event, call_class)
         call = Call(event.call, entry, call_class, group, now_us, due_us, context.settings, event.cost_us)
@@ -49,12 +49,12 @@
         self.retry.add_to_budget()
         self.tiers.record_call(entry)
         context.set_timer(due_us - now_us, lambda: self.router.finish(call))
-        if self.admission.refuses(event.repeat):
+        if self.admission.rejects(event.repeat):
             self.router.finish(call)
         else:
             self.router.route(call)
 
-    def _entry(self, event: api.CallArrived, call_class: api.CallClass) -> FunctionEntry:
+    def _function_entry(self, event: api.CallArrived, call_class: api.CallClass) -> FunctionEntry:
         entry = self.tiers.functions.get(event.function)
         if entry is None:
             service_us = self.estimates.initial_service_us(call_class)
--- a/maplestile/dispatch/keep_warm.py
+++ b/maplestile/dispatch/keep_warm.py
@@ -1,4 +1,4 @@
-"""Keeps the copies of the caching list warm, and moves copies away from workers that drain."""
+"""Keeps the copies of functions in the caching tier warm, and moves copies away from draining workers."""
 
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
@@ -7,11 +7,11 @@
 from maplestile.dispatch.tiers import FunctionTiers
 from maplestile.dispatch.warm_copies import WarmCopies
 
-RENEWAL_KEEP_ALIVES = 0.7  # an idle copy is renewed after this part of its keep-alive
+RENEWAL_KEEP_ALIVES = 0.7  # idle time after which a copy is renewed, in keep-alive times
 
 
 class KeepWarm:
-    """The load requests that are made at intervals, without a call."""
+    """Makes the load requests that are sent periodically and not for a call."""
 
     def __init__(
         self,
@@ -28,8 +28,11 @@
         self.warm_copies = warm_copies
         self.load_requests = load_requests
 
-    def move_homes_off_draining(self) -> None:
-        """Have the copies of homes that drain loaded at each function's most preferred worker."""
+    def move_homes_off_draining_workers(self) -> None:
+        """For each function whose home is draining, load a copy at its most preferred worker.
+
+        Only functions in the caching and multiple tiers are considered.
+        """
         draining = self.fleet.draining
         if not draining:
             return
@@ -40,9 +43,10 @@
                 self._move_home(entry)
 
     def renew_idle_copies(self) -> None:
-        """Renew the copies of the caching list that would soon have been idle for too long.
+        """Send keep-warm requests for copies of the caching tier that would soon be idle for too long.
 
-        What other dispatchers use is theirs to keep: else each of them would renew every copy.
+        Copies that the calls of other dispatchers keep warm are left to them; otherwise each dispatcher would
+        renew every copy.
         """
         for entry in self.tiers.tiers[CACHING].values():
             home = self.fleet.workers.get(entry.home)
@@ -55,8 +59,8 @@
                 self.load_requests.request_keep_warm(entry, home)
 
     def _move_home(self, entry: FunctionEntry) -> None:
-        replica = next(iter(self.fleet.ranked(entry)), None)
-        if replica is None or self.warm_copies.is_warm(entry, replica):
+        target = next(iter(self.fleet.ranked(entry)), None)
+        if target is None or self.warm_copies.is_warm(entry, target):
             return
-        if not entry.copy(replica).load_started_us and self.load_requests.may_start_load():
-            self.load_requests.request_load(entry, replica)
+        if not entry.copy(target).load_started_us and self.load_requests.may_start_load():
+            self.load_requests.request_load(entry, target)
--- a/maplestile/dispatch/loads.py
+++ b/maplestile/dispatch/loads.py
@@ -1,4 +1,4 @@
-"""The loads of copies that this dispatcher knows to be under way."""
+"""The loads of copies that this dispatcher knows to be in progress."""
 
 from collections.abc import Iterable
 
@@ -6,8 +6,8 @@
 from maplestile.dispatch.state import Copy, FunctionEntry, Worker
 
 
-class LoadsUnderWay:
-    """Begins and ends of loads, whether requested or brought about by a call."""
+class LoadsInProgress:
+    """The loads in progress, whether a load request or a call has started them."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -17,7 +17,7 @@
         return len(self.loads)
 
     def begin(self, entry: FunctionEntry, worker: Worker, requested: bool) -> None:
-        """A load begins at the worker, by a request or by a call."""
+        """Record that a load begins at the worker; `requested` unless a call has started it."""
         copy = entry.copy(worker)
         self.loads[copy] = worker
         copy.load_started_us = self.context.now_us
@@ -25,7 +25,7 @@
         entry.load_started_us = self.context.now_us
 
     def end(self, entry: FunctionEntry, worker: Worker, lost: bool = False) -> None:
-        """A load, if any, has ended at the worker; `lost` where no copy is loaded there now."""
+        """Record that a load, if any, has ended at the worker; `lost` if no copy is loaded there now."""
         copy = entry.copy(worker)
         self.loads.pop(copy, None)
         copy.load_started_us = 0
@@ -35,10 +35,10 @@
         entry.load_started_us = 0
 
     def forget(self, copies: Iterable[Copy]) -> None:
-        """The records of these copies are dropped."""
+        """Forget the loads of these copies."""
         for copy in copies:
             self.loads.pop(copy, None)
 
     def forget_unlisted_workers(self, workers: dict[str, Worker]) -> None:
-        """Keep the loads at workers that are still listed."""
+        """Forget the loads at workers that are no longer listed."""
         self.loads = {c: w for c, w in self.loads.items() if workers.get(w.entry.worker) is w}
--- a/maplestile/dispatch/outcomes.py
+++ b/maplestile/dispatch/outcomes.py
@@ -1,21 +1,23 @@
-"""The ends of attempts and of load requests: what they show, and how the calls go on."""
+"""Handles the ends of attempts and load requests: records the outcome and moves the affected calls on."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
 from maplestile.dispatch.api import Result, Warmth
 from maplestile.dispatch.call_router import CallRouter
 from maplestile.dispatch.copy_records import CopyRecords
-from maplestile.dispatch.estimates import ServiceTimeEstimates, expected_service_us, learn_load_time
+from maplestile.dispatch.estimates import ServiceTimeEstimates, expected_service_us, update_load_time
 from maplestile.dispatch.fleet import Fleet
 from maplestile.dispatch.state import Attempt, Call, CallTable
 from maplestile.dispatch.tiers import FunctionTiers
 from maplestile.dispatch.worker_health import WorkerHealth
 
-SLOW_ANSWER_SERVICE_TIMES = 2.0  # expected times from which a warm answer sends the function's home elsewhere
+# After an answer of a warm copy that took longer than this many expected service times, the worker no longer
+# is the function's home.
+SLOW_ANSWER_SERVICE_TIMES = 2.0
 
 
 class OutcomeRecorder:
-    """Takes outcomes in, and has the call router move the calls on."""
+    """Records outcomes, and has the call router retry, wake or close the affected calls."""
 
     def __init__(
         self,
@@ -39,7 +41,7 @@
         self.router = router
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """One attempt has ended; an end that is late, repeated or from before a restart does nothing."""
+        """Handle the end of an attempt; ignore one that is late, repeated or from before a restart."""
         in_flight = self.table.attempts.pop((event.call, event.attempt), None)
         if in_flight is None:
             return
@@ -51,17 +53,17 @@
         attempt.worker.busy -= 1
         self.health.record_outcome(call, attempt, event)
         if event.result is Result.OK:
-            self._learn(call, attempt, event)
+            self._record_success(call, attempt, event)
         else:
             self.copy_records.record_failure(entry, attempt, event)
         if event.call_ended:
             self.router.close(call)
-        elif call.open and not call.outstanding():
+        elif call.open and not call.attempts_in_flight():
             self.router.retry_after(call, event.result)
         self.router.wake(entry)
 
     def on_load_request_ended(self, event: api.LoadRequestEnded) -> None:
-        """A load request has ended: take in what it shows, and try waiting calls."""
+        """Handle the end of a load request, and try the function's waiting calls again."""
         entry = self.tiers.functions.get(event.function)
         worker = self.fleet.workers.get(event.worker)
         if entry is None or worker is None:
@@ -69,17 +71,17 @@
         self.copy_records.record_load_request(entry, worker, event)
         self.router.wake(entry)
 
-    def _learn(self, call: Call, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """A good answer: learn service or load time, the copy, and the function's home."""
+    def _record_success(self, call: Call, attempt: Attempt, event: api.AttemptEnded) -> None:
+        """Update the late ratio, the service or load time, the copy and the function's home."""
         entry = call.entry
         worker = attempt.worker
-        reported = event.warmth is not Warmth.UNKNOWN
-        warm = event.warmth is Warmth.WARM if reported else not attempt.needs_load
-        slow = warm and event.elapsed_us > SLOW_ANSWER_SERVICE_TIMES * expected_service_us(call)
+        is_reported = event.warmth is not Warmth.UNKNOWN
+        was_warm = event.warmth is Warmth.WARM if is_reported else not attempt.needs_load
+        was_slow = was_warm and event.elapsed_us > SLOW_ANSWER_SERVICE_TIMES * expected_service_us(call)
         self.admission.record_answer(call, self.admission.is_late(call))
-        if warm:
-            self.estimates.learn_service_time(call, worker, event.elapsed_us)
-        elif reported or entry.copy(worker).load_started_us:
-            learn_load_time(entry, max(0.0, event.elapsed_us - entry.service_us))
+        if was_warm:
+            self.estimates.update_service_time(call, worker, event.elapsed_us)
+        elif is_reported or entry.copy(worker).load_started_us:
+            update_load_time(entry, max(0.0, event.elapsed_us - entry.service_us))
         self.copy_records.record_answer(entry, worker)
-        entry.home = "" if slow else worker.entry.worker
+        entry.home = "" if was_slow else worker.entry.worker
--- a/maplestile/dispatch/outliers.py
+++ b/maplestile/dispatch/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: failure scores by worker and group of calls, slow workers, and backoff."""
+"""Outlier detection: failure scores per worker and group of calls, slow workers, and backoff."""
 
 from collections.abc import Collection
 
@@ -7,37 +7,37 @@
 from maplestile.dispatch.state import Attempt, Call, Worker
 
 FAILURES = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED)  # symptoms of an unhealthy worker
-FAILURE_STEP = 0.5  # part of what is missing to 1 that a failure adds to the score of its group
-RESET_STEP = 0.2  # the same for a broken connection, which is as likely the network's fault
-ALL_GROUPS_FACTOR = 0.5  # part of a step that counts against the worker for all groups
-EJECTION_SCORE = 0.45  # score from which calls avoid a worker
-SCORE_HALF_LIFE_KEEP_ALIVES = 0.7  # keep-alives in which a score halves; calls then try the worker again
-RESET_COALESCING_TICKS = 2  # ticks of the timer in which all ends of one broken connection count as one
-# A worker is slow from this natural logarithm on: its answer times over the expected ones, relative to the
-# fleet's median of that ratio; e**1.1 is three times as long.
+FAILURE_STEP = 0.5  # fraction of the distance to 1 by which a failure raises the score of its group
+RESET_STEP = 0.2  # the same for a broken connection, which may just as well be the network's fault
+ALL_GROUPS_FACTOR = 0.5  # fraction of a step that also counts against the worker for all groups
+EJECTION_SCORE = 0.45  # failure score at and above which calls avoid a worker
+SCORE_HALF_LIFE_KEEP_ALIVES = 0.7  # half-life of a failure score, in keep-alive times
+RESET_COALESCING_TICKS = 2  # resets of one worker within so many timer ticks count as one
+# A worker is slow if the logarithm of its latency ratio (answer time over expected time) exceeds the fleet's
+# median by more than this; e**1.1 is three times as long.
 SLOW_WORKER_LOG_RATIO = 1.1
-CONNECT_BACKOFF_US = 1_000_000  # first backoff at a worker that takes no connection
-FULL_BACKOFF_SERVICE_TIMES = 0.5  # first backoff after a full answer, in service times
-MAX_BACKOFF_DOUBLINGS = 5  # how often a further backoff doubles the one before: 32 times the first, at most
+CONNECT_BACKOFF_US = 1_000_000  # first backoff after a failed connection attempt
+FULL_BACKOFF_SERVICE_TIMES = 0.5  # first backoff after a "full" answer, in service times
+MAX_BACKOFF_DOUBLINGS = 5  # the longest backoff is 2**5 = 32 times the first
 MEMORY_EXHAUSTED_LOAD_TIMES = 0.2  # pause of loads at a worker without memory for one, in load times
 
-ALL_GROUPS = ""
+ALL_GROUPS = ""  # the key of scores and backoffs that apply to every group of calls
 
 
 class OutlierDetector:
-    """Which workers calls avoid by choice, and for how long."""
+    """Decides which workers calls avoid, and for how long."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.fleet_log_ratio = 0.0  # median of the workers' latency ratios
+        self.fleet_log_ratio = 0.0  # median of the workers' logarithmic latency ratios
 
     def record_outcome(self, call: Call, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take in how an attempt ended, for its worker and its group of calls."""
+        """Record how an attempt ended, for its worker and its group of calls."""
         worker = attempt.worker
         entry = call.entry
         result = event.result
         if result is Result.FULL and attempt.needs_load:
-            # No memory for one more load there: that keeps loads away, and no call of a loaded copy.
+            # The worker has no memory for another copy: this blocks loads there, not calls of loaded copies.
             pause_us = int(MEMORY_EXHAUSTED_LOAD_TIMES * entry.load_us)
             worker.memory_exhausted_until_us = self.context.now_us + pause_us
             entry.home = ""
@@ -45,7 +45,7 @@
             self.back_off(worker, call.group, FULL_BACKOFF_SERVICE_TIMES * entry.service_us)
             entry.home = ""
         elif result is Result.ERROR and not entry.ever_served:
-            entry.errors_before_success += 1  # the name may be no function's: no fault of the worker
+            entry.errors_before_success += 1  # there may be no such function, so the worker is not blamed
         elif result in FAILURES and event.warmth is not Warmth.LOAD_FAILED:
             self.record_failure(call, worker)
             if result is Result.CONNECT_FAILED:
@@ -58,17 +58,17 @@
             self._record_success(worker, call.group)
 
     def record_failure(self, call: Call, worker: Worker, step: float = FAILURE_STEP) -> None:
-        """Raise the worker's failure score; a function leaves a home that has become unhealthy for it."""
-        for group, part in ((call.group, step), (ALL_GROUPS, step * ALL_GROUPS_FACTOR)):
-            score = part + (1 - part) * self.failure_score(worker, group)
+        """Raise the worker's failure scores; the function loses its home if that has become unhealthy."""
+        for group, group_step in ((call.group, step), (ALL_GROUPS, step * ALL_GROUPS_FACTOR)):
+            score = group_step + (1 - group_step) * self.failure_score(worker, group)
             worker.failure_scores[group] = (score, self.context.now_us)
         if call.entry.home == worker.entry.worker and not self.is_healthy(call, worker):
             call.entry.home = ""
 
     def back_off(self, worker: Worker, group: str, first_us: float) -> None:
-        """Send the group nothing for a while, twice as long each time until an answer resets it.
+        """Send the worker no calls of the group for a while, and twice as long each time until it answers.
 
-        While it is backed off nothing is added, since all that one connection carried counts as one symptom.
+        A backoff in progress is not extended: all failures on one connection count as one symptom.
         """
         if self.context.now_us < worker.backoff_until_us.get(group, 0):
             return
@@ -77,12 +77,12 @@
         worker.backoff_until_us[group] = self.context.now_us + int(first_us * 2**doublings)
 
     def failure_score(self, worker: Worker, group: str) -> float:
-        """The decayed score of a group at a worker, from 0 to 1."""
+        """Return the decayed failure score of a group at a worker, from 0 to 1."""
         score, since_us = worker.failure_scores.get(group, (0.0, 0))
         return score * self.context.decay_factor(since_us, SCORE_HALF_LIFE_KEEP_ALIVES)
 
     def is_healthy(self, call: Call, worker: Worker) -> bool:
-        """The worker is no outlier for the call; a slow worker gets one call at a time."""
+        """Return whether the worker is healthy for the call; a slow worker is not while it has a call."""
         if worker.busy and worker.latency_log_ratio > self.fleet_log_ratio + SLOW_WORKER_LOG_RATIO:
             return False
         if not worker.failure_scores:
@@ -93,20 +93,20 @@
         )
 
     def is_ejected(self, worker: Worker) -> bool:
-        """All calls avoid the worker: by its score, or since it takes no connection."""
+        """Return whether all calls avoid the worker: its score is too high, or connections to it fail."""
         if self.failure_score(worker, ALL_GROUPS) >= EJECTION_SCORE:
             return True
         return self.context.now_us < worker.backoff_until_us.get(ALL_GROUPS, 0)
 
     def update_fleet_latency(self, workers: Collection[Worker]) -> None:
-        """Learn the fleet's median latency ratio, against which a worker is slow."""
+        """Update the fleet's median latency ratio, with which each worker's is compared."""
         log_ratios = sorted([0.0, *(worker.latency_log_ratio for worker in workers)])
         self.fleet_log_ratio = log_ratios[(len(workers) + 1) // 2]
 
     def _record_reset(self, call: Call, worker: Worker) -> None:
         coalescing_us = RESET_COALESCING_TICKS * self.context.settings.tick_us
         if self.context.now_us >= worker.last_reset_us + coalescing_us:
-            # One symptom, whatever the connection carried; the worker's copies stay loaded.
+            # A broken connection counts once, however many attempts it carried. The copies stay loaded.
             worker.last_reset_us = self.context.now_us
             self.record_failure(call, worker, RESET_STEP)
 
@@ -120,5 +120,5 @@
 
 
 def is_silent_since(attempt: Attempt, group: str = ALL_GROUPS) -> bool:
-    """The worker has answered no call of the group since the attempt was sent."""
+    """Return whether the worker has successfully answered no call of the group since the attempt was sent."""
     return attempt.worker.last_answer_us.get(group, 0) <= attempt.sent_us
--- a/maplestile/dispatch/packed.py
+++ b/maplestile/dispatch/packed.py
@@ -1,9 +1,9 @@
-"""The hashes of many items in one whole number, so that one multiplication hashes them all with a salt.
+"""Packs the hashes of many items into one integer, so that one multiplication combines them all with a salt.
 
-Each item has a lane of 128 bits, in which `(salt ^ hash) * MULTIPLIER` cannot overflow into the next. The
-eighth byte of a lane is the most significant one of the product modulo 2**64, so that bytes alone tell which
-lanes may lie under a limit: a pass over all items costs a few operations on long numbers, in place of some
-operations on each item.
+Each item has a lane of 128 bits, in which `(salt ^ hash) * MULTIPLIER` cannot overflow into the next lane.
+The eighth byte of a lane is the most significant byte of the product modulo 2**64, so this byte alone tells
+which lanes may lie below a limit. A pass over all items then takes a few operations on long integers instead
+of several operations on each item.
 """
 
 from typing import Generic, TypeVar
@@ -12,68 +12,68 @@
 
 LANE_BYTES = 16
 LANE_BITS = 8 * LANE_BYTES
-TOP_BYTE = HASH_BITS // 8 - 1  # of a lane: the most significant byte of the product modulo 2**64
+TOP_BYTE = HASH_BITS // 8 - 1  # index in a lane of the most significant byte of the product modulo 2**64
 BYTE_VALUES = 256
 MIN_LANES = 64
 T = TypeVar("T")
 
 
 class PackedHashes(Generic[T]):
-    """Items by their 64-bit hashes; an item keeps its lane until it is removed."""
+    """A set of items with their 64-bit hashes; an item keeps its lane until it is removed."""
 
     def __init__(self) -> None:
-        self._items: list[T | None] = [None] * MIN_LANES  # by lane
+        self._items: list[T | None] = [None] * MIN_LANES  # by lane; None in a free lane
         self._free_lanes = list(range(MIN_LANES))
-        self._placed: dict[T, tuple[int, int]] = {}  # the lane of each item, and the hash in it
-        self._packed = 0
+        self._placements: dict[T, tuple[int, int]] = {}  # each item's lane and hash
+        self._packed = 0  # the hashes of all items, each in its lane
 
     def __len__(self) -> int:
-        return len(self._placed)
+        return len(self._placements)
 
     def add(self, item: T, item_hash: int) -> None:
-        """Add an item that is not there yet."""
+        """Add an item that is not in the set."""
         if not self._free_lanes:
-            self._double()
+            self._double_lanes()
         lane = self._free_lanes.pop()
         self._items[lane] = item
-        self._placed[item] = (lane, item_hash)
+        self._placements[item] = (lane, item_hash)
         self._packed ^= item_hash << (LANE_BITS * lane)
 
     def remove(self, item: T) -> None:
-        """Remove an item; raises `KeyError` if it is not there."""
-        lane, item_hash = self._placed.pop(item)
+        """Remove an item; raise `KeyError` if it is not in the set."""
+        lane, item_hash = self._placements.pop(item)
         self._packed ^= item_hash << (LANE_BITS * lane)
         self._items[lane] = None
         self._free_lanes.append(lane)
 
     def candidates(self, salt: int, limit: int) -> list[T]:
-        """Return all items whose `(salt ^ hash) * MULTIPLIER % 2**64` is under `limit`, and a few more."""
-        marked = self._top_bytes(salt).translate(_marks_under(limit))
+        """Return all items whose `(salt ^ hash) * MULTIPLIER % 2**64` is below `limit`, and a few others."""
+        marks = self._top_bytes(salt).translate(_marks_below(limit))
         found = list[T]()
-        lane = marked.find(1)
+        lane = marks.find(1)
         while lane >= 0:
             item = self._items[lane]
             if item is not None:
                 found.append(item)
-            lane = marked.find(1, lane + 1)
+            lane = marks.find(1, lane + 1)
         return found
 
     def _top_bytes(self, salt: int) -> bytes:
         """Return the most significant byte of each lane's product."""
-        lanes = len(self._items)
-        salts = int.from_bytes(salt.to_bytes(LANE_BYTES, "little") * lanes, "little")
-        # The product of the last lane may need all of its 128 bits, and no more.
-        product = ((self._packed ^ salts) * MULTIPLIER).to_bytes(LANE_BYTES * lanes, "little")
+        lane_count = len(self._items)
+        salts = int.from_bytes(salt.to_bytes(LANE_BYTES, "little") * lane_count, "little")
+        # The product of the last lane may need all of its 128 bits, but no more.
+        product = ((self._packed ^ salts) * MULTIPLIER).to_bytes(LANE_BYTES * lane_count, "little")
         return product[TOP_BYTE::LANE_BYTES]
 
-    def _double(self) -> None:
-        """Make twice as many lanes, when none is free."""
-        lanes = len(self._items)
-        self._free_lanes = list(range(lanes, 2 * lanes))
-        self._items += [None] * lanes
+    def _double_lanes(self) -> None:
+        """Double the number of lanes; called only when none is free."""
+        lane_count = len(self._items)
+        self._free_lanes = list(range(lane_count, 2 * lane_count))
+        self._items += [None] * lane_count
 
 
-def _marks_under(limit: int) -> bytes:
-    """Return a table for `bytes.translate` with 1 for top bytes of products under the limit, 0 for others."""
+def _marks_below(limit: int) -> bytes:
+    """Return a table for `bytes.translate`: 1 for top bytes of products below the limit, 0 for others."""
     marked = min(BYTE_VALUES, (limit >> (HASH_BITS - 8)) + 1)
     return b"\1" * marked + b"\0" * (BYTE_VALUES - marked)
--- a/maplestile/dispatch/ranking.py
+++ b/maplestile/dispatch/ranking.py
@@ -1,15 +1,16 @@
-"""Weighted rendezvous rankings of workers, kept as short prefixes and brought up to date by what changed.
-
-Rendezvous hashing, or Highest Random Weight (D. G. Thaler and C. V. Ravishankar, "Using name-based mappings
-to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998): each function ranks all workers by a
-hash of its own name and theirs. Here the least hash is the first, and the hash is divided by the worker's
-weight. With `-log(1 - hash)` in place of the hash, the first ranks would go to the workers in exact
-proportion to their weights; near 0, where the first ranks of a large fleet lie, the two are the same.
-
-Only the first workers of a ranking are ever used, so a `Ranking` holds these alone, with a bound under which
-it is complete. A change of the worker list costs each ranking a look at the workers that changed, at its next
-use. A ranking is rebuilt, by one pass over all workers, where too many workers have changed or too many of
-its own have left. The result is the same as from sorting all workers.
+"""Weighted rendezvous rankings of workers, kept as short prefixes and updated incrementally.
+
+In rendezvous hashing, or Highest Random Weight (D. G. Thaler and C. V. Ravishankar, "Using name-based
+mappings to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998), each function ranks all
+workers by a hash of its own name and theirs. Here a worker's key is the hash divided by the worker's weight,
+and the smallest key ranks first. With `-log(1 - hash)` in place of the hash, the first ranks would go to the
+workers in exact proportion to their weights; near 0, where the first ranks of a large fleet lie, the two are
+the same.
+
+Only the first workers of a ranking are ever used, so a `Ranking` holds only these, and the bound below which
+it is complete. When the worker list changes, each ranking is updated at its next use by looking only at the
+workers that changed. A ranking is rebuilt by one pass over all workers if too many workers have changed or if
+too many of its own have left. The result is the same as from sorting all workers.
 """
 
 import heapq
@@ -22,15 +23,19 @@
 from maplestile.dispatch.hashing import HASH_BITS, unit_hash
 from maplestile.dispatch.packed import PackedHashes
 
-SPARE_WORKERS = 8  # held past twice as many as are wanted: so many may leave before a new pass
-GUESS_FACTOR = 3.0  # how many times as many as are wanted a pass aims at: too few cost a second pass
-GUESS_GROWTH = 4  # of the bound, for each further pass
-MAX_WEIGHT_GROUPS = 16  # distinct weights up to which a pass uses the packed hashes
-CHANGE_COST = 4  # a change costs about as much as a pass's look at so many workers; more are not kept
-MIN_WEIGHT = 1e-6  # guards the division of a hash by a weight of 0
-REMOVED_WEIGHT = 0.0  # stands for a worker that may no longer be ranked
+# A rebuilt ranking holds twice as many workers as wanted and this many more, which may leave before it is
+# rebuilt again.
+SPARE_WORKERS = 8
+BOUND_GUESS_FACTOR = 3.0  # factor by which the guessed bound aims too high, since too few need a second pass
+BOUND_GUESS_GROWTH = 4  # factor by which the bound grows for each further pass
+MAX_WEIGHT_GROUPS = 16  # most distinct weights for which a pass uses the packed hashes
+# Applying one change costs about as much as looking at this many workers in a pass. More changes than are
+# worth applying are not kept.
+CHANGE_COST = 4
+MIN_WEIGHT = 1e-6  # prevents the division of a hash by a weight of 0
+REMOVED_WEIGHT = 0.0  # marks a worker that may no longer be ranked
 HASH_RANGE = 1 << HASH_BITS
-ROUNDING = 1 - 1e-9  # lowers a bound that is a product of floats, so that it is never too high
+ROUNDING_MARGIN = 1 - 1e-9  # lowers a bound slightly, so that rounding errors never make it too high
 
 
 class Entry(Protocol):
@@ -38,7 +43,7 @@
 
     @property
     def weight(self) -> float:
-        """Its capacity relative to the other workers."""
+        """The worker's capacity relative to the other workers."""
         ...
 
 
@@ -47,12 +52,12 @@
 
     @property
     def salt(self) -> int:
-        """The hash of its name."""
+        """The hash of the worker's name."""
         ...
 
     @property
     def entry(self) -> Entry:
-        """Its present entry in the worker list."""
+        """The worker's current entry in the worker list."""
         ...
 
 
@@ -60,38 +65,38 @@
 
 
 class Change(NamedTuple, Generic[W]):
-    """A worker that may be ranked from now on, or no longer."""
+    """The addition or removal of a worker that may be ranked."""
 
     worker: W
-    weight: float  # `REMOVED_WEIGHT` if it may no longer be ranked
+    weight: float  # of an added worker; `REMOVED_WEIGHT` for a removed one
 
 
 @dataclass(slots=True, eq=False)
 class Ranking(Generic[W]):
-    """The first workers of one function's ranking: all those whose key is under `bound`, in order."""
+    """The first workers of one function's ranking: all those with a key below `bound`, in order."""
 
-    salt: int  # the hash of the function's name
+    salt: int  # hash of the function's name
     workers: list[W] = field(default_factory=list)
-    keys: list[float] = field(default_factory=list)  # of the workers, in the same order
+    keys: list[float] = field(default_factory=list)  # of `workers`, in the same order
     bound: float = 0.0
-    seen: int = 0  # the version of the index that it is up to date with
+    seen_version: int = 0  # version of the index that the ranking reflects
 
     def remove(self, worker: W) -> None:
-        """Take out a worker, if it is among those held."""
+        """Remove a worker, if the ranking holds it."""
         if worker in self.workers:
             position = self.workers.index(worker)
             del self.workers[position]
             del self.keys[position]
 
     def insert(self, worker: W, weight: float) -> None:
-        """Take in a worker, if its key is under the bound."""
+        """Insert a worker, if its key is below the bound."""
         key = unit_hash(self.salt, worker.salt) / weight
         if key < self.bound:
             position = bisect_left(self.keys, key)
             self.workers.insert(position, worker)
             self.keys.insert(position, key)
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         """Drop all but the first `size` workers, and lower the bound to match."""
         if len(self.workers) > size:
             self.bound = self.keys[size]
@@ -100,25 +105,25 @@
 
 
 class RankingIndex(Generic[W]):
-    """The workers that may be ranked, and the latest changes among them."""
+    """The workers that may be ranked, and the latest changes to this set."""
 
     def __init__(self) -> None:
-        self.changes: list[Change[W]] = []  # the latest ones, by which rankings are brought up to date
-        self.passes = 0  # over all workers, counted for tests and benchmarks
+        self.changes: list[Change[W]] = []  # the latest ones, which update the rankings
+        self.passes = 0  # passes over all workers so far, counted for tests
         self._weights: dict[W, float] = {}
-        self._groups: dict[float, PackedHashes[W]] = {}  # the workers by weight
-        self._dropped_changes = 0  # how many are no longer held
+        self._groups: dict[float, PackedHashes[W]] = {}  # workers by weight
+        self._dropped_changes = 0  # number of old changes that are no longer held
 
     def __len__(self) -> int:
         return len(self._weights)
 
     @property
     def version(self) -> int:
-        """The number of changes since the start."""
+        """The total number of changes since the start."""
         return self._dropped_changes + len(self.changes)
 
     def update(self, workers: Iterable[W]) -> None:
-        """Set the workers that may be ranked from now on, by their present entries."""
+        """Set the workers that may be ranked from now on, with their current weights."""
         weights = {worker: max(worker.entry.weight, MIN_WEIGHT) for worker in workers}
         removed = [worker for worker, weight in self._weights.items() if weights.get(worker) != weight]
         added = [worker for worker, weight in weights.items() if self._weights.get(worker) != weight]
@@ -132,10 +137,10 @@
         self._drop_old_changes()
 
     def refresh(self, ranking: Ranking[W], count: int) -> None:
-        """Bring a ranking up to date, with `count` workers or, where there are fewer, with all."""
+        """Update a ranking to the current workers, with at least `count` of them or, if fewer exist, all."""
         wanted = min(count, len(self._weights))
-        missed = self.version - ranking.seen
-        if ranking.seen < self._dropped_changes or missed * CHANGE_COST > len(self._weights):
+        missed = self.version - ranking.seen_version
+        if ranking.seen_version < self._dropped_changes or missed * CHANGE_COST > len(self._weights):
             self._rebuild(ranking, wanted)
             return
         if missed:
@@ -144,33 +149,33 @@
             self._rebuild(ranking, wanted)
         else:
             rebuilt_size = 2 * wanted + SPARE_WORKERS
-            ranking.cut(2 * rebuilt_size)  # insertions may double it before that
+            ranking.truncate(2 * rebuilt_size)  # only after insertions have doubled its size
 
     def _apply_changes(self, ranking: Ranking[W], missed: int) -> None:
-        """Apply the last `missed` changes."""
+        """Apply the last `missed` changes to a ranking."""
         for change in self.changes[-missed:]:
             if change.weight == REMOVED_WEIGHT:
                 ranking.remove(change.worker)
             else:
                 ranking.insert(change.worker, change.weight)
-        ranking.seen = self.version
+        ranking.seen_version = self.version
 
     def _rebuild(self, ranking: Ranking[W], wanted: int) -> None:
-        """Rank anew, by a pass over all workers."""
+        """Rebuild a ranking by a pass over all workers."""
         self.passes += 1
         size = 2 * wanted + SPARE_WORKERS
         if size >= len(self._weights) or len(self._groups) > MAX_WEIGHT_GROUPS:
-            keyed, bound = self._smallest(ranking.salt, size)
+            keyed, bound = self._with_smallest_keys(ranking.salt, size)
         else:
-            keyed, bound = self._under_guessed_bound(ranking.salt, size)
+            keyed, bound = self._below_guessed_bound(ranking.salt, size)
         ranking.keys = [key for key, _ in keyed]
         ranking.workers = [worker for _, worker in keyed]
         ranking.bound = math.inf if len(keyed) == len(self._weights) else bound
-        ranking.seen = self.version
-        ranking.cut(size)
+        ranking.seen_version = self.version
+        ranking.truncate(size)
 
-    def _smallest(self, salt: int, size: int) -> tuple[list[tuple[float, W]], float]:
-        """Return the `size` workers of the smallest keys with these, in order, and the next key."""
+    def _with_smallest_keys(self, salt: int, size: int) -> tuple[list[tuple[float, W]], float]:
+        """Return the `size` smallest keys with their workers, in order, and the next larger key."""
         all_keyed = (
             (unit_hash(salt, worker.salt) / weight, worker) for worker, weight in self._weights.items()
         )
@@ -180,22 +185,22 @@
         next_key, _ = keyed.pop()
         return keyed, next_key
 
-    def _under_guessed_bound(self, salt: int, size: int) -> tuple[list[tuple[float, W]], float]:
-        """Return all workers whose key is under a bound with their keys, in order, and the bound.
+    def _below_guessed_bound(self, salt: int, size: int) -> tuple[list[tuple[float, W]], float]:
+        """Return all keys below a guessed bound with their workers, in order, and the bound.
 
-        The bound is a guess that about `GUESS_FACTOR` times `size` keys are under; it grows until at least
-        `size` are.
+        The first guess is a bound below which about `BOUND_GUESS_FACTOR` times `size` keys should lie. The
+        bound grows until at least `size` keys lie below it.
         """
         total_weight = sum(weight * len(group) for weight, group in self._groups.items())
-        bound = GUESS_FACTOR * size / total_weight
-        keyed = self._under_bound(salt, bound)
+        bound = BOUND_GUESS_FACTOR * size / total_weight
+        keyed = self._below_bound(salt, bound)
         while len(keyed) < size:
-            bound *= GUESS_GROWTH
-            keyed = self._under_bound(salt, bound)
-        return sorted(keyed, key=_key), bound * ROUNDING
+            bound *= BOUND_GUESS_GROWTH
+            keyed = self._below_bound(salt, bound)
+        return sorted(keyed, key=_key), bound * ROUNDING_MARGIN
 
-    def _under_bound(self, salt: int, bound: float) -> list[tuple[float, W]]:
-        """Return all workers whose key is under the bound with their keys, in any order."""
+    def _below_bound(self, salt: int, bound: float) -> list[tuple[float, W]]:
+        """Return all keys below the bound with their workers, in any order."""
         found = list[tuple[float, W]]()
         for weight, group in self._groups.items():
             candidates = group.candidates(salt, min(HASH_RANGE, int(bound * weight * HASH_RANGE)))
@@ -210,7 +215,7 @@
             del self._groups[weight]
 
     def _drop_old_changes(self) -> None:
-        """Drop changes that cost more than a pass, which also frees the workers that have left."""
+        """Drop old changes if applying all would cost more than a pass; this also frees removed workers."""
         surplus = len(self.changes) - len(self._weights) // CHANGE_COST
         if surplus > 0:
             del self.changes[:surplus]
--- a/maplestile/dispatch/results.py
+++ b/maplestile/dispatch/results.py
@@ -1,27 +1,27 @@
-"""How attempts, health checks and load requests end."""
+"""The results of attempts, health checks and load requests."""
 
 from enum import Enum
 
 
 class Result(Enum):
-    """How an attempt, a health check or a load request ended."""
+    """The result of an attempt, a health check or a load request."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # rejected by a worker that is at its capacity
+    FULL = "full"  # the worker rejected it because it has no capacity left
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection broke after the request was written
-    CANCELLED = "cancelled"  # it may have run
-    SUPERSEDED = "moot"  # dropped before it ran: its time was over, or the call was complete already
-    MISS = "miss"  # the worker has no copy of the function and loads none
+    CANCELLED = "cancelled"  # the attempt may still have run
+    SUPERSEDED = "moot"  # dropped before it ran: its time was over, or the call was already complete
+    MISS = "miss"  # the worker has no copy of the function and does not load one
 
 
 NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.SUPERSEDED, Result.MISS)
-"""Results that prove that the attempt has not run."""
+"""Results that prove that the attempt did not run."""
 
 ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.MISS, Result.SUPERSEDED)
-"""Results that the worker itself answered with."""
+"""Results that are answers of the worker itself."""
 
 
 class Warmth(Enum):
--- a/maplestile/dispatch/retry.py
+++ b/maplestile/dispatch/retry.py
@@ -1,17 +1,17 @@
-"""Which calls may go out again, and where: idempotency, deduplication, attempt limit, retry budget."""
+"""The rules for sending a call again: idempotency, deduplication, attempt limit and retry budget."""
 
 from maplestile.dispatch.api import DeduplicationScope, Idempotency, Result, WorkerEntry
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
 from maplestile.dispatch.state import Attempt, Call, Worker
 
-RETRY_AT_SAME_WORKER = (Result.MISS, Result.FULL)  # results that do not speak against the same worker
-RETRIES_PER_CALL = 0.3  # further attempts that each call adds to the budget, against retry storms
-MAX_RETRY_BUDGET = 20.0  # further attempts that may be saved
+RETRY_AT_SAME_WORKER = (Result.MISS, Result.FULL)  # results after which the same worker may be tried again
+RETRIES_PER_CALL = 0.3  # retries that each call adds to the budget, which prevents retry storms
+MAX_RETRY_BUDGET = 20.0  # most retries that the budget can hold
 
 
 class RetryPolicy:
-    """The gate of repeats, and the budget of further attempts."""
+    """Decides whether a call may be sent again, and keeps the budget of retries and hedged attempts."""
 
     def __init__(self, context: Context, *, fleet: Fleet) -> None:
         self.context = context
@@ -19,27 +19,32 @@
         self.budget = MAX_RETRY_BUDGET
 
     def add_to_budget(self) -> None:
-        """One more call has come, and earns its part of a further attempt."""
+        """Add the share of a retry that one more call earns."""
         self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRIES_PER_CALL)
 
     def has_budget(self) -> bool:
-        """One further attempt may be taken out of the budget."""
+        """Return whether the budget allows one more retry or hedged attempt."""
         return self.budget >= 1.0
 
     def take_from_budget(self) -> None:
-        """A further attempt is made."""
+        """Charge one retry or hedged attempt to the budget."""
         self.budget -= 1.0
 
     def may_repeat(self, call: Call, worker: Worker) -> bool:
-        """Whether a call that may have been sent before may ever go to the worker."""
-        ran = call.possibly_run()
+        """Return whether the call may still go to the worker, given the attempts it has already had."""
+        ran = call.possibly_run_attempts()
         results = [
             attempt.result
             for attempt in call.attempts
             if attempt.worker is worker and attempt.result not in RETRY_AT_SAME_WORKER
         ]
-        tried = results and results != [Result.RESET]  # a broken connection says little of the worker
-        if tried or len(call.attempts) >= call.settings.max_attempts or not self.fleet.is_running(worker):
+        # One broken connection says little about the worker, so it may be tried once more.
+        was_tried_there = results and results != [Result.RESET]
+        if (
+            was_tried_there
+            or len(call.attempts) >= call.settings.max_attempts
+            or not self.fleet.is_running(worker)
+        ):
             return False
         return (
             not ran
@@ -48,13 +53,17 @@
         )
 
     def may_repeat_anywhere(self, call: Call) -> bool:
-        """Whether the call may ever go to any worker of the list."""
+        """Return whether the call may still go to any listed worker."""
         return any(self.may_repeat(call, worker) for worker in self.fleet.workers.values())
 
-    def deduplicates(self, call: Call, ran: list[Attempt], target: WorkerEntry) -> bool:
-        """Whether repeats of a keyed call are dropped at the worker, and are still remembered there."""
+    def deduplicates(self, call: Call, possibly_run: list[Attempt], target: WorkerEntry) -> bool:
+        """Return whether the target worker still drops a repeat of a call with an idempotency key.
+
+        The worker must be in the deduplication scope of the first attempt that may have run, and the
+        deduplication window must still be open at the next tick.
+        """
         scope = call.call_class.deduplication_scope
-        first = ran[0].worker.entry
+        first = possibly_run[0].worker.entry
         if scope is DeduplicationScope.ZONE:
             in_scope = first.zone == target.zone
         else:
--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -1,4 +1,4 @@
-"""The one gate before every attempt: drains, backoff, memory, idempotency, attempt limit and slow start."""
+"""The check that every attempt must pass: drains, backoff, memory, idempotency, attempt limit, slow start."""
 
 import math
 
@@ -11,13 +11,14 @@
 from maplestile.dispatch.state import Call, FunctionEntry, Worker
 from maplestile.dispatch.warm_copies import WarmCopies
 
-# Own work of other functions, in calls of the function, assumed besides when the least sent to a worker in
-# its slow start is reckoned: the first calls after a start do not make one function the whole load.
+# Work of other functions that is assumed in addition to the recorded work, in calls of the function that is
+# considered. Without it, the first calls after a dispatcher's start would make one function appear to be the
+# whole load.
 OTHER_WORK_CALLS = 5.0
 
 
 class SendGate:
-    """Whether one call may go to one worker."""
+    """Decides whether a call may be sent to a worker."""
 
     def __init__(
         self,
@@ -37,13 +38,13 @@
         self.slow_start = slow_start
 
     def may_send(self, call: Call, worker: Worker) -> bool:
-        """Whether an attempt, be it the first, a retry or a hedged one, may begin at the worker now.
+        """Return whether an attempt of the call may begin at the worker now.
 
-        No other rule may send a call past this one: not to a draining worker, nor during a backoff, nor
-        again where a repeat could do harm.
+        This covers first attempts, retries and hedged attempts. No other rule may bypass this check: no call
+        is sent to a draining worker, during a backoff, or again where a repeat could do harm.
         """
         now_us = self.context.now_us
-        if not call.takes_attempts(now_us) or not self.fleet.is_running(worker):
+        if not call.accepts_attempts(now_us) or not self.fleet.is_running(worker):
             return False
         entry = call.entry
         backoffs = worker.backoff_until_us
@@ -51,24 +52,27 @@
         if now_us < max(backoffs.get(call.group, 0), backoffs.get(ALL_GROUPS, 0)) or not has_memory:
             return False
         if call.attempts:
-            hedges_unduly = call.outstanding() and not call.settings.may_hedge
-            if hedges_unduly or not self.retry.may_repeat(call, worker):
+            is_forbidden_hedge = call.attempts_in_flight() and not call.settings.may_hedge
+            if is_forbidden_hedge or not self.retry.may_repeat(call, worker):
                 return False
-            work_us = math.inf  # never to a worker in its slow start
+            work_us = math.inf  # retries and hedged attempts never go to a worker in its slow start
         else:
             work_us = entry.service_us
-        least = self._least_calls(entry, worker)
-        return self.slow_start.slow_start_allows(worker, call.settings, work_us, least)
+        min_calls = self._min_calls(entry, worker)
+        return self.slow_start.admits(worker, call.settings, work_us, min_calls)
 
     def _needs_no_load(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """A copy is loaded there or being loaded. To ask this creates the copy's record."""
+        """Return whether a copy is loaded or loading at the worker; creates the copy's record if missing."""
         return self.warm_copies.is_warm(entry, worker) or entry.copy(worker).load_started_us > 0
 
-    def _least_calls(self, entry: FunctionEntry, worker: Worker) -> float:
-        """Calls that each dispatcher may send to a cold worker, however few it sends there usually.
+    def _min_calls(self, entry: FunctionEntry, worker: Worker) -> float:
+        """Return the fewest calls per window, at most 1, to assume as usual for a worker in its slow start.
 
-        Where all dispatchers send one function's calls there, one call of each would grow with their number:
-        it is scaled down by how far the function exceeds a mean worker's part.
+        With it, a dispatcher that usually sends less there may still send some calls. If each dispatcher sent
+        one call of the same function to the worker, the sum would grow with the number of dispatchers. So the
+        result is scaled down where the function's work per replica exceeds the worker's share of all work.
         """
-        least = entry.replica_count * (self.load_rate.decayed_work + OTHER_WORK_CALLS * entry.service_us)
-        return min(1.0, least / entry.decayed_work * worker.entry.weight / self.fleet.total_weight)
+        scaled_work = entry.replica_count * (
+            self.load_rate.decayed_work + OTHER_WORK_CALLS * entry.service_us
+        )
+        return min(1.0, scaled_work / entry.decayed_work * worker.entry.weight / self.fleet.total_weight)
--- a/maplestile/dispatch/slow_start.py
+++ b/maplestile/dispatch/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a worker that has just started may get from all dispatchers together."""
+"""Slow start: limits the work that all dispatchers together send to a worker that has just started."""
 
 from maplestile.dispatch.api import Settings
 from maplestile.dispatch.context import Context
@@ -7,36 +7,38 @@
 from maplestile.dispatch.load_rate import LoadRate
 from maplestile.dispatch.state import Worker
 
-# Part of the overload limit that the sends of all dispatchers to a worker in its slow start may fill on the
-# mean: the rest is for the chance in when they come.
+# Fraction of the overload limit that the work sent by all dispatchers to a worker in its slow start may reach
+# on average. The rest absorbs random bursts.
 SLOW_START_SAFETY = 0.45
 
 
 class SlowStart:
-    """The budget of a cold worker, kept by each dispatcher for its part."""
+    """Enforces this dispatcher's share of the work that a worker may get during its slow start."""
 
     def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate) -> None:
         self.context = context
         self.fleet = fleet
         self.load_rate = load_rate
 
-    def slow_start_allows(self, worker: Worker, settings: Settings, work_us: float, least: float) -> bool:
-        """So much more work may go to the worker now.
+    def admits(self, worker: Worker, settings: Settings, work_us: float, min_calls: float) -> bool:
+        """Return whether `work_us` more work may go to the worker now.
 
-        Each dispatcher sends a part of its usual calls there, or of `least` calls, rounded by a draw of its
-        own for each window: the sum over any number of dispatchers is the sum of the parts. Loads have no
-        least; they are requested until they may go. Infinite work stands for a retry, which never goes there.
+        In each overload window a dispatcher may send a fraction of its usual work there, or of the work of
+        `min_calls` calls if that is more. The limit is rounded to whole calls by a random number of the
+        dispatcher and the window, so that the limits add up correctly over any number of dispatchers. Load
+        requests pass 0 as `min_calls`: they are repeated until they are admitted. Retries pass infinite work,
+        and are never admitted.
         """
         context = self.context
         warming_us = max(0, context.now_us - worker.entry.started_us)
-        risen = warming_us / max(1, settings.slow_start_us)  # the capacity rises evenly, at the slowest
-        if not worker.entry.started_us or risen >= 1:
+        progress = warming_us / max(1, settings.slow_start_us)  # the capacity rises linearly, or faster
+        if not worker.entry.started_us or progress >= 1:
             return True
-        capacity_share = settings.slow_start_share + (1 - settings.slow_start_share) * risen
-        part = SLOW_START_SAFETY * settings.overload_multiple * capacity_share
+        capacity_share = settings.slow_start_share + (1 - settings.slow_start_share) * progress
+        allowed_fraction = SLOW_START_SAFETY * settings.overload_multiple * capacity_share
         window_work_us = self.load_rate.rate() * settings.overload_window_us
         usual_us = window_work_us * worker.entry.weight / self.fleet.total_weight
         window = (context.now_us + context.salt) // max(1, settings.overload_window_us)
-        drawn = unit_hash(context.salt ^ worker.salt, digest(str(window)))
+        random_fraction = unit_hash(context.salt ^ worker.salt, digest(str(window)))
         sent_us = worker.sends.total(context.now_us)
-        return sent_us + drawn * work_us < part * max(least * work_us, usual_us)
+        return sent_us + random_fraction * work_us < allowed_fraction * max(min_calls * work_us, usual_us)
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -1,80 +1,84 @@
-"""The three gap-ranked lists of functions: single, multiple and caching.
+"""The three tiers of functions: single, multiple and caching, ranked by the gaps between calls.
 
-A function rises one list at a call, and in a full list it takes the place of the function with the longest
-aged gap, which drops one list. The copies of the caching list are kept warm. The lists follow the paper that
-the operators' design page names.
+Each call promotes its function by one tier. In a full tier, the function replaces the one with the longest
+aged gap, which is demoted. The copies of functions in the caching tier are kept warm. The tiers follow the
+paper that the operators' design page names.
 """
 
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
 from maplestile.dispatch.hashing import digest
 from maplestile.dispatch.load_rate import LoadRate
-from maplestile.dispatch.loads import LoadsUnderWay
-from maplestile.dispatch.recency import AgeOrder
+from maplestile.dispatch.loads import LoadsInProgress
+from maplestile.dispatch.recency import AgeHeap
 from maplestile.dispatch.state import CACHING, MULTIPLE, SINGLE, FunctionEntry
 
-CACHING_MEMORY_SHARE = 0.5  # of the fleet's memory, for all caching lists; the rest is for working copies
-# Functions in the single list, at most, for each that the caching list has room for: enough that a rare
-# function is still listed at its second call, which gives its first gap.
+# Fraction of the fleet's memory for the copies of all caching tiers; the rest is for the other copies in use.
+CACHING_MEMORY_SHARE = 0.5
+# The single tier may be this many times as large as the caching tier, so that a rare function is still listed
+# when its second call arrives, which gives its first gap.
 SINGLE_TIER_FACTOR = 4
 
 
 class FunctionTiers:
-    """The functions known by name, and the tier of each."""
+    """The functions that this dispatcher knows, and their tiers."""
 
-    def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate, loads: LoadsUnderWay) -> None:
+    def __init__(
+        self, context: Context, *, fleet: Fleet, load_rate: LoadRate, loads: LoadsInProgress
+    ) -> None:
         self.context = context
         self.fleet = fleet
         self.load_rate = load_rate
         self.loads = loads
         self.functions: dict[str, FunctionEntry] = {}
         self.tiers: tuple[dict[str, FunctionEntry], ...] = ({}, {}, {})
-        self.by_age = [AgeOrder[FunctionEntry](tier) for tier in (SINGLE, MULTIPLE, CACHING)]
-        self.capacity = 1  # functions in the multiple and in the caching list, each
+        self.by_age = [AgeHeap[FunctionEntry](tier) for tier in (SINGLE, MULTIPLE, CACHING)]
+        self.capacity = 1  # most functions in the multiple tier, and in the caching tier
         self.kind_memory_mb = dict(context.settings.kind_memory_mb)
 
     def add(self, function: str, service_us: float, load_us: float) -> FunctionEntry:
-        """A function that was not known by its name."""
+        """Add a new function, with initial estimates of its service and load times."""
         entry = FunctionEntry(function, digest(function), service_us, load_us)
         self.functions[function] = entry
         return entry
 
     def record_call(self, entry: FunctionEntry) -> None:
-        """One more call of the function: it rises one tier, if its gap is short enough for that."""
-        # Calls of one tick count as one: a stall's backlog would else lift rare functions past hot ones.
+        """Record a call of the function, and promote it by one tier if its gap is short enough."""
+        # Calls that come at the same time count as one: the backlog of a stall would otherwise promote rare
+        # functions over frequently called ones.
         if entry.last_call_us and self.context.now_us > entry.last_call_us:
             entry.gap_us = self.context.now_us - entry.last_call_us
         self.load_rate.record_call(entry)
-        if not self.tiers[CACHING]:  # sized only while empty, so that no function is put out by a new size
+        if not self.tiers[CACHING]:  # resized only while empty, so that no function has to leave it
             self._update_capacity()
-        if not entry.listed():
+        if not entry.is_listed():
             self.insert(entry, SINGLE)
         elif entry.tier != CACHING and not self.promote(entry, entry.tier + 1):
-            self.insert(entry, entry.tier)  # at the end of its tier, since it was called last
+            self.insert(entry, entry.tier)  # moves it to the end of its tier, as the most recently called
         elif entry.tier == CACHING:
             self.by_age[CACHING].update(entry)
 
     def promote(self, entry: FunctionEntry, tier: int) -> bool:
-        """Move the function to a tier, if it fits there; returns whether it did.
+        """Move the function to a tier if it qualifies; return whether it did.
 
-        It fits where its aged gap is shorter than the longest there; the multiple list takes any while it has
-        room. A full list gives up the function of the longest gap: from caching to multiple if it fits there,
-        else to single.
+        A function qualifies if its aged gap is shorter than the longest one in the tier. The multiple tier
+        accepts any function while it has room. A full tier gives up the function with the longest aged gap:
+        the caching tier to the multiple tier if the function qualifies there, otherwise to the single tier.
         """
-        full = len(self.tiers[tier]) >= self.capacity
-        worst = self.by_age[tier].oldest() if full or tier == CACHING else None
-        if worst is not None and entry.aged() >= worst.aged():
+        is_full = len(self.tiers[tier]) >= self.capacity
+        worst = self.by_age[tier].oldest() if is_full or tier == CACHING else None
+        if worst is not None and entry.age_key() >= worst.age_key():
             return False
         self.insert(entry, tier)
-        if full and worst is not None:
-            moves_down_one = tier == CACHING and self.promote(worst, MULTIPLE)
-            if not moves_down_one:
+        if is_full and worst is not None:
+            stays_in_multiple = tier == CACHING and self.promote(worst, MULTIPLE)
+            if not stays_in_multiple:
                 self.insert(worst, SINGLE)
         return True
 
     def insert(self, entry: FunctionEntry, tier: int) -> None:
-        """Put the function at the end of a tier; the first of an overlong single tier is evicted."""
-        if entry.listed():
+        """Put the function at the end of a tier; evict the first of the single tier if that is too long."""
+        if entry.is_listed():
             del self.tiers[entry.tier][entry.function]
         entry.tier = tier
         self.tiers[tier][entry.function] = entry
@@ -85,13 +89,13 @@
                 self.evict(oldest)
 
     def evict(self, entry: FunctionEntry) -> None:
-        """Drop all records of the function: names come and go for as long as the process runs."""
+        """Drop all records of the function; otherwise they would pile up, as new names keep arriving."""
         del self.functions[entry.function]
         del self.tiers[entry.tier][entry.function]
         self.loads.forget(entry.drop_copies())
 
     def _update_capacity(self) -> None:
-        """Size the lists by how many copies of the mean known memory fit into their share of the fleet."""
+        """Set the capacity to the number of copies of average size that fit into the memory for caching."""
         workers = self.fleet.workers.values()
         fleet_mb = sum(self.kind_memory_mb.get(worker.entry.kind, 0.0) for worker in workers)
         known_mb = [entry.memory_mb for entry in self.functions.values() if entry.memory_mb > 0]
--- a/maplestile/dispatch/worker_health.py
+++ b/maplestile/dispatch/worker_health.py
@@ -1,4 +1,4 @@
-"""The health of workers: what outcomes and silence say against one worker, or against a whole zone."""
+"""The health of workers: evidence from outcomes and silence against single workers and whole zones."""
 
 from maplestile.dispatch.api import ANSWERS, AttemptEnded, Result
 from maplestile.dispatch.outliers import OutlierDetector, is_silent_since
@@ -14,7 +14,7 @@
         self.zones = zones
 
     def record_outcome(self, call: Call, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take in how an attempt ended; any answer, also an error, shows that the zone is reachable."""
+        """Record how an attempt ended; any answer, even an error, shows that the zone is reachable."""
         if event.result in ANSWERS:
             self.zones.record_answer(attempt.worker.entry.zone)
         elif event.result is Result.CONNECT_FAILED:
@@ -22,17 +22,17 @@
         self.outliers.record_outcome(call, attempt, event)
 
     def record_overdue(self, call: Call, attempt: Attempt) -> bool:
-        """Take in that an attempt is overdue; returns whether its worker is silent.
+        """Record that an attempt is overdue; return whether its worker is silent.
 
-        A worker that has answered the call's group since the attempt was sent is merely slow, and nothing is
-        recorded against it.
+        A worker that has successfully answered the call's group since the attempt was sent is only slow, and
+        nothing is recorded against it.
         """
-        silent = is_silent_since(attempt, call.group)
-        if silent:
+        is_silent = is_silent_since(attempt, call.group)
+        if is_silent:
             self.outliers.record_failure(call, attempt.worker)
             self.zones.record_silence(attempt)
-        return silent
+        return is_silent
 
     def avoids(self, worker: Worker) -> bool:
-        """Calls avoid the worker by choice: it is ejected, takes no connection, or its zone is lost."""
+        """Return whether calls avoid the worker: it is ejected or unreachable, or its zone is lost."""
         return self.outliers.is_ejected(worker) or self.zones.is_lost(worker.entry.zone)
--- a/maplestile/dispatch/worker_list.py
+++ b/maplestile/dispatch/worker_list.py
@@ -1,4 +1,4 @@
-"""A received worker list, or its changes, applied to the records that are kept of the workers."""
+"""Applies a received worker list, or its changes, to the records of the workers."""
 
 from collections.abc import Mapping
 
@@ -10,9 +10,9 @@
 def apply_worker_list(
     workers: Mapping[str, Worker], event: WorkerListReceived, overload_window_us: int
 ) -> tuple[dict[str, Worker], list[Worker]]:
-    """Return the workers after a list or its changes, by name, and those of them that have started.
+    """Return the updated workers by name, and those of them that have started.
 
-    The others keep their records. New records sum up what is sent over the last `overload_window_us`.
+    Other workers keep their records. New records count the work sent in the last `overload_window_us`.
     """
     updated = _still_listed(workers, event)
     started = list[Worker]()
@@ -29,7 +29,7 @@
 
 
 def _still_listed(workers: Mapping[str, Worker], event: WorkerListReceived) -> dict[str, Worker]:
-    """Return the workers without those that a whole list no longer names."""
+    """Return the workers without those that a complete list no longer contains."""
     if event.kind is ListKind.DELTA:
         return dict(workers)
     listed = {entry.worker for entry in event.entries}
@@ -37,5 +37,8 @@
 
 
 def _has_restarted(worker: Worker, entry: WorkerEntry) -> bool:
-    """Whether this is a new process: it holds no copies, and the old one's symptoms say nothing of it."""
+    """Return whether the entry is of a new process of the worker.
+
+    A new process holds no copies, and the symptoms of the old one say nothing about it.
+    """
     return entry.started_us > worker.entry.started_us
--- a/maplestile/dispatch/workers.py
+++ b/maplestile/dispatch/workers.py
@@ -1,11 +1,11 @@
-"""The worker list: its entries, and the events that bring it or its changes."""
+"""The worker list: its entries, and the event that delivers it or its changes."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class WorkerState(Enum):
-    """The state of a worker as its list entry gives it."""
+    """The state of a worker according to its list entry."""
 
     RUNNING = "running"
     DRAINING = "draining"
@@ -13,30 +13,30 @@
 
 
 class ListKind(Enum):
-    """What an event about the worker list brings."""
+    """What a `WorkerListReceived` event contains."""
 
-    DELTA = "delta"  # the changed entries alone
-    FULL = "full"  # the whole list
-    CACHED = "cached"  # the whole list as it was last seen, perhaps stale
-    FAILED = "failed"  # no entries: the list could not be fetched, and the known one remains
+    DELTA = "delta"  # only the changed entries
+    FULL = "full"  # the complete list
+    CACHED = "cached"  # the complete list as last seen, which may be stale
+    FAILED = "failed"  # no entries: the list could not be fetched, and the previous one stays valid
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerEntry:
-    """One worker of the list."""
+    """One entry of the worker list."""
 
-    worker: str  # its identity
+    worker: str  # identity of the worker, unique in the list
     zone: str
-    kind: str  # of machine; gives its memory by the settings
-    cell: int
+    kind: str  # kind of machine, which determines the worker's memory by the settings
+    cell: int  # deduplication cell of the worker
     state: WorkerState
     weight: float  # capacity relative to the other workers
-    started_us: int  # when its process started: a later time means that it has restarted
+    started_us: int  # when the worker's process started: a later time than before means a restart
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerListReceived:
-    """The worker list or its changes have come."""
+    """The worker list or its changes have been received."""
 
     kind: ListKind
     version: int
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -8,7 +8,7 @@
 
 from maplestile.dispatch.hashing import digest, unit_hash
 from maplestile.dispatch.ranking import MAX_WEIGHT_GROUPS, MIN_WEIGHT, Ranking, RankingIndex
-from maplestile.dispatch.recency import AgeOrder
+from maplestile.dispatch.recency import AgeHeap
 
 
 @dataclass(frozen=True)
@@ -179,7 +179,7 @@
     insertion_number: int = 0
     age: int = 0
 
-    def aged(self) -> int:
+    def age_key(self) -> int:
         return self.age
 
 
@@ -188,7 +188,7 @@
 
 @given(st.lists(ENTRY_STEPS))
 def test_the_oldest_entry_is_the_one_that_a_scan_finds(steps: list[tuple[str, int, int]]) -> None:
-    index = AgeOrder[ListEntry](2)
+    index = AgeHeap[ListEntry](2)
     listed: dict[int, ListEntry] = {}
     entries = [ListEntry(number) for number in range(9)]
     for step, number, age in steps * 8:
@@ -206,12 +206,12 @@
             entry.tier = 1
         elif number in listed:
             index.update(entry)
-        assert index.oldest() is max(listed.values(), key=ListEntry.aged, default=None)
+        assert index.oldest() is max(listed.values(), key=ListEntry.age_key, default=None)
 
 
 def test_entries_that_are_called_and_never_looked_up_take_no_more_memory() -> None:
     """Each call of an entry left an element for good: 20 MB in 45 minutes."""
-    index = AgeOrder[ListEntry](2)
+    index = AgeHeap[ListEntry](2)
     entries = [ListEntry(number, tier=2) for number in range(10)]
     for number in range(5_000):
         entry = entries[number % 10]
@@ -221,7 +221,7 @@
         else:
             index.insert(entry)
     assert len(index.heap) <= 200
-    assert index.oldest() is max(entries, key=ListEntry.aged)
+    assert index.oldest() is max(entries, key=ListEntry.age_key)
 
 
 def test_workers_that_have_left_are_not_kept_by_the_log_of_changes() -> None:
