--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -11,7 +11,7 @@
 from maplestile.dispatch.state import Attempt, Call, CallTable, FunctionEntry, Worker
 from maplestile.dispatch.worker_health import WorkerHealth
 
-# Held calls are tried again after the longest of these three waits. Shorter waits cost more processor time
+# Waiting calls are tried again after the longest of these three times. Shorter ones cost more processor time
 # than they gain, whatever the tick of the timers.
 MIN_RETRY_WAIT_US = 16_000
 RETRY_WAIT_SERVICE_TIMES = 0.2
@@ -20,7 +20,7 @@
 # After so many errors of a function that has never succeeded, its calls are no longer retried: its name is
 # probably wrong, and no worker is to blame.
 UNKNOWN_FUNCTION_ERRORS = 3
-RETRY_AFTER_US = 1_000_000  # told to a rejected client: a retry at once would meet the same overload
+RETRY_AFTER_US = 1_000_000  # asked of a rejected client: an immediate retry would meet the same overload
 MAX_HEDGED_ATTEMPTS = 2  # attempts of one call in flight at the same time, the first one included
 
 
@@ -78,16 +78,16 @@
 
     def wake(self, entry: FunctionEntry) -> None:
         """Try the function's waiting calls again, until one of them still has to wait."""
-        for held in list(entry.waiting.values()):
-            entry.waiting.pop(held.id, None)
-            self.route(held)
-            if held.id in entry.waiting:
+        for call in list(entry.waiting.values()):
+            entry.waiting.pop(call.id, None)
+            self.route(call)
+            if call.id in entry.waiting:
                 return  # it is now last in the queue, so the next wake tries another call first
 
     # Sending attempts.
 
     def send(self, call: Call, worker: Worker) -> None:
-        """Send the call to a worker that the send gate has admitted it to."""
+        """Send the call to a worker, after the send gate has allowed it."""
         context = self.context
         now_us = context.now_us
         entry = call.entry
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -214,7 +214,7 @@
         self.keep_warm.move_homes_off_draining_workers()
         self.keep_warm.renew_idle_copies()
 
-    # Access to the state of the components, for tools and tests.
+    # Access to the state of the components, for other packages and for tests.
 
     @property
     def workers(self) -> dict[str, Worker]:
--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -62,15 +62,16 @@
         return self.slow_start.admits(worker, call.settings, work_us, min_calls)
 
     def _needs_no_load(self, entry: FunctionEntry, worker: Worker) -> bool:
-        """Return whether a copy is loaded or loading at the worker; creates the copy's record if missing."""
+        """Return whether a copy is loaded or loading at the worker; this creates the copy's record."""
         return self.warm_copies.is_warm(entry, worker) or entry.copy(worker).load_started_us > 0
 
     def _min_calls(self, entry: FunctionEntry, worker: Worker) -> float:
-        """Return the fewest calls per window, at most 1, to assume as usual for a worker in its slow start.
+        """Return the fewest calls per window to assume as this dispatcher's usual traffic to the worker.
 
-        With it, a dispatcher that usually sends less there may still send some calls. If each dispatcher sent
-        one call of the same function to the worker, the sum would grow with the number of dispatchers. So the
-        result is scaled down where the function's work per replica exceeds the worker's share of all work.
+        The slow-start limit is a fraction of the usual traffic. The result, which is 1 at most, lets
+        dispatchers that usually send less send some calls too. If each dispatcher sent one call of the same
+        function there, the sum would grow with the number of dispatchers. So the result is scaled down where
+        the function's work per replica exceeds the worker's share of all work.
         """
         scaled_work = entry.replica_count * (
             self.load_rate.decayed_work + OTHER_WORK_CALLS * entry.service_us
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -131,7 +131,7 @@
     load_started_us: int = 0  # start of the last load at any worker; 0 after it has ended
     ever_served: bool = False  # whether any call of the function has succeeded
     errors_before_success: int = 0  # errors while no call has succeeded
-    waiting: dict[int, "Call"] = field(default_factory=dict)  # held calls by number, the next one first
+    waiting: dict[int, "Call"] = field(default_factory=dict)  # waiting calls by number, the next one first
     preferred: Ranking[Worker] = field(init=False)
     workers_with_copies: list[Worker] = field(default_factory=list)  # may include workers no longer listed
 
--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -1,8 +1,7 @@
-"""Generated event traces played against a `Dispatcher`, and the digest of the actions that it answers with.
+"""Runs generated event traces against a `Dispatcher`, and computes digests of the resulting actions.
 
-The environment that generates the events follows from the seed and from the decisions alone, so a digest
-changes only with a decision. `python -m tests.decision_trace --write` records the digests of the present
-decisions.
+The generated events depend only on the seed and on the dispatcher's decisions, so a digest changes only if a
+decision changes. `python -m tests.decision_trace --write` records the digests of the current decisions.
 """
 
 import argparse
@@ -24,20 +23,20 @@
 SEEDS = (1, 2, 3)
 EVENTS = 15_000
 EVENTS_PER_CHUNK = 1_000
-EVENTS_PER_AVOIDED = 50  # between two lines with the workers that the dispatcher avoids
+EVENTS_PER_AVOIDED = 50  # events between two lines that list the workers that the dispatcher avoids
 
 
 @dataclass(slots=True)
 class Recording:
-    """Counts and digests of a trace's actions; the counts are by the names of the simulator's wire."""
+    """The counts and digests of a trace's actions."""
 
     events: int = 0
-    actions: Counter[str] = field(default_factory=Counter)
-    chunks: list[str] = field(default_factory=list)
-    digest: str = ""
+    actions: Counter[str] = field(default_factory=Counter)  # by the actions' names on the simulator's wire
+    chunks: list[str] = field(default_factory=list)  # a digest for every `EVENTS_PER_CHUNK` events
+    digest: str = ""  # of the whole trace; empty until it has ended
 
     def as_json(self, variant: str, seed: int) -> dict[str, Any]:
-        """Return the form in which it is recorded."""
+        """Return the JSON object that is recorded."""
         return {
             "variant": variant,
             "seed": seed,
@@ -49,7 +48,7 @@
 
 
 class ActionDigest:
-    """Digests the actions' wire lines, each with the time and the number of its event."""
+    """Computes digests of the actions' wire lines, each with the number and time of its event."""
 
     def __init__(self) -> None:
         self.recording = Recording()
@@ -61,7 +60,7 @@
         for action in actions:
             line = action_line("d", action)
             self.recording.actions[line.partition(" ")[0]] += 1
-            if isinstance(action, api.SendAttempt):  # the simulator's wire leaves these two out
+            if isinstance(action, api.SendAttempt):  # two fields that are not on the simulator's wire
                 line += f" epoch={action.epoch} untilUs={action.until_us}"
             self.add_line(f"{self.recording.events} {now_us} {line}")
         self.recording.events += 1
@@ -70,18 +69,18 @@
             self.chunk = hashlib.sha256()
 
     def add_line(self, line: str) -> None:
-        """Add a line to both digests."""
+        """Add a line to the digests of the trace and of the current chunk."""
         self.whole.update(f"{line}\n".encode())
         self.chunk.update(f"{line}\n".encode())
 
     def finished(self) -> Recording:
-        """Return the recording with the digest of the whole trace."""
+        """Return the recording, completed with the digest of the whole trace."""
         self.recording.digest = self.whole.hexdigest()
         return self.recording
 
 
 class RecordedDispatcher:
-    """A dispatcher whose actions, and the workers that it avoids, go into the digest."""
+    """A dispatcher whose actions and avoided workers are added to a digest."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.dispatcher = Dispatcher(settings, seed)
@@ -98,8 +97,8 @@
         return actions
 
 
-def replayed(variant: str, seed: int, events: int = EVENTS) -> Recording:
-    """Play a trace of one variant, and return what it gave."""
+def run_trace(variant: str, seed: int, events: int = EVENTS) -> Recording:
+    """Run the trace of one variant and seed, and return its recording."""
     dispatcher = RecordedDispatcher(VARIANTS[variant], seed)
     environment = Environment(VARIANTS[variant], seed, dispatcher.handle)
     environment.run(events, Episodes(environment).start_one)
@@ -107,10 +106,10 @@
 
 
 def main() -> None:
-    """Print or write the digests of the present decisions."""
-    parser = argparse.ArgumentParser(description="Record the decisions that generated traces bring about.")
+    """Print or write the digests of the current decisions."""
+    parser = argparse.ArgumentParser(description="Record the dispatcher's decisions in generated traces.")
     parser.add_argument("--write", action="store_true", help=f"write {FIXTURE.name} instead of printing it")
-    recorded = [replayed(variant, seed).as_json(variant, seed) for variant in VARIANTS for seed in SEEDS]
+    recorded = [run_trace(variant, seed).as_json(variant, seed) for variant in VARIANTS for seed in SEEDS]
     if parser.parse_args().write:
         FIXTURE.parent.mkdir(exist_ok=True)
         FIXTURE.write_text(json.dumps(recorded, indent=1) + "\n")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,11 +1,11 @@
-"""Settings and events for tests of decisions, all made up, and a driver that gives them to a dispatcher."""
+"""Settings and events for tests of the dispatcher, and a driver that passes the events to one."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.dispatcher import Dispatcher
 
-MS = 1000
-SERVICE_US = 100 * MS
-START_US = 1_000_000 * MS  # where the clock of a `Driver` starts
+MS = 1000  # microseconds in a millisecond
+SERVICE_US = 100 * MS  # service time of a call unless a test chooses another
+START_US = 1_000_000 * MS  # initial time of a `Driver`'s clock
 CLASSES = (
     api.CallClass("safe", 1_000 * MS, 4_000 * MS, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0),
     api.CallClass(
@@ -18,7 +18,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
-    """Return settings of a dispatcher, with these fields changed."""
+    """Return the settings of a dispatcher, with the given fields changed."""
     defaults: dict[str, object] = {
         "classes": CLASSES,
         "router_count": 2,
@@ -44,13 +44,13 @@
         "overload_multiple": 2.0,
         "overload_window_us": 2_000 * MS,
     }
-    return api.Settings(**(defaults | changes))  # type: ignore[arg-type]  # the tests give any field
+    return api.Settings(**(defaults | changes))  # type: ignore[arg-type]  # tests may change any field
 
 
 def entry(
     worker: str, state: api.WorkerState = api.WorkerState.RUNNING, started_us: int = 0, zone: str = "z0"
 ) -> api.WorkerEntry:
-    """Return the entry of a worker in the endpoint list."""
+    """Return a worker's entry in the worker list."""
     return api.WorkerEntry(worker, zone, "k", 0, state, 1.0, started_us)
 
 
@@ -60,80 +60,95 @@
 def worker_list(
     *entries: api.WorkerEntry, kind: api.ListKind = api.ListKind.CACHED
 ) -> api.WorkerListReceived:
-    """Return the event of a list with these entries."""
+    """Return the event that delivers a worker list with these entries."""
     return api.WorkerListReceived(kind, 1, entries)
 
 
 def arrival(
-    call: int, function: str = "f", name: str = "safe", budget_us: int = 3_000 * MS
+    call: int, function: str = "f", class_name: str = "safe", budget_us: int = 3_000 * MS
 ) -> api.CallArrived:
-    """Return the event of a call, of the class with this name."""
-    return api.CallArrived(call, function, name, budget_us, 400.0, 2, 0)
+    """Return the event of a call's arrival."""
+    return api.CallArrived(call, function, class_name, budget_us, 400.0, 2, 0)
 
 
 def ended(
-    call: int, attempt: int, worker: str, result: api.Result, elapsed_us: int = SERVICE_US, over: bool = False
+    call: int,
+    attempt: int,
+    worker: str,
+    result: api.Result,
+    elapsed_us: int = SERVICE_US,
+    call_ended: bool = False,
 ) -> api.AttemptEnded:
-    """Return the event of an attempt's end; `over` where its call has ended with it."""
+    """Return the event of an attempt's end; a successful attempt also ends its call."""
     return api.AttemptEnded(
-        call, attempt, worker, result, elapsed_us, over or result is api.Result.OK, api.Warmth.UNKNOWN, 0, ()
+        call,
+        attempt,
+        worker,
+        result,
+        elapsed_us,
+        call_ended or result is api.Result.OK,
+        api.Warmth.UNKNOWN,
+        0,
+        (),
     )
 
 
 class Driver:
-    """Gives events to one dispatcher on a clock of its own, and fires its timers when they are due."""
-
-    def __init__(self, chosen: api.Settings, workers: list[api.WorkerEntry], seed: int = 1) -> None:
-        self.dispatcher = Dispatcher(chosen, seed)
-        self.now = START_US
-        self.timers: list[tuple[int, int]] = []  # when each is due, and its token
-        self.log: list[tuple[int, api.Action]] = []  # every action, with the time at which it came
+    """Passes events to one dispatcher in simulated time, and fires its timers when they are due."""
+
+    def __init__(
+        self, dispatcher_settings: api.Settings, workers: list[api.WorkerEntry], seed: int = 1
+    ) -> None:
+        self.dispatcher = Dispatcher(dispatcher_settings, seed)
+        self.now_us = START_US
+        self.timers: list[tuple[int, int]] = []  # due time and token of each
+        self.log: list[tuple[int, api.Action]] = []  # every action so far, with its time
         self.give(worker_list(*workers))
 
     def give(self, event: api.Event) -> list[api.Action]:
-        """Have the dispatcher handle an event now, and return its actions."""
-        actions = self.dispatcher.handle(self.now, event)
+        """Have the dispatcher handle an event now, and return the resulting actions."""
+        actions = self.dispatcher.handle(self.now_us, event)
         self.timers += [
             (action.due_us, action.token) for action in actions if isinstance(action, api.SetTimer)
         ]
-        self.log += [(self.now, action) for action in actions]
+        self.log += [(self.now_us, action) for action in actions]
         return actions
 
     def run(self, duration_us: int) -> list[api.Action]:
-        """Let time pass, and return the actions of the timers that were due."""
-        end_us = self.now + duration_us
+        """Advance the time, and return the actions that result from the timers due by then."""
+        end_us = self.now_us + duration_us
         done = list[api.Action]()
         while due := [timer for timer in self.timers if timer[0] <= end_us]:
             timer = min(due)
             self.timers.remove(timer)
             due_us, token = timer
-            self.now = max(self.now, due_us)
+            self.now_us = max(self.now_us, due_us)
             done += self.give(api.TimerFired(token))
-        self.now = end_us
+        self.now_us = end_us
         return done
 
     def actions(self) -> list[api.Action]:
-        """Return every action so far."""
+        """Return all actions so far."""
         return [action for _, action in self.log]
 
 
 def sends(actions: list[api.Action]) -> list[api.SendAttempt]:
-    """Return the attempts that are sent."""
+    """Return the actions that send an attempt."""
     return [action for action in actions if isinstance(action, api.SendAttempt)]
 
 
 def load_requests(actions: list[api.Action]) -> list[api.RequestLoad]:
-    """Return the requests to load a function, or to keep it loaded."""
+    """Return the actions that request a load or keep a copy warm."""
     return [action for action in actions if isinstance(action, api.RequestLoad)]
 
 
 def final_answers(actions: list[api.Action]) -> list[api.Action]:
-    """Return the calls that are rejected or fail."""
+    """Return the actions that reject or fail a call."""
     return [action for action in actions if isinstance(action, api.RejectCall | api.FailCall)]
 
 
 def serve_call(driver: Driver, call: int, function: str) -> str:
-    """Have a call arrive and served after `SERVICE_US`, and return its worker."""
+    """Have a call arrive and be answered after `SERVICE_US`; return the name of its worker."""
     worker = sends(driver.give(arrival(call, function)))[0].worker
     driver.run(SERVICE_US)
     driver.give(ended(call, 0, worker, api.Result.OK))
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -1,4 +1,4 @@
-"""A fleet of dispatchers before one worker in slow start: what all of them together send there."""
+"""Simulates a fleet of routers to measure what they send together to one worker in its slow start."""
 
 import heapq
 import itertools
@@ -11,36 +11,38 @@
 from tests.helpers import MS, SERVICE_US, START_US, Driver, arrival, ended, entry, settings, worker_list
 
 SECOND_US = 1_000 * MS
-WARM_UP_US = 4 * SECOND_US  # calls before the cold worker is listed
+WARM_UP_US = 4 * SECOND_US  # time with calls before the cold worker is listed
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One fleet: its size, its traffic, and the share of its calls that is for one function alone."""
+    """The size and traffic of one fleet, and the share of its calls that go to a single function."""
 
     routers: int
     workers: int
-    calls_per_s: float  # at one worker, in the mean
-    load: float = 0.6  # part of a worker's capacity that those calls take
-    hot_share: float = 0.0  # of all calls, those of the function whose first replica is the cold worker
-    restarted: bool = False  # three in four routers start anew, without memory, a second after it
-    cold_for_us: int = 6 * SECOND_US
+    calls_per_s: float  # mean rate of calls at one worker
+    load: float = 0.6  # fraction of a worker's capacity that those calls take
+    hot_share: float = 0.0  # share of calls to the function whose first replica is the cold worker
+    restarted: bool = False  # whether three in four routers restart a second after the cold worker's start
+    cold_for_us: int = 6 * SECOND_US  # simulated time after the cold worker's start
     seed: int = 1
 
     def settings(self) -> api.Settings:
         """Return the settings of each router."""
         return settings(router_count=self.routers, load_request_window_us=0)
 
-    def budget(self, since_us: int) -> float:
-        """Return the most calls that may come in the overload window that ends so long after the start."""
-        chosen = self.settings()
-        risen = min(1.0, max(0, since_us - chosen.overload_window_us) / chosen.slow_start_us)
-        share = chosen.slow_start_share + (1 - chosen.slow_start_share) * risen
+    def max_calls(self, since_us: int) -> float:
+        """Return the most calls allowed in the overload window that ends `since_us` after the start."""
+        router_settings = self.settings()
+        progress = min(
+            1.0, max(0, since_us - router_settings.overload_window_us) / router_settings.slow_start_us
+        )
+        share = router_settings.slow_start_share + (1 - router_settings.slow_start_share) * progress
         calls = (
-            chosen.overload_multiple
+            router_settings.overload_multiple
             * share
             * (self.calls_per_s / self.load)
-            * chosen.overload_window_us
+            * router_settings.overload_window_us
             / SECOND_US
         )
         slack = 3 * math.sqrt(calls) + 3 if calls < 30 else 2 * math.sqrt(calls) + 2
@@ -48,7 +50,7 @@
 
 
 def hot_function(scenario: Scenario) -> str:
-    """Return a function whose first replica is the cold worker, by the ranking that all share."""
+    """Return the name of a function whose first replica is the cold worker in every router's ranking."""
     probe = Driver(scenario.settings(), [*warm_workers(scenario), entry("cold")])
     for number in itertools.count():
         name = f"hot-{number}"
@@ -59,12 +61,12 @@
 
 
 def warm_workers(scenario: Scenario) -> list[api.WorkerEntry]:
-    """Return all workers but the cold one."""
+    """Return the list entries of all workers except the cold one."""
     return [entry(f"w{number}") for number in range(scenario.workers - 1)]
 
 
 class StepKind(Enum):
-    """What happens to a router."""
+    """The kinds of things that happen to a simulated router."""
 
     COLD_WORKER_LISTED = auto()
     RESTART = auto()
@@ -74,23 +76,23 @@
 
 @dataclass(frozen=True, order=True)
 class Step:
-    """Steps of one moment are played in the order in which they were added."""
+    """One scheduled step; steps of the same time are performed in the order in which they were added."""
 
     at_us: int
     order: int
     kind: StepKind = field(compare=False)
-    attempt: tuple[int, int] = field(compare=False, default=(0, 0))  # that ends: its call and number
-    worker: str = field(compare=False, default="")  # that answers it
+    attempt: tuple[int, int] = field(compare=False, default=(0, 0))  # call and number of the ending attempt
+    worker: str = field(compare=False, default="")  # worker that answers the ending attempt
 
 
 class SimulatedRouter:
-    """One router with its calls, and the workers' answers to them."""
+    """One simulated router with its calls and the answers of the workers."""
 
     def __init__(self, scenario: Scenario, number: int, hot: str) -> None:
         self.scenario = scenario
         self.hot = hot  # the name of the hot function
         self.random = Random(f"{scenario.seed}/{number}")
-        # Before and after a restart.
+        # The seeds before and after a restart.
         self.driver_seeds = (scenario.seed * 1_000 + number, scenario.seed * 1_000 - number)
         self.driver = Driver(scenario.settings(), warm_workers(scenario), self.driver_seeds[0])
         self.slow_start_us = START_US + WARM_UP_US
@@ -102,12 +104,12 @@
         self.steps += self.arrivals()
         heapq.heapify(self.steps)
         self.calls = 0
-        self.processed = 0  # actions of the driver's log
-        self.cold_listed = False
-        self.sent_to_cold_us: list[int] = []  # since the cold worker's start
+        self.processed = 0  # number of processed actions of the driver's log
+        self.is_cold_listed = False
+        self.sent_to_cold_us: list[int] = []  # times of sends to the cold worker, since its start
 
     def arrivals(self) -> list[Step]:
-        """Return calls at random times, up to the end of the scenario."""
+        """Return steps for calls at random times, up to the end of the scenario."""
         rate_per_s = self.scenario.calls_per_s * self.scenario.workers / self.scenario.routers
         steps = list[Step]()
         at_s = self.random.expovariate(rate_per_s)
@@ -117,33 +119,36 @@
         return steps
 
     def run(self) -> list[int]:
-        """Return when the router sends or requests something at the cold worker, since that started."""
+        """Run the scenario; return the times of attempts and load requests sent to the cold worker.
+
+        The times are relative to the cold worker's start.
+        """
         while self.steps:
             step = heapq.heappop(self.steps)
             if step.at_us > self.end_us:
                 break
             self.fire_timers(step.at_us)
-            if self.steps and self.steps[0].at_us < step.at_us:  # an attempt that a timer sent ends before
+            if self.steps and self.steps[0].at_us < step.at_us:  # a fired timer has added an earlier step
                 heapq.heappush(self.steps, replace(step, order=next(self.order)))
                 continue
-            self.driver.run(max(0, step.at_us - self.driver.now))
+            self.driver.run(max(0, step.at_us - self.driver.now_us))
             self.apply(step)
             self.process_new_actions()
-        assert self.cold_listed
+        assert self.is_cold_listed
         return self.sent_to_cold_us
 
     def fire_timers(self, until_us: int) -> None:
-        """Fire the timers one by one, since what a timer sends may end before the next step."""
+        """Fire the due timers one by one, since an attempt sent by one may end before the next."""
         while self.driver.timers and min(self.driver.timers)[0] <= until_us:
-            self.driver.run(max(0, min(self.driver.timers)[0] - self.driver.now))
+            self.driver.run(max(0, min(self.driver.timers)[0] - self.driver.now_us))
             self.process_new_actions()
 
     def apply(self, step: Step) -> None:
-        """Have what the step says happen to the router."""
+        """Perform a step."""
         match step.kind:
             case StepKind.COLD_WORKER_LISTED:
                 self.driver.give(worker_list(self.cold_worker(), kind=api.ListKind.DELTA))
-                self.cold_listed = True
+                self.is_cold_listed = True
             case StepKind.RESTART:
                 self.restart(step.at_us)
             case StepKind.CALL:
@@ -155,10 +160,10 @@
                 self.driver.give(ended(*step.attempt, step.worker, api.Result.OK, SERVICE_US))
 
     def restart(self, now_us: int) -> None:
-        """Replace the dispatcher by one that knows all workers; the attempts of the old one never end."""
+        """Replace the dispatcher with a new one that knows all workers; old attempts never end."""
         workers = [*warm_workers(self.scenario), self.cold_worker()]
         self.driver = Driver(self.scenario.settings(), workers, self.driver_seeds[1])
-        self.driver.now = now_us
+        self.driver.now_us = now_us
         self.processed = 0
         self.steps = [step for step in self.steps if step.kind is StepKind.CALL]
         heapq.heapify(self.steps)
@@ -168,7 +173,7 @@
         return entry("cold", started_us=self.slow_start_us)
 
     def process_new_actions(self) -> None:
-        """Schedule the answer to each new attempt, and record what goes to the cold worker."""
+        """Schedule the answer to each new attempt, and record what is sent to the cold worker."""
         for at_us, action in self.driver.log[self.processed :]:
             if isinstance(action, api.SendAttempt):
                 numbers = [number for call, number in self.driver.dispatcher.attempts if call == action.call]
@@ -182,7 +187,7 @@
 
 
 def worst_window(scenario: Scenario) -> tuple[float, int, int]:
-    """Return the greatest part of the budget that any overload window takes, with its calls and its end."""
+    """Return how full the fullest overload window is, as a fraction of its limit, with its calls and end."""
     hot = hot_function(scenario)
     window_us = scenario.settings().overload_window_us
     sent_us = sorted(
@@ -194,5 +199,5 @@
         while sent_us[first] <= at_us - window_us:
             first += 1
         count = last - first + 1
-        worst = max(worst, (count / scenario.budget(at_us), count, at_us))
+        worst = max(worst, (count / scenario.max_calls(at_us), count, at_us))
     return worst
--- a/tests/test_decide_tiers.py
+++ b/tests/test_decide_tiers.py
@@ -1,4 +1,4 @@
-"""The tiers of functions, their homes and replicas, and what a choice of a worker costs."""
+"""Tests of the tiers, homes and replicas of functions, and of the cost of choosing a worker."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.state import CACHING, MULTIPLE, SINGLE, Call, Worker
@@ -16,7 +16,7 @@
 )
 
 
-def test_functions_are_promoted_one_tier_a_call_and_caching_demands_a_better_gap() -> None:
+def test_calls_promote_by_one_tier_and_caching_requires_shorter_gap() -> None:
     driver = Driver(settings(), WORKERS)
     tiers = []
     for call in range(3):
@@ -28,17 +28,17 @@
         serve_call(driver, call * 10, "f")
         serve_call(driver, call * 10 + 1, "f")
         serve_call(driver, call, "rare")
-    # Its gap is worse than that of f, aged as it is.
+    # Its gap is longer than the aged gap of f.
     assert driver.dispatcher.tiers.functions["rare"].tier == MULTIPLE
     driver.run(9_000 * MS)
     serve_call(driver, 201, "rare")
     serve_call(driver, 202, "rare")
-    # By now f has been idle for longer than the new gap.
+    # By now, f has been idle for so long that its aged gap is the longer one.
     assert driver.dispatcher.tiers.functions["rare"].tier == CACHING
 
 
-def test_full_tiers_evict_their_worst_one_tier_down() -> None:
-    driver = Driver(settings(kind_memory_mb=(("k", 400.0),)), WORKERS)  # room for two functions
+def test_full_tiers_demote_function_with_longest_gap() -> None:
+    driver = Driver(settings(kind_memory_mb=(("k", 400.0),)), WORKERS)  # tiers with room for two functions
     for n, function in enumerate(("a", "b", "c", "d", "e")):
         serve_call(driver, 100 + n, function)
     for n in range(12):
@@ -49,44 +49,44 @@
     assert sum(len(tier) for tier in tiers) == 5
 
 
-def test_backlog_of_a_stall_makes_no_near_zero_gap() -> None:
+def test_calls_delivered_together_do_not_shorten_the_gap() -> None:
     driver = Driver(settings(), WORKERS)
     serve_call(driver, 1, "rare")
     driver.run(8_000 * MS)
-    for call in (2, 3, 4):  # delivered at once after a stall
+    for call in (2, 3, 4):  # all delivered at the same time, after a stall
         driver.give(arrival(call, "rare"))
     assert driver.dispatcher.tiers.functions["rare"].gap_us >= 8_000 * MS
 
 
-def test_home_is_who_served_and_unknown_functions_share_a_ranking_without_the_seed() -> None:
-    firsts = {serve_call(Driver(settings(), WORKERS, seed), 1, "f") for seed in range(5)}
-    assert len(firsts) == 1
+def test_home_is_last_serving_worker_and_ranking_ignores_seed() -> None:
+    workers = {serve_call(Driver(settings(), WORKERS, seed), 1, "f") for seed in range(5)}
+    assert len(workers) == 1
     driver = Driver(settings(), WORKERS)
-    top = sends(driver.give(arrival(1, "f")))[0].worker
-    other = sends(driver.give(ended(1, 0, top, api.Result.FULL)))[0].worker
+    first = sends(driver.give(arrival(1, "f")))[0].worker
+    second = sends(driver.give(ended(1, 0, first, api.Result.FULL)))[0].worker
     driver.run(100 * MS)
-    driver.give(ended(1, 1, other, api.Result.OK))
-    assert driver.dispatcher.tiers.functions["f"].home == other != top
+    driver.give(ended(1, 1, second, api.Result.OK))
+    assert driver.dispatcher.tiers.functions["f"].home == second != first
 
 
-def test_own_calls_at_the_lanes_and_full_move_on_along_the_ranking() -> None:
+def test_calls_move_along_ranking_when_lanes_are_busy_or_worker_is_full() -> None:
     driver = Driver(settings(router_count=1), WORKERS[:2])
     home = serve_call(driver, 1, "f")
-    first = [sends(driver.give(arrival(call, "f")))[0].worker for call in (2, 3)]
-    assert first[0] == home
-    done = driver.give(arrival(4, "f"))  # it waits for a turn here
-    (order,) = load_requests(done)
-    assert order.worker != home
-    driver.give(api.LoadRequestEnded(order.worker, "f", api.Result.OK, 500 * MS, 1))
-    crowd = [s.worker for call in (5, 6) for s in sends(driver.give(arrival(call, "f")))]
-    assert crowd == [order.worker] * 2
-    moved = sends(driver.give(ended(2, 0, home, api.Result.FULL)) + driver.run(40 * MS))
-    assert all(s.worker != home for s in moved if s.call == 2)
+    workers = [sends(driver.give(arrival(call, "f")))[0].worker for call in (2, 3)]
+    assert workers[0] == home
+    actions = driver.give(arrival(4, "f"))  # queues at the home, whose lanes are busy
+    (request,) = load_requests(actions)
+    assert request.worker != home
+    driver.give(api.LoadRequestEnded(request.worker, "f", api.Result.OK, 500 * MS, 1))
+    overflow_workers = [send.worker for call in (5, 6) for send in sends(driver.give(arrival(call, "f")))]
+    assert overflow_workers == [request.worker] * 2
+    retries = sends(driver.give(ended(2, 0, home, api.Result.FULL)) + driver.run(40 * MS))
+    assert all(send.worker != home for send in retries if send.call == 2)
 
 
 def test_function_with_a_large_share_of_the_work_gets_more_replicas() -> None:
-    chosen = settings(router_count=300)
-    driver = Driver(chosen, [entry(f"w{i}") for i in range(60)])
+    dispatcher_settings = settings(router_count=300)
+    driver = Driver(dispatcher_settings, [entry(f"w{i}") for i in range(60)])
     used = {"hot": set[str](), "rare": set[str]()}
     for call in range(120):
         driver.run(300 * MS)
@@ -94,11 +94,11 @@
         for send in sends(driver.give(arrival(call, function))):
             used["hot" if call % 2 else "rare"].add(send.worker)
             driver.give(ended(call, 0, send.worker, api.Result.OK, 900 * MS if call % 8 == 1 else 100 * MS))
-    assert len(used["hot"]) >= 10  # drawn among many replicas, and slow answers moved it
+    assert len(used["hot"]) >= 10  # many replicas, and slow answers change the home
     assert driver.dispatcher.placement.replica_count(driver.dispatcher.tiers.functions["rare-118"]) == 1
 
 
-def test_functions_that_are_forgotten_leave_nothing_at_the_workers() -> None:
+def test_evicted_functions_leave_no_records_at_workers() -> None:
     driver = Driver(settings(), WORKERS)
     for call in range(2_000):
         serve_call(driver, call, f"f{call}")
@@ -109,7 +109,7 @@
 
 
 def record_gate_checks(driver: Driver) -> list[str]:
-    """Return a list that gets the name of a worker each time the gate decides whether a call may go there."""
+    """Return a list that gets a worker's name each time the send gate checks whether a call may go there."""
     checked = list[str]()
     may_send = driver.dispatcher.gate.may_send
 
@@ -121,21 +121,21 @@
     return checked
 
 
-def test_rankings_are_not_recomputed_for_each_call_or_outcome() -> None:
-    """Work is counted: 90 workers, 300 functions; a call looks at its replicas only."""
+def test_each_call_checks_only_a_few_workers() -> None:
+    """With 90 workers and 300 functions, a call checks at most 12 workers on average."""
     driver = Driver(settings(router_count=300), [entry(f"w{i}") for i in range(90)])
     for call in range(300):
         driver.give(arrival(call, f"f{call}"))
     checked = record_gate_checks(driver)
     for call in range(300, 600):
-        done = sends(driver.give(arrival(call, f"f{call % 300}")))
-        for send in done:
+        attempts = sends(driver.give(arrival(call, f"f{call % 300}")))
+        for send in attempts:
             driver.give(ended(send.call, 0, send.worker, api.Result.OK))
     assert len(checked) <= 300 * 12
 
 
-def test_bounced_call_of_a_hot_function_looks_at_few_of_its_replicas() -> None:
-    """A burst that bounced off full workers once scanned all replicas at each attempt (hunt day h5ddff9)."""
+def test_retry_of_hot_function_checks_only_a_few_replicas() -> None:
+    """A burst of calls that full workers rejected once made each attempt check all replicas."""
     driver = Driver(settings(router_count=300), [entry(f"w{i}") for i in range(90)])
     for call in range(40):
         driver.run(100 * MS)
--- a/tests/test_many_routers.py
+++ b/tests/test_many_routers.py
@@ -1,11 +1,11 @@
-"""What many dispatchers do together: some tens of them with seeds of their own, on one virtual clock."""
+"""Tests of the combined behaviour of many dispatchers, simulated one after another with different seeds."""
 
 from maplestile.dispatch import api
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
 
 
-def test_copies_of_a_function_are_few_enough_at_forty_routers() -> None:
-    """A twentieth of the work of 40 workers is twice a mean worker's: it had 12 replicas, with loads."""
+def test_function_has_few_copies_with_forty_routers() -> None:
+    """A twentieth of the work of 40 workers is twice an average worker's; it once led to 12 replicas."""
     router_settings = settings(router_count=40)
     workers = [entry(f"w{number}") for number in range(40)]
     used = set[str]()
@@ -22,7 +22,7 @@
 
 
 def answer(driver: Driver, send: api.SendAttempt, result: api.Result = api.Result.OK) -> list[api.Action]:
-    """End the latest attempt of a send's call, and return the actions that this brings about."""
+    """End the latest attempt of the call, and return the resulting actions."""
     attempts = [attempt for call, attempt in driver.dispatcher.attempts if call == send.call]
     if not attempts:
         return []
@@ -35,17 +35,17 @@
 
 
 def zone_of(worker: str) -> str:
-    """Return the zone of a worker of `workers_in_zones`."""
+    """Return the zone of a worker from `workers_in_zones`."""
     return f"z{number_of(worker) % 3}"
 
 
 def workers_in_zones(count: int) -> list[api.WorkerEntry]:
-    """Return workers in three zones."""
+    """Return the list entries of `count` workers in three zones."""
     return [entry(f"w{number}", zone=zone_of(f"w{number}")) for number in range(count)]
 
 
-def test_zone_that_falls_silent_is_left_after_a_few_calls_and_met_again_after_one_probe() -> None:
-    """A router of many meets each worker rarely: it sent into a lost zone for as long as it lasted."""
+def test_silent_zone_is_avoided_after_few_calls_and_used_again_after_probe() -> None:
+    """In a large fleet, a router rarely meets each worker, and once kept sending calls into a lost zone."""
     router_settings = settings(router_count=40, may_probe=True)
     sent_to_lost = 0
     probes = 0
@@ -64,22 +64,22 @@
         driver.give(api.HealthCheckEnded(checks[-1].worker, api.Result.OK, MS, ()))
         ranked = driver.dispatcher.fleet.ranked(driver.dispatcher.tiers.functions["f1"])
         assert any(zone_of(worker.entry.worker) == "z0" for worker in ranked)
-    assert sent_to_lost <= 20 * 40  # of 1,333 that fall to the zone
-    assert probes <= 20 * 34  # two a second
+    assert sent_to_lost <= 20 * 40  # of 1,333 calls that belong to the zone
+    assert probes <= 20 * 34  # two per second
 
 
-def test_hung_workers_in_zones_that_answer_lose_no_zone() -> None:
+def test_hung_workers_do_not_make_an_answering_zone_lost() -> None:
     driver = Driver(settings(router_count=40, may_probe=True), workers_in_zones(36))
     for call in range(300):
         actions = driver.run(80 * MS) + driver.give(arrival(call, f"f{call % 30}"))
         for send in sends(actions):
-            if number_of(send.worker) > 5:  # two of each zone hang
+            if number_of(send.worker) > 5:  # two workers of each zone hang
                 answer(driver, send)
     assert not any(zone.lost for zone in driver.dispatcher.zones.zones.values())
 
 
-def test_silent_workers_are_no_overload() -> None:
-    """Calls that a lost zone made late had others refused, and for seconds after it was back."""
+def test_silent_workers_cause_no_rejections() -> None:
+    """Calls that a lost zone had made late once led to rejections, even for seconds after its return."""
     driver = Driver(settings(router_count=40), workers_in_zones(36))
     rejected = 0
     for call in range(300):
@@ -91,8 +91,8 @@
     assert not rejected
 
 
-def test_routers_of_many_do_not_all_renew_the_copies_that_their_calls_keep() -> None:
-    """Each renewed every copy of its list at every sweep: 200 requests a second at the end of a day."""
+def test_routers_of_a_large_fleet_do_not_renew_copies_kept_warm_by_calls() -> None:
+    """Once, each router renewed every copy of its caching tier in every sweep: 200 requests per second."""
     for routers, is_renewed in ((40, False), (2, True)):
         driver = Driver(settings(router_count=routers), [entry(f"w{number}") for number in range(12)])
         for call in range(24):
@@ -102,9 +102,11 @@
         assert any(isinstance(action, api.RequestLoad) for _, action in driver.log) is is_renewed
 
 
-def test_any_answer_in_time_is_a_sign_that_work_is_not_too_much() -> None:
-    """Only answers from copies of its own counted; most of a router of many come from those that others made,
-    and it went on refusing for ten seconds after the work was as ever.
+def test_answers_in_time_lower_the_late_ratio() -> None:
+    """Answers from copies that other routers had loaded once did not count.
+
+    In a large fleet these are most of a router's answers, so it kept rejecting calls for ten seconds after
+    the load was back to normal.
     """
     driver = Driver(settings(router_count=40), [entry(f"w{number}") for number in range(40)])
     driver.dispatcher.admission.late_ratio = 0.5
@@ -114,7 +116,7 @@
     assert driver.dispatcher.admission.late_ratio < 0.25
 
 
-def test_replicas_of_the_own_zone_come_first_and_all_zones_together_use_all_replicas() -> None:
+def test_replicas_in_own_zone_are_preferred() -> None:
     used: dict[str, set[str]] = {"z0": set(), "z1": set(), "z2": set()}
     for zone, workers in used.items():
         for seed in range(6):
@@ -131,21 +133,21 @@
     assert len(set.union(*used.values())) > 12
 
 
-def test_worker_that_refuses_connections_is_met_rarely_and_its_zone_is_left_when_all_do() -> None:
-    """A lost zone may refuse at once: 400 connects a second were refused for as long as it lasted."""
+def test_workers_refusing_connections_are_avoided_and_so_is_a_zone_of_them() -> None:
+    """A lost zone may refuse connections at once: 400 per second were once refused while it was lost."""
     router_settings = settings(router_count=40, may_probe=True)
-    refused_by_count = {1: 0, 12: 0}  # one worker of the zone, or all twelve, refuse connections
+    refused_by_count = {1: 0, 12: 0}  # refused connections, if one worker or all twelve of a zone refuse
     for count in refused_by_count:
         for seed in range(10):
             driver = Driver(router_settings, workers_in_zones(36), seed)
             for call in range(200):
-                waiting = sends(driver.run(80 * MS) + driver.give(arrival(call, f"f{call % 20}")))
-                while waiting:
-                    send = waiting.pop()
+                unanswered = sends(driver.run(80 * MS) + driver.give(arrival(call, f"f{call % 20}")))
+                while unanswered:
+                    send = unanswered.pop()
                     refuses = number_of(send.worker) in range(0, 3 * count, 3)
                     refused_by_count[count] += refuses
                     result = api.Result.CONNECT_FAILED if refuses else api.Result.OK
-                    waiting += sends(answer(driver, send, result))
+                    unanswered += sends(answer(driver, send, result))
             assert driver.dispatcher.zones.is_lost("z0") is (count == 12)
     assert refused_by_count[1] <= 10 * 6
     assert refused_by_count[12] <= 10 * 16
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""What the decision package may import, the size of its modules, and equal output for equal input."""
+"""Tests of the dispatch package: pure imports, short modules, and output that depends only on the input."""
 
 import ast
 import os
@@ -11,8 +11,8 @@
 MODULES = sorted(PACKAGE.glob("*.py"))
 PURE = {"bisect", "collections", "collections.abc", "dataclasses", "enum", "hashlib", "heapq", "itertools"}
 PURE |= {"math", "typing"}
-SEEDED = {"random"}  # with the dispatcher's own seed, in the dispatcher alone
-MAX_LINES = 400  # of one module
+SEEDED = {"random"}  # allowed only in `dispatcher.py`, which seeds it
+MAX_LINES = 400  # length limit of one module
 
 
 def test_modules_stay_short() -> None:
@@ -24,7 +24,7 @@
 
 
 def imported(file: Path) -> set[str]:
-    """Return the names of the modules that a file imports; it may call nothing that reads or writes."""
+    """Return the modules that a file imports, and check that it calls no function that reads or writes."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
@@ -36,14 +36,14 @@
     return found
 
 
-def test_decisions_import_nothing_that_reads_clocks_files_or_chance() -> None:
+def test_dispatch_imports_only_pure_modules() -> None:
     for file in MODULES:
         foreign = {name for name in imported(file) if not name.startswith("maplestile.dispatch")}
         assert foreign <= PURE | (SEEDED if file.stem == "dispatcher" else set()), file
 
 
-def run_link(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """Run the simulator adapter with this input."""
+def run_adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+    """Run the simulator adapter on the given input."""
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     command = [sys.executable, "-m", "maplestile.wire.simulator_adapter"]
     return subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, check=False)
@@ -60,8 +60,8 @@
 )
 
 
-def script(names: list[str]) -> str:
-    """Return input by which these dispatchers get a list of workers and calls."""
+def adapter_input(names: list[str]) -> str:
+    """Return input lines that give each of these dispatchers a worker list and 30 calls."""
     lines = []
     for name in names:
         frame = 1000 * int(name[-1])
@@ -80,21 +80,21 @@
     return "\n".join(lines) + "\n"
 
 
-def test_output_is_the_same_under_two_hash_seeds_and_split_over_processes() -> None:
+def test_output_does_not_depend_on_hash_seed_or_number_of_processes() -> None:
     names = ["dispatcher/0", "dispatcher/1"]
-    together = run_link(script(names), "1")
-    assert together.returncode == 0 and together.stdout == run_link(script(names), "2").stdout
+    together = run_adapter(adapter_input(names), "1")
+    assert together.returncode == 0 and together.stdout == run_adapter(adapter_input(names), "2").stdout
     assert "CALL_OUT" in together.stdout
-    apart = "".join(run_link(script([name])).stdout for name in names)
-    assert together.stdout == apart
+    separate = "".join(run_adapter(adapter_input([name])).stdout for name in names)
+    assert together.stdout == separate
 
 
-def test_malformed_line_is_named_and_ends_with_an_error() -> None:
-    done = run_link("MARK nowUs=1000000 frame=0\nARRIVAL who=dispatcher/0 req=x timeBudgetUs=5\nFLUSH\n")
-    assert done.returncode == 1
-    assert "line 2" in done.stderr and "'req'" in done.stderr and "Traceback" not in done.stderr
+def test_malformed_line_is_reported_as_an_error() -> None:
+    result = run_adapter("MARK nowUs=1000000 frame=0\nARRIVAL who=dispatcher/0 req=x timeBudgetUs=5\nFLUSH\n")
+    assert result.returncode == 1
+    assert "line 2" in result.stderr and "'req'" in result.stderr and "Traceback" not in result.stderr
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
-    done = run_link("MARK nowUs=1 frame=4\nFLUSH\n")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "OK frame=4\n", "")
+def test_end_of_input_exits_with_success() -> None:
+    result = run_adapter("MARK nowUs=1 frame=4\nFLUSH\n")
+    assert (result.returncode, result.stdout, result.stderr) == (0, "OK frame=4\n", "")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,10 @@
-"""Arbitrary legal event sequences to one dispatcher: what it does keeps rules 1, 2, 3 and 5."""
+"""Property test: the actions of one dispatcher keep the rules below for any valid sequence of events.
+
+- Each call gets exactly one final answer, in time.
+- No attempt begins after the final answer, after the deadline, or at a worker that is not running.
+- A call is repeated or rejected only if that is harmless.
+- Load requests go only to running workers and stay within their quota.
+"""
 
 from dataclasses import dataclass, replace
 
@@ -25,11 +31,11 @@
 
 @dataclass(frozen=True)
 class SentAttempt:
-    """An attempt as the checker saw it sent, and its result once the checker has given one."""
+    """An attempt that the dispatcher has sent."""
 
     worker: str
     sent_us: int
-    result: api.Result | None = None
+    result: api.Result | None = None  # None while the attempt is in flight
 
     def may_have_run(self) -> bool:
         """Return whether the worker may have run the call."""
@@ -37,28 +43,29 @@
 
 
 class RuleChecker:
-    """Plays the workers and the clients, and keeps its own account of what the rules allow."""
+    """Simulates the workers and clients, and checks each action against its own record of the events."""
 
-    def __init__(self, chosen: api.Settings) -> None:
-        self.settings = chosen
-        self.driver = Driver(chosen, [entry(worker) for worker in WORKERS])
-        self.checked = 0  # of the driver's log
+    def __init__(self, dispatcher_settings: api.Settings) -> None:
+        self.settings = dispatcher_settings
+        self.driver = Driver(dispatcher_settings, [entry(worker) for worker in WORKERS])
+        self.checked = 0  # number of checked actions of the driver's log
+        # By call number:
         self.due_us: dict[int, int] = {}
         self.call_class: dict[int, api.CallClass] = {}
         self.answered_us: dict[int, int] = {}
         self.attempts: dict[int, list[SentAttempt]] = {}
-        self.barred: set[str] = set()  # workers that may be sent nothing
+        self.barred: set[str] = set()  # workers that are draining or gone
         self.arrivals_us: list[int] = []
-        self.load_requests_us: list[int] = []  # of those that ask for copies
+        self.load_requests_us: list[int] = []  # times of the load requests that ask for copies
         self.open_load_requests: list[api.RequestLoad] = []
 
     def give(self, event: api.Event) -> None:
-        """Give the dispatcher an event, and check its actions."""
+        """Pass an event to the dispatcher, and check the resulting actions."""
         self.driver.give(event)
         self.check()
 
     def check(self) -> None:
-        """Check rules 2, 3 and 5 at each new action, and that nothing follows a final answer."""
+        """Check each new action of the dispatcher against the rules."""
         for now_us, action in self.driver.log[self.checked :]:
             if isinstance(action, api.SendAttempt):
                 self.check_attempt(now_us, action)
@@ -69,7 +76,7 @@
         self.checked = len(self.driver.log)
 
     def check_attempt(self, now_us: int, send: api.SendAttempt) -> None:
-        """Check rules 2 and 3 for an attempt that is sent."""
+        """Check that an attempt may begin at its worker, and may repeat its call."""
         assert send.call not in self.answered_us
         assert now_us < self.due_us[send.call]
         assert send.worker not in self.barred
@@ -77,15 +84,15 @@
         self.attempts.setdefault(send.call, []).append(SentAttempt(send.worker, now_us))
 
     def check_repeat(self, now_us: int, send: api.SendAttempt) -> None:
-        """Check that the call may be sent again, if it may have run."""
+        """Check that the call may be sent again if it may have run already."""
         call_class = self.call_class[send.call]
-        ran = self.attempts_that_may_have_run(send.call)
+        possibly_run = self.attempts_that_may_have_run(send.call)
         if not self.settings.may_hedge:
-            assert all(attempt.result is not None for attempt in ran)
+            assert all(attempt.result is not None for attempt in possibly_run)
         if call_class.idempotency is api.Idempotency.NOT_IDEMPOTENT:
-            assert not ran
-        if call_class.idempotency is api.Idempotency.WITH_KEY and ran:
-            assert now_us < ran[0].sent_us + call_class.deduplication_window_us
+            assert not possibly_run
+        if call_class.idempotency is api.Idempotency.WITH_KEY and possibly_run:
+            assert now_us < possibly_run[0].sent_us + call_class.deduplication_window_us
         assert len(self.attempts.get(send.call, [])) < self.settings.max_attempts
 
     def attempts_that_may_have_run(self, call: int) -> list[SentAttempt]:
@@ -93,14 +100,14 @@
         return [attempt for attempt in self.attempts.get(call, []) if attempt.may_have_run()]
 
     def check_answer(self, now_us: int, answer: api.RejectCall | api.FailCall) -> None:
-        """Check that the call has no other answer, and that a rejection is harmless."""
+        """Check that the call has no answer yet, and that it is rejected only if a repeat is harmless."""
         assert answer.call not in self.answered_us
         self.answered_us[answer.call] = now_us
         if isinstance(answer, api.RejectCall) and self.attempts_that_may_have_run(answer.call):
             assert self.call_class[answer.call].idempotency is api.Idempotency.IDEMPOTENT
 
     def check_load_request(self, now_us: int, request: api.RequestLoad) -> None:
-        """Check rule 5 for a load request."""
+        """Check that a load request goes to a running worker and stays within the quota."""
         self.open_load_requests.append(request)
         if not request.copies:
             return
@@ -112,7 +119,7 @@
         assert sum(at_us >= since_us for at_us in self.load_requests_us) <= allowed
 
     def step(self, kind: str, first: int, second: int) -> None:
-        """Play one step; the two numbers choose among what is possible at the moment."""
+        """Perform one step; the two numbers select its parameters from what is currently possible."""
         if kind == "call":
             self.call(first, second)
         elif kind == "end":
@@ -131,12 +138,12 @@
         call = len(self.call_class)
         self.call_class[call] = CLASSES[first % len(CLASSES)]
         budget_us = (50 + second * 4) * MS
-        self.due_us[call] = self.driver.now + budget_us
-        self.arrivals_us.append(self.driver.now)
+        self.due_us[call] = self.driver.now_us + budget_us
+        self.arrivals_us.append(self.driver.now_us)
         self.give(arrival(call, f"f{first % 4}", self.call_class[call].name, budget_us))
 
     def end_attempt(self, first: int, second: int) -> None:
-        """End an attempt that is out."""
+        """End an attempt in flight."""
         in_flight = [
             (call, number)
             for call, attempts in self.attempts.items()
@@ -150,11 +157,11 @@
         attempt = replace(self.attempts[call][number], result=result)
         self.attempts[call][number] = attempt
         if result is api.Result.OK:
-            self.answered_us.setdefault(call, self.driver.now)
-        self.give(ended(call, number, attempt.worker, result, over=call in self.answered_us))
+            self.answered_us.setdefault(call, self.driver.now_us)
+        self.give(ended(call, number, attempt.worker, result, call_ended=call in self.answered_us))
 
     def end_load_request(self, first: int, second: int) -> None:
-        """End a load request that is out."""
+        """End an open load request."""
         if not self.open_load_requests:
             return
         request = self.open_load_requests.pop(first % len(self.open_load_requests))
@@ -163,27 +170,27 @@
         self.give(api.LoadRequestEnded(request.worker, request.function, result, MS, copies))
 
     def wait(self, milliseconds: int) -> None:
-        """Fire every timer that is due by then, those that are set meanwhile among them."""
-        end_us = self.driver.now + milliseconds * MS
+        """Advance the time and fire every timer due by then, including timers set in the meantime."""
+        end_us = self.driver.now_us + milliseconds * MS
         while due := [timer for timer in self.driver.timers if timer[0] <= end_us]:
             timer = min(due)
             self.driver.timers.remove(timer)
-            self.driver.now = max(self.driver.now, timer[0])
+            self.driver.now_us = max(self.driver.now_us, timer[0])
             self.give(api.TimerFired(timer[1]))
-        self.driver.now = end_us
+        self.driver.now_us = end_us
 
     def change_state(self, first: int, second: int) -> None:
-        """List a worker in another state."""
+        """Change the state of a worker in the worker list."""
         worker = WORKERS[first % len(WORKERS)]
         state = list(api.WorkerState)[second % 3]
         if state is api.WorkerState.RUNNING:
             self.barred.discard(worker)
         else:
             self.barred.add(worker)
-        self.give(worker_list(entry(worker, state, self.driver.now), kind=api.ListKind.DELTA))
+        self.give(worker_list(entry(worker, state, self.driver.now_us), kind=api.ListKind.DELTA))
 
     def give_noise(self, first: int, second: int) -> None:
-        """Give events of what the dispatcher does not know."""
+        """Pass events about timers, calls and workers that the dispatcher does not know."""
         self.give(api.TimerFired(10_000_000 + first))
         self.give(ended(900_000 + first, second % 4, "unlisted", api.Result.ERROR))
         self.give(worker_list(kind=api.ListKind.FAILED))
@@ -191,14 +198,14 @@
 
 @profile(derandomize=True, deadline=None, max_examples=120)
 @given(STEPS, st.booleans(), st.booleans(), st.booleans())
-def test_rules_hold_for_any_legal_sequence(
-    steps: list[tuple[str, int, int]], loads: bool, twice: bool, cancel: bool
+def test_rules_hold_for_any_valid_event_sequence(
+    steps: list[tuple[str, int, int]], loads_on_miss: bool, may_hedge: bool, may_cancel: bool
 ) -> None:
-    chosen = settings(loads_on_miss=loads, may_hedge=twice, may_cancel=cancel)
-    checker = RuleChecker(chosen)
+    dispatcher_settings = settings(loads_on_miss=loads_on_miss, may_hedge=may_hedge, may_cancel=may_cancel)
+    checker = RuleChecker(dispatcher_settings)
     for step in steps:
         checker.step(*step)
     for _ in range(6):
         checker.step("wait", 0, 1_000)
-    for call, due_us in checker.due_us.items():  # rule 1: exactly one answer, in time
+    for call, due_us in checker.due_us.items():  # each call has its answer in time
         assert checker.answered_us[call] <= due_us
--- a/tests/trace_environment.py
+++ b/tests/trace_environment.py
@@ -1,6 +1,6 @@
-"""A small discrete-event environment of clients, workers and zones round one dispatcher.
+"""A discrete-event simulation of the clients, workers and zones around one dispatcher.
 
-It reacts to each action, so that its events follow from the seed and from the decisions alone.
+It reacts to each action, so that its events depend only on the seed and on the dispatcher's decisions.
 """
 
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 from tests.trace_variants import MS
 from tests.trace_workers import Workers
 
-EPISODE_GAP_US = 1_500 * MS
+EPISODE_GAP_US = 1_500 * MS  # mean time between two episodes
 
 
 class Environment:
-    """Clients, workers and the worker list round one dispatcher, in simulated time."""
+    """The clients, workers and worker list around one dispatcher, in simulated time."""
 
     def __init__(self, settings: api.Settings, seed: int, handle: Handle) -> None:
         self.simulation = Simulation(settings, seed, handle, self.react)
@@ -23,7 +23,7 @@
         self.workers = Workers(self.simulation, self.clients.calls)
 
     def run(self, events: int, start_episode: Callable[[], None]) -> None:
-        """Give so many events; the first episode starts after `EPISODE_GAP_US`."""
+        """Run until the dispatcher has handled `events` events; the first episode starts after a gap."""
         simulation = self.simulation
         simulation.give(api.WorkerListReceived(api.ListKind.FAILED, 0, ()))
         simulation.give(api.WorkerListReceived(api.ListKind.FULL, 1, ()))
@@ -33,18 +33,18 @@
         simulation.run_until(events)
 
     def list_workers(self) -> None:
-        """Give the dispatcher a list of all workers."""
+        """Pass a list of all workers to the dispatcher."""
         self.simulation.give(self.workers.whole_list(api.ListKind.FULL))
 
     def react(self, action: api.Action) -> None:
-        """Follow up on an action of the dispatcher."""
+        """React to an action of the dispatcher."""
         match action:
             case api.SetTimer():
                 self.set_timer(action)
             case api.SendAttempt():
                 self.workers.serve(action)
             case api.CancelAttempt():
-                self.workers.withdraw(action)
+                self.workers.cancel(action)
             case api.RequestLoad():
                 self.workers.load(action)
             case api.SendHealthCheck():
@@ -57,7 +57,7 @@
                 self.clients.calls[action.call].ended = True
 
     def set_timer(self, action: api.SetTimer) -> None:
-        """Schedule a timer, which now and then fires twice."""
+        """Schedule a timer, which occasionally fires twice."""
         delay_us = action.due_us - self.simulation.now_us
         self.simulation.give_after(delay_us, api.TimerFired(action.token))
         if self.simulation.chance(0.002):
--- a/tests/trace_episodes.py
+++ b/tests/trace_episodes.py
@@ -1,4 +1,4 @@
-"""What happens to the fleet of a generated trace: drains, crashes, faults, overload and changes of policy."""
+"""The episodes of a generated trace: drains, crashes, faults, overload and policy changes."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -10,14 +10,14 @@
 
 
 class Episodes:
-    """Starts a random episode at random intervals."""
+    """Starts random episodes at random intervals."""
 
     def __init__(self, environment: Environment) -> None:
         self.simulation = environment.simulation
         self.workers = environment.workers
 
     def announce(self, machine: Machine, state: api.WorkerState, started_us: int) -> None:
-        """List a worker in another state."""
+        """Change a worker's state in the worker list, and pass the change to the dispatcher."""
         machine.entry = replace(machine.entry, state=state, started_us=started_us)
         self.workers.list_version += 1
         self.simulation.give(
@@ -36,7 +36,7 @@
             (15, lambda: self.fail(machine)),
             (6, lambda: self.lose_zones(1)),
             (2, lambda: self.lose_zones(ZONES)),
-            (10, self.list_again),
+            (10, self.repeat_list),
             (6, self.overload),
             (6, self.change_policy),
             (4, lambda: self.simulation.give(api.PeerMessage(1, b"hello"))),
@@ -46,39 +46,39 @@
         self.simulation.random.choices([start for _, start in episodes], weights)[0]()
 
     def drain(self, machine: Machine) -> None:
-        """Drain a worker, and end its process a while later."""
+        """Drain a worker, and end its process some time later."""
         if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
             return
         self.announce(machine, api.WorkerState.DRAINING, machine.entry.started_us)
         self.simulation.after(self.simulation.around(1_500 * MS), lambda: self.end_process(machine))
 
     def end_process(self, machine: Machine) -> None:
-        """End a process, take it from the list, and start another one later."""
+        """End a worker's process, remove the worker from the list, and start a new process later."""
         machine.down = True
         machine.loaded.clear()
         self.announce(machine, api.WorkerState.GONE, machine.entry.started_us)
-        self.simulation.after(self.simulation.around(2_000 * MS), lambda: self.come_up(machine))
+        self.simulation.after(self.simulation.around(2_000 * MS), lambda: self.start_process(machine))
 
-    def come_up(self, machine: Machine) -> None:
-        """Start a process that is well."""
+    def start_process(self, machine: Machine) -> None:
+        """Start a new healthy process of a worker."""
         machine.down = False
         machine.hangs_until_us = machine.slow_until_us = machine.fails_until_us = 0
         self.announce(machine, api.WorkerState.RUNNING, self.simulation.now_us)
 
     def crash(self, machine: Machine) -> None:
-        """End a process without notice."""
+        """End a worker's process without a drain."""
         if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
             return
         machine.down = True
         machine.loaded.clear()
         self.break_connection(machine)
-        if self.simulation.chance(0.5):  # else it is back before it is missed
+        if self.simulation.chance(0.5):  # otherwise it restarts without having left the list
             self.simulation.after(self.simulation.around(300 * MS), lambda: self.end_process(machine))
         else:
-            self.simulation.after(self.simulation.around(4_000 * MS), lambda: self.come_up(machine))
+            self.simulation.after(self.simulation.around(4_000 * MS), lambda: self.start_process(machine))
 
     def break_connection(self, machine: Machine) -> None:
-        """End all that a worker's connection carries by a reset."""
+        """Reset a worker's connection, which ends all attempts on it."""
         name = machine.entry.worker
         for attempt, event in list(self.workers.pending.items()):
             if event.worker == name and self.workers.pending.pop(attempt, None) is not None:
@@ -87,39 +87,39 @@
                 )
 
     def hang(self, machine: Machine) -> None:
-        """Have a worker answer nothing for a while."""
+        """Make a worker unresponsive for a while."""
         machine.hangs_until_us = self.simulation.now_us + self.simulation.around(4_000 * MS)
 
     def slow(self, machine: Machine) -> None:
-        """Have a worker be slow for a while."""
+        """Make a worker slow for a while."""
         machine.slow_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
 
     def fail(self, machine: Machine) -> None:
-        """Have a worker fail the calls of one class for a while."""
+        """Make a worker fail the calls of a random class for a while."""
         machine.fails_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
         machine.failing_class = self.simulation.random.choice(CLASSES).name
 
     def lose_zones(self, count: int) -> None:
-        """Have the workers of some zones answer nothing for a while."""
+        """Make all workers of `count` random zones unresponsive for a while."""
         lost = [f"zone-{number}" for number in self.simulation.random.sample(range(ZONES), count)]
         for machine in self.workers.machines.values():
             if machine.entry.zone in lost:
                 machine.hangs_until_us = self.simulation.now_us + 5_000 * MS
 
-    def list_again(self) -> None:
-        """Give the dispatcher a list that brings nothing new, or the failure to get one."""
+    def repeat_list(self) -> None:
+        """Pass the dispatcher a worker list without news, or a failure to fetch one."""
         kind = self.simulation.random.choice((api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED))
         failed = kind is api.ListKind.FAILED
         self.simulation.give(api.WorkerListReceived(kind, 0, ()) if failed else self.workers.whole_list(kind))
 
     def overload(self) -> None:
-        """Have more calls arrive, and each take longer, for a while."""
+        """Make more calls arrive, and each call take longer, for a while."""
         self.simulation.overload_until_us = self.simulation.now_us + 3_000 * MS
 
     def change_policy(self) -> None:
-        """Change the settings."""
-        longer = self.simulation.settings.epoch % 2 == 0
-        factor = 2 if longer else 1
+        """Pass a new policy to the dispatcher, which alternates between two variants of the settings."""
+        is_relaxed = self.simulation.settings.epoch % 2 == 0
+        factor = 2 if is_relaxed else 1
         classes = tuple(
             replace(call_class, latency_objective_us=call_class.latency_objective_us * factor)
             for call_class in CLASSES
@@ -127,8 +127,8 @@
         self.simulation.settings = replace(
             self.simulation.settings,
             classes=classes,
-            overload_window_us=(1_000 if longer else 2_000) * MS,
-            max_attempts=5 if longer else 3,
+            overload_window_us=(1_000 if is_relaxed else 2_000) * MS,
+            max_attempts=5 if is_relaxed else 3,
             epoch=self.simulation.settings.epoch + 1,
         )
         self.simulation.give(api.PolicyChanged(self.simulation.settings))
--- a/tests/trace_simulation.py
+++ b/tests/trace_simulation.py
@@ -1,7 +1,7 @@
-"""Simulated time and chance for generated traces of decisions.
+"""Simulated time and random numbers for generated traces.
 
-What happens follows from the seed and from the decisions alone: no clock, no hash order, no library whose
-results differ between machines.
+All events depend only on the seed and on the dispatcher's decisions, not on a clock, on hash order or on a
+library whose results differ between machines.
 """
 
 import heapq
@@ -11,13 +11,13 @@
 from maplestile.dispatch import api
 from tests.trace_variants import MS
 
-START_US = 1_000_000 * MS
+START_US = 1_000_000 * MS  # initial simulated time
 
-Handle = Callable[[int, api.Event], list[api.Action]]  # has the dispatcher decide about an event at a time
+Handle = Callable[[int, api.Event], list[api.Action]]  # passes an event to the dispatcher at a time
 
 
 class Simulation:
-    """Gives events to one dispatcher in simulated time, and has `react` follow up on its actions."""
+    """Passes events to one dispatcher in simulated time, and its actions to `react`."""
 
     def __init__(
         self, settings: api.Settings, seed: int, handle: Handle, react: Callable[[api.Action], None]
@@ -28,12 +28,12 @@
         self.react = react
         self.now_us = START_US
         self.overload_until_us = 0
-        self.events = 0  # given so far
-        self.scheduled = 0  # steps so far, by which those of one time keep their order
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []  # time, number, step
+        self.events = 0  # events handled so far
+        self.scheduled = 0  # steps scheduled so far; orders steps of the same time
+        self.queue: list[tuple[int, int, Callable[[], None]]] = []  # a heap of time, number and step
 
     def run_until(self, events: int) -> None:
-        """Run scheduled steps until the dispatcher has got so many events."""
+        """Run scheduled steps until the dispatcher has handled `events` events."""
         while self.events < events:
             self.now_us, _, step = heapq.heappop(self.queue)
             step()
@@ -46,18 +46,18 @@
             self.react(action)
 
     def after(self, delay_us: int, step: Callable[[], None]) -> None:
-        """Schedule a step."""
+        """Schedule a step after a delay."""
         self.scheduled += 1
         heapq.heappush(self.queue, (self.now_us + max(0, delay_us), self.scheduled, step))
 
     def give_after(self, delay_us: int, event: api.Event) -> None:
-        """Schedule an event for the dispatcher."""
+        """Schedule an event for the dispatcher after a delay."""
         self.after(delay_us, lambda: self.give(event))
 
     def around(self, mean_us: int) -> int:
-        """Draw a time with this mean."""
+        """Return a random time with about this mean."""
         return 1 + self.random.randrange(2 * mean_us)
 
-    def chance(self, share: float) -> bool:
-        """Draw whether something of this probability happens."""
-        return self.random.random() < share
+    def chance(self, probability: float) -> bool:
+        """Return True with this probability."""
+        return self.random.random() < probability
--- a/tests/trace_variants.py
+++ b/tests/trace_variants.py
@@ -1,10 +1,10 @@
-"""The settings that the generated traces of decisions run under, one variant for each family of rules."""
+"""The variants of dispatcher settings with which the generated traces run."""
 
 from dataclasses import replace
 
 from maplestile.dispatch import api
 
-MS = 1_000  # microseconds
+MS = 1_000  # microseconds in a millisecond
 
 CLASSES = (
     api.CallClass("read", 600 * MS, 4_000 * MS, api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0),
@@ -34,7 +34,7 @@
         "pay", 1_000 * MS, 4_000 * MS, api.Idempotency.NOT_IDEMPOTENT, api.DeduplicationScope.ALL, 0
     ),
 )
-DUPLICATING = api.Settings(
+BASE_SETTINGS = api.Settings(
     classes=CLASSES,
     router_count=8,
     zone="zone-0",
@@ -60,9 +60,9 @@
     overload_window_us=2_000 * MS,
 )
 VARIANTS = {
-    "duplicating": DUPLICATING,
+    "duplicating": BASE_SETTINGS,
     "ordering": replace(
-        DUPLICATING,
+        BASE_SETTINGS,
         router_count=1,
         must_poll_list=True,
         loads_on_miss=False,
@@ -72,7 +72,7 @@
         may_hedge=False,
     ),
     "plain": replace(
-        DUPLICATING,
+        BASE_SETTINGS,
         router_count=2,
         zone="",
         keep_alive_us=0,
--- a/tests/trace_workers.py
+++ b/tests/trace_workers.py
@@ -1,4 +1,4 @@
-"""The workers of a generated trace: how attempts, load requests and health checks end there."""
+"""The simulated workers of a generated trace, which decide how attempts and requests end."""
 
 from dataclasses import dataclass, field, replace
 from random import Random
@@ -11,26 +11,26 @@
 WORKERS = 30
 ZONES = 3
 CELLS = 5
-WORKER_CAPACITY = 14  # calls that a worker runs at a time before it answers that it is full
+WORKER_CAPACITY = 14  # calls that a worker runs at the same time; it rejects more as full
 
 
 @dataclass(slots=True)
 class Machine:
-    """One worker of the environment: what it has loaded, what it runs, and until when it misbehaves."""
+    """One simulated worker: its loaded functions, its running calls, and its current faults."""
 
     entry: api.WorkerEntry
-    loaded: set[str] = field(default_factory=set)
-    running: int = 0
-    down: bool = False
-    hangs_until_us: int = 0
+    loaded: set[str] = field(default_factory=set)  # names of the functions with a loaded copy
+    running: int = 0  # calls that it is running
+    down: bool = False  # whether it has no running process
+    hangs_until_us: int = 0  # it is unresponsive until then
     slow_until_us: int = 0
-    fails_until_us: int = 0
+    fails_until_us: int = 0  # it fails the calls of `failing_class` until then
     failing_class: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptOutcome:
-    """How an attempt ends, after how long, and what its answer says of the copy."""
+    """How and when an attempt ends, and the state of the copy that its answer reports."""
 
     result: api.Result
     elapsed_us: int
@@ -38,7 +38,7 @@
 
 
 def machine_of(number: int) -> Machine:
-    """Return a worker that has just started; one in four is small."""
+    """Return a worker with nothing loaded; one in four workers is small."""
     small = number % 4 == 3
     entry = api.WorkerEntry(
         worker=f"worker-{number}",
@@ -53,17 +53,18 @@
 
 
 class Workers:
-    """All workers, and the list that names them."""
+    """All simulated workers, and the worker list."""
 
     def __init__(self, simulation: Simulation, calls: dict[int, ClientCall]) -> None:
         self.simulation = simulation
         self.calls = calls
         self.machines = {machine.entry.worker: machine for machine in map(machine_of, range(WORKERS))}
-        self.pending: dict[tuple[int, int], api.AttemptEnded] = {}  # by call and attempt: how they will end
+        # The future end of each attempt in flight, by call number and attempt number.
+        self.pending: dict[tuple[int, int], api.AttemptEnded] = {}
         self.list_version = 1
 
     def whole_list(self, kind: api.ListKind) -> api.WorkerListReceived:
-        """Return the event of a list of all workers."""
+        """Return the event that delivers a list of all workers."""
         self.list_version += 1
         entries = [machine.entry for machine in self.machines.values()]
         listed = tuple(entry for entry in entries if entry.state is not api.WorkerState.GONE)
@@ -77,13 +78,13 @@
         client_call.attempts += 1
         outcome = self.outcome(client_call.arrival, machine)
         if outcome is None and self.simulation.chance(0.3):
-            # It never answers, and nothing but a cancellation or the end of the budget ends the attempt.
-            silence = AttemptOutcome(api.Result.TIMEOUT, 0)
-            self.pending[action.call, number] = self.ending(action, number, silence)
+            # The worker never answers: only a cancellation or the end of the budget ends the attempt.
+            no_answer = AttemptOutcome(api.Result.TIMEOUT, 0)
+            self.pending[action.call, number] = self.attempt_ended(action, number, no_answer)
             return
         if outcome is None or outcome.elapsed_us > action.timeout_us:
             outcome = AttemptOutcome(api.Result.TIMEOUT, action.timeout_us)
-        event = self.ending(action, number, outcome)
+        event = self.attempt_ended(action, number, outcome)
         self.pending[action.call, number] = event
         machine.running += 1
         if event.result in (api.Result.OK, api.Result.RESET) and self.simulation.chance(0.08):
@@ -91,7 +92,9 @@
             self.simulation.after(event.elapsed_us // 2, lambda: self.stream(started))
         self.simulation.after(event.elapsed_us, lambda: self.answer(event, machine))
 
-    def ending(self, action: api.SendAttempt, number: int, outcome: AttemptOutcome) -> api.AttemptEnded:
+    def attempt_ended(
+        self, action: api.SendAttempt, number: int, outcome: AttemptOutcome
+    ) -> api.AttemptEnded:
         """Return the event of an attempt's end."""
         call_ended = outcome.result is api.Result.OK
         if outcome.result is api.Result.ERROR:
@@ -109,7 +112,7 @@
         )
 
     def outcome(self, arrival: api.CallArrived, machine: Machine) -> AttemptOutcome | None:
-        """Draw how an attempt there will end; None for no answer."""
+        """Return a random outcome of an attempt at the worker, or None if it gives no answer."""
         short_us = self.simulation.around(3 * MS)
         if machine.down:
             return AttemptOutcome(api.Result.CONNECT_FAILED, short_us)
@@ -130,17 +133,17 @@
             self.load_copy(machine, arrival.function)
         if self.simulation.chance(0.2):
             warmth = api.Warmth.UNKNOWN
-        failing = (
+        is_failing = (
             self.simulation.now_us < machine.fails_until_us and machine.failing_class == arrival.class_name
         )
-        if failing or arrival.function.startswith("broken") or self.simulation.chance(0.01):
+        if is_failing or arrival.function.startswith("broken") or self.simulation.chance(0.01):
             return AttemptOutcome(api.Result.ERROR, service_us, warmth)
         if self.simulation.chance(0.01):
             return AttemptOutcome(api.Result.RESET, service_us)
         return AttemptOutcome(api.Result.OK, service_us + load_us, warmth)
 
     def service_us(self, arrival: api.CallArrived, machine: Machine) -> int:
-        """Draw how long a worker takes for a call."""
+        """Return a random service time of a call at a worker."""
         service_us = self.simulation.around(Random(arrival.function).choice((20, 60, 150, 400)) * MS)
         if self.simulation.now_us < machine.slow_until_us:
             service_us *= 8
@@ -149,7 +152,7 @@
         return service_us
 
     def load_failure(self, short_us: int) -> AttemptOutcome | None:
-        """Draw how a call that meets no copy ends; None where the worker loads one for it."""
+        """Return a random failure of a call that finds no copy, or None if the worker loads one for it."""
         if not self.simulation.settings.loads_on_miss or self.simulation.chance(0.02):
             return AttemptOutcome(api.Result.MISS, short_us)
         if self.simulation.chance(0.05):
@@ -159,17 +162,17 @@
         return None
 
     def load_copy(self, machine: Machine, function: str) -> None:
-        """Have the worker load a copy now, and drop it after a while."""
+        """Load a copy at the worker now, and unload it after a while."""
         machine.loaded.add(function)
         self.simulation.after(self.simulation.around(12_000 * MS), lambda: machine.loaded.discard(function))
 
     def stream(self, event: api.StreamStarted) -> None:
-        """Start the stream of an attempt that is still out."""
+        """Start to stream the answer of an attempt, if it is still in flight."""
         if (event.call, event.attempt) in self.pending:
             self.simulation.give(event)
 
     def answer(self, event: api.AttemptEnded, machine: Machine) -> None:
-        """End an attempt, unless something else has ended it."""
+        """End an attempt, unless something else has already ended it."""
         machine.running -= 1
         if self.pending.pop((event.call, event.attempt), None) is None:
             return
@@ -177,12 +180,12 @@
             self.calls[event.call].ended = True
         self.simulation.give(event)
         if self.simulation.chance(0.01):
-            self.simulation.give(event)  # an answer that is delivered twice
+            self.simulation.give(event)  # delivers the answer a second time
 
-    def withdraw(self, action: api.CancelAttempt) -> None:
-        """Cancel an attempt that is still out."""
+    def cancel(self, action: api.CancelAttempt) -> None:
+        """Cancel an attempt, if it is still in flight."""
         event = self.pending.get((action.call, action.attempt))
-        if event is None or self.simulation.chance(0.1):  # the cancellation crosses the answer
+        if event is None or self.simulation.chance(0.1):  # the cancellation comes too late
             return
         del self.pending[action.call, action.attempt]
         cancelled = replace(
@@ -221,7 +224,7 @@
     def check_health(self, action: api.SendHealthCheck) -> None:
         """Schedule the end of a health check."""
         machine = self.machines[action.worker]
-        answers = not machine.down and self.simulation.now_us >= machine.hangs_until_us
-        result = api.Result.OK if answers else api.Result.TIMEOUT
-        elapsed_us = 3 * MS if answers else 400 * MS
+        is_answering = not machine.down and self.simulation.now_us >= machine.hangs_until_us
+        result = api.Result.OK if is_answering else api.Result.TIMEOUT
+        elapsed_us = 3 * MS if is_answering else 400 * MS
         self.simulation.give_after(elapsed_us, api.HealthCheckEnded(action.worker, result, elapsed_us, ()))
