--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -29,7 +29,7 @@
 ROUTERS = 570
 START_US = 1_000_000_000  # initial simulated time
 WORST_QUANTILE = 0.99
-MAX_MEMORY_FUNCTIONS = 400  # most functions in each of the two batches of the memory measurement
+MAX_MEMORY_FUNCTIONS = 400  # maximum number of functions in each of the two batches that measure memory
 MEMORY_CALL_START = 10**9  # first call number of the memory measurement, above those of all other calls
 
 
--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -13,12 +13,12 @@
 from maplestile.dispatch.outliers import is_silent_since
 from maplestile.dispatch.state import Call
 
-REJECTION_LATE_RATIO = 0.25  # late ratio above which calls are rejected
+REJECTION_LATE_RATIO = 0.25  # late ratio above which some calls are rejected
 REJECTION_GAIN = 2.0  # increase of the rejection probability per unit of late ratio above that
 MAX_REJECTION_PROBABILITY = 0.6
 LATE_RATIO_TIME_CONSTANT_US = 3_000_000  # time constant of the late ratio's exponential average
 MAX_LATE_RATIO_STEP = 0.1  # largest weight of one answer in the late ratio
-MIN_KEPT_LATE_PRIORITY_WEIGHT = 0.25  # late priority weight at which calls are no longer given up early
+MIN_KEPT_LATE_PRIORITY_WEIGHT = 0.25  # only classes with a lower late priority weight are given up early
 # The answer margin is the time between the latest final answer to a call and the end of the call's budget. It
 # is needed because a busy process answers late. It is the budget divided by `ANSWER_MARGIN_DIVISOR`, within a
 # minimum and a maximum. For budgets below `FULL_MARGIN_BUDGET_US` the fraction itself shrinks with the
@@ -48,17 +48,17 @@
         return self.context.now_us + max(0, budget_us - margin_us)
 
     def rejects(self, repeat: bool) -> bool:
-        """Return whether to reject an arriving call, by one random number that is always drawn.
+        """Return whether to reject an arriving call, with a probability that grows with the late ratio.
 
         Repeats are twice as likely to be rejected. During overload, after the loss of a zone and in retry
-        storms, a few answers in time are worth more than many late ones.
+        storms, a few answers in time are worth more than many late ones. One random number is always drawn.
         """
         raw_probability = REJECTION_GAIN * (self.late_ratio - REJECTION_LATE_RATIO)
         probability = min(MAX_REJECTION_PROBABILITY, raw_probability) * (1 + repeat)
         return self.context.random.random() < probability
 
     def may_refuse(self, call: Call) -> bool:
-        """Return whether the client may be told to retry, which is so only if a repeat is harmless."""
+        """Return whether the client may be told to retry, which requires that a repeat is harmless."""
         if call.call_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         if all(attempt.result in NEVER_RAN for attempt in call.attempts):
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -16,11 +16,12 @@
 MIN_RETRY_WAIT_US = 16_000
 RETRY_WAIT_SERVICE_TIMES = 0.2
 RETRY_WAIT_LOAD_TIMES = 0.01
-OVERDUE_SERVICE_TIMES = 3.0  # an attempt without an answer is overdue after so many expected service times
-# After so many errors of a function that has never succeeded, its calls are no longer retried: its name is
+OVERDUE_SERVICE_TIMES = 3.0  # expected service times after which an attempt without an answer is overdue
+# After this many errors of a function that has never succeeded, its calls are no longer retried: its name is
 # probably wrong, and no worker is to blame.
 UNKNOWN_FUNCTION_ERRORS = 3
-RETRY_AFTER_US = 1_000_000  # asked of a rejected client: an immediate retry would meet the same overload
+# Delay before a rejected client should try again; an immediate retry would meet the same overload.
+RETRY_AFTER_US = 1_000_000
 MAX_HEDGED_ATTEMPTS = 2  # attempts of one call in flight at the same time, the first one included
 
 
@@ -159,7 +160,7 @@
     def abandon(self, call: Call) -> None:
         """Begin no more attempts for a call whose client has disconnected.
 
-        Attempts in flight may still end, and their answer ends the call; without any, it ends now.
+        If attempts are still in flight, the call ends with their outcome; otherwise it ends now.
         """
         call.client_disconnected = True
         if not call.attempts_in_flight():
@@ -188,5 +189,7 @@
         call.open = False
         call.entry.waiting.pop(call.id, None)
         if call.settings.may_cancel and not call.streaming:
-            cancelled = [api.CancelAttempt(call.id, attempt.number) for attempt in call.attempts_in_flight()]
-            self.context.actions.extend(cancelled)
+            cancellations = [
+                api.CancelAttempt(call.id, attempt.number) for attempt in call.attempts_in_flight()
+            ]
+            self.context.actions.extend(cancellations)
--- a/maplestile/dispatch/context.py
+++ b/maplestile/dispatch/context.py
@@ -14,7 +14,7 @@
     """The random functions that decisions use; `random.Random` provides them."""
 
     def random(self) -> float:
-        """Return a random float in the range from 0 to 1, excluding 1."""
+        """Return a random float in the range [0, 1)."""
         ...
 
     def choice(self, seq: Sequence[T], /) -> T:
@@ -61,5 +61,5 @@
             callback()
 
     def decay_factor(self, since_us: int, half_life_keep_alives: float) -> float:
-        """Return the fraction that remains now of a value at `since_us` with this half-life."""
+        """Return the fraction of a value from `since_us` that remains, given its half-life."""
         return float(0.5 ** ((self.now_us - since_us) / (half_life_keep_alives * self.keep_alive_us)))
--- a/maplestile/dispatch/copy_records.py
+++ b/maplestile/dispatch/copy_records.py
@@ -34,8 +34,8 @@
         """
         entry = call.entry
         needs_load = not self.warm_copies.is_warm(entry, worker)
-        is_unloaded = needs_load and call.settings.loads_on_miss and not entry.copy(worker).load_started_us
-        if is_unloaded and not self.warm_copies.is_inferred_warm(entry, worker):
+        starts_load = needs_load and call.settings.loads_on_miss and not entry.copy(worker).load_started_us
+        if starts_load and not self.warm_copies.is_inferred_warm(entry, worker):
             self.loads.begin(entry, worker, requested=False)
         return needs_load
 
--- a/maplestile/dispatch/estimates.py
+++ b/maplestile/dispatch/estimates.py
@@ -14,8 +14,8 @@
 def expected_service_us(call: Call) -> float:
     """Return the call's expected service time, in microseconds.
 
-    The client's hint counts if it is longer than the function's mean suggests, so that a long call is not
-    taken for a sign of a slow or silent worker.
+    The client's hint is used if it gives a longer time than the function's mean, so that a long call is not
+    mistaken for a sign of a slow or silent worker.
     """
     return max(call.entry.service_us, HINT_FACTOR * call.hinted_us)
 
@@ -26,7 +26,7 @@
 
 
 class ServiceTimeEstimates:
-    """The mean service time of each class, used for new functions, and updates of all means."""
+    """Tracks mean service times, and provides initial estimates for new functions of each class."""
 
     def __init__(self) -> None:
         self.class_service_us: dict[str, float] = {}  # mean service time by class name
--- a/maplestile/dispatch/events.py
+++ b/maplestile/dispatch/events.py
@@ -46,7 +46,7 @@
     call: int
     attempt: int
     worker: str
-    elapsed_us: int  # since the attempt was sent
+    elapsed_us: int  # time since the attempt was sent
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
     attempt: int
     worker: str
     result: Result
-    elapsed_us: int  # since the attempt was sent
+    elapsed_us: int  # time since the attempt was sent
     call_ended: bool  # whether the client has received this answer, which completes the call
     warmth: Warmth
     queued_ahead: int  # requests for the same function already at the worker when this one arrived
@@ -70,7 +70,7 @@
 
     worker: str
     result: Result
-    elapsed_us: int  # since it was sent
+    elapsed_us: int  # time since the health check was sent
     report: tuple[tuple[str, float], ...]  # the worker's load report, as names and values
 
 
@@ -81,7 +81,7 @@
     worker: str
     function: str
     result: Result
-    elapsed_us: int  # since it was sent
+    elapsed_us: int  # time since the load request was sent
     copies: int  # number of copies that the worker has now
 
 
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -49,7 +49,7 @@
         self.index.update([w for w in running if w.entry.zone not in self.lost_zones] or running)
 
     def ranked(self, entry: FunctionEntry, count: int = 1) -> list[Worker]:
-        """Return the function's preferred workers, best first: at least `count` of them, or all.
+        """Return the function's preferred workers, best first: at least `count`, or all if there are fewer.
 
         The hash of the function's and the worker's names has no seed, so the ranking is the same at all
         dispatchers.
--- a/maplestile/dispatch/keep_warm.py
+++ b/maplestile/dispatch/keep_warm.py
@@ -11,7 +11,7 @@
 
 
 class KeepWarm:
-    """Makes the load requests that are sent periodically and not for a call."""
+    """Sends the load and keep-warm requests that are not triggered by a call."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/outliers.py
+++ b/maplestile/dispatch/outliers.py
@@ -11,15 +11,16 @@
 RESET_STEP = 0.2  # the same for a broken connection, which may just as well be the network's fault
 ALL_GROUPS_FACTOR = 0.5  # fraction of a step that also counts against the worker for all groups
 EJECTION_SCORE = 0.45  # failure score at and above which calls avoid a worker
-SCORE_HALF_LIFE_KEEP_ALIVES = 0.7  # half-life of a failure score, in keep-alive times
-RESET_COALESCING_TICKS = 2  # resets of one worker within so many timer ticks count as one
+# Half-life of a failure score, in keep-alive times. Once a score has decayed, calls try the worker again.
+SCORE_HALF_LIFE_KEEP_ALIVES = 0.7
+RESET_COALESCING_TICKS = 2  # broken connections to a worker within this many timer ticks count as one
 # A worker is slow if the logarithm of its latency ratio (answer time over expected time) exceeds the fleet's
 # median by more than this; e**1.1 is three times as long.
 SLOW_WORKER_LOG_RATIO = 1.1
 CONNECT_BACKOFF_US = 1_000_000  # first backoff after a failed connection attempt
 FULL_BACKOFF_SERVICE_TIMES = 0.5  # first backoff after a "full" answer, in service times
 MAX_BACKOFF_DOUBLINGS = 5  # the longest backoff is 2**5 = 32 times the first
-MEMORY_EXHAUSTED_LOAD_TIMES = 0.2  # pause of loads at a worker without memory for one, in load times
+MEMORY_EXHAUSTED_LOAD_TIMES = 0.2  # pause in loads at a worker that had no memory for one, in load times
 
 ALL_GROUPS = ""  # the key of scores and backoffs that apply to every group of calls
 
@@ -82,7 +83,10 @@
         return score * self.context.decay_factor(since_us, SCORE_HALF_LIFE_KEEP_ALIVES)
 
     def is_healthy(self, call: Call, worker: Worker) -> bool:
-        """Return whether the worker is healthy for the call; a slow worker is not while it has a call."""
+        """Return whether the worker is healthy for the call's group.
+
+        A slow worker counts as unhealthy while it has a call in flight, so that it gets one call at a time.
+        """
         if worker.busy and worker.latency_log_ratio > self.fleet_log_ratio + SLOW_WORKER_LOG_RATIO:
             return False
         if not worker.failure_scores:
@@ -99,7 +103,7 @@
         return self.context.now_us < worker.backoff_until_us.get(ALL_GROUPS, 0)
 
     def update_fleet_latency(self, workers: Collection[Worker]) -> None:
-        """Update the fleet's median latency ratio, with which each worker's is compared."""
+        """Update the fleet's median latency ratio, the reference for finding slow workers."""
         log_ratios = sorted([0.0, *(worker.latency_log_ratio for worker in workers)])
         self.fleet_log_ratio = log_ratios[(len(workers) + 1) // 2]
 
--- a/maplestile/dispatch/packed.py
+++ b/maplestile/dispatch/packed.py
@@ -75,5 +75,5 @@
 
 def _marks_below(limit: int) -> bytes:
     """Return a table for `bytes.translate`: 1 for top bytes of products below the limit, 0 for others."""
-    marked = min(BYTE_VALUES, (limit >> (HASH_BITS - 8)) + 1)
-    return b"\1" * marked + b"\0" * (BYTE_VALUES - marked)
+    marked_values = min(BYTE_VALUES, (limit >> (HASH_BITS - 8)) + 1)
+    return b"\1" * marked_values + b"\0" * (BYTE_VALUES - marked_values)
--- a/maplestile/dispatch/placement.py
+++ b/maplestile/dispatch/placement.py
@@ -14,18 +14,16 @@
 from maplestile.dispatch.state import Call, CallTable, FunctionEntry, Worker
 from maplestile.dispatch.warm_copies import WarmCopies
 
-# A function's share of this dispatcher's work is estimated as if so many more calls of other functions had
+# A function's share of this dispatcher's work is estimated as if this many more calls of other functions had
 # arrived. Without them, the first calls after a start would make each function appear to be the whole load.
 PRIOR_CALLS = 15.0
-REPLICA_WORK_SHARE = 0.33  # most work that one function may bring a replica, relative to an average worker's
-REPLICA_UTILIZATION = (
-    0.5  # fraction of a replica's lanes that calls of the function from all dispatchers fill
-)
+REPLICA_WORK_SHARE = 0.33  # limit on a function's work at each replica, relative to an average worker's work
+REPLICA_UTILIZATION = 0.5  # fraction of a replica's lanes that a function's calls in the whole fleet may fill
 MAX_CANDIDATES = 8  # workers considered when none of the sampled replicas can take the call
 OVERFLOW_WORKERS = 2  # workers considered after the replicas
 SAMPLED_REPLICAS = 3  # replicas drawn for a call, by weight and with replacement
-FAIR_SHARE_FACTOR = 2.0  # limit of this dispatcher's calls in flight at a worker, relative to the average
-QUEUED_CALLS_PER_LANE = 2.0  # limit of this dispatcher's calls at a copy, running calls included
+FAIR_SHARE_FACTOR = 2.0  # limit on this dispatcher's calls in flight at a worker, relative to the average
+QUEUED_CALLS_PER_LANE = 2.0  # limit on this dispatcher's calls at a copy, including those that are running
 
 
 class Placement:
@@ -122,9 +120,9 @@
     ) -> Worker | None:
         """Return the function's home, or None if it ranks too low or is given up for a new replica.
 
-        The first calls of every function go to its first replica. So when the number of replicas grows from
-        `m` to `n`, the home is given up with probability `1 - m / n`. The random number is always drawn, even
-        if it is not used.
+        All dispatchers send a function's first calls to its first replica. To spread the calls when the
+        number of replicas grows from `m` to `n`, the home is given up with probability `1 - m / n`. The
+        random number is always drawn, even if it is not used.
         """
         is_given_up = self.context.random.random() * count > entry.replica_count
         if home is None or is_given_up or home not in ranked[: 2 * count - 1]:
@@ -184,7 +182,7 @@
                 return
 
     def _queueable_workers(self, entry: FunctionEntry, usable: list[Worker]) -> list[Worker]:
-        """Return the workers with a loaded or loading copy and not too many calls waiting for it."""
+        """Return the usable workers with a loaded or loading copy whose queue has room for another call."""
         with_copy = [
             worker
             for worker in usable
--- a/maplestile/dispatch/ranking.py
+++ b/maplestile/dispatch/ranking.py
@@ -23,14 +23,15 @@
 from maplestile.dispatch.hashing import HASH_BITS, unit_hash
 from maplestile.dispatch.packed import PackedHashes
 
-# A rebuilt ranking holds twice as many workers as wanted and this many more, which may leave before it is
-# rebuilt again.
+# A rebuilt ranking holds twice as many workers as wanted and this many more. So many workers can leave before
+# it has to be rebuilt again.
 SPARE_WORKERS = 8
-BOUND_GUESS_FACTOR = 3.0  # factor by which the guessed bound aims too high, since too few need a second pass
+# A pass aims to find this many times as many workers as it needs, since finding too few costs a second pass.
+BOUND_GUESS_FACTOR = 3.0
 BOUND_GUESS_GROWTH = 4  # factor by which the bound grows for each further pass
-MAX_WEIGHT_GROUPS = 16  # most distinct weights for which a pass uses the packed hashes
-# Applying one change costs about as much as looking at this many workers in a pass. More changes than are
-# worth applying are not kept.
+MAX_WEIGHT_GROUPS = 16  # maximum number of distinct weights for which a pass uses the packed hashes
+# Applying one change costs about as much as looking at this many workers in a pass. Changes are dropped once
+# applying them all would cost more than a pass.
 CHANGE_COST = 4
 MIN_WEIGHT = 1e-6  # prevents the division of a hash by a weight of 0
 REMOVED_WEIGHT = 0.0  # marks a worker that may no longer be ranked
@@ -38,7 +39,7 @@
 ROUNDING_MARGIN = 1 - 1e-9  # lowers a bound slightly, so that rounding errors never make it too high
 
 
-class Entry(Protocol):
+class RankableEntry(Protocol):
     """The entry of a worker in the worker list."""
 
     @property
@@ -56,7 +57,7 @@
         ...
 
     @property
-    def entry(self) -> Entry:
+    def entry(self) -> RankableEntry:
         """The worker's current entry in the worker list."""
         ...
 
--- a/maplestile/dispatch/retry.py
+++ b/maplestile/dispatch/retry.py
@@ -5,9 +5,12 @@
 from maplestile.dispatch.fleet import Fleet
 from maplestile.dispatch.state import Attempt, Call, Worker
 
-RETRY_AT_SAME_WORKER = (Result.MISS, Result.FULL)  # results after which the same worker may be tried again
-RETRIES_PER_CALL = 0.3  # retries that each call adds to the budget, which prevents retry storms
-MAX_RETRY_BUDGET = 20.0  # most retries that the budget can hold
+RETRYABLE_AT_SAME_WORKER = (
+    Result.MISS,
+    Result.FULL,
+)  # results after which the same worker may be tried again
+RETRIES_PER_CALL = 0.3  # retries that each arriving call adds to the budget; the limit prevents retry storms
+MAX_RETRY_BUDGET = 20.0  # maximum number of retries in the budget
 
 
 class RetryPolicy:
@@ -19,7 +22,7 @@
         self.budget = MAX_RETRY_BUDGET
 
     def add_to_budget(self) -> None:
-        """Add the share of a retry that one more call earns."""
+        """Add the fraction of a retry that an arriving call earns."""
         self.budget = min(MAX_RETRY_BUDGET, self.budget + RETRIES_PER_CALL)
 
     def has_budget(self) -> bool:
@@ -36,7 +39,7 @@
         results = [
             attempt.result
             for attempt in call.attempts
-            if attempt.worker is worker and attempt.result not in RETRY_AT_SAME_WORKER
+            if attempt.worker is worker and attempt.result not in RETRYABLE_AT_SAME_WORKER
         ]
         # One broken connection says little about the worker, so it may be tried once more.
         was_tried_there = results and results != [Result.RESET]
--- a/maplestile/dispatch/settings.py
+++ b/maplestile/dispatch/settings.py
@@ -43,31 +43,27 @@
     tick_us: int  # granularity of timers
     must_poll_list: bool  # whether the worker list must be polled, since its changes are not sent
     may_request_loads: bool  # whether load and unload requests are allowed
-    loads_on_miss: (
-        bool  # whether a worker without a copy loads one for a call instead of answering with a miss
-    )
+    loads_on_miss: bool  # whether a worker without a copy loads one for a call instead of answering "miss"
     keep_alive_us: int  # minimum time for which a worker keeps an idle copy, unless it needs the memory
     kind_memory_mb: tuple[tuple[str, float], ...]  # memory of a worker, by its kind
     load_timeout_us: int  # timeout for the answer to a load request
     load_request_window_us: int  # window in which load requests are counted; 0 if they are not limited
     load_requests_free: float  # load requests that may be sent in any window
     load_requests_per_call: float  # additional load requests for each call that arrived in the window
-    max_attempts: int  # most attempts of one call
+    max_attempts: int  # maximum number of attempts of one call
     may_cancel: bool  # whether attempts may be cancelled
     may_hedge: bool  # whether two attempts of a call may be in flight at the same time
     may_probe: bool  # whether health checks are allowed
     answer_slack_us: int  # how long after a call's deadline its answer still counts
-    drain_grace_us: (
-        int  # time after the announcement of a worker's drain in which calls may still begin there
-    )
+    drain_grace_us: int  # time from the notification of a worker's drain until no call may begin there
     slow_start_share: float  # fraction of its capacity that a worker has right after its start
     slow_start_us: int  # time after its start until a worker has its full capacity
     overload_multiple: float  # a starting worker is overloaded above this multiple of its current capacity
     overload_window_us: int  # time after which such an overload crashes a starting worker
     # Used only by the network side.
-    streams_per_connection: int = 32  # most requests in flight on one connection
+    streams_per_connection: int = 32  # maximum number of requests in flight on one connection
     idle_close_us: int = 0  # idle time after which a worker closes a connection
     connect_timeout_us: int = 0
-    max_open: int = 0  # most open requests of one router; 0 for the default limit
+    max_open: int = 0  # maximum number of open requests of one router; 0 for the default limit
     tenants: tuple[str, ...] = ()
     epoch: int = 0  # of the policy that these settings belong to, if the routers agree on one
--- a/maplestile/dispatch/slow_start.py
+++ b/maplestile/dispatch/slow_start.py
@@ -21,17 +21,17 @@
         self.load_rate = load_rate
 
     def admits(self, worker: Worker, settings: Settings, work_us: float, min_calls: float) -> bool:
-        """Return whether `work_us` more work may go to the worker now.
+        """Return whether `work_us` more microseconds of work may be sent to the worker now.
 
-        In each overload window a dispatcher may send a fraction of its usual work there, or of the work of
-        `min_calls` calls if that is more. The limit is rounded to whole calls by a random number of the
-        dispatcher and the window, so that the limits add up correctly over any number of dispatchers. Load
-        requests pass 0 as `min_calls`: they are repeated until they are admitted. Retries pass infinite work,
-        and are never admitted.
+        In each overload window, a dispatcher may send a fraction of its usual work there, or of the work of
+        `min_calls` calls if that is more. Whether the last call still fits is decided by a random number that
+        is fixed for the dispatcher, the worker and the window, so that on average the limits of any number of
+        dispatchers add up to the intended sum. Load requests pass 0 as `min_calls`, as they are repeated
+        until they are admitted. Retries pass infinite work, and are never admitted.
         """
         context = self.context
         warming_us = max(0, context.now_us - worker.entry.started_us)
-        progress = warming_us / max(1, settings.slow_start_us)  # the capacity rises linearly, or faster
+        progress = warming_us / max(1, settings.slow_start_us)  # the capacity rises at least linearly
         if not worker.entry.started_us or progress >= 1:
             return True
         capacity_share = settings.slow_start_share + (1 - settings.slow_start_share) * progress
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -40,9 +40,7 @@
         """Return the sum of the amounts in the window that ends now; drop older amounts."""
         while self.amounts and self.amounts[0][0] <= now_us - self.span_us:
             self.sum -= self.amounts.popleft()[1]
-        return (
-            self.sum if self.amounts else 0.0
-        )  # rounding errors may leave the sum of an empty window nonzero
+        return self.sum if self.amounts else 0.0  # the sum of an empty window may contain rounding errors
 
 
 @dataclass(slots=True, eq=False)
@@ -51,7 +49,7 @@
 
     count: int = 0  # copies last known to be loaded
     busy: int = 0  # this dispatcher's attempts in flight
-    last_used_us: int = 0
+    last_used_us: int = 0  # time of the last known use or renewal
     load_started_us: int = 0  # 0 if no load is in progress
     load_requested: bool = False  # whether the load was started by a load request and not by a call
     missing_since_us: int = 0  # when the worker last answered that it has no copy; 0 if it has one again
@@ -75,14 +73,10 @@
     latency_log_ratio: float = 0.0  # running mean of log(answer time / expected time)
     copies: dict[str, Copy] = field(default_factory=dict)  # by function name
     # By group of calls:
-    failure_scores: dict[str, tuple[float, int]] = field(
-        default_factory=dict
-    )  # score, time of its last update
+    failure_scores: dict[str, tuple[float, int]] = field(default_factory=dict)  # score, time of its update
     last_answer_us: dict[str, int] = field(default_factory=dict)  # time of the last successful answer
     backoff_until_us: dict[str, int] = field(default_factory=dict)
-    backoff_doublings: dict[str, int] = field(
-        default_factory=dict
-    )  # doublings since the last successful answer
+    backoff_doublings: dict[str, int] = field(default_factory=dict)  # since the last successful answer
 
 
 @dataclass(slots=True, eq=False)
@@ -119,9 +113,7 @@
     home: str = ""  # name of the worker that served the function last and is tried first; "" for none
     gap_us: int = 0  # between the last two calls
     last_call_us: int = 0
-    decayed_work: float = (
-        0.0  # exponentially decayed service time of this dispatcher's calls, in microseconds
-    )
+    decayed_work: float = 0.0  # exponentially decayed service time of this dispatcher's calls (microseconds)
     busy: int = 0  # this dispatcher's attempts in flight
     insertion_number: int = 0  # of the last insertion into a tier
     replica_count: int = 1
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -13,7 +13,7 @@
 from maplestile.dispatch.recency import AgeHeap
 from maplestile.dispatch.state import CACHING, MULTIPLE, SINGLE, FunctionEntry
 
-# Fraction of the fleet's memory for the copies of all caching tiers; the rest is for the other copies in use.
+# Fraction of the fleet's memory for the copies of the caching tier; the rest is for all other copies in use.
 CACHING_MEMORY_SHARE = 0.5
 # The single tier may be this many times as large as the caching tier, so that a rare function is still listed
 # when its second call arrives, which gives its first gap.
@@ -33,7 +33,7 @@
         self.functions: dict[str, FunctionEntry] = {}
         self.tiers: tuple[dict[str, FunctionEntry], ...] = ({}, {}, {})
         self.by_age = [AgeHeap[FunctionEntry](tier) for tier in (SINGLE, MULTIPLE, CACHING)]
-        self.capacity = 1  # most functions in the multiple tier, and in the caching tier
+        self.capacity = 1  # maximum number of functions in the multiple tier, and in the caching tier
         self.kind_memory_mb = dict(context.settings.kind_memory_mb)
 
     def add(self, function: str, service_us: float, load_us: float) -> FunctionEntry:
@@ -49,7 +49,7 @@
         if entry.last_call_us and self.context.now_us > entry.last_call_us:
             entry.gap_us = self.context.now_us - entry.last_call_us
         self.load_rate.record_call(entry)
-        if not self.tiers[CACHING]:  # resized only while empty, so that no function has to leave it
+        if not self.tiers[CACHING]:  # only while it is empty, so that no function is forced out
             self._update_capacity()
         if not entry.is_listed():
             self.insert(entry, SINGLE)
@@ -89,7 +89,7 @@
                 self.evict(oldest)
 
     def evict(self, entry: FunctionEntry) -> None:
-        """Drop all records of the function; otherwise they would pile up, as new names keep arriving."""
+        """Drop all records of the function; otherwise they would accumulate, as new names keep arriving."""
         del self.functions[entry.function]
         del self.tiers[entry.tier][entry.function]
         self.loads.forget(entry.drop_copies())
--- a/maplestile/dispatch/warm_copies.py
+++ b/maplestile/dispatch/warm_copies.py
@@ -12,7 +12,7 @@
 
 
 class WarmCopies:
-    """Answers whether a worker has a warm copy of a function or is loading one."""
+    """Determines whether a worker has a warm copy of a function or is loading one."""
 
     def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate) -> None:
         self.context = context
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -148,7 +148,7 @@
 
 
 def serve_call(driver: Driver, call: int, function: str) -> str:
-    """Have a call arrive and be answered after `SERVICE_US`; return the name of its worker."""
+    """Simulate a call that is answered after `SERVICE_US`; return the name of its worker."""
     worker = sends(driver.give(arrival(call, function)))[0].worker
     driver.run(SERVICE_US)
     driver.give(ended(call, 0, worker, api.Result.OK))
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -32,7 +32,10 @@
         return settings(router_count=self.routers, load_request_window_us=0)
 
     def max_calls(self, since_us: int) -> float:
-        """Return the most calls allowed in the overload window that ends `since_us` after the start."""
+        """Return how many calls are allowed in the overload window that ends `since_us` after the start.
+
+        The result includes slack for random variation.
+        """
         router_settings = self.settings()
         progress = min(
             1.0, max(0, since_us - router_settings.overload_window_us) / router_settings.slow_start_us
@@ -51,11 +54,11 @@
 
 def hot_function(scenario: Scenario) -> str:
     """Return the name of a function whose first replica is the cold worker in every router's ranking."""
-    probe = Driver(scenario.settings(), [*warm_workers(scenario), entry("cold")])
+    driver = Driver(scenario.settings(), [*warm_workers(scenario), entry("cold")])
     for number in itertools.count():
         name = f"hot-{number}"
-        probe.give(arrival(number + 1, name))
-        if probe.dispatcher.fleet.ranked(probe.dispatcher.tiers.functions[name])[0].entry.worker == "cold":
+        driver.give(arrival(number + 1, name))
+        if driver.dispatcher.fleet.ranked(driver.dispatcher.tiers.functions[name])[0].entry.worker == "cold":
             return name
     raise AssertionError
 
@@ -186,18 +189,18 @@
         self.processed = len(self.driver.log)
 
 
-def worst_window(scenario: Scenario) -> tuple[float, int, int]:
+def fullest_window(scenario: Scenario) -> tuple[float, int, int]:
     """Return how full the fullest overload window is, as a fraction of its limit, with its calls and end."""
     hot = hot_function(scenario)
     window_us = scenario.settings().overload_window_us
     sent_us = sorted(
         at_us for number in range(scenario.routers) for at_us in SimulatedRouter(scenario, number, hot).run()
     )
-    worst = (0.0, 0, 0)
+    fullest = (0.0, 0, 0)
     first = 0
     for last, at_us in enumerate(sent_us):
         while sent_us[first] <= at_us - window_us:
             first += 1
         count = last - first + 1
-        worst = max(worst, (count / scenario.max_calls(at_us), count, at_us))
-    return worst
+        fullest = max(fullest, (count / scenario.max_calls(at_us), count, at_us))
+    return fullest
--- a/tests/test_decide_loads.py
+++ b/tests/test_decide_loads.py
@@ -104,7 +104,7 @@
 
 
 def test_few_large_workers_may_load_many_functions_at_once() -> None:
-    """With six workers that hold a thousand copies each, a cap of two loads held back most calls."""
+    """With six workers that hold a thousand copies each, a cap of two loads used to hold back most calls."""
     large = Driver(settings(router_count=3, kind_memory_mb=(("k", 400_000.0),)), WORKERS)
     small = Driver(settings(router_count=3), WORKERS)
     for driver in (large, small):  # both have been running for a long time
@@ -120,7 +120,7 @@
 
 
 def test_full_answer_to_a_load_does_not_block_loaded_functions() -> None:
-    """In a run with large workers, all 4,052 full answers concerned loads, but blocked the whole class."""
+    """In a run with large workers, all 4,052 full answers were to loads, but blocked the whole call class."""
     driver = Driver(settings(), WORKERS[:1])
     driver.give(arrival(1, "warm"))
     driver.give(ended(1, 0, "w0", api.Result.OK))
--- a/tests/test_decide_tiers.py
+++ b/tests/test_decide_tiers.py
@@ -135,7 +135,7 @@
 
 
 def test_retry_of_hot_function_checks_only_a_few_replicas() -> None:
-    """A burst of calls that full workers rejected once made each attempt check all replicas."""
+    """When full workers rejected a burst of calls, each attempt used to check all replicas."""
     driver = Driver(settings(router_count=300), [entry(f"w{i}") for i in range(90)])
     for call in range(40):
         driver.run(100 * MS)
--- a/tests/test_decide_worker_health.py
+++ b/tests/test_decide_worker_health.py
@@ -52,15 +52,13 @@
     home = serve_call(driver, 1, "f")
     hinted = replace(arrival(2, "f", budget_us=10_000 * MS), cost_us=900 * MS)
     assert [send.worker for send in sends(driver.give(hinted))] == [home]
-    assert not sends(
-        driver.run(1_700 * MS)
-    )  # many mean service times of f, but less than twice the call's hint
+    # The wait is many mean service times of f, but less than twice the call's hint.
+    assert not sends(driver.run(1_700 * MS))
     assert not driver.dispatcher.workers[home].failure_scores
     driver.give(ended(2, 0, home, api.Result.OK, 1_700 * MS))
     assert driver.dispatcher.tiers.functions["f"].home == home
-    driver.give(
-        arrival(3, "f", budget_us=10_000 * MS)
-    )  # without a hint, the same silence counts as a symptom
+    # Without a hint, the same silence counts as a symptom.
+    driver.give(arrival(3, "f", budget_us=10_000 * MS))
     assert sends(driver.run(1_700 * MS)) and driver.dispatcher.workers[home].failure_scores
 
 
@@ -71,9 +69,8 @@
         assert sends(driver.give(arrival(call, "f", "unsafe")))[0].worker == home
     for call in (2, 3):
         assert final_answers(driver.give(ended(call, 0, home, api.Result.RESET))) == [api.FailCall(call)]
-    assert (
-        sends(driver.give(arrival(4, "f")))[0].worker == home
-    )  # the copy is still loaded, and the worker is healthy
+    # The copy is still loaded, and the worker is healthy.
+    assert sends(driver.give(arrival(4, "f")))[0].worker == home
     driver.give(ended(4, 0, home, api.Result.OK))
     for call in (5, 6, 7):  # a worker whose connections break repeatedly is avoided nevertheless
         for send in sends(driver.give(arrival(call, "f", "unsafe"))):
@@ -110,9 +107,8 @@
     backoffs_us = []
     for call in range(3):
         driver.run(60_000 * MS)
-        driver.give(
-            replace(arrival(10 + call, "f"), tenant="b")
-        )  # loads a copy, so no later call needs a load
+        # This call loads a copy, so that the next call needs no load.
+        driver.give(replace(arrival(10 + call, "f"), tenant="b"))
         driver.give(ended(10 + call, 0, "w0", api.Result.OK, MS))
         driver.give(replace(arrival(call, "f"), tenant="a"))
         driver.give(ended(call, 0, "w0", api.Result.FULL, MS))
@@ -129,7 +125,7 @@
         self.calls = 0
 
     def call(self, function: str) -> api.SendAttempt:
-        """Have a call arrive, and return its only attempt."""
+        """Simulate the arrival of a call, and return its only attempt."""
         self.calls += 1
         (send,) = sends(self.driver.give(replace(arrival(self.calls, function), cost_us=NORMAL_ANSWER_US)))
         return send
--- a/tests/test_many_routers.py
+++ b/tests/test_many_routers.py
@@ -5,7 +5,7 @@
 
 
 def test_function_has_few_copies_with_forty_routers() -> None:
-    """A twentieth of the work of 40 workers is twice an average worker's; it once led to 12 replicas."""
+    """A twentieth of the work of 40 workers, twice an average worker's, used to lead to 12 replicas."""
     router_settings = settings(router_count=40)
     workers = [entry(f"w{number}") for number in range(40)]
     used = set[str]()
@@ -45,7 +45,7 @@
 
 
 def test_silent_zone_is_avoided_after_few_calls_and_used_again_after_probe() -> None:
-    """In a large fleet, a router rarely meets each worker, and once kept sending calls into a lost zone."""
+    """In a large fleet, a router rarely uses each worker, so it used to keep sending calls to a lost zone."""
     router_settings = settings(router_count=40, may_probe=True)
     sent_to_lost = 0
     probes = 0
@@ -79,7 +79,7 @@
 
 
 def test_silent_workers_cause_no_rejections() -> None:
-    """Calls that a lost zone had made late once led to rejections, even for seconds after its return."""
+    """Calls made late by a lost zone used to cause rejections, even for seconds after its return."""
     driver = Driver(settings(router_count=40), workers_in_zones(36))
     rejected = 0
     for call in range(300):
@@ -92,7 +92,7 @@
 
 
 def test_routers_of_a_large_fleet_do_not_renew_copies_kept_warm_by_calls() -> None:
-    """Once, each router renewed every copy of its caching tier in every sweep: 200 requests per second."""
+    """Each router used to renew every copy of its caching tier in every sweep: 200 requests per second."""
     for routers, is_renewed in ((40, False), (2, True)):
         driver = Driver(settings(router_count=routers), [entry(f"w{number}") for number in range(12)])
         for call in range(24):
@@ -103,10 +103,10 @@
 
 
 def test_answers_in_time_lower_the_late_ratio() -> None:
-    """Answers from copies that other routers had loaded once did not count.
+    """Answers from copies loaded by other routers used not to count.
 
-    In a large fleet these are most of a router's answers, so it kept rejecting calls for ten seconds after
-    the load was back to normal.
+    They are most of a router's answers in a large fleet, so it kept rejecting calls for ten seconds after the
+    load was back to normal.
     """
     driver = Driver(settings(router_count=40), [entry(f"w{number}") for number in range(40)])
     driver.dispatcher.admission.late_ratio = 0.5
@@ -134,9 +134,9 @@
 
 
 def test_workers_refusing_connections_are_avoided_and_so_is_a_zone_of_them() -> None:
-    """A lost zone may refuse connections at once: 400 per second were once refused while it was lost."""
+    """A lost zone may refuse connections at once; routers used to try 400 connections per second."""
     router_settings = settings(router_count=40, may_probe=True)
-    refused_by_count = {1: 0, 12: 0}  # refused connections, if one worker or all twelve of a zone refuse
+    refused_by_count = {1: 0, 12: 0}  # refused connections, by the number of refusing workers
     for count in refused_by_count:
         for seed in range(10):
             driver = Driver(router_settings, workers_in_zones(36), seed)
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -9,9 +9,18 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "maplestile" / "dispatch"
 MODULES = sorted(PACKAGE.glob("*.py"))
-PURE = {"bisect", "collections", "collections.abc", "dataclasses", "enum", "hashlib", "heapq", "itertools"}
-PURE |= {"math", "typing"}
-SEEDED = {"random"}  # allowed only in `dispatcher.py`, which seeds it
+PURE_MODULES = {
+    "bisect",
+    "collections",
+    "collections.abc",
+    "dataclasses",
+    "enum",
+    "hashlib",
+    "heapq",
+    "itertools",
+}
+PURE_MODULES |= {"math", "typing"}
+SEEDED_MODULES = {"random"}  # allowed only in `dispatcher.py`, which seeds it
 MAX_LINES = 400  # length limit of one module
 
 
@@ -23,7 +32,7 @@
         assert max(map(len, lines), default=0) <= 110, file
 
 
-def imported(file: Path) -> set[str]:
+def imported_modules(file: Path) -> set[str]:
     """Return the modules that a file imports, and check that it calls no function that reads or writes."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
@@ -38,8 +47,8 @@
 
 def test_dispatch_imports_only_pure_modules() -> None:
     for file in MODULES:
-        foreign = {name for name in imported(file) if not name.startswith("maplestile.dispatch")}
-        assert foreign <= PURE | (SEEDED if file.stem == "dispatcher" else set()), file
+        foreign = {name for name in imported_modules(file) if not name.startswith("maplestile.dispatch")}
+        assert foreign <= PURE_MODULES | (SEEDED_MODULES if file.stem == "dispatcher" else set()), file
 
 
 def run_adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -210,7 +210,7 @@
 
 
 def test_heap_size_is_bounded_without_lookups() -> None:
-    """Once, each call of an entry left an element in the heap for good: 20 MB in 45 minutes."""
+    """Each call of an entry used to leave an element in the heap for good: 20 MB in 45 minutes."""
     heap = AgeHeap[TierEntry](2)
     entries = [TierEntry(number, tier=2) for number in range(10)]
     for number in range(5_000):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -54,7 +54,7 @@
         self.call_class: dict[int, api.CallClass] = {}
         self.answered_us: dict[int, int] = {}
         self.attempts: dict[int, list[SentAttempt]] = {}
-        self.barred: set[str] = set()  # workers that are draining or gone
+        self.unavailable: set[str] = set()  # workers that are draining or gone
         self.arrivals_us: list[int] = []
         self.load_requests_us: list[int] = []  # times of the load requests that ask for copies
         self.open_load_requests: list[api.RequestLoad] = []
@@ -79,7 +79,7 @@
         """Check that an attempt may begin at its worker, and may repeat its call."""
         assert send.call not in self.answered_us
         assert now_us < self.due_us[send.call]
-        assert send.worker not in self.barred
+        assert send.worker not in self.unavailable
         self.check_repeat(now_us, send)
         self.attempts.setdefault(send.call, []).append(SentAttempt(send.worker, now_us))
 
@@ -111,7 +111,7 @@
         self.open_load_requests.append(request)
         if not request.copies:
             return
-        assert request.worker not in self.barred
+        assert request.worker not in self.unavailable
         self.load_requests_us.append(now_us)
         since_us = now_us - self.settings.load_request_window_us
         calls = sum(at_us >= since_us for at_us in self.arrivals_us)
@@ -134,7 +134,7 @@
             self.give_noise(first, second)
 
     def call(self, first: int, second: int) -> None:
-        """Have a call arrive."""
+        """Simulate the arrival of a call."""
         call = len(self.call_class)
         self.call_class[call] = CLASSES[first % len(CLASSES)]
         budget_us = (50 + second * 4) * MS
@@ -184,9 +184,9 @@
         worker = WORKERS[first % len(WORKERS)]
         state = list(api.WorkerState)[second % 3]
         if state is api.WorkerState.RUNNING:
-            self.barred.discard(worker)
+            self.unavailable.discard(worker)
         else:
-            self.barred.add(worker)
+            self.unavailable.add(worker)
         self.give(worker_list(entry(worker, state, self.driver.now_us), kind=api.ListKind.DELTA))
 
     def give_noise(self, first: int, second: int) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.slow_start import Scenario, worst_window
+from tests.slow_start import Scenario, fullest_window
 
 SIZES = ((3, 6, 5.0), (30, 12, 10.0), (200, 36, 12.0))  # routers, workers, calls a second at each worker
 
@@ -12,15 +12,15 @@
 def test_calls_of_all_routers_stay_within_cold_worker_limit(restarted: bool, hot_share: float) -> None:
     """The limit also holds if all routers send one hot function's calls there and three in four just started.
 
-    Once, each of 200 routers let one call of the hot function through: 40 in two seconds, with 34 allowed.
+    Each of 200 routers used to let one call of the hot function through: 40 in two seconds, with 34 allowed.
     """
     for routers, workers, calls_per_s in SIZES:
         scenario = Scenario(routers, workers, calls_per_s, hot_share=hot_share, restarted=restarted)
-        fraction, calls, at_us = worst_window(scenario)
+        fraction, calls, at_us = fullest_window(scenario)
         assert fraction <= 1, f"{calls} calls of {routers} routers in the window up to {at_us / 1e6:.2f} s"
 
 
 def test_cold_worker_gets_some_calls_however_many_routers_share_it() -> None:
     """The slow-start limit reduces the calls to a cold worker, but does not stop them."""
     for routers, workers, calls_per_s in SIZES:
-        assert worst_window(Scenario(routers, workers, calls_per_s))[1] > 1
+        assert fullest_window(Scenario(routers, workers, calls_per_s))[1] > 1
--- a/tests/trace_clients.py
+++ b/tests/trace_clients.py
@@ -41,7 +41,7 @@
         return f"function-{(rank + 7 * phase) % FUNCTIONS}"
 
     def arrive(self) -> None:
-        """Have a call arrive, and schedule the next one."""
+        """Simulate the arrival of a call, and schedule the next one."""
         rate_factor = 5 if self.simulation.now_us < self.simulation.overload_until_us else 1
         self.simulation.after(self.simulation.around(MEAN_GAP_US // rate_factor), self.arrive)
         call_class = self.simulation.random.choices(CLASSES, CLASS_WEIGHTS)[0]
--- a/tests/trace_environment.py
+++ b/tests/trace_environment.py
@@ -34,7 +34,7 @@
 
     def list_workers(self) -> None:
         """Pass a list of all workers to the dispatcher."""
-        self.simulation.give(self.workers.whole_list(api.ListKind.FULL))
+        self.simulation.give(self.workers.complete_list(api.ListKind.FULL))
 
     def react(self, action: api.Action) -> None:
         """React to an action of the dispatcher."""
--- a/tests/trace_episodes.py
+++ b/tests/trace_episodes.py
@@ -6,7 +6,7 @@
 from maplestile.dispatch import api
 from tests.trace_environment import EPISODE_GAP_US, Environment
 from tests.trace_variants import CLASSES, MS
-from tests.trace_workers import ZONES, Machine
+from tests.trace_workers import ZONES, SimulatedWorker
 
 
 class Episodes:
@@ -16,101 +16,103 @@
         self.simulation = environment.simulation
         self.workers = environment.workers
 
-    def announce(self, machine: Machine, state: api.WorkerState, started_us: int) -> None:
+    def change_state(self, worker: SimulatedWorker, state: api.WorkerState, started_us: int) -> None:
         """Change a worker's state in the worker list, and pass the change to the dispatcher."""
-        machine.entry = replace(machine.entry, state=state, started_us=started_us)
+        worker.entry = replace(worker.entry, state=state, started_us=started_us)
         self.workers.list_version += 1
         self.simulation.give(
-            api.WorkerListReceived(api.ListKind.DELTA, self.workers.list_version, (machine.entry,))
+            api.WorkerListReceived(api.ListKind.DELTA, self.workers.list_version, (worker.entry,))
         )
 
     def start_one(self) -> None:
         """Start an episode, and schedule the next one."""
         self.simulation.after(self.simulation.around(EPISODE_GAP_US), self.start_one)
-        machine = self.simulation.random.choice(list(self.workers.machines.values()))
+        worker = self.simulation.random.choice(list(self.workers.by_name.values()))
         episodes: tuple[tuple[int, Callable[[], None]], ...] = (
-            (20, lambda: self.drain(machine)),
-            (20, lambda: self.crash(machine)),
-            (15, lambda: self.hang(machine)),
-            (15, lambda: self.slow(machine)),
-            (15, lambda: self.fail(machine)),
+            (20, lambda: self.drain(worker)),
+            (20, lambda: self.crash(worker)),
+            (15, lambda: self.hang(worker)),
+            (15, lambda: self.slow(worker)),
+            (15, lambda: self.fail(worker)),
             (6, lambda: self.lose_zones(1)),
             (2, lambda: self.lose_zones(ZONES)),
             (10, self.repeat_list),
             (6, self.overload),
             (6, self.change_policy),
             (4, lambda: self.simulation.give(api.PeerMessage(1, b"hello"))),
-            (10, lambda: self.break_connection(machine)),
+            (10, lambda: self.break_connection(worker)),
         )
         weights = [weight for weight, _ in episodes]
         self.simulation.random.choices([start for _, start in episodes], weights)[0]()
 
-    def drain(self, machine: Machine) -> None:
+    def drain(self, worker: SimulatedWorker) -> None:
         """Drain a worker, and end its process some time later."""
-        if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
+        if worker.down or worker.entry.state is not api.WorkerState.RUNNING:
             return
-        self.announce(machine, api.WorkerState.DRAINING, machine.entry.started_us)
-        self.simulation.after(self.simulation.around(1_500 * MS), lambda: self.end_process(machine))
+        self.change_state(worker, api.WorkerState.DRAINING, worker.entry.started_us)
+        self.simulation.after(self.simulation.around(1_500 * MS), lambda: self.end_process(worker))
 
-    def end_process(self, machine: Machine) -> None:
+    def end_process(self, worker: SimulatedWorker) -> None:
         """End a worker's process, remove the worker from the list, and start a new process later."""
-        machine.down = True
-        machine.loaded.clear()
-        self.announce(machine, api.WorkerState.GONE, machine.entry.started_us)
-        self.simulation.after(self.simulation.around(2_000 * MS), lambda: self.start_process(machine))
+        worker.down = True
+        worker.loaded.clear()
+        self.change_state(worker, api.WorkerState.GONE, worker.entry.started_us)
+        self.simulation.after(self.simulation.around(2_000 * MS), lambda: self.start_process(worker))
 
-    def start_process(self, machine: Machine) -> None:
+    def start_process(self, worker: SimulatedWorker) -> None:
         """Start a new healthy process of a worker."""
-        machine.down = False
-        machine.hangs_until_us = machine.slow_until_us = machine.fails_until_us = 0
-        self.announce(machine, api.WorkerState.RUNNING, self.simulation.now_us)
+        worker.down = False
+        worker.hangs_until_us = worker.slow_until_us = worker.fails_until_us = 0
+        self.change_state(worker, api.WorkerState.RUNNING, self.simulation.now_us)
 
-    def crash(self, machine: Machine) -> None:
+    def crash(self, worker: SimulatedWorker) -> None:
         """End a worker's process without a drain."""
-        if machine.down or machine.entry.state is not api.WorkerState.RUNNING:
+        if worker.down or worker.entry.state is not api.WorkerState.RUNNING:
             return
-        machine.down = True
-        machine.loaded.clear()
-        self.break_connection(machine)
+        worker.down = True
+        worker.loaded.clear()
+        self.break_connection(worker)
         if self.simulation.chance(0.5):  # otherwise it restarts without having left the list
-            self.simulation.after(self.simulation.around(300 * MS), lambda: self.end_process(machine))
+            self.simulation.after(self.simulation.around(300 * MS), lambda: self.end_process(worker))
         else:
-            self.simulation.after(self.simulation.around(4_000 * MS), lambda: self.start_process(machine))
+            self.simulation.after(self.simulation.around(4_000 * MS), lambda: self.start_process(worker))
 
-    def break_connection(self, machine: Machine) -> None:
+    def break_connection(self, worker: SimulatedWorker) -> None:
         """Reset a worker's connection, which ends all attempts on it."""
-        name = machine.entry.worker
+        name = worker.entry.worker
         for attempt, event in list(self.workers.pending.items()):
             if event.worker == name and self.workers.pending.pop(attempt, None) is not None:
                 self.simulation.give(
                     replace(event, result=api.Result.RESET, call_ended=False, elapsed_us=50 * MS)
                 )
 
-    def hang(self, machine: Machine) -> None:
+    def hang(self, worker: SimulatedWorker) -> None:
         """Make a worker unresponsive for a while."""
-        machine.hangs_until_us = self.simulation.now_us + self.simulation.around(4_000 * MS)
+        worker.hangs_until_us = self.simulation.now_us + self.simulation.around(4_000 * MS)
 
-    def slow(self, machine: Machine) -> None:
+    def slow(self, worker: SimulatedWorker) -> None:
         """Make a worker slow for a while."""
-        machine.slow_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
+        worker.slow_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
 
-    def fail(self, machine: Machine) -> None:
+    def fail(self, worker: SimulatedWorker) -> None:
         """Make a worker fail the calls of a random class for a while."""
-        machine.fails_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
-        machine.failing_class = self.simulation.random.choice(CLASSES).name
+        worker.fails_until_us = self.simulation.now_us + self.simulation.around(5_000 * MS)
+        worker.failing_class = self.simulation.random.choice(CLASSES).name
 
     def lose_zones(self, count: int) -> None:
         """Make all workers of `count` random zones unresponsive for a while."""
         lost = [f"zone-{number}" for number in self.simulation.random.sample(range(ZONES), count)]
-        for machine in self.workers.machines.values():
-            if machine.entry.zone in lost:
-                machine.hangs_until_us = self.simulation.now_us + 5_000 * MS
+        for worker in self.workers.by_name.values():
+            if worker.entry.zone in lost:
+                worker.hangs_until_us = self.simulation.now_us + 5_000 * MS
 
     def repeat_list(self) -> None:
         """Pass the dispatcher a worker list without news, or a failure to fetch one."""
         kind = self.simulation.random.choice((api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED))
         failed = kind is api.ListKind.FAILED
-        self.simulation.give(api.WorkerListReceived(kind, 0, ()) if failed else self.workers.whole_list(kind))
+        self.simulation.give(
+            api.WorkerListReceived(kind, 0, ()) if failed else self.workers.complete_list(kind)
+        )
 
     def overload(self) -> None:
         """Make more calls arrive, and each call take longer, for a while."""
--- a/tests/trace_workers.py
+++ b/tests/trace_workers.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Machine:
+class SimulatedWorker:
     """One simulated worker: its loaded functions, its running calls, and its current faults."""
 
     entry: api.WorkerEntry
@@ -37,7 +37,7 @@
     warmth: api.Warmth = api.Warmth.UNKNOWN
 
 
-def machine_of(number: int) -> Machine:
+def make_worker(number: int) -> SimulatedWorker:
     """Return a worker with nothing loaded; one in four workers is small."""
     small = number % 4 == 3
     entry = api.WorkerEntry(
@@ -49,7 +49,7 @@
         weight=0.5 if small else 1.0,
         started_us=0,
     )
-    return Machine(entry)
+    return SimulatedWorker(entry)
 
 
 class Workers:
@@ -58,25 +58,25 @@
     def __init__(self, simulation: Simulation, calls: dict[int, ClientCall]) -> None:
         self.simulation = simulation
         self.calls = calls
-        self.machines = {machine.entry.worker: machine for machine in map(machine_of, range(WORKERS))}
+        self.by_name = {worker.entry.worker: worker for worker in map(make_worker, range(WORKERS))}
         # The future end of each attempt in flight, by call number and attempt number.
         self.pending: dict[tuple[int, int], api.AttemptEnded] = {}
         self.list_version = 1
 
-    def whole_list(self, kind: api.ListKind) -> api.WorkerListReceived:
+    def complete_list(self, kind: api.ListKind) -> api.WorkerListReceived:
         """Return the event that delivers a list of all workers."""
         self.list_version += 1
-        entries = [machine.entry for machine in self.machines.values()]
+        entries = [worker.entry for worker in self.by_name.values()]
         listed = tuple(entry for entry in entries if entry.state is not api.WorkerState.GONE)
         return api.WorkerListReceived(kind, self.list_version, listed)
 
     def serve(self, action: api.SendAttempt) -> None:
         """Schedule the end of an attempt."""
         client_call = self.calls[action.call]
-        machine = self.machines[action.worker]
+        worker = self.by_name[action.worker]
         number = client_call.attempts
         client_call.attempts += 1
-        outcome = self.outcome(client_call.arrival, machine)
+        outcome = self.outcome(client_call.arrival, worker)
         if outcome is None and self.simulation.chance(0.3):
             # The worker never answers: only a cancellation or the end of the budget ends the attempt.
             no_answer = AttemptOutcome(api.Result.TIMEOUT, 0)
@@ -86,11 +86,11 @@
             outcome = AttemptOutcome(api.Result.TIMEOUT, action.timeout_us)
         event = self.attempt_ended(action, number, outcome)
         self.pending[action.call, number] = event
-        machine.running += 1
+        worker.running += 1
         if event.result in (api.Result.OK, api.Result.RESET) and self.simulation.chance(0.08):
             started = api.StreamStarted(action.call, number, action.worker, event.elapsed_us // 2)
             self.simulation.after(event.elapsed_us // 2, lambda: self.stream(started))
-        self.simulation.after(event.elapsed_us, lambda: self.answer(event, machine))
+        self.simulation.after(event.elapsed_us, lambda: self.answer(event, worker))
 
     def attempt_ended(
         self, action: api.SendAttempt, number: int, outcome: AttemptOutcome
@@ -111,30 +111,30 @@
             report=(),
         )
 
-    def outcome(self, arrival: api.CallArrived, machine: Machine) -> AttemptOutcome | None:
+    def outcome(self, arrival: api.CallArrived, worker: SimulatedWorker) -> AttemptOutcome | None:
         """Return a random outcome of an attempt at the worker, or None if it gives no answer."""
         short_us = self.simulation.around(3 * MS)
-        if machine.down:
+        if worker.down:
             return AttemptOutcome(api.Result.CONNECT_FAILED, short_us)
-        if self.simulation.now_us < machine.hangs_until_us:
+        if self.simulation.now_us < worker.hangs_until_us:
             return None
-        if machine.running >= WORKER_CAPACITY or self.simulation.chance(0.01):
+        if worker.running >= WORKER_CAPACITY or self.simulation.chance(0.01):
             return AttemptOutcome(api.Result.FULL, short_us)
-        if machine.entry.state is not api.WorkerState.RUNNING or self.simulation.chance(0.003):
+        if worker.entry.state is not api.WorkerState.RUNNING or self.simulation.chance(0.003):
             return AttemptOutcome(api.Result.SUPERSEDED, short_us)
-        service_us = self.service_us(arrival, machine)
+        service_us = self.service_us(arrival, worker)
         warmth = api.Warmth.WARM
         load_us = 0
-        if arrival.function not in machine.loaded:
+        if arrival.function not in worker.loaded:
             if failure := self.load_failure(short_us):
                 return failure
             load_us = self.simulation.around(500 * MS)
             warmth = api.Warmth.WAITED_FOR_LOAD if self.simulation.chance(0.3) else api.Warmth.STARTED_LOAD
-            self.load_copy(machine, arrival.function)
+            self.load_copy(worker, arrival.function)
         if self.simulation.chance(0.2):
             warmth = api.Warmth.UNKNOWN
         is_failing = (
-            self.simulation.now_us < machine.fails_until_us and machine.failing_class == arrival.class_name
+            self.simulation.now_us < worker.fails_until_us and worker.failing_class == arrival.class_name
         )
         if is_failing or arrival.function.startswith("broken") or self.simulation.chance(0.01):
             return AttemptOutcome(api.Result.ERROR, service_us, warmth)
@@ -142,10 +142,10 @@
             return AttemptOutcome(api.Result.RESET, service_us)
         return AttemptOutcome(api.Result.OK, service_us + load_us, warmth)
 
-    def service_us(self, arrival: api.CallArrived, machine: Machine) -> int:
+    def service_us(self, arrival: api.CallArrived, worker: SimulatedWorker) -> int:
         """Return a random service time of a call at a worker."""
         service_us = self.simulation.around(Random(arrival.function).choice((20, 60, 150, 400)) * MS)
-        if self.simulation.now_us < machine.slow_until_us:
+        if self.simulation.now_us < worker.slow_until_us:
             service_us *= 8
         if self.simulation.now_us < self.simulation.overload_until_us:
             service_us *= 3
@@ -161,19 +161,19 @@
             return AttemptOutcome(api.Result.ERROR, self.simulation.around(200 * MS), api.Warmth.LOAD_FAILED)
         return None
 
-    def load_copy(self, machine: Machine, function: str) -> None:
+    def load_copy(self, worker: SimulatedWorker, function: str) -> None:
         """Load a copy at the worker now, and unload it after a while."""
-        machine.loaded.add(function)
-        self.simulation.after(self.simulation.around(12_000 * MS), lambda: machine.loaded.discard(function))
+        worker.loaded.add(function)
+        self.simulation.after(self.simulation.around(12_000 * MS), lambda: worker.loaded.discard(function))
 
     def stream(self, event: api.StreamStarted) -> None:
         """Start to stream the answer of an attempt, if it is still in flight."""
         if (event.call, event.attempt) in self.pending:
             self.simulation.give(event)
 
-    def answer(self, event: api.AttemptEnded, machine: Machine) -> None:
+    def answer(self, event: api.AttemptEnded, worker: SimulatedWorker) -> None:
         """End an attempt, unless something else has already ended it."""
-        machine.running -= 1
+        worker.running -= 1
         if self.pending.pop((event.call, event.attempt), None) is None:
             return
         if event.call_ended:
@@ -198,33 +198,33 @@
 
     def load(self, action: api.RequestLoad) -> None:
         """Schedule the end of a load request."""
-        machine = self.machines[action.worker]
+        worker = self.by_name[action.worker]
         load_us = self.simulation.around(500 * MS)
         result = api.Result.OK
-        if machine.down:
+        if worker.down:
             result, load_us = api.Result.CONNECT_FAILED, self.simulation.around(3 * MS)
-        elif self.simulation.now_us < machine.hangs_until_us:
+        elif self.simulation.now_us < worker.hangs_until_us:
             result, load_us = api.Result.TIMEOUT, self.simulation.settings.load_timeout_us
         elif self.simulation.chance(0.1):
             result = self.simulation.random.choice((api.Result.FULL, api.Result.ERROR, api.Result.OK))
-        elif action.function in machine.loaded:
+        elif action.function in worker.loaded:
             load_us = self.simulation.around(2 * MS)
         copies = int(result is api.Result.OK and not self.simulation.chance(0.03))
         ended = api.LoadRequestEnded(action.worker, action.function, result, load_us, copies)
-        self.simulation.after(load_us, lambda: self.end_load_request(machine, ended))
+        self.simulation.after(load_us, lambda: self.end_load_request(worker, ended))
 
-    def end_load_request(self, machine: Machine, ended: api.LoadRequestEnded) -> None:
+    def end_load_request(self, worker: SimulatedWorker, ended: api.LoadRequestEnded) -> None:
         """End a load request."""
         if ended.copies:
-            self.load_copy(machine, ended.function)
+            self.load_copy(worker, ended.function)
         self.simulation.give(ended)
         if self.simulation.chance(0.02):
             self.simulation.give(replace(ended, worker="worker-unlisted"))
 
     def check_health(self, action: api.SendHealthCheck) -> None:
         """Schedule the end of a health check."""
-        machine = self.machines[action.worker]
-        is_answering = not machine.down and self.simulation.now_us >= machine.hangs_until_us
+        worker = self.by_name[action.worker]
+        is_answering = not worker.down and self.simulation.now_us >= worker.hangs_until_us
         result = api.Result.OK if is_answering else api.Result.TIMEOUT
         elapsed_us = 3 * MS if is_answering else 400 * MS
         self.simulation.give_after(elapsed_us, api.HealthCheckEnded(action.worker, result, elapsed_us, ()))
