--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -1,4 +1,4 @@
-"""Benchmark of the dispatch package alone: the cost of a call by the number of workers and functions.
+"""Measure what a call costs the dispatch package alone, by the number of workers and functions.
 
 Calls arrive at a rate of `CALLS_PER_S` for equally popular functions, and are answered after 100 ms. The
 worker list changes after every `CALLS_PER_CHANGE` calls: one worker is replaced, and the router receives the
--- a/maplestile/dispatch/actions.py
+++ b/maplestile/dispatch/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a dispatcher returns for an event; all times are whole microseconds.
+"""Define the actions that a dispatcher returns for an event; all times are whole microseconds.
 
 Dataclasses that are created for each call are not frozen: that would double the time to create one.
 """
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Send the call's next attempt; attempts are numbered from 0 in the order of their sending."""
+    """An action that sends the call's next attempt; attempts are numbered from 0 in order of sending."""
 
     call: int
     worker: str
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectCall:
-    """Reject a call: the client may safely send it again."""
+    """An action that rejects a call; the client may safely send it again."""
 
     call: int
     retry_after_us: int
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FailCall:
-    """Answer a call with an error."""
+    """An action that answers a call with an error."""
 
     call: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel an attempt in flight."""
+    """An action that cancels an attempt in flight."""
 
     call: int
     attempt: int
@@ -42,22 +42,22 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Give the dispatcher a `TimerFired` event with this token at the given time of its clock."""
+    """An action that gives the dispatcher a `TimerFired` event with this token at the given time."""
 
-    due_us: int
+    due_us: int  # on the clock of the events
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class SendHealthCheck:
-    """Check the health of a worker."""
+    """An action that checks the health of a worker."""
 
     worker: str
 
 
 @dataclass(slots=True, frozen=True)
 class RequestLoad:
-    """Ask the worker to hold at least `copies` copies of the function; 0 only asks how many it has."""
+    """An action that asks a worker to hold at least `copies` copies; 0 only asks how many it has."""
 
     worker: str
     function: str
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestUnload:
-    """Ask the worker to unload its copies of the function."""
+    """An action that asks a worker to unload its copies of a function."""
 
     worker: str
     function: str
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToPeer:
-    """Send a message to another dispatcher."""
+    """An action that sends a message to another dispatcher."""
 
     peer: int
     content: bytes
@@ -82,24 +82,24 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close the idle connections to a worker."""
+    """An action that closes the idle connections to a worker."""
 
     worker: str
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Subscribe to changes of the worker list."""
+    """An action that subscribes to changes of the worker list."""
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpoints:
-    """Fetch the complete worker list once."""
+    """An action that fetches the complete worker list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class WriteLog:
-    """Write a line to the log."""
+    """An action that writes a line to the log."""
 
     text: str
 
--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: rejects some calls, or gives them up early, when too many answers are late."""
+"""Reject some calls, or give them up early, when too many answers are late (admission control)."""
 
 from maplestile.dispatch.api import (
     ANSWERS,
@@ -30,7 +30,7 @@
 
 
 class AdmissionController:
-    """Tracks the ratio of late answers, and rejects calls when it is high."""
+    """The component that tracks the ratio of late answers, and rejects calls when it is high."""
 
     def __init__(self, context: Context, *, load_rate: LoadRate) -> None:
         self.context = context
--- a/maplestile/dispatch/api.py
+++ b/maplestile/dispatch/api.py
@@ -1,4 +1,4 @@
-"""The public types of the dispatcher: the events that it handles, the actions it returns, its settings."""
+"""Export the public types of the dispatcher: its events, actions and settings."""
 
 from maplestile.dispatch.actions import (
     Action,
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -1,4 +1,4 @@
-"""The handling of pending calls: placing, holding, sending, retrying, hedging, and the final answer."""
+"""Handle pending calls: place, hold, send, retry and hedge them, and give the final answer."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
@@ -26,7 +26,7 @@
 
 
 class CallRouter:
-    """Takes each call from its arrival to its single final answer."""
+    """The component that takes each call from its arrival to its single final answer."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/context.py
+++ b/maplestile/dispatch/context.py
@@ -1,4 +1,4 @@
-"""The state that the components of one dispatcher share: time, settings, actions, timers, random numbers."""
+"""Hold what the components of one dispatcher share: time, settings, actions, timers and random numbers."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol, TypeVar
--- a/maplestile/dispatch/copy_records.py
+++ b/maplestile/dispatch/copy_records.py
@@ -1,4 +1,4 @@
-"""Keeps track of a function's copies at a worker from sent attempts, answers and load requests."""
+"""Keep track of functions' copies at workers, from sent attempts, answers and load requests."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import Result, Warmth
@@ -11,7 +11,7 @@
 
 
 class CopyRecords:
-    """Updates the records of copies, of loads in progress and of each function's home."""
+    """The component that updates the records of copies, of loads in progress and of functions' homes."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -1,8 +1,8 @@
-"""The dispatcher: passes each event to the component that handles it, and returns the resulting actions.
+"""Pass each event to the component that handles it, and return the resulting actions.
 
-It reads no clock, file or socket: each event comes with the current time, and timers are set by actions. The
-same events with the same seed give the same actions. This depends on the order in which the components draw
-random numbers.
+The dispatcher reads no clock, file or socket: each event comes with the current time, and timers are set by
+actions. The same events with the same seed give the same actions. This depends on the order in which the
+components draw random numbers.
 """
 
 from random import Random
@@ -37,7 +37,7 @@
 
 
 class Dispatcher:
-    """Makes all decisions of one router."""
+    """The decision-making part of one router: it handles events and returns actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.context = Context(settings, Random(seed), salt=digest(str(seed)))
--- a/maplestile/dispatch/estimates.py
+++ b/maplestile/dispatch/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of service and load times, kept as running means of measured times."""
+"""Estimate service and load times by running means of measured times."""
 
 import math
 
@@ -26,7 +26,7 @@
 
 
 class ServiceTimeEstimates:
-    """Tracks mean service times, and provides initial estimates for new functions of each class."""
+    """The mean service times, with initial estimates for new functions of each class."""
 
     def __init__(self) -> None:
         self.class_service_us: dict[str, float] = {}  # mean service time by class name
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -1,4 +1,4 @@
-"""The workers of the current worker list, and their weighted rendezvous ranking for each function."""
+"""Keep the workers of the current worker list, and rank them for each function by rendezvous hashing."""
 
 from maplestile.dispatch.api import Settings, WorkerListReceived, WorkerState
 from maplestile.dispatch.context import Context
--- a/maplestile/dispatch/hashing.py
+++ b/maplestile/dispatch/hashing.py
@@ -1,4 +1,4 @@
-"""Hash functions without a seed, which give the same results at all dispatchers and in all processes."""
+"""Compute hashes without a seed, which are the same at all dispatchers and in all processes."""
 
 import hashlib
 
--- a/maplestile/dispatch/intake.py
+++ b/maplestile/dispatch/intake.py
@@ -1,4 +1,4 @@
-"""The intake of arriving calls: creates the call's record, updates its function, and admits or rejects it."""
+"""Take in arriving calls: record each call, update its function, and admit or reject it."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
@@ -12,7 +12,7 @@
 
 
 class CallIntake:
-    """Records arriving calls and passes them to the call router."""
+    """The component that records arriving calls and passes them to the call router."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/keep_warm.py
+++ b/maplestile/dispatch/keep_warm.py
@@ -1,4 +1,4 @@
-"""Keeps the copies of functions in the caching tier warm, and moves copies away from draining workers."""
+"""Keep the copies of functions in the caching tier warm, and move copies away from draining workers."""
 
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
@@ -11,7 +11,7 @@
 
 
 class KeepWarm:
-    """Sends the load and keep-warm requests that are not triggered by a call."""
+    """The component that sends the load and keep-warm requests that are not triggered by a call."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/load_rate.py
+++ b/maplestile/dispatch/load_rate.py
@@ -1,4 +1,4 @@
-"""The rate at which this dispatcher's calls bring work, derived from an exponentially decayed sum."""
+"""Measure the rate at which this dispatcher's calls bring work, by an exponentially decayed sum."""
 
 import math
 
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -1,4 +1,4 @@
-"""Load and keep-warm requests, the quota of requests, and the cap on loads in progress."""
+"""Send load and keep-warm requests, within a quota of requests and a cap on loads in progress."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.context import Context
@@ -16,7 +16,7 @@
 
 
 class LoadRequests:
-    """Sends load requests to running workers, within the slow-start limit and the quota."""
+    """The sender of load and keep-warm requests, and the limits that they must keep."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/loads.py
+++ b/maplestile/dispatch/loads.py
@@ -1,4 +1,4 @@
-"""The loads of copies that this dispatcher knows to be in progress."""
+"""Track the loads of copies that this dispatcher knows to be in progress."""
 
 from collections.abc import Iterable
 
--- a/maplestile/dispatch/outcomes.py
+++ b/maplestile/dispatch/outcomes.py
@@ -1,4 +1,4 @@
-"""Handles the ends of attempts and load requests: records the outcome and moves the affected calls on."""
+"""Handle the ends of attempts and load requests: record the outcome and continue the affected calls."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
@@ -17,7 +17,7 @@
 
 
 class OutcomeRecorder:
-    """Records outcomes, and has the call router retry, wake or close the affected calls."""
+    """The component that records outcomes, and has the call router retry, wake or close the calls."""
 
     def __init__(
         self,
--- a/maplestile/dispatch/outliers.py
+++ b/maplestile/dispatch/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: failure scores per worker and group of calls, slow workers, and backoff."""
+"""Detect outliers among the workers by failure scores and slowness, and back off from failing workers."""
 
 from collections.abc import Collection
 
@@ -26,7 +26,7 @@
 
 
 class OutlierDetector:
-    """Decides which workers calls avoid, and for how long."""
+    """The component that decides which workers calls avoid, and for how long."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -124,5 +124,5 @@
 
 
 def is_silent_since(attempt: Attempt, group: str = ALL_GROUPS) -> bool:
-    """Return whether the worker has successfully answered no call of the group since the attempt was sent."""
+    """Return whether no call of the group has succeeded at the worker since the attempt was sent."""
     return attempt.worker.last_answer_us.get(group, 0) <= attempt.sent_us
--- a/maplestile/dispatch/packed.py
+++ b/maplestile/dispatch/packed.py
@@ -1,4 +1,4 @@
-"""Packs the hashes of many items into one integer, so that one multiplication combines them all with a salt.
+"""Pack the hashes of many items into one integer, so that one multiplication combines them all with a salt.
 
 Each item has a lane of 128 bits, in which `(salt ^ hash) * MULTIPLIER` cannot overflow into the next lane.
 The eighth byte of a lane is the most significant byte of the product modulo 2**64, so this byte alone tells
@@ -47,7 +47,7 @@
         self._free_lanes.append(lane)
 
     def candidates(self, salt: int, limit: int) -> list[T]:
-        """Return all items whose `(salt ^ hash) * MULTIPLIER % 2**64` is below `limit`, and a few others."""
+        """Return all items whose `(salt ^ hash) * MULTIPLIER % 2**64` is below `limit`, and maybe others."""
         marks = self._top_bytes(salt).translate(_marks_below(limit))
         found = list[T]()
         lane = marks.find(1)
--- a/maplestile/dispatch/placement.py
+++ b/maplestile/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""Placement: the choice of the worker that runs a call's next attempt or loads a copy for it.
+"""Choose the worker that runs a call's next attempt or loads a copy for it.
 
 Workers are ranked for each function by weighted rendezvous hashing, in the same order at all dispatchers. The
 first workers of the ranking are the function's replicas. Their number depends on the function's share of this
@@ -27,7 +27,7 @@
 
 
 class Placement:
-    """Chooses workers for calls, from those that the send gate admits."""
+    """The component that chooses workers for calls, from those that the send gate admits."""
 
     def __init__(
         self,
@@ -99,8 +99,8 @@
     def is_available(self, call: Call, worker: Worker) -> bool:
         """Return whether the worker may get the call and can run it at once.
 
-        It must have a free lane and less than its fair share of this dispatcher's calls, must be healthy, and
-        must be admitted by the send gate.
+        It must be healthy, with a free lane and less than its fair share of this dispatcher's calls, and the
+        send gate must admit the call.
         """
         entry = call.entry
         lanes = entry.lanes
@@ -141,10 +141,10 @@
         self, call: Call, candidates: list[Worker], shortlist: list[Worker]
     ) -> list[Worker]:
         """Return the available candidates, with duplicates, or else the available rest of the shortlist."""
-        is_available = {worker: self.is_available(call, worker) for worker in dict.fromkeys(candidates)}
-        available = [worker for worker in candidates if is_available[worker]]
+        availability = {worker: self.is_available(call, worker) for worker in dict.fromkeys(candidates)}
+        available = [worker for worker in candidates if availability[worker]]
         return available or [
-            worker for worker in shortlist if worker not in is_available and self.is_available(call, worker)
+            worker for worker in shortlist if worker not in availability and self.is_available(call, worker)
         ]
 
     def _load_or_queue(self, call: Call, available: list[Worker], shortlist: list[Worker]) -> Worker | None:
--- a/maplestile/dispatch/results.py
+++ b/maplestile/dispatch/results.py
@@ -1,4 +1,4 @@
-"""The results of attempts, health checks and load requests."""
+"""Define the results of attempts, health checks and load requests."""
 
 from enum import Enum
 
--- a/maplestile/dispatch/retry.py
+++ b/maplestile/dispatch/retry.py
@@ -1,4 +1,4 @@
-"""The rules for sending a call again: idempotency, deduplication, attempt limit and retry budget."""
+"""Decide whether a call may be sent again: idempotency, deduplication, attempt limit and retry budget."""
 
 from maplestile.dispatch.api import DeduplicationScope, Idempotency, Result, WorkerEntry
 from maplestile.dispatch.context import Context
@@ -14,7 +14,7 @@
 
 
 class RetryPolicy:
-    """Decides whether a call may be sent again, and keeps the budget of retries and hedged attempts."""
+    """The rules for sending a call again, and the budget of retries and hedged attempts."""
 
     def __init__(self, context: Context, *, fleet: Fleet) -> None:
         self.context = context
--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -1,4 +1,4 @@
-"""The check that every attempt must pass: drains, backoff, memory, idempotency, attempt limit, slow start."""
+"""Check every attempt before it is sent: drains, backoff, memory, idempotency, attempt limit, slow start."""
 
 import math
 
@@ -18,7 +18,7 @@
 
 
 class SendGate:
-    """Decides whether a call may be sent to a worker."""
+    """The check that a call must pass before it is sent to a worker."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         return self.warm_copies.is_warm(entry, worker) or entry.copy(worker).load_started_us > 0
 
     def _min_calls(self, entry: FunctionEntry, worker: Worker) -> float:
-        """Return the fewest calls per window to assume as this dispatcher's usual traffic to the worker.
+        """Return the minimum number of calls per window to assume as this dispatcher's usual traffic there.
 
         The slow-start limit is a fraction of the usual traffic. The result, which is 1 at most, lets
         dispatchers that usually send less send some calls too. If each dispatcher sent one call of the same
--- a/maplestile/dispatch/slow_start.py
+++ b/maplestile/dispatch/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: limits the work that all dispatchers together send to a worker that has just started."""
+"""Limit the work that all dispatchers together send to a worker that has just started (slow start)."""
 
 from maplestile.dispatch.api import Settings
 from maplestile.dispatch.context import Context
@@ -13,7 +13,7 @@
 
 
 class SlowStart:
-    """Enforces this dispatcher's share of the work that a worker may get during its slow start."""
+    """This dispatcher's share of the limit on the work that a worker may get during its slow start."""
 
     def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate) -> None:
         self.context = context
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -1,4 +1,4 @@
-"""The three tiers of functions: single, multiple and caching, ranked by the gaps between calls.
+"""Sort functions into three tiers, single, multiple and caching, by the gaps between their calls.
 
 Each call promotes its function by one tier. In a full tier, the function replaces the one with the longest
 aged gap, which is demoted. The copies of functions in the caching tier are kept warm. The tiers follow the
@@ -77,7 +77,7 @@
         return True
 
     def insert(self, entry: FunctionEntry, tier: int) -> None:
-        """Put the function at the end of a tier; evict the first of the single tier if that is too long."""
+        """Put the function at the end of a tier; if the single tier is too long, evict its first function."""
         if entry.is_listed():
             del self.tiers[entry.tier][entry.function]
         entry.tier = tier
--- a/maplestile/dispatch/warm_copies.py
+++ b/maplestile/dispatch/warm_copies.py
@@ -1,4 +1,4 @@
-"""Warm copies of functions at workers, both known ones and those inferred from other dispatchers' traffic."""
+"""Determine which workers have a warm copy of a function, known or inferred from other dispatchers' calls."""
 
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
@@ -12,7 +12,7 @@
 
 
 class WarmCopies:
-    """Determines whether a worker has a warm copy of a function or is loading one."""
+    """A view of which workers have a warm copy of a function or are loading one, as known or inferred."""
 
     def __init__(self, context: Context, *, fleet: Fleet, load_rate: LoadRate) -> None:
         self.context = context
--- a/maplestile/dispatch/worker_health.py
+++ b/maplestile/dispatch/worker_health.py
@@ -1,4 +1,4 @@
-"""The health of workers: evidence from outcomes and silence against single workers and whole zones."""
+"""Track the health of single workers and whole zones, by the outcomes of attempts and by silence."""
 
 from maplestile.dispatch.api import ANSWERS, AttemptEnded, Result
 from maplestile.dispatch.outliers import OutlierDetector, is_silent_since
@@ -7,7 +7,7 @@
 
 
 class WorkerHealth:
-    """Passes each observation to the outlier detector and to the zone failure detector."""
+    """The component that passes each observation to the outlier and zone failure detectors."""
 
     def __init__(self, *, outliers: OutlierDetector, zones: ZoneFailureDetector) -> None:
         self.outliers = outliers
--- a/maplestile/dispatch/workers.py
+++ b/maplestile/dispatch/workers.py
@@ -1,4 +1,4 @@
-"""The worker list: its entries, and the event that delivers it or its changes."""
+"""Define the entries of the worker list, and the event that delivers the list or its changes."""
 
 from dataclasses import dataclass
 from enum import Enum
--- a/maplestile/dispatch/zone_failure.py
+++ b/maplestile/dispatch/zone_failure.py
@@ -1,4 +1,4 @@
-"""Zone failure detection: a zone with several silent workers and no answers counts as lost as a whole."""
+"""Detect the loss of a whole zone: several of its workers are silent, and none has answered since."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.context import Context
@@ -10,7 +10,7 @@
 
 
 class ZoneFailureDetector:
-    """Detects the loss of a whole zone: detecting it worker by worker would cost a call for each worker."""
+    """The detector of lost zones; detecting the loss worker by worker would cost a call for each worker."""
 
     def __init__(self, context: Context, *, fleet: Fleet) -> None:
         self.context = context
--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -1,4 +1,4 @@
-"""Runs generated event traces against a `Dispatcher`, and computes digests of the resulting actions.
+"""Run generated event traces against a `Dispatcher`, and compute digests of the resulting actions.
 
 The generated events depend only on the seed and on the dispatcher's decisions, so a digest changes only if a
 decision changes. `python -m tests.decision_trace --write` records the digests of the current decisions.
@@ -48,7 +48,7 @@
 
 
 class ActionDigest:
-    """Computes digests of the actions' wire lines, each with the number and time of its event."""
+    """The digests of the actions' wire lines, each with the number and time of its event."""
 
     def __init__(self) -> None:
         self.recording = Recording()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and events for tests of the dispatcher, and a driver that passes the events to one."""
+"""Provide settings and events for tests of the dispatcher, and a driver that passes the events to one."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.dispatcher import Dispatcher
@@ -94,7 +94,7 @@
 
 
 class Driver:
-    """Passes events to one dispatcher in simulated time, and fires its timers when they are due."""
+    """A dispatcher that gets events from a test in simulated time, with timers that fire when due."""
 
     def __init__(
         self, dispatcher_settings: api.Settings, workers: list[api.WorkerEntry], seed: int = 1
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -1,4 +1,4 @@
-"""Simulates a fleet of routers to measure what they send together to one worker in its slow start."""
+"""Simulate a fleet of routers to measure what they send together to one worker in its slow start."""
 
 import heapq
 import itertools
--- a/tests/test_decide_admission.py
+++ b/tests/test_decide_admission.py
@@ -1,4 +1,4 @@
-"""Tests that final answers come in time, and that overload rejects calls or gives them up early."""
+"""Test that final answers come in time, and that overload rejects calls or gives them up early."""
 
 from dataclasses import replace
 
--- a/tests/test_decide_repeats.py
+++ b/tests/test_decide_repeats.py
@@ -1,4 +1,4 @@
-"""Tests of retries: idempotency, deduplication, streams, and disconnected clients."""
+"""Test retries: idempotency, deduplication, streams, and disconnected clients."""
 
 from maplestile.dispatch import api
 from tests.helpers import (
--- a/tests/test_decide_worker_health.py
+++ b/tests/test_decide_worker_health.py
@@ -1,4 +1,4 @@
-"""Tests of the workers that calls avoid: drains, failure scores, silence, slowness and backoff."""
+"""Test which workers calls avoid: drains, failure scores, silence, slowness and backoff."""
 
 from dataclasses import replace
 
@@ -118,7 +118,7 @@
 
 
 class TimedFleet:
-    """Four workers, `a` to `d`, that answer calls with a hint of `NORMAL_ANSWER_US`."""
+    """Four workers, `a` to `d`, with calls that hint a service time of `NORMAL_ANSWER_US`."""
 
     def __init__(self) -> None:
         self.driver = Driver(settings(router_count=1), [entry(name) for name in "abcd"])
--- a/tests/test_many_routers.py
+++ b/tests/test_many_routers.py
@@ -1,4 +1,4 @@
-"""Tests of the combined behaviour of many dispatchers, simulated one after another with different seeds."""
+"""Test the combined behaviour of many dispatchers, simulated one after another with different seeds."""
 
 from maplestile.dispatch import api
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
@@ -103,7 +103,7 @@
 
 
 def test_answers_in_time_lower_the_late_ratio() -> None:
-    """Answers from copies loaded by other routers used not to count.
+    """Answers from copies that other routers had loaded used to be left out of the late ratio.
 
     They are most of a router's answers in a large fleet, so it kept rejecting calls for ten seconds after the
     load was back to normal.
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""Tests that incrementally updated rankings and age heaps agree with sorting or scanning everything."""
+"""Test that incrementally updated rankings and age heaps agree with sorting or scanning everything."""
 
 import math
 from dataclasses import dataclass
@@ -119,7 +119,7 @@
 
 
 def test_cost_of_changes_and_ranking_size_do_not_grow_with_fleet() -> None:
-    """Counts the passes over all workers, and the workers that a ranking holds."""
+    """Count the passes over all workers, and the workers that a ranking holds."""
     passes = list[int]()
     ranking_sizes = list[int]()
     for size in (100, 1_000, 4_000):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Property test: the actions of one dispatcher keep the rules below for any valid sequence of events.
+"""Test that the actions of one dispatcher keep the rules below for any valid sequence of events.
 
 - Each call gets exactly one final answer, in time.
 - No attempt begins after the final answer, after the deadline, or at a worker that is not running.
@@ -43,7 +43,7 @@
 
 
 class RuleChecker:
-    """Simulates the workers and clients, and checks each action against its own record of the events."""
+    """Simulated workers and clients that check each action against their own record of the events."""
 
     def __init__(self, dispatcher_settings: api.Settings) -> None:
         self.settings = dispatcher_settings
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,16 +1,16 @@
-"""Tests of the slow-start limit for the sum of the calls of 3, 30 and 200 simulated routers."""
+"""Test the slow-start limit for the sum of the calls of 3, 30 and 200 simulated routers."""
 
 import pytest
 
 from tests.slow_start import Scenario, fullest_window
 
-SIZES = ((3, 6, 5.0), (30, 12, 10.0), (200, 36, 12.0))  # routers, workers, calls a second at each worker
+SIZES = ((3, 6, 5.0), (30, 12, 10.0), (200, 36, 12.0))  # routers, workers, calls per second at each worker
 
 
 @pytest.mark.parametrize("hot_share", [0.0, 0.3, 1.0])
 @pytest.mark.parametrize("restarted", [False, True])
 def test_calls_of_all_routers_stay_within_cold_worker_limit(restarted: bool, hot_share: float) -> None:
-    """The limit also holds if all routers send one hot function's calls there and three in four just started.
+    """The limit holds even if all calls are of one function and three in four routers have just restarted.
 
     Each of 200 routers used to let one call of the hot function through: 40 in two seconds, with 34 allowed.
     """
--- a/tests/trace_clients.py
+++ b/tests/trace_clients.py
@@ -1,4 +1,4 @@
-"""The simulated clients of a generated trace, which send, repeat and abandon calls."""
+"""Simulate the clients of a generated trace, which send, repeat and abandon calls."""
 
 from dataclasses import dataclass, replace
 from random import Random
--- a/tests/trace_environment.py
+++ b/tests/trace_environment.py
@@ -1,6 +1,7 @@
-"""A discrete-event simulation of the clients, workers and zones around one dispatcher.
+"""Simulate the clients, workers and zones around one dispatcher by discrete events.
 
-It reacts to each action, so that its events depend only on the seed and on the dispatcher's decisions.
+The simulation reacts to each action, so that its events depend only on the seed and on the dispatcher's
+decisions.
 """
 
 from collections.abc import Callable
--- a/tests/trace_episodes.py
+++ b/tests/trace_episodes.py
@@ -1,4 +1,4 @@
-"""The episodes of a generated trace: drains, crashes, faults, overload and policy changes."""
+"""Simulate the episodes of a generated trace: drains, crashes, faults, overload and policy changes."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -10,7 +10,7 @@
 
 
 class Episodes:
-    """Starts random episodes at random intervals."""
+    """A generator of random episodes at random intervals."""
 
     def __init__(self, environment: Environment) -> None:
         self.simulation = environment.simulation
--- a/tests/trace_simulation.py
+++ b/tests/trace_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated time and random numbers for generated traces.
+"""Simulate time and draw random numbers for generated traces.
 
 All events depend only on the seed and on the dispatcher's decisions, not on a clock, on hash order or on a
 library whose results differ between machines.
@@ -17,7 +17,7 @@
 
 
 class Simulation:
-    """Passes events to one dispatcher in simulated time, and its actions to `react`."""
+    """An event loop in simulated time that passes events to one dispatcher, and its actions to `react`."""
 
     def __init__(
         self, settings: api.Settings, seed: int, handle: Handle, react: Callable[[api.Action], None]
--- a/tests/trace_variants.py
+++ b/tests/trace_variants.py
@@ -1,4 +1,4 @@
-"""The variants of dispatcher settings with which the generated traces run."""
+"""Define the variants of dispatcher settings with which the generated traces run."""
 
 from dataclasses import replace
 
--- a/tests/trace_workers.py
+++ b/tests/trace_workers.py
@@ -1,4 +1,4 @@
-"""The simulated workers of a generated trace, which decide how attempts and requests end."""
+"""Simulate the workers of a generated trace, which determine how attempts and requests end."""
 
 from dataclasses import dataclass, field, replace
 from random import Random
