--- a/maplestile/dispatch/zone_failure.py
+++ b/maplestile/dispatch/zone_failure.py
@@ -55,9 +55,5 @@
             return
         zone.lost = not zone.lost
         self.fleet.set_lost_zones({other.name for other in self.zones.values() if other.lost})
-        state = (
-            "is lost: several of its workers do not answer, and calls avoid all of them"
-            if zone.lost
-            else "has recovered: one of its workers has answered or started, and calls use them again"
-        )
+        state = "is silent" if zone.lost else "is heard again"
         self.context.actions.append(api.WriteLog(f"zone {zone.name} {state}"))
