--- a/tests/trace_workers.py
+++ b/tests/trace_workers.py
@@ -1,4 +1,4 @@
-"""The workers of a generated trace: how attempts, load requests and health checks end there."""
+"""Simulate the workers of a generated trace, which determine how attempts and requests end."""
 
 from dataclasses import dataclass, field, replace
 from random import Random
@@ -11,34 +11,34 @@
 WORKERS = 30
 ZONES = 3
 CELLS = 5
-WORKER_CAPACITY = 14  # calls that a worker runs at a time before it answers that it is full
+WORKER_CAPACITY = 14  # calls that a worker runs at the same time; it rejects more as full
 
 
 @dataclass(slots=True)
-class Machine:
-    """One worker of the environment: what it has loaded, what it runs, and until when it misbehaves."""
+class SimulatedWorker:
+    """One simulated worker: its loaded functions, its running calls, and its current faults."""
 
     entry: api.WorkerEntry
-    loaded: set[str] = field(default_factory=set)
-    running: int = 0
-    down: bool = False
-    hangs_until_us: int = 0
+    loaded: set[str] = field(default_factory=set)  # names of the functions with a loaded copy
+    running: int = 0  # calls that it is running
+    down: bool = False  # whether it has no running process
+    hangs_until_us: int = 0  # it is unresponsive until then
     slow_until_us: int = 0
-    fails_until_us: int = 0
+    fails_until_us: int = 0  # it fails the calls of `failing_class` until then
     failing_class: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptOutcome:
-    """How an attempt ends, after how long, and what its answer says of the copy."""
+    """How and when an attempt ends, and the state of the copy that its answer reports."""
 
     result: api.Result
     elapsed_us: int
     warmth: api.Warmth = api.Warmth.UNKNOWN
 
 
-def machine_of(number: int) -> Machine:
-    """Return a worker that has just started; one in four is small."""
+def make_worker(number: int) -> SimulatedWorker:
+    """Return a worker with nothing loaded; one in four workers is small."""
     small = number % 4 == 3
     entry = api.WorkerEntry(
         worker=f"worker-{number}",
@@ -49,49 +49,52 @@
         weight=0.5 if small else 1.0,
         started_us=0,
     )
-    return Machine(entry)
+    return SimulatedWorker(entry)
 
 
 class Workers:
-    """All workers, and the list that names them."""
+    """All simulated workers, and the worker list."""
 
     def __init__(self, simulation: Simulation, calls: dict[int, ClientCall]) -> None:
         self.simulation = simulation
         self.calls = calls
-        self.machines = {machine.entry.worker: machine for machine in map(machine_of, range(WORKERS))}
-        self.pending: dict[tuple[int, int], api.AttemptEnded] = {}  # by call and attempt: how they will end
+        self.by_name = {worker.entry.worker: worker for worker in map(make_worker, range(WORKERS))}
+        # The future end of each attempt in flight, by call number and attempt number.
+        self.pending: dict[tuple[int, int], api.AttemptEnded] = {}
         self.list_version = 1
 
-    def whole_list(self, kind: api.ListKind) -> api.WorkerListReceived:
-        """Return the event of a list of all workers."""
+    def complete_list(self, kind: api.ListKind) -> api.WorkerListReceived:
+        """Return the event that delivers a list of all workers."""
         self.list_version += 1
-        entries = [machine.entry for machine in self.machines.values()]
+        entries = [worker.entry for worker in self.by_name.values()]
         listed = tuple(entry for entry in entries if entry.state is not api.WorkerState.GONE)
         return api.WorkerListReceived(kind, self.list_version, listed)
 
     def serve(self, action: api.SendAttempt) -> None:
         """Schedule the end of an attempt."""
         client_call = self.calls[action.call]
-        machine = self.machines[action.worker]
+        worker = self.by_name[action.worker]
         number = client_call.attempts
         client_call.attempts += 1
-        outcome = self.outcome(client_call.arrival, machine)
+        outcome = self.outcome(client_call.arrival, worker)
         if outcome is None and self.simulation.chance(0.3):
-            # It never answers, and nothing but a cancellation or the end of the budget ends the attempt.
-            silence = AttemptOutcome(api.Result.TIMEOUT, 0)
-            self.pending[action.call, number] = self.ending(action, number, silence)
+            # The worker never answers: only a cancellation or the end of the budget ends the attempt.
+            no_answer = AttemptOutcome(api.Result.TIMEOUT, 0)
+            self.pending[action.call, number] = self.attempt_ended(action, number, no_answer)
             return
         if outcome is None or outcome.elapsed_us > action.timeout_us:
             outcome = AttemptOutcome(api.Result.TIMEOUT, action.timeout_us)
-        event = self.ending(action, number, outcome)
+        event = self.attempt_ended(action, number, outcome)
         self.pending[action.call, number] = event
-        machine.running += 1
+        worker.running += 1
         if event.result in (api.Result.OK, api.Result.RESET) and self.simulation.chance(0.08):
             started = api.StreamStarted(action.call, number, action.worker, event.elapsed_us // 2)
             self.simulation.after(event.elapsed_us // 2, lambda: self.stream(started))
-        self.simulation.after(event.elapsed_us, lambda: self.answer(event, machine))
+        self.simulation.after(event.elapsed_us, lambda: self.answer(event, worker))
 
-    def ending(self, action: api.SendAttempt, number: int, outcome: AttemptOutcome) -> api.AttemptEnded:
+    def attempt_ended(
+        self, action: api.SendAttempt, number: int, outcome: AttemptOutcome
+    ) -> api.AttemptEnded:
         """Return the event of an attempt's end."""
         call_ended = outcome.result is api.Result.OK
         if outcome.result is api.Result.ERROR:
@@ -108,48 +111,48 @@
             report=(),
         )
 
-    def outcome(self, arrival: api.CallArrived, machine: Machine) -> AttemptOutcome | None:
-        """Draw how an attempt there will end; None for no answer."""
+    def outcome(self, arrival: api.CallArrived, worker: SimulatedWorker) -> AttemptOutcome | None:
+        """Return a random outcome of an attempt at the worker, or None if it gives no answer."""
         short_us = self.simulation.around(3 * MS)
-        if machine.down:
+        if worker.down:
             return AttemptOutcome(api.Result.CONNECT_FAILED, short_us)
-        if self.simulation.now_us < machine.hangs_until_us:
+        if self.simulation.now_us < worker.hangs_until_us:
             return None
-        if machine.running >= WORKER_CAPACITY or self.simulation.chance(0.01):
+        if worker.running >= WORKER_CAPACITY or self.simulation.chance(0.01):
             return AttemptOutcome(api.Result.FULL, short_us)
-        if machine.entry.state is not api.WorkerState.RUNNING or self.simulation.chance(0.003):
+        if worker.entry.state is not api.WorkerState.RUNNING or self.simulation.chance(0.003):
             return AttemptOutcome(api.Result.SUPERSEDED, short_us)
-        service_us = self.service_us(arrival, machine)
+        service_us = self.service_us(arrival, worker)
         warmth = api.Warmth.WARM
         load_us = 0
-        if arrival.function not in machine.loaded:
+        if arrival.function not in worker.loaded:
             if failure := self.load_failure(short_us):
                 return failure
             load_us = self.simulation.around(500 * MS)
             warmth = api.Warmth.WAITED_FOR_LOAD if self.simulation.chance(0.3) else api.Warmth.STARTED_LOAD
-            self.load_copy(machine, arrival.function)
+            self.load_copy(worker, arrival.function)
         if self.simulation.chance(0.2):
             warmth = api.Warmth.UNKNOWN
-        failing = (
-            self.simulation.now_us < machine.fails_until_us and machine.failing_class == arrival.class_name
+        is_failing = (
+            self.simulation.now_us < worker.fails_until_us and worker.failing_class == arrival.class_name
         )
-        if failing or arrival.function.startswith("broken") or self.simulation.chance(0.01):
+        if is_failing or arrival.function.startswith("broken") or self.simulation.chance(0.01):
             return AttemptOutcome(api.Result.ERROR, service_us, warmth)
         if self.simulation.chance(0.01):
             return AttemptOutcome(api.Result.RESET, service_us)
         return AttemptOutcome(api.Result.OK, service_us + load_us, warmth)
 
-    def service_us(self, arrival: api.CallArrived, machine: Machine) -> int:
-        """Draw how long a worker takes for a call."""
+    def service_us(self, arrival: api.CallArrived, worker: SimulatedWorker) -> int:
+        """Return a random service time of a call at a worker."""
         service_us = self.simulation.around(Random(arrival.function).choice((20, 60, 150, 400)) * MS)
-        if self.simulation.now_us < machine.slow_until_us:
+        if self.simulation.now_us < worker.slow_until_us:
             service_us *= 8
         if self.simulation.now_us < self.simulation.overload_until_us:
             service_us *= 3
         return service_us
 
     def load_failure(self, short_us: int) -> AttemptOutcome | None:
-        """Draw how a call that meets no copy ends; None where the worker loads one for it."""
+        """Return a random failure of a call that finds no copy, or None if the worker loads one for it."""
         if not self.simulation.settings.loads_on_miss or self.simulation.chance(0.02):
             return AttemptOutcome(api.Result.MISS, short_us)
         if self.simulation.chance(0.05):
@@ -158,31 +161,31 @@
             return AttemptOutcome(api.Result.ERROR, self.simulation.around(200 * MS), api.Warmth.LOAD_FAILED)
         return None
 
-    def load_copy(self, machine: Machine, function: str) -> None:
-        """Have the worker load a copy now, and drop it after a while."""
-        machine.loaded.add(function)
-        self.simulation.after(self.simulation.around(12_000 * MS), lambda: machine.loaded.discard(function))
+    def load_copy(self, worker: SimulatedWorker, function: str) -> None:
+        """Load a copy at the worker now, and unload it after a while."""
+        worker.loaded.add(function)
+        self.simulation.after(self.simulation.around(12_000 * MS), lambda: worker.loaded.discard(function))
 
     def stream(self, event: api.StreamStarted) -> None:
-        """Start the stream of an attempt that is still out."""
+        """Start to stream the answer of an attempt, if it is still in flight."""
         if (event.call, event.attempt) in self.pending:
             self.simulation.give(event)
 
-    def answer(self, event: api.AttemptEnded, machine: Machine) -> None:
-        """End an attempt, unless something else has ended it."""
-        machine.running -= 1
+    def answer(self, event: api.AttemptEnded, worker: SimulatedWorker) -> None:
+        """End an attempt, unless something else has already ended it."""
+        worker.running -= 1
         if self.pending.pop((event.call, event.attempt), None) is None:
             return
         if event.call_ended:
             self.calls[event.call].ended = True
         self.simulation.give(event)
         if self.simulation.chance(0.01):
-            self.simulation.give(event)  # an answer that is delivered twice
+            self.simulation.give(event)  # delivers the answer a second time
 
-    def withdraw(self, action: api.CancelAttempt) -> None:
-        """Cancel an attempt that is still out."""
+    def cancel(self, action: api.CancelAttempt) -> None:
+        """Cancel an attempt, if it is still in flight."""
         event = self.pending.get((action.call, action.attempt))
-        if event is None or self.simulation.chance(0.1):  # the cancellation crosses the answer
+        if event is None or self.simulation.chance(0.1):  # the cancellation comes too late
             return
         del self.pending[action.call, action.attempt]
         cancelled = replace(
@@ -195,33 +198,33 @@
 
     def load(self, action: api.RequestLoad) -> None:
         """Schedule the end of a load request."""
-        machine = self.machines[action.worker]
+        worker = self.by_name[action.worker]
         load_us = self.simulation.around(500 * MS)
         result = api.Result.OK
-        if machine.down:
+        if worker.down:
             result, load_us = api.Result.CONNECT_FAILED, self.simulation.around(3 * MS)
-        elif self.simulation.now_us < machine.hangs_until_us:
+        elif self.simulation.now_us < worker.hangs_until_us:
             result, load_us = api.Result.TIMEOUT, self.simulation.settings.load_timeout_us
         elif self.simulation.chance(0.1):
             result = self.simulation.random.choice((api.Result.FULL, api.Result.ERROR, api.Result.OK))
-        elif action.function in machine.loaded:
+        elif action.function in worker.loaded:
             load_us = self.simulation.around(2 * MS)
         copies = int(result is api.Result.OK and not self.simulation.chance(0.03))
         ended = api.LoadRequestEnded(action.worker, action.function, result, load_us, copies)
-        self.simulation.after(load_us, lambda: self.end_load_request(machine, ended))
+        self.simulation.after(load_us, lambda: self.end_load_request(worker, ended))
 
-    def end_load_request(self, machine: Machine, ended: api.LoadRequestEnded) -> None:
+    def end_load_request(self, worker: SimulatedWorker, ended: api.LoadRequestEnded) -> None:
         """End a load request."""
         if ended.copies:
-            self.load_copy(machine, ended.function)
+            self.load_copy(worker, ended.function)
         self.simulation.give(ended)
         if self.simulation.chance(0.02):
             self.simulation.give(replace(ended, worker="worker-unlisted"))
 
     def check_health(self, action: api.SendHealthCheck) -> None:
         """Schedule the end of a health check."""
-        machine = self.machines[action.worker]
-        answers = not machine.down and self.simulation.now_us >= machine.hangs_until_us
-        result = api.Result.OK if answers else api.Result.TIMEOUT
-        elapsed_us = 3 * MS if answers else 400 * MS
+        worker = self.by_name[action.worker]
+        is_answering = not worker.down and self.simulation.now_us >= worker.hangs_until_us
+        result = api.Result.OK if is_answering else api.Result.TIMEOUT
+        elapsed_us = 3 * MS if is_answering else 400 * MS
         self.simulation.give_after(elapsed_us, api.HealthCheckEnded(action.worker, result, elapsed_us, ()))
