--- a/maplestile/requests/__init__.py
+++ b/maplestile/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests on their way: the core, attempts, the pool of connections to runners, and the endpoint list."""
+"""Open requests: the core, attempts, the pool of connections to runners, and the endpoint list."""
--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: sent to workers as the dispatcher decides, timed, and reported to it when they end."""
+"""Attempts in flight: sends them to workers as the dispatcher decides, and reports their results to it."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class AttemptTable:
-    """The attempts whose end has not been reported."""
+    """The attempts whose result has not been reported."""
 
     def __init__(
         self,
@@ -31,25 +31,25 @@
         self._clock = runtime.clock
         self._counters = runtime.counters
         self.in_flight: dict[AttemptId, InFlightAttempt] = {}
-        # Where a fleet agrees on the policy: takes note of each attempt with the epoch that decided on it.
+        # Called with each attempt and the policy epoch that it was decided under; None if nobody needs it.
         self.on_sent: Callable[[AttemptId, int], None] | None = None
 
     def send(self, action: api.SendAttempt) -> None:
-        """Send an attempt to a worker, and end it as TIMEOUT if it takes too long."""
+        """Send an attempt to a worker; it ends as TIMEOUT if it has no result in time."""
         pending = self._requests.open.get(action.call)
         if pending is None:
-            # Over since the decision; the dispatcher is notified of that next.
+            # The call was answered or withdrawn after this decision; the dispatcher is notified next.
             self._counters["attempts.already_over"] += 1
             return
         now = self._clock()
         attempt = (action.call, pending.attempts)
         pending.attempts += 1
-        left_us = pending.due_us - now
-        wait_us = min(action.timeout_us or left_us, left_us)
+        remaining_us = pending.due_us - now
+        wait_us = min(action.timeout_us or remaining_us, remaining_us)
         self.in_flight[attempt] = InFlightAttempt(action.worker, now)
         self._counters["attempts.sent"] += 1
         self._epochs.count_attempt(action.epoch)
-        if action.epoch != pending.epoch:  # must never be: a call is decided under one policy throughout
+        if action.epoch != pending.epoch:  # a bug: all attempts of a call must be decided under one policy
             self._counters["policy.mixed_calls"] += 1
         if self.on_sent is not None:
             self.on_sent(attempt, action.epoch)
@@ -61,7 +61,7 @@
         self._cancel((action.call, action.attempt), Result.CANCELLED)
 
     def withhold(self, call: int, attempts: int) -> None:
-        """Guard against an attempt that waits for its connection and begins long after its client left."""
+        """End the attempts of a call that still wait for their connections, since its client has left."""
         for number in range(attempts):
             attempt = (call, number)
             if attempt in self.in_flight and self._pool.withhold(attempt):
@@ -75,7 +75,7 @@
         queued_ahead: int = 0,
         report: Report = (),
     ) -> None:
-        """Report the end of an attempt; a second one, or one after a timeout or a cancel, is only counted."""
+        """Handle the result of an attempt; one for an attempt that has ended already is only counted."""
         flight = self.in_flight.pop(attempt, None)
         if flight is None:
             self._counters["attempts.late"] += 1
@@ -90,7 +90,7 @@
         elapsed_us = max(0, self._clock() - flight.sent_us)
         over = call not in self._requests.open
         warmth = api.Warmth.UNKNOWN
-        self._decisions.give(
+        self._decisions.handle(
             api.AttemptEnded(*attempt, flight.worker, result, elapsed_us, over, warmth, queued_ahead, report)
         )
 
--- a/maplestile/requests/connection_table.py
+++ b/maplestile/requests/connection_table.py
@@ -1,4 +1,4 @@
-"""The connections of a pool: which one carries the next line, and when one is opened or closed."""
+"""The connections of a pool: selects one for each message, and opens and closes them."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class ConnectionTable:
-    """All connections of a pool that are not closed, in the order in which they were opened."""
+    """The connections of a pool that are not closed, in the order in which they were opened."""
 
     def __init__(
         self,
@@ -31,45 +31,47 @@
         self.connections: dict[Connection, None] = {}
 
     def select(self, runner: Runner, tag: str) -> Connection | None:
-        """Return the connection for a line to the runner, opened if need be; None if there is no room."""
-        most = self.limits.streams
-        # A second copy of the answer that rejected a tag would pass for the answer to its next attempt.
-        free = [
+        """Return a connection for a message to the runner, a new one if needed; None at the limits."""
+        max_streams = self.limits.streams
+        # A tag that was rejected on a connection is not used there again: a duplicate of that answer would be
+        # taken for the answer to the new attempt.
+        candidates = [
             connection
             for connection in runner.connections
-            if connection.streams() < most
+            if connection.stream_count() < max_streams
             and connection.state is not ConnectionState.UNVERIFIED
             and tag not in connection.open
             and tag not in connection.rejected_tags
         ]
-        best = max(free, key=_preference, default=None)
-        if best is not None and (best.streams() or not self._is_stale(best)):
+        best = max(candidates, key=_preference, default=None)
+        if best is not None and (best.stream_count() or not self._is_stale(best)):
             return best
         return self._open(runner) or best
 
     def remove(self, connection: Connection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
         connection.runner.connections.remove(connection)
         del self.connections[connection]
 
     def close_unused(self, runner: Runner, since_us: int | None = None) -> None:
-        """Close what carries nothing, and where a time is given has carried nothing since then."""
+        """Close the connections that carry no request, or of these only those not used after `since_us`."""
         for connection in list(runner.connections):
-            if not connection.streams() and (since_us is None or connection.used_us <= since_us):
+            if not connection.stream_count() and (since_us is None or connection.last_used_us <= since_us):
                 self._close(connection, Result.RESET)
 
     def close_unverified(self, runner: Runner) -> None:
-        """Close what was silent for too long and carries nothing any more."""
+        """Close the unverified connections that carry no request."""
         for connection in list(runner.connections):
-            if connection.state is ConnectionState.UNVERIFIED and not connection.streams():
+            if connection.state is ConnectionState.UNVERIFIED and not connection.stream_count():
                 self._close(connection, Result.RESET)
 
     def over_limit(self) -> bool:
-        """Return whether there are too many: another process may share the descriptors now."""
+        """Return whether there are too many connections; the limit may fall while the process serves."""
         return len(self.connections) > self.limits.connections
 
     def _is_stale(self, connection: Connection) -> bool:
-        idle_us = self._clock() - connection.used_us
+        """Return whether an idle connection may have been dropped by the other side."""
+        idle_us = self._clock() - connection.last_used_us
         return idle_us >= self._idle_timeout.timeout_us
 
     def _open(self, runner: Runner) -> Connection | None:
@@ -84,12 +86,12 @@
         return connection
 
     def _make_room(self) -> bool:
-        """Close the connection that has carried nothing longest, since descriptors are limited.
+        """Close the connection that has been idle longest; return false if none is idle.
 
-        Guards calls to a further runner, where many have left idle connections, from counting as refused
-        there.
+        Without this, idle connections to many runners could use up the limit, and calls to another runner
+        would fail as if that runner had refused them.
         """
-        idle = (c for c in self.connections if c.state is ConnectionState.UP and not c.streams())
+        idle = (c for c in self.connections if c.state is ConnectionState.UP and not c.stream_count())
         oldest = min(idle, key=_last_use, default=None)
         if oldest is None:
             return False
@@ -99,9 +101,12 @@
 
 
 def _preference(connection: Connection) -> tuple[bool, int, int]:
-    """Order the fullest first, so that others can go idle and be closed; of idle ones the one used last."""
-    return connection.socket is not None, connection.streams(), connection.used_us
+    """Prefer the connection with most streams, so that others become idle and are closed.
+
+    Among idle connections the one used last is preferred.
+    """
+    return connection.socket is not None, connection.stream_count(), connection.last_used_us
 
 
 def _last_use(connection: Connection) -> int:
-    return connection.used_us
+    return connection.last_used_us
--- a/maplestile/requests/connections.py
+++ b/maplestile/requests/connections.py
@@ -1,4 +1,4 @@
-"""The pool's records: lines to runners, connections, and runners."""
+"""The pool's records: messages to runners, connections, and runners."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,49 +9,52 @@
 from maplestile.requests.states import AttemptState, ConnectionState
 from maplestile.wire.messages import Request
 
-MAX_REJECTED_TAGS = 64  # that a connection remembers
+MAX_REJECTED_TAGS = 64  # remembered for each connection
 
 
 class Socket(Protocol):
-    """One connection, as the driver has it."""
+    """The driver's side of one connection."""
 
     def write(self, line: bytes) -> bool:
-        """Return whether the system has all of it; if not, `Pool.write_completed` is called once it has."""
+        """Write a line; return whether the system accepted all of it.
+
+        If not, the driver calls `Pool.write_completed` once it has.
+        """
         ...
 
     def holds(self) -> bool:
-        """Return whether some of what was written is not with the system yet."""
+        """Return whether a part of what was written has not been accepted by the system yet."""
         ...
 
     def abort(self) -> None:
-        """Close at once, whatever is not with the system yet."""
+        """Close at once, and drop what the system has not accepted."""
         ...
 
 
 @dataclass(slots=True)
 class Message:
-    """One line to a runner. `is_new_work` marks what may not go to a runner that drains: all but a CANCEL.
+    """A message to a runner: one line of its protocol.
 
-    A call's line is made when it is written, from `request` and `due_us`: the runner is to know how
-    long the client still waits, and it may have waited for its connection since it was decided.
+    The line of a call is encoded from `request` and `due_us` when it is written, since it tells the
+    runner how long the client still waits, and the message may have waited for its connection by then.
     """
 
-    line: bytes
-    is_new_work: bool
-    attempt: AttemptId | None = None
-    tag: str = ""
-    control_number: int = 0  # of a load request or a health check; 0 for all else
+    line: bytes  # empty for a call until it is written
+    is_new_work: bool  # must not be sent to a draining runner; false only for a CANCEL
+    attempt: AttemptId | None = None  # None unless the message is a call
+    tag: str = ""  # identifies the answer; empty if none is expected
+    control_number: int = 0  # of a load request or a health check; 0 for other messages
     is_health_check: bool = False
-    written_us: int = 0
-    until_us: int = 0  # not to be written from then on, if over 0
-    state: AttemptState = AttemptState.QUEUED  # of the attempt, or of the control request
-    request: Request | None = None
-    due_us: int = 0  # when the attempt times out
+    written_us: int = 0  # 0 until it is written
+    until_us: int = 0  # time from which it must not be written; 0 if there is none
+    state: AttemptState = AttemptState.QUEUED
+    request: Request | None = None  # None unless the message is a call
+    due_us: int = 0  # when the attempt times out; 0 unless the message is a call
 
 
 @dataclass(slots=True)
 class ControlTag:
-    """What the tag of a load request or a health check stands for: its number at the core, and its kind."""
+    """The control request that a tag on the wire stands for: its number at the core, and its kind."""
 
     number: int
     is_health_check: bool
@@ -59,37 +62,40 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A connection to a runner, with what waits for it and what has been written there."""
+    """A connection to a runner, with its queued messages and its open requests."""
 
     runner: "Runner"
     opened_us: int
-    used_us: int
+    last_used_us: int  # last write or input
     state: ConnectionState = ConnectionState.OPENING
-    socket: Socket | None = None  # from the moment it is up
-    queue: deque[Message] = field(default_factory=deque)
-    open: dict[str, AttemptId] = field(default_factory=dict)  # attempts written, by tag
-    control_tags: dict[str, ControlTag] = field(default_factory=dict)  # control requests written, by tag
+    socket: Socket | None = None  # None until the connection is established
+    queue: deque[Message] = field(default_factory=deque)  # messages not written yet
+    open: dict[str, AttemptId] = field(default_factory=dict)  # attempts written and not answered, by tag
+    # Control requests written and not answered, by tag.
+    control_tags: dict[str, ControlTag] = field(default_factory=dict)
+    # Tags of the latest attempts that the runner answered without running them.
     rejected_tags: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_REJECTED_TAGS))
-    partial: Message | None = None  # the last one written, while not all of it is with the system
-    heard_us: int = 0
-    idle_us: int = 0  # how long it was idle before the first request that it carries, until it is heard
+    partial: Message | None = None  # being written, and not accepted completely by the system
+    last_input_us: int = 0  # 0 before the first input
+    # How long it was idle before the first request that it now carries; reset to 0 by the next input.
+    idle_us: int = 0
 
-    def closed(self) -> bool:
-        """Return whether it is over."""
+    def is_closed(self) -> bool:
+        """Return whether the connection is closed."""
         return self.state is ConnectionState.CLOSED
 
-    def streams(self) -> int:
-        """Count what is written and not answered, and what is queued."""
+    def stream_count(self) -> int:
+        """Return the number of requests that are written and not answered, and of queued messages."""
         return len(self.open) + len(self.control_tags) + len(self.queue)
 
 
 @dataclass(slots=True, eq=False)
 class Runner:
-    """A runner as listed, with the connections to it; it stays while it has any."""
+    """A runner of the endpoint list and its connections; kept until it is unlisted and has none left."""
 
     uid: str
     address: Address
     started_us: int
-    takes_new: bool
-    listed: bool = True
+    takes_new: bool  # may be sent new work
+    listed: bool = True  # is on the endpoint list
     connections: list[Connection] = field(default_factory=list)
--- a/maplestile/requests/control_requests.py
+++ b/maplestile/requests/control_requests.py
@@ -1,4 +1,4 @@
-"""Load requests, unloads and health checks: numbered, timed, and reported to the dispatcher when they end."""
+"""Load requests, unload requests and health checks: sends them, and reports results and timeouts."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class ControlRequests:
-    """What goes to workers beside attempts. One that is not answered in time ends as TIMEOUT."""
+    """Requests to workers other than attempts. One without an answer in time ends as TIMEOUT."""
 
     def __init__(
         self,
@@ -31,61 +31,64 @@
         self._counters = runtime.counters
         self.limits = limits
         self.open: dict[int, ControlRequest] = {}  # by tag
-        # Where routers know each other: whether a health check of the dispatcher's goes out from here, and
-        # how any ended.
-        self.may_check: Callable[[str], bool] = _always
-        self.on_checked: Callable[[str, Result], None] = _ignore
+        # Set where routers share health checks: whether this router checks a worker itself, and a callback
+        # for the result of each check.
+        self.may_check: Callable[[str], bool] = _always_check
+        self.on_checked: Callable[[str, Result], None] = _ignore_result
 
     def request_load(self, action: api.RequestLoad) -> None:
-        """Have a worker load copies of a function."""
+        """Send a load request for copies of a function to a worker."""
         tag = self._start(action.worker, action.function, self.limits.load_timeout_us, self.load_ended)
         self._counters["load_requests.sent"] += 1
         self._pool.load(tag, action.worker, action.function, action.copies)
 
     def request_unload(self, action: api.RequestUnload) -> None:
-        """Have a worker drop a function; nothing reports the end of that."""
+        """Send an unload request for a function to a worker; it has no answer."""
         self._counters["unload_requests.sent"] += 1
         self._pool.unload(action.worker, action.function)
 
-    def check_health_if_ours(self, action: api.SendHealthCheck) -> None:
-        """Send a health check that the dispatcher wants, unless another router checks that worker."""
+    def check_health_if_assigned(self, action: api.SendHealthCheck) -> None:
+        """Send a health check for the dispatcher, unless another router is assigned to check that worker."""
         if self.may_check(action.worker):
             self.check_health(action.worker)
         else:
             self._counters["health_checks.left_to_assignee"] += 1
 
     def check_health(self, worker: str) -> None:
-        """Send one health check, whoever wants it."""
+        """Send a health check, without regard to the check assignment."""
         tag = self._start(worker, "", self.limits.health_check_timeout_us, self.health_check_ended)
         self._counters["health_checks.sent"] += 1
         self._pool.check_health(tag, worker)
 
     def load_ended(self, tag: int, result: Result, copies: int = 0) -> None:
-        """Report the end of a load request; a second one, or one after the timeout, goes nowhere."""
+        """Report the result of a load request to the dispatcher; one after its end is ignored."""
         request = self.open.pop(tag, None)
         if request is None:
             return
         self._counters[f"load_requests.{result.value}"] += 1
         elapsed_us = max(0, self._clock() - request.sent_us)
-        self._decisions.give(
+        self._decisions.handle(
             api.LoadRequestEnded(request.worker, request.function, result, elapsed_us, copies)
         )
 
     def health_check_ended(self, tag: int, result: Result, report: Report = ()) -> None:
-        """Report the end of a health check to the dispatcher and to `on_checked`."""
+        """Report the result of a health check to the dispatcher and to `on_checked`."""
         request = self.open.pop(tag, None)
         if request is None:
             return
         self._counters[f"health_checks.{result.value}"] += 1
         self.on_checked(request.worker, result)
         elapsed_us = max(0, self._clock() - request.sent_us)
-        self._decisions.give(api.HealthCheckEnded(request.worker, result, elapsed_us, report))
+        self._decisions.handle(api.HealthCheckEnded(request.worker, result, elapsed_us, report))
 
-    def _start(self, worker: str, function: str, wait_us: int, ended: Callable[[int, Result], None]) -> int:
+    def _start(
+        self, worker: str, function: str, timeout_us: int, ended: Callable[[int, Result], None]
+    ) -> int:
+        """Record a control request and set its timeout; return its tag."""
         tag = self._numbers.next()
         now = self._clock()
         self.open[tag] = ControlRequest(worker, function, now)
-        self._timers.at(now + wait_us, lambda: self._time_out(tag, ended))
+        self._timers.at(now + timeout_us, lambda: self._time_out(tag, ended))
         return tag
 
     def _time_out(self, tag: int, ended: Callable[[int, Result], None]) -> None:
@@ -94,9 +97,9 @@
             ended(tag, Result.TIMEOUT)
 
 
-def _always(_worker: str) -> bool:
+def _always_check(_worker: str) -> bool:
     return True
 
 
-def _ignore(_worker: str, _result: Result) -> None:
-    """Take no note of how a health check ended."""
+def _ignore_result(_worker: str, _result: Result) -> None:
+    """Ignore the result of a health check."""
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -1,8 +1,8 @@
-"""The data path's core: its parts, connected, and what fronts, pool and drivers call of them.
+"""The core of the data path: connects its components, and is the interface for fronts, pool and drivers.
 
-The core knows no socket and no wire. It reads the time by `clock`, asks to be woken through `alarm`, acts
-through a `Pool`, and gives each request exactly one final answer through the callable that came with it.
-Times are Unix microseconds.
+The core uses neither sockets nor wire formats. It reads the time from `clock`, sets its next wake-up through
+`alarm`, sends through a `Pool`, and gives each request exactly one final answer through the callable that was
+submitted with it. Times are Unix microseconds.
 """
 
 import logging
@@ -39,7 +39,7 @@
 
 
 class Core:
-    """The requests that are open, the attempts in flight, and the dispatcher that decides on them."""
+    """The open requests, the attempts in flight, and the dispatcher that decides what to do with them."""
 
     def __init__(
         self,
@@ -58,9 +58,9 @@
         self.counters = counters
         self.numbers = NumberSequence()
         self.epoch_counts = EpochCounts(settings.epoch)
-        self.schedule = timers = TimerQueue(settings.tick_us, clock, alarm)
+        self.timer_queue = timers = TimerQueue(settings.tick_us, clock, alarm)
         runtime = Runtime(clock, timers, counters)
-        # The queue's own methods, for those who set timers and those who drive them.
+        # Methods of the timer queue, for the code that sets timers and the driver that runs them.
         self.at = timers.at
         self.tick = timers.run_due
         self.catch_up = timers.catch_up
@@ -73,11 +73,11 @@
         )
         self.decisions.handlers = self._action_handlers()
 
-    # What is known of it.
+    # State, for other components to read.
 
     @property
     def limits(self) -> Limits:
-        """The limits in force; they can change while it serves."""
+        """The limits in force; they can change while the process serves."""
         return self.intake.limits
 
     @limits.setter
@@ -87,7 +87,7 @@
 
     @property
     def dispatcher(self) -> Dispatcher:
-        """What decides on the requests."""
+        """The dispatcher, which decides where requests are sent."""
         return self.decisions.dispatcher
 
     @property
@@ -97,72 +97,72 @@
 
     @property
     def open_bytes(self) -> int:
-        """The memory that the open requests take."""
+        """The approximate memory of the open requests, in bytes."""
         return self.requests.open_bytes
 
     @property
     def answers(self) -> Counter[tuple[str, Verdict]]:
-        """How many final answers there were, by class and verdict."""
+        """The number of final answers, by class and verdict."""
         return self.requests.answers
 
     @property
     def in_flight(self) -> dict[AttemptId, InFlightAttempt]:
-        """The attempts whose end has not been reported."""
+        """The attempts whose result has not been reported."""
         return self.attempts.in_flight
 
     @property
     def control_requests(self) -> dict[int, ControlRequest]:
-        """The load requests and health checks whose end has not been reported, by tag."""
+        """The load requests and health checks whose result has not been reported, by tag."""
         return self.control.open
 
     @property
     def number(self) -> int:
-        """The last number given to a request or a control request."""
+        """The number that was last assigned to a request or a control request; 0 before the first."""
         return self.numbers.last
 
     @property
     def exit_us(self) -> int:
-        """The time at which the process ends; 0 if it stays."""
+        """The Unix time in microseconds at which the process exits; 0 if it is not exiting."""
         return self.intake.exit_us
 
     @property
     def epochs(self) -> dict[int, Counter[str]]:
-        """The calls and attempts decided under each policy epoch."""
+        """The numbers of calls and attempts decided under each policy epoch."""
         return self.epoch_counts.by_epoch
 
     @property
     def timers(self) -> dict[int, list[Callback]]:
-        """What is due, by tick."""
-        return self.schedule.callbacks
+        """The callbacks of the timers, by the tick in which they are due."""
+        return self.timer_queue.callbacks
 
     @property
     def ticks(self) -> list[int]:
-        """The ticks in which something is due; the first is the next."""
-        return self.schedule.ticks
+        """The ticks in which callbacks are due, as a heap: the first is the next."""
+        return self.timer_queue.ticks
 
     def avoided(self) -> set[str]:
-        """Return the workers that the decisions leave out now, by their own choice."""
+        """Return the workers that the dispatcher avoids at present, by its own decision."""
         known = self.dispatcher.workers
         return {name for name, worker in known.items() if self.dispatcher.avoids(worker)}
 
-    # The process.
+    # Changes of the policy, and the exit of the process.
 
     def apply_policy(self, settings: api.Settings, limits: Limits) -> None:
-        """Set another policy, for the calls that come from now on; `tick_us` has to be the same."""
+        """Apply a new policy to the calls that arrive from now on; `tick_us` must not change."""
         self.settings = settings
         self.limits = limits
-        self.epoch_counts.enter(settings.epoch)
-        self.decisions.give(api.PolicyChanged(settings))
+        self.epoch_counts.start_epoch(settings.epoch)
+        self.decisions.handle(api.PolicyChanged(settings))
 
     def prepare_exit(self, exit_us: int) -> None:
-        """Answer all that has been taken, and will be, by the time at which the process ends."""
+        """Answer every request, open or yet to come, by the time at which the process exits."""
         self.intake.prepare_exit(exit_us)
 
     def close(self) -> None:
-        """Refuse what comes from now on; what is open ends in its own time."""
+        """Reject new requests from now on; open requests are still answered."""
         self.intake.closed = True
 
-    # Requests, as the fronts pass them in.
+    # Requests from the fronts.
 
     def submit(
         self,
@@ -171,30 +171,30 @@
         answer: Callable[[Outcome], None],
         presence: Callable[[], Presence] = always_waiting,
     ) -> int:
-        """Take a request whose last byte came at `received_us`, and return its number.
+        """Accept or reject a request whose last byte arrived at `received_us`, and return its number.
 
-        Its answer may come before this returns. `presence` looks at the client's connection and is called
-        before an attempt that may be late.
+        `answer` may be called before this returns. `presence` checks whether the client still waits; it is
+        called before an attempt is written while unread input may hold the client's disconnect or cancel.
         """
         return self.intake.submit(request, received_us, answer, presence)
 
     def withdraw(self, call: int) -> None:
-        """Drop a request whose client waits no longer: it needs no answer, and its attempts are cancelled."""
+        """Drop a request that its client has given up: it gets no answer, and its attempts are cancelled."""
         self.intake.withdraw(call)
 
     def client_disconnected(self, call: int) -> None:
-        """Begin nothing more for a call whose client has closed its connection, or only its side of it."""
+        """Start no further attempts for a call whose client has closed its connection or its sending side."""
         self.intake.client_disconnected(call)
 
-    # What the pool and the driver of the name server report.
+    # Reports from the pool and from service discovery.
 
     def list_changed(self, event: api.WorkerListReceived) -> None:
-        """Decide by another list of workers."""
+        """Apply a new worker list."""
         self.counters["lists.taken"] += 1
-        self.decisions.give(event)
+        self.decisions.handle(event)
 
     def presence(self, attempt: AttemptId) -> Presence:
-        """Look whether the client of an attempt that is about to begin still waits."""
+        """Return whether the client still waits, for an attempt that is about to be written."""
         return self.requests.presence(attempt[0])
 
     def attempt_ended(
@@ -205,18 +205,18 @@
         queued_ahead: int = 0,
         report: Report = (),
     ) -> None:
-        """Take the end of an attempt; a second one, or one after a timeout or a cancel, is only counted."""
+        """Handle the result of an attempt; one for an attempt that has ended already is only counted."""
         self.attempts.end(attempt, result, body, queued_ahead, report)
 
     def load_ended(self, tag: int, result: Result, copies: int = 0) -> None:
-        """Take the end of a load request; `copies` is how many the worker has loaded."""
+        """Handle the result of a load request; `copies` is the number that the worker holds now."""
         self.control.load_ended(tag, result, copies)
 
     def health_check_ended(self, tag: int, result: Result, report: Report = ()) -> None:
-        """Take the end of a health check."""
+        """Handle the result of a health check."""
         self.control.health_check_ended(tag, result, report)
 
-    # Actions.
+    # Actions of the dispatcher.
 
     def _action_handlers(self) -> ActionHandlers:
         return {
@@ -227,7 +227,7 @@
             api.CancelAttempt: self.attempts.cancel,
             api.RequestLoad: self.control.request_load,
             api.RequestUnload: self.control.request_unload,
-            api.SendHealthCheck: self.control.check_health_if_ours,
+            api.SendHealthCheck: self.control.check_health_if_assigned,
             api.CloseIdleConnections: self._close_idle,
             api.WriteLog: _write_log,
             api.WatchEndpoints: self._count_without_effect,
@@ -237,7 +237,7 @@
 
     def _set_timer(self, action: api.SetTimer) -> None:
         token = action.token
-        self.at(action.due_us, lambda: self.decisions.give(api.TimerFired(token)))
+        self.at(action.due_us, lambda: self.decisions.handle(api.TimerFired(token)))
 
     def _reject(self, action: api.RejectCall) -> None:
         self.requests.reject(action.call, action.retry_after_us)
@@ -249,7 +249,10 @@
         self.pool.close_idle(action.worker)
 
     def _count_without_effect(self, _action: api.Action) -> None:
-        """Count what needs no act: the list is polled all the time, and there is no way to other routers."""
+        """Count an action that is not carried out.
+
+        The endpoint list is polled anyway, and the routers have no channel to each other.
+        """
         self.counters["actions.without_effect"] += 1
 
 
--- a/maplestile/requests/decision_loop.py
+++ b/maplestile/requests/decision_loop.py
@@ -1,4 +1,4 @@
-"""Events to the dispatcher, and its actions to those who carry them out."""
+"""Passes events to the dispatcher, and its actions to the handlers that carry them out."""
 
 from collections import deque
 from collections.abc import Callable, Mapping
@@ -7,30 +7,30 @@
 from maplestile.dispatch import api
 from maplestile.dispatch.dispatcher import Dispatcher
 
-ActionHandlers = Mapping[type, Callable[[Any], None]]  # by the type of the action, which each takes
+ActionHandlers = Mapping[type, Callable[[Any], None]]  # by the type of action that the handler takes
 
 
 class DecisionLoop:
-    """Passes one event after the other to the dispatcher, and has its actions carried out in their order."""
+    """Passes events to the dispatcher one at a time, and carries out its actions in order."""
 
     def __init__(self, dispatcher: Dispatcher, clock: Callable[[], int]) -> None:
         self.dispatcher = dispatcher
-        # A table, since every call brings several actions about and a chain of comparisons would stand before
-        # each. It is set last: those who carry actions out cause events themselves.
+        # A table, since each call causes several actions and a chain of type checks would slow down each one.
+        # It is filled after construction, since the handlers' owners need this loop to pass on their events.
         self.handlers: ActionHandlers = {}
         self._clock = clock
         self._events: deque[api.Event] = deque()
-        self._acting = False
+        self._is_handling = False
 
-    def give(self, event: api.Event) -> None:
-        """Pass an event to the dispatcher; one that an action brings about waits for the action's turn."""
+    def handle(self, event: api.Event) -> None:
+        """Pass an event to the dispatcher; one that comes while actions are carried out is queued."""
         self._events.append(event)
-        if self._acting:
+        if self._is_handling:
             return
-        self._acting = True
+        self._is_handling = True
         try:
             while self._events:
                 for action in self.dispatcher.handle(self._clock(), self._events.popleft()):
                     self.handlers[type(action)](action)
         finally:
-            self._acting = False
+            self._is_handling = False
--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: runners with their addresses, by the latest events or the latest whole list."""
+"""The endpoint list: the runners with their addresses, from update events or complete lists."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -8,7 +8,7 @@
 from maplestile.common.address import Address
 from maplestile.dispatch import api
 
-SERIAL_NUMBERS = 1 << 32  # how many there are
+SERIAL_NUMBERS = 1 << 32  # count of distinct serial numbers
 US_PER_MS = 1000
 MIN_WEIGHT = 0.01
 STATES = {
@@ -19,14 +19,15 @@
 
 
 class EndpointListError(Exception):
-    """An event that cannot be used; the text names the field."""
+    """An update event that cannot be used; the error text names the field."""
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """The runners by uid; `version` is the serial of the last list or event that was applied, -1 before.
+    """The runners by uid.
 
-    A list that is no newer than the version is out of date. The uids in `suspended` are shown as draining.
+    `version` is the serial of the last list or event that was applied, -1 before the first; a list that is
+    not newer than it is out of date. Runners whose uids are in `suspended` appear as draining.
     """
 
     version: int = -1
@@ -35,9 +36,9 @@
     suspended: frozenset[str] = frozenset()
 
     def apply_known(self, known: Mapping[str, Any]) -> None:
-        """Apply the events of the start: the first one holds the whole list, later ones what has changed.
+        """Apply the update events in the settings: a complete list first, then changes to it.
 
-        Raises EndpointListError if one cannot be used.
+        Raises EndpointListError if an event cannot be used.
         """
         try:
             for update in known["updates"]:
@@ -49,16 +50,17 @@
             raise EndpointListError(f"known: {fault}") from None
 
     def is_newer_than(self, serial: int) -> bool:
-        """Return whether the version is newer than a serial, by the wrapping serial numbers of RFC 1982."""
+        """Return whether the version is newer than a serial, in the serial number arithmetic of RFC 1982."""
         return self.version >= 0 and 0 < (self.version - serial) % SERIAL_NUMBERS < SERIAL_NUMBERS // 2
 
     def apply_whole(
         self, version: int, listed: Iterable[tuple[api.WorkerEntry, Address]], replaces: bool = False
     ) -> bool:
-        """Apply a whole list; return false if it is out of date: a late reply must not bring back the dead.
+        """Apply a complete list; return false, and change nothing, if it is out of date.
 
-        With `replaces` it is applied whatever its version: the numbers have started again, or the list that
-        was applied under that version lacked something.
+        Otherwise a late reply could restore runners that were removed since. With `replaces` the list is
+        applied whatever its version: the server's serials have started again, or the list that was applied
+        under that version was incomplete.
         """
         is_outdated = version == self.version or self.is_newer_than(version)
         if is_outdated and not replaces:
@@ -66,7 +68,7 @@
         self.version = version
         self._clear()
         for entry, address in listed:
-            self._put(entry, address)
+            self._set_entry(entry, address)
         return True
 
     def drain(self, uids: Iterable[str]) -> None:
@@ -75,13 +77,13 @@
             self.entries[uid] = replace(self.entries[uid], state=api.WorkerState.DRAINING)
 
     def replace(self, other: "EndpointList") -> None:
-        """Take the list of another configuration; the version never falls, since the numbers go on."""
+        """Replace the list by that of a new configuration; the version never decreases."""
         self.version = max(self.version, other.version)
         self.entries = dict(other.entries)
         self.addresses = dict(other.addresses)
 
     def visible_entries(self) -> tuple[api.WorkerEntry, ...]:
-        """Return the list as decisions and pool see it: a suspended runner drains, whatever is listed."""
+        """Return the entries for dispatcher and pool; suspended runners are draining, whatever is listed."""
         draining = api.WorkerState.DRAINING
         return tuple(
             replace(entry, state=draining) if uid in self.suspended else entry
@@ -89,36 +91,39 @@
         )
 
     def event(self, kind: api.ListKind = api.ListKind.FULL) -> api.WorkerListReceived:
-        """Return the event by which the decisions get the list."""
+        """Return the event that passes the list to the dispatcher."""
         return api.WorkerListReceived(kind, self.version, self.visible_entries())
 
     def _apply_update(self, update: Mapping[str, Any]) -> None:
-        """Apply one event. Raises KeyError, TypeError, ValueError or AttributeError if it cannot be used."""
+        """Apply one update event.
+
+        Raises KeyError, TypeError, ValueError or AttributeError if it cannot be used.
+        """
         endpoints = update["endpoints"]
         if endpoints.get("all"):
             self._clear()
         for target in endpoints["targets"]:
-            self._put(*_decode_target(target))
+            self._set_entry(*_decode_target(target))
         self.version = max(self.version, int(update["index"]))
 
     def _clear(self) -> None:
         self.entries.clear()
         self.addresses.clear()
 
-    def _put(self, entry: api.WorkerEntry, address: Address) -> None:
-        """Add or change an entry; one that is gone is removed."""
+    def _set_entry(self, entry: api.WorkerEntry, address: Address) -> None:
+        """Add or replace an entry, or remove it if its state is GONE."""
         if entry.state is api.WorkerState.GONE:
             self.entries.pop(entry.worker, None)
             self.addresses.pop(entry.worker, None)
             return
-        # A weight of none, or of less, would end every draw among replicas: it is a very small one.
+        # A weight that is not positive and finite would break the weighted choice among replicas.
         weight = entry.weight if MIN_WEIGHT < entry.weight < math.inf else MIN_WEIGHT
         self.entries[entry.worker] = replace(entry, weight=weight)
         self.addresses[entry.worker] = address
 
 
 def _decode_target(target: Mapping[str, Any]) -> tuple[api.WorkerEntry, Address]:
-    """Decode one runner of an event, with its address."""
+    """Decode one runner of an update event; return its entry and address."""
     host, _, port = str(target.get("endpoint", "")).rpartition(":")
     entry = api.WorkerEntry(
         worker=target["uid"],
--- a/maplestile/requests/idle_timeout.py
+++ b/maplestile/requests/idle_timeout.py
@@ -1,7 +1,7 @@
-"""How long a connection may be idle and still carry a request: learned from connections that broke.
+"""The idle timeout: how long a connection may be idle before it is not used again, learned from breaks.
 
-Something between router and runner may drop an idle connection sooner than the settings say, and shows it
-only by a reset when the next request comes.
+A device between router and runner may drop idle connections sooner than the settings say, which shows only as
+a reset when the next request is sent.
 """
 
 from collections import deque
@@ -10,59 +10,62 @@
 
 from maplestile.wire.limits import RunnerLimits
 
-TIMEOUT_SHARE = 0.8  # of the idle time that broke a connection: the timeout of the next ones
-SURVIVORS_TO_ACQUIT = 3  # recent requests after an idle time as long by which a break is not due to it
-MAX_SURVIVED = 64  # requests after an idle time that are remembered
+TIMEOUT_SHARE = 0.8  # new timeout, as a share of the idle time after which a connection broke
+# If so many connections recently survived an idle time at least as long, a break is not blamed on it.
+MIN_SURVIVORS_TO_BLAME_RUNNER = 3
+MAX_SURVIVED = 64  # survived idle times that are remembered
 
 
 class BreakCause(Enum):
-    """What a connection's break, at its first request after an idle time, is put down to."""
+    """The supposed cause of a break at the first request after an idle time."""
 
-    OTHER = "other"  # it came too late to be the idle time's
-    RUNNER = "runner"  # others survived such an idle time of late: that runner went, or its zone
-    IDLE_TIME = "idle time"
+    OTHER = "other"  # the break came too long after the request
+    RUNNER = "runner"  # the runner or its zone failed: other connections survived such an idle time
+    IDLE_TIME = "idle time"  # the connection was dropped while it was idle
 
 
 @dataclass(slots=True)
 class SurvivedIdle:
-    """A connection that was idle so long and was heard afterwards, at that time."""
+    """An idle time after which a connection still worked."""
 
-    at_us: int
-    idle_us: int
+    at_us: int  # when the connection next received input
+    idle_us: int  # how long it had been idle
 
 
 @dataclass(slots=True)
 class IdleTimeout:
-    """The timeout in force, when it last changed, and the idle times that connections survived."""
+    """The timeout in force, when it last changed, and the recent idle times that connections survived."""
 
     timeout_us: int
-    changed_us: int = 0
+    changed_us: int = 0  # 0 if it has never changed
     survived: deque[SurvivedIdle] = field(default_factory=lambda: deque(maxlen=MAX_SURVIVED))
 
-    def relax(self, now_us: int, limits: RunnerLimits) -> None:
-        """Double the timeout after a time without a break, up to that of the settings."""
-        # What dropped connections may have passed.
+    def recover(self, now_us: int, limits: RunnerLimits) -> None:
+        """Double the timeout after a time without a break, up to the configured timeout."""
+        # The cause of the breaks may be gone.
         if now_us - self.changed_us > limits.learned_idle_recovery_us:
             self.timeout_us = min(2 * self.timeout_us, limits.idle_timeout_us)
             self.changed_us = now_us
 
-    def learn_survival(self, now_us: int, idle_us: int) -> None:
-        """Take note of a connection that was heard after such an idle time."""
+    def record_survival(self, now_us: int, idle_us: int) -> None:
+        """Record that a connection received input after such an idle time."""
         self.survived.append(SurvivedIdle(now_us, idle_us))
 
-    def learn_break(self, now_us: int, written_us: int, idle_us: int, limits: RunnerLimits) -> BreakCause:
+    def learn_from_break(
+        self, now_us: int, written_us: int, idle_us: int, limits: RunnerLimits
+    ) -> BreakCause:
         """Shorten the timeout if a break was due to an idle time, and return its cause.
 
-        The connection was idle for `idle_us`, a request was written at `written_us`, and it broke before it
-        was heard. Where that came at once, the idle time is to blame.
+        The connection was idle for `idle_us`, a request was written at `written_us`, and it broke before any
+        input. If it broke right after the request, the idle time is taken for the cause.
         """
-        least_us = limits.min_learned_idle_us
-        if now_us - written_us > least_us:
+        min_timeout_us = limits.min_learned_idle_us
+        if now_us - written_us > min_timeout_us:
             return BreakCause.OTHER
         since_us = now_us - limits.learned_idle_recovery_us
-        survivors = sum(one.at_us > since_us and one.idle_us >= idle_us for one in self.survived)
-        if survivors >= SURVIVORS_TO_ACQUIT:
+        survivors = sum(idle.at_us > since_us and idle.idle_us >= idle_us for idle in self.survived)
+        if survivors >= MIN_SURVIVORS_TO_BLAME_RUNNER:
             return BreakCause.RUNNER
-        self.timeout_us = max(least_us, min(self.timeout_us, int(TIMEOUT_SHARE * idle_us)))
+        self.timeout_us = max(min_timeout_us, min(self.timeout_us, int(TIMEOUT_SHARE * idle_us)))
         self.changed_us = now_us
         return BreakCause.IDLE_TIME
--- a/maplestile/requests/line_ends.py
+++ b/maplestile/requests/line_ends.py
@@ -1,4 +1,4 @@
-"""The ends of lines, as they are reported to the core."""
+"""Reports the results of messages to runners to the core."""
 
 from collections import Counter
 from typing import Protocol
@@ -12,10 +12,10 @@
 
 
 class PoolObserver(Protocol):
-    """What a pool needs of the core: the ends go there, and it knows whether a client still waits."""
+    """The part of the core that a pool uses: it receives results and knows whether a client still waits."""
 
     def presence(self, attempt: AttemptId) -> Presence:
-        """Look whether the client of an attempt that is about to begin still waits."""
+        """Return whether the client still waits, for an attempt that is about to be written."""
         ...
 
     def attempt_ended(
@@ -26,41 +26,41 @@
         queued_ahead: int = 0,
         report: Report = (),
     ) -> None:
-        """Take the end of an attempt."""
+        """Handle the result of an attempt."""
         ...
 
     def load_ended(self, tag: int, result: Result, copies: int = 0) -> None:
-        """Take the end of a load request; `copies` is how many the worker has loaded."""
+        """Handle the result of a load request; `copies` is the number that the worker holds now."""
         ...
 
     def health_check_ended(self, tag: int, result: Result, report: Report = ()) -> None:
-        """Take the end of a health check."""
+        """Handle the result of a health check."""
         ...
 
     def catch_up(self) -> None:
-        """Run the timers that are due, in the midst of much input."""
+        """Run the timers that are due; called while much input is handled."""
         ...
 
 
-class LineEnds:
-    """Moves attempts to their last states, and reports the ends of all lines."""
+class ResultReporter:
+    """Moves attempts to their final states, and reports the results of all messages to the core."""
 
-    core: PoolObserver  # set before anything is sent: the core is built on a pool
+    core: PoolObserver  # set before anything is sent; the pool is built first, the core needs it
 
     def __init__(self, move: Transition, counters: Counter[str]) -> None:
         self._move = move
         self._counters = counters
-        # The attempts that are queued or written, and not ended.
+        # The connection and message of each attempt that is queued or written and has no result yet.
         self.locations: dict[AttemptId, tuple[Connection, Message]] = {}
 
     def forget(self, attempt: AttemptId, state: AttemptState) -> None:
-        """Forget an attempt in its last state; its end is the caller's to report."""
-        found = self.locations.pop(attempt, None)
-        if found is not None:
-            self._move(found[1], state)
+        """Remove an attempt and set its final state; the caller reports the result."""
+        location = self.locations.pop(attempt, None)
+        if location is not None:
+            self._move(location[1], state)
 
     def report_answer(self, connection: Connection, answer: wire.Answer) -> None:
-        """Report an answer to the core; one whose tag is not known here is only counted."""
+        """Report an answer to the core; one with an unknown tag is only counted."""
         attempt = connection.open.pop(answer.call, None)
         control = connection.control_tags.pop(answer.call, None)
         if attempt is not None:
@@ -75,13 +75,13 @@
         else:
             self.core.load_ended(control.number, answer.result, answer.copies)
 
-    def end_lost(self, attempt: AttemptId, result: Result) -> None:
-        """Report an attempt whose connection has ended, and which may have run."""
+    def report_connection_lost(self, attempt: AttemptId, result: Result) -> None:
+        """Report an attempt that was written completely, and may have run, when its connection ended."""
         self.forget(attempt, AttemptState.CONNECTION_LOST)
         self.core.attempt_ended(attempt, result)
 
-    def end_unsent(self, message: Message, result: Result) -> None:
-        """Report a line that never was whole at its runner."""
+    def report_unsent(self, message: Message, result: Result) -> None:
+        """Report a message that never reached its runner completely."""
         self._move(message, AttemptState.UNSENT)
         if message.attempt is not None:
             self.locations.pop(message.attempt, None)
@@ -89,10 +89,10 @@
         elif message.is_health_check:
             self.core.health_check_ended(message.control_number, result)
         elif message.control_number:
-            full = result is Result.SUPERSEDED
-            self.core.load_ended(message.control_number, Result.FULL if full else result)
+            superseded = result is Result.SUPERSEDED
+            self.core.load_ended(message.control_number, Result.FULL if superseded else result)
 
-    def end_control(self, number: int, is_health_check: bool, result: Result) -> None:
-        """Report a health check or a load request that has no answer."""
-        ended = self.core.health_check_ended if is_health_check else self.core.load_ended
-        ended(number, result)
+    def report_unanswered_control(self, number: int, is_health_check: bool, result: Result) -> None:
+        """Report a health check or a load request that ended without an answer."""
+        report_result = self.core.health_check_ended if is_health_check else self.core.load_ended
+        report_result(number, result)
--- a/maplestile/requests/line_sender.py
+++ b/maplestile/requests/line_sender.py
@@ -1,32 +1,32 @@
-"""Puts lines before the connections of their runners."""
+"""Assigns messages to connections."""
 
 from collections import Counter
 
 from maplestile.requests.connection_table import ConnectionTable
 from maplestile.requests.connections import Message, Runner
-from maplestile.requests.line_ends import LineEnds
+from maplestile.requests.line_ends import ResultReporter
 from maplestile.requests.line_writer import LineWriter
 
 
 class LineSender:
-    """Chooses the connection that carries a line."""
+    """Selects the connection for each message, and queues the message there."""
 
     def __init__(
         self,
         runners: dict[str, Runner],
         table: ConnectionTable,
-        ends: LineEnds,
+        reporter: ResultReporter,
         writer: LineWriter,
         counters: Counter[str],
     ) -> None:
         self._runners = runners
         self._table = table
-        self._ends = ends
+        self._reporter = reporter
         self._writer = writer
         self._counters = counters
 
     def enqueue(self, worker: str, message: Message) -> bool:
-        """Queue a line at a connection to the runner; false if there is none, or no room."""
+        """Queue a message at a connection to the runner; return false if none can take it."""
         runner = self._runners.get(worker)
         if runner is None:
             return False
@@ -35,12 +35,12 @@
             self._counters["runners.at_capacity"] += 1
             return False
         if message.attempt is not None:
-            self._ends.locations[message.attempt] = (connection, message)
+            self._reporter.locations[message.attempt] = (connection, message)
         self._writer.write(connection, message)
         return True
 
     def requeue(self, runner: Runner, message: Message) -> bool:
-        """Queue a line whose connection has ended at another one; true also if it is cancelled by now."""
-        if message.attempt is not None and message.attempt not in self._ends.locations:
+        """Queue a message of a closed connection at another one; return true also if it was cancelled."""
+        if message.attempt is not None and message.attempt not in self._reporter.locations:
             return True
         return self._runners.get(runner.uid) is runner and self.enqueue(runner.uid, message)
--- a/maplestile/requests/line_writer.py
+++ b/maplestile/requests/line_writer.py
@@ -1,7 +1,7 @@
-"""Queues of lines before connections, and their dispatch: what the rules ask of a line is checked here.
+"""Writes queued messages to their connections, and checks whether each may still be sent.
 
-A line may wait for its connection, or behind a full socket buffer, for long enough that what allowed it holds
-no more: then it ends as never sent.
+A message may wait for its connection, or behind a full socket buffer, for so long that it must not be sent
+any more: its runner may have started to drain, or its deadline may have passed. It then ends as unsent.
 """
 
 from collections import Counter
@@ -9,95 +9,96 @@
 
 from maplestile.dispatch.api import Result
 from maplestile.requests.connections import Connection, ControlTag, Message, Socket
-from maplestile.requests.line_ends import LineEnds
+from maplestile.requests.line_ends import ResultReporter
 from maplestile.requests.records import Presence
 from maplestile.requests.states import AttemptState, Transition
 from maplestile.wire import runner as wire
 
 
 class LineWriter:
-    """Writes the lines that are queued before the connections of a pool."""
+    """Writes the messages that are queued at the connections of a pool."""
 
     def __init__(
         self,
-        ends: LineEnds,
+        reporter: ResultReporter,
         flush_soon: Callable[[Connection], None],
         move: Transition,
         clock: Callable[[], int],
         counters: Counter[str],
     ) -> None:
-        self._ends = ends
+        self._reporter = reporter
         self._flush_soon = flush_soon
         self._move = move
         self._clock = clock
         self._counters = counters
-        self.calls_written = 0  # attempts written whole
-        # Whether input may lie unread for so long that clients in it have left a while ago.
-        self.input_is_old: Callable[[], bool] = _never
+        self.calls_written = 0  # attempts written completely
+        # Returns whether client input may have been unread for so long that clients may have left meanwhile.
+        self.input_is_old: Callable[[], bool] = _input_is_never_old
 
     def write(self, connection: Connection, message: Message) -> None:
-        """Queue a line, and write what the socket takes."""
+        """Queue a message, and write as many as the socket accepts."""
         connection.queue.append(message)
         self.flush(connection)
 
     def flush(self, connection: Connection) -> None:
-        """Write what the socket takes; what may no longer be sent ends here, unwritten."""
+        """Write as many queued messages as the socket accepts; drop those that may no longer be sent."""
         socket = connection.socket
-        if socket is None or connection.closed() or connection.partial is not None:
+        if socket is None or connection.is_closed() or connection.partial is not None:
             return
-        postponed = 0  # lines at the head of the queue that stay there for now
+        postponed = 0  # messages at the head of the queue that are not written yet
         while len(connection.queue) > postponed and connection.partial is None:
             message = connection.queue[postponed]
             presence = self._presence(message)
             if len(connection.queue) <= postponed or connection.queue[postponed] is not message:
-                continue  # its client has gone, and the core has withheld it
+                continue  # its client has left, and the core has withheld it
             if presence is Presence.UNREAD:
                 postponed += 1
                 continue
             del connection.queue[postponed]
             if presence is Presence.GONE:
                 self._counters["runners.client_disconnected"] += 1
-                self._ends.end_unsent(message, Result.SUPERSEDED)
+                self._reporter.report_unsent(message, Result.SUPERSEDED)
             elif self._is_stale(connection, message):
                 self._counters["runners.stale"] += 1
-                self._ends.end_unsent(message, Result.SUPERSEDED)
+                self._reporter.report_unsent(message, Result.SUPERSEDED)
             else:
-                self._write_line(socket, connection, message)
-        if postponed and not connection.closed():
+                self._write_message(socket, connection, message)
+        if postponed and not connection.is_closed():
             self._counters["runners.postponed"] += 1
             self._flush_soon(connection)
 
     def write_completed(self, connection: Connection) -> None:
-        """Go on: the system has taken the rest of what was written in part."""
-        if connection.partial is not None and not connection.closed():
-            self._written(connection.partial)
+        """Continue writing: the system has accepted the rest of the partially written message."""
+        if connection.partial is not None and not connection.is_closed():
+            self._mark_written(connection.partial)
         connection.partial = None
         self.flush(connection)
 
     def _presence(self, message: Message) -> Presence:
-        """Guard against an attempt that begins after its client has left, while the loop was busy or away.
+        """Return whether the client of a message still waits.
 
-        What has been read of the client in time has been reported to the core already.
+        The core is asked only if input may have been left unread while the event loop was busy or suspended;
+        otherwise a disconnect has been reported to it already.
         """
         if message.attempt is None or not self.input_is_old():
             return Presence.WAITING
-        return self._ends.core.presence(message.attempt)
+        return self._reporter.core.presence(message.attempt)
 
     def _is_stale(self, connection: Connection, message: Message) -> bool:
-        """Return whether a rule has come to bar the line since it was decided.
+        """Return whether the message, allowed when it was decided, may not be sent any more.
 
-        Its runner drains (rule 3), its key may be deduplicated no more (rule 1), or its own deadline has
-        passed.
+        Its runner has started to drain (rule 3), the deduplication window of its idempotency key has passed
+        (rule 1), or its deadline has passed.
         """
         now = self._clock()
-        forgotten = 0 < message.until_us <= now
+        window_passed = 0 < message.until_us <= now
         overdue = message.request is not None and message.due_us <= now
-        return message.is_new_work and (forgotten or overdue or not connection.runner.takes_new)
+        return message.is_new_work and (window_passed or overdue or not connection.runner.takes_new)
 
-    def _write_line(self, socket: Socket, connection: Connection, message: Message) -> None:
-        """Write one line; what of it the system does not take at once is the connection's `partial`."""
+    def _write_message(self, socket: Socket, connection: Connection, message: Message) -> None:
+        """Write a message; it becomes the connection's `partial` if the system does not accept all of it."""
         if not connection.open and not connection.control_tags:
-            connection.idle_us = self._clock() - connection.used_us
+            connection.idle_us = self._clock() - connection.last_used_us
         if message.attempt is not None:
             connection.open[message.tag] = message.attempt
         elif message.tag:
@@ -106,21 +107,21 @@
         self._move(message, AttemptState.PARTIALLY_WRITTEN)
         if message.request is not None:
             message.line = wire.call(message.request, message.due_us - self._clock())
-        whole = socket.write(message.line)
-        connection.used_us = message.written_us = self._clock()
-        if whole:
-            self._written(message)
+        accepted = socket.write(message.line)
+        connection.last_used_us = message.written_us = self._clock()
+        if accepted:
+            self._mark_written(message)
         else:
             connection.partial = message
 
-    def _written(self, message: Message) -> None:
-        """Take note that the system has all of a line."""
+    def _mark_written(self, message: Message) -> None:
+        """Record that the system has accepted all of a message."""
         if message.attempt is not None:
             self.calls_written += 1
-        # Any other state: it was cancelled, or answered, before its last byte.
+        # In any other state it was cancelled or answered before its last byte was written.
         if message.state is AttemptState.PARTIALLY_WRITTEN:
             self._move(message, AttemptState.WRITTEN)
 
 
-def _never() -> bool:
+def _input_is_never_old() -> bool:
     return False
--- a/maplestile/requests/number_sequence.py
+++ b/maplestile/requests/number_sequence.py
@@ -1,8 +1,8 @@
-"""The numbers by which requests and control requests are known within a process."""
+"""Numbers that identify requests and control requests within a process."""
 
 
 class NumberSequence:
-    """Whole numbers from 1, each given once."""
+    """Consecutive integers from 1."""
 
     __slots__ = ("last",)
 
@@ -10,6 +10,6 @@
         self.last = 0
 
     def next(self) -> int:
-        """Return a number that no request and no control request has had."""
+        """Return the next number."""
         self.last += 1
         return self.last
--- a/maplestile/requests/policy_epochs.py
+++ b/maplestile/requests/policy_epochs.py
@@ -1,8 +1,8 @@
-"""Counts of calls and attempts by the policy epoch that they were decided under."""
+"""Counts of calls and attempts, by the policy epoch that they were decided under."""
 
 from collections import Counter
 
-MAX_EPOCHS = 8  # epochs whose counts are kept: the newest
+MAX_EPOCHS = 8  # newest epochs whose counts are kept
 
 
 class EpochCounts:
@@ -12,12 +12,12 @@
 
     def __init__(self, epoch: int) -> None:
         self.by_epoch: dict[int, Counter[str]] = {}
-        self.epoch: int  # the one in force, and its counters
+        self.epoch: int  # in force; `current` holds its counts
         self.current: Counter[str]
-        self.enter(epoch)
+        self.start_epoch(epoch)
 
-    def enter(self, epoch: int) -> None:
-        """Count what comes from now on under this epoch; the counts of the oldest are dropped."""
+    def start_epoch(self, epoch: int) -> None:
+        """Count calls from now on under this epoch; the counts of all but the newest epochs are dropped."""
         self.epoch = epoch
         self.current = self.by_epoch.setdefault(epoch, Counter())
         for old in sorted(self.by_epoch)[:-MAX_EPOCHS]:
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -1,7 +1,8 @@
-"""The runner pool: connections by uid, requests spread over their streams, answers passed to the core.
+"""The runner pool: connects to runners, sends requests to them, and passes their answers to the core.
 
-It opens no socket: `net/runners.py` drives it, and `tools/explore` plays every order of events on it. The
-states of attempts and connections stand in `states.py`. Times are microseconds of the core's clock.
+It opens no sockets itself: `net/runners.py` drives it in production, and `tools/explore` drives it through
+every order of events. `states.py` defines the states of attempts and connections. Times are microseconds of
+the core's clock.
 """
 
 from collections import Counter
@@ -13,7 +14,7 @@
 from maplestile.requests.connections import Connection, Message, Runner, Socket
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.idle_timeout import IdleTimeout
-from maplestile.requests.line_ends import LineEnds, PoolObserver
+from maplestile.requests.line_ends import PoolObserver, ResultReporter
 from maplestile.requests.line_sender import LineSender
 from maplestile.requests.line_writer import LineWriter
 from maplestile.requests.records import AttemptId
@@ -27,7 +28,7 @@
 
 
 class Pool:
-    """The core's pool; a driver dials for it, and reports what becomes of its connections."""
+    """The core's runner pool; a driver opens its connections and reports their events."""
 
     def __init__(self, limits: RunnerLimits, clock: Callable[[], int], counters: Counter[str]) -> None:
         self.clock = clock
@@ -37,22 +38,22 @@
         self.table = ConnectionTable(limits, self.idle_timeout, self.dial, self.close, clock, counters)
         self.directory = RunnerDirectory(self.table, self.close)
         self.runners = self.directory.runners
-        self.ends = LineEnds(move, counters)
-        self.locations = self.ends.locations
-        self.writer = LineWriter(self.ends, self.flush_soon, move, clock, counters)
-        self.sender = LineSender(self.runners, self.table, self.ends, self.writer, counters)
+        self.reporter = ResultReporter(move, counters)
+        self.locations = self.reporter.locations
+        self.writer = LineWriter(self.reporter, self.flush_soon, move, clock, counters)
+        self.sender = LineSender(self.runners, self.table, self.reporter, self.writer, counters)
         self.closer = ConnectionCloser(
-            self.table, self.sender, self.ends, self.idle_timeout, self.disconnect, move, clock, counters
+            self.table, self.sender, self.reporter, self.idle_timeout, self.disconnect, move, clock, counters
         )
 
     @property
     def core(self) -> PoolObserver:
-        """What the ends are reported to; set once, before anything is sent."""
-        return self.ends.core
+        """The observer that results are reported to; set once, before anything is sent."""
+        return self.reporter.core
 
     @core.setter
     def core(self, core: PoolObserver) -> None:
-        self.ends.core = core
+        self.reporter.core = core
 
     @property
     def limits(self) -> RunnerLimits:
@@ -65,42 +66,43 @@
 
     @property
     def connections(self) -> int:
-        """How many connections are not closed."""
+        """The number of connections that are not closed."""
         return len(self.table.connections)
 
     @property
     def calls_written(self) -> int:
-        """How many attempts were written whole."""
+        """The number of attempts that were written completely."""
         return self.writer.calls_written
 
-    # What a driver implements.
+    # Methods that a driver implements.
 
     def dial(self, connection: Connection) -> None:
-        """Begin to connect; `connected` or `close` follows, and not from within this call."""
+        """Start to connect; the driver calls `connected` or `close` later, not within this call."""
         raise NotImplementedError
 
     def disconnect(self, connection: Connection) -> None:
-        """Report nothing more of a connection that the pool has closed."""
+        """Stop reporting events of a connection that the pool has closed."""
         raise NotImplementedError
 
     def flush_soon(self, connection: Connection) -> None:
-        """Call `input_handled` once more input has been read."""
+        """Call `input_handled` after a short delay, in which more client input can be read."""
         raise NotImplementedError
 
     # The endpoint list.
 
     def update(self, fleet: EndpointList) -> None:
-        """Take another endpoint list: runners drain, go, come, or are other processes than before."""
+        """Apply a new endpoint list: runners may be added or removed, start to drain, or have restarted."""
         self.directory.update(fleet)
 
-    # What the core asks for.
+    # Requests of the core.
 
     def send(
         self, attempt: AttemptId, worker: str, request: Request, wait_us: int, until_us: int = 0
     ) -> None:
-        """Write the attempt soon, but not from `until_us` on (if over 0): then it ends as SUPERSEDED.
+        """Queue an attempt to be written. If it is not written before `until_us`, it ends as SUPERSEDED.
 
-        Without a connection that can take it, it ends as CONNECT_FAILED before this returns.
+        `until_us` is 0 if there is no such limit. Without a connection that can take the attempt, it ends as
+        CONNECT_FAILED before this returns.
         """
         due_us = self.clock() + wait_us
         message = Message(b"", True, attempt, request.tag, until_us=until_us, request=request, due_us=due_us)
@@ -108,28 +110,28 @@
             self.core.attempt_ended(attempt, Result.CONNECT_FAILED)
 
     def cancel(self, attempt: AttemptId) -> None:
-        """Forget the attempt, and notify its runner if it may have started there."""
+        """Drop an attempt, and cancel it at its runner if it may have started there."""
         connection, message = self.locations.pop(attempt, (None, None))
         if connection is None or message is None:
             return
         was_queued = message.state is AttemptState.QUEUED
         self.move(message, AttemptState.CANCELLED)
-        if was_queued:  # never written: the runner knows nothing of it
+        if was_queued:  # never written, so the runner does not know it
             connection.queue.remove(message)
             return
-        # A tag that a client has used twice at once may stand for another attempt by now.
+        # If the client used one tag for two open requests, it may belong to the other one's attempt by now.
         if connection.open.get(message.tag) != attempt:
             return
         del connection.open[message.tag]
-        self._doubt_if_silent(connection, message)
+        self._mark_unverified_if_silent(connection, message)
         self.writer.write(connection, Message(wire.cancel(message.tag), False))
 
     def withhold(self, attempt: AttemptId) -> bool:
-        """Keep the attempt from beginning: true if not a byte of it was out, and it is forgotten."""
+        """Drop an attempt of which no byte has been written; return whether it was dropped."""
         connection, message = self.locations.get(attempt, (None, None))
         if connection is None or message is None:
             return False
-        message.until_us = self.clock()  # should its connection break before all of it is out
+        message.until_us = self.clock()  # it is not written again if its connection breaks
         if message.state is not AttemptState.QUEUED:
             return False
         del self.locations[attempt]
@@ -138,41 +140,41 @@
         return True
 
     def load(self, tag: int, worker: str, function: str, copies: int) -> None:
-        """Have the runner load that many copies of the function."""
-        name = f"load-{tag}"
-        message = Message(wire.load(name, function, copies), True, None, name, tag)
+        """Send a load request for at least `copies` copies of a function."""
+        wire_tag = f"load-{tag}"
+        message = Message(wire.load(wire_tag, function, copies), True, None, wire_tag, tag)
         if not self.sender.enqueue(worker, message):
             self.core.load_ended(tag, Result.CONNECT_FAILED)
 
     def unload(self, worker: str, function: str) -> None:
-        """Have the runner drop its copies of the function; no end is reported."""
+        """Send an unload request for a function; it has no answer, and no result is reported."""
         self.sender.enqueue(worker, Message(wire.unload(function), True))
 
     def check_health(self, tag: int, worker: str) -> None:
-        """Send a health check."""
-        name = f"probe-{tag}"
-        message = Message(wire.stats(name), True, None, name, tag, is_health_check=True)
+        """Send a health check to a runner."""
+        wire_tag = f"probe-{tag}"
+        message = Message(wire.stats(wire_tag), True, None, wire_tag, tag, is_health_check=True)
         if not self.sender.enqueue(worker, message):
             self.core.health_check_ended(tag, Result.CONNECT_FAILED)
 
     def forget_control_request(self, tag: int) -> None:
-        """Report no end of that control request any more."""
+        """Drop a control request: its result is no longer reported."""
         for connection in self.table.connections:
-            for name in (f"load-{tag}", f"probe-{tag}"):
-                connection.control_tags.pop(name, None)
+            for wire_tag in (f"load-{tag}", f"probe-{tag}"):
+                connection.control_tags.pop(wire_tag, None)
 
     def close_idle(self, worker: str) -> None:
-        """Close the connections to the runner that carry nothing."""
+        """Close the connections to a runner that carry no request."""
         runner = self.runners.get(worker)
         if runner is not None:
             self.table.close_unused(runner)
 
-    # What the driver reports.
+    # Events that the driver reports.
 
     def sweep(self) -> None:
-        """Close what is idle before the runner does: a send that meets its close would be lost."""
+        """Close idle connections before the runner does: a request that crosses its close would be lost."""
         now = self.clock()
-        self.idle_timeout.relax(now, self.limits)
+        self.idle_timeout.recover(now, self.limits)
         over_limit = self.table.over_limit()
         idle_since_us = now - self.idle_timeout.timeout_us
         for runner in list(self.runners.values()):
@@ -181,56 +183,57 @@
             self.directory.forget_if_unlisted(runner)
 
     def connected(self, connection: Connection, socket: Socket) -> None:
-        """Write what waits for a connection that has come up."""
+        """Write the messages that wait for a connection that is now established."""
         connection.socket = socket
         self.move(connection, ConnectionState.UP)
         self.writer.flush(connection)
 
     def input_received(self, connection: Connection) -> None:
-        """Take note that bytes have come; any answers in them are reported next, and then `input_handled`."""
-        connection.used_us = connection.heard_us = self.clock()
+        """Record that bytes were received; the driver reports their answers next, then `input_handled`."""
+        connection.last_used_us = connection.last_input_us = self.clock()
         if connection.idle_us:
-            self.idle_timeout.learn_survival(connection.heard_us, connection.idle_us)
+            self.idle_timeout.record_survival(connection.last_input_us, connection.idle_us)
         connection.idle_us = 0
         if connection.state is ConnectionState.UNVERIFIED:
             self.move(connection, ConnectionState.UP)
 
     def answer_received(self, connection: Connection, answer: wire.Answer) -> None:
-        """Report an answer to the core; one whose tag is not known here is only counted."""
-        self.ends.report_answer(connection, answer)
+        """Report an answer to the core; one with an unknown tag is only counted."""
+        self.reporter.report_answer(connection, answer)
 
     def input_handled(self, connection: Connection) -> None:
-        """Write what waited until the answers of one read were reported."""
+        """Write the messages that waited while the answers of one read were reported."""
         self.writer.flush(connection)
 
     def write_completed(self, connection: Connection) -> None:
-        """Go on writing: the system has taken the rest of what was written in part."""
+        """Continue writing: the system has accepted the rest of the partially written message."""
         self.writer.write_completed(connection)
 
     def write_stalled(self, connection: Connection) -> None:
-        """Close a connection that does not take the rest of a line for `stall_us`.
+        """Close a connection that has not accepted the rest of a message for `stall_us`.
 
-        Guards the deadline in the line: it would reach the runner too late to be true. What is not written
-        goes elsewhere, since a further connection to a runner that reads nothing would be filled, too.
+        The remaining time given in the message would be out of date when it reached the runner. Messages that
+        were not written are not resent to this runner but end as CONNECT_FAILED: it reads nothing, so another
+        connection to it would fill up, too.
         """
-        if connection.partial is not None and not connection.closed():
+        if connection.partial is not None and not connection.is_closed():
             self.counters["runners.stalled"] += 1
             self.close(connection, Result.RESET, resend=False)
 
     def close(self, connection: Connection, result: Result, resend: bool = True) -> None:
-        """End a connection: what was written whole ends with `result`, all else never ran.
+        """Close a connection; attempts written completely end with `result`, the others as never run.
 
-        With `resend` what was not written whole goes by another connection to that runner, if this one came
-        up. A connection that is closed already is left alone.
+        With `resend`, messages not written completely are sent over another connection to the runner instead,
+        if this one was established. Closing a closed connection does nothing.
         """
         self.closer.close(connection, result, resend)
 
-    def _doubt_if_silent(self, connection: Connection, message: Message) -> None:
-        """Send nothing new by a connection that gave no sign since the line that is given up now.
+    def _mark_unverified_if_silent(self, connection: Connection, message: Message) -> None:
+        """Send nothing new over a connection that has been silent since it wrote a message now cancelled.
 
-        A machine that is cut off gives no sign; a new connection to it would not come up.
+        A machine that is cut off from the network is silent; a new connection to it would fail to open.
         """
         silent_us = self.clock() - message.written_us
-        silent = connection.heard_us < message.written_us and silent_us > self.limits.silent_us
-        if silent and connection.state is ConnectionState.UP:
+        is_silent = connection.last_input_us < message.written_us and silent_us > self.limits.silent_us
+        if is_silent and connection.state is ConnectionState.UP:
             self.move(connection, ConnectionState.UNVERIFIED)
--- a/maplestile/requests/records.py
+++ b/maplestile/requests/records.py
@@ -1,4 +1,4 @@
-"""The core's records (pending requests, attempts in flight, control requests) and what it needs of a pool."""
+"""The core's records (pending requests, attempts in flight, control requests) and its pool interface."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,85 +8,85 @@
 from maplestile.requests.states import CallState
 from maplestile.wire.messages import Outcome, Request
 
-AttemptId = tuple[int, int]  # the number of a request, and the number of its attempt, from 0
+AttemptId = tuple[int, int]  # number of the request, and number of the attempt within it, from 0
 
 
 class Presence(Enum):
-    """What is known, just now, of a client that has an open request."""
+    """Whether the client of an open request is known to still wait for the answer."""
 
     WAITING = "waiting"
-    UNREAD = "unread"  # its connection holds bytes that are not read yet: one may cancel the request
-    GONE = "gone"  # it has closed its connection
+    UNREAD = "unread"  # unread bytes on its connection may cancel the request
+    GONE = "gone"  # it has closed its connection or given up the request
 
 
 def always_waiting() -> Presence:
-    """Answer for callers without a connection of their own."""
+    """Return WAITING, for callers whose requests have no client connection to check."""
     return Presence.WAITING
 
 
 class Pool(Protocol):
-    """What the core needs of the workers' side.
+    """The operations that the core needs from the pool of connections to workers.
 
-    Ends come back through the core's methods `attempt_ended`, `load_ended` and `health_check_ended`. A tag is
-    the number that the core has given a control request.
+    Results are reported through the core's methods `attempt_ended`, `load_ended` and `health_check_ended`. A
+    tag is the number that the core has assigned to a control request.
     """
 
     def send(self, attempt: AttemptId, worker: str, request: Request, wait_us: int, until_us: int) -> None:
-        """Write the attempt soon, but not from `until_us` on (if over 0): then it ends as SUPERSEDED.
+        """Queue an attempt to be written. If it is not written before `until_us`, it ends as SUPERSEDED.
 
-        The client waits for `wait_us` microseconds more.
+        `until_us` is 0 if there is no such limit. The attempt times out after `wait_us` microseconds.
         """
         ...
 
     def cancel(self, attempt: AttemptId) -> None:
-        """Forget the attempt, and notify its worker if it may have started there."""
+        """Drop an attempt, and cancel it at its worker if it may have started there."""
         ...
 
     def withhold(self, attempt: AttemptId) -> bool:
-        """Keep the attempt from starting: true if not a byte of it was out, and it is forgotten.
+        """Drop an attempt of which no byte has been written; return whether it was dropped.
 
-        One that has started goes on, but by no other connection.
+        One that is partly or completely written goes on, but is not resent over another connection.
         """
         ...
 
     def load(self, tag: int, worker: str, function: str, copies: int) -> None:
-        """Have the worker load that many copies of the function."""
+        """Send a load request for at least `copies` copies of a function."""
         ...
 
     def unload(self, worker: str, function: str) -> None:
-        """Have the worker drop its copies of the function; no end is reported."""
+        """Send an unload request for a function; it has no answer, and no result is reported."""
         ...
 
     def check_health(self, tag: int, worker: str) -> None:
-        """Send a health check."""
+        """Send a health check to a worker."""
         ...
 
     def forget_control_request(self, tag: int) -> None:
-        """Report no end of that control request any more."""
+        """Drop a control request: its result is no longer reported."""
         ...
 
     def close_idle(self, worker: str) -> None:
-        """Close the connections to the worker that carry nothing."""
+        """Close the connections to a worker that carry no request."""
         ...
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request without its final answer."""
+    """A request that has no final answer yet."""
 
     request: Request
-    due_us: int
+    due_us: int  # when it must be answered: its deadline, or the exit of the process if that is sooner
     answer: Callable[[Outcome], None]
     presence: Callable[[], Presence]
     state: CallState = CallState.PENDING
-    attempts: int = 0
-    ran: bool = False
-    epoch: int = 0  # of the policy that it was taken under
+    attempts: int = 0  # made so far
+    ran: bool = False  # an attempt may have run
+    epoch: int = 0  # of the policy that it was accepted under
 
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt whose end has not been reported."""
+    """An attempt whose result has not been reported."""
 
     worker: str
     sent_us: int
@@ -94,8 +94,8 @@
 
 @dataclass(slots=True)
 class ControlRequest:
-    """A load request or a health check whose end has not been reported."""
+    """A load request or a health check whose result has not been reported."""
 
     worker: str
-    function: str
+    function: str  # empty for a health check
     sent_us: int
--- a/maplestile/requests/request_intake.py
+++ b/maplestile/requests/request_intake.py
@@ -1,4 +1,4 @@
-"""Requests as the fronts pass them in: admitted or rejected, given up by their clients, and ended in time."""
+"""Intake of requests from the fronts: admission, cancellation by the client, and deadlines."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class RequestIntake:
-    """Decides which requests are taken, and sees to it that each has its answer by its deadline."""
+    """Accepts or rejects requests, and ensures that each is answered by its deadline."""
 
     def __init__(
         self,
@@ -36,10 +36,10 @@
         self._clock = runtime.clock
         self._counters = runtime.counters
         self.limits = limits
-        # Where a fleet agrees on the policy: whether new calls are taken now.
+        # Returns whether new calls may be accepted now; None if the router does not follow a fleet policy.
         self.admits: Callable[[], bool] | None = None
-        self.exit_us = 0  # when the process ends; 0 if it stays
-        self.closed = False  # nothing more is taken
+        self.exit_us = 0  # Unix time at which the process exits; 0 if it is not exiting
+        self.closed = False  # if true, every new request is rejected
 
     def submit(
         self,
@@ -48,88 +48,92 @@
         answer: Callable[[Outcome], None],
         presence: Callable[[], Presence],
     ) -> int:
-        """Take a request, or reject it, and return its number; see `Core.submit`."""
+        """Accept or reject a request, and return its number; see `Core.submit`."""
         call = self._numbers.next()
         now = self._clock()
         self._counters["requests.taken"] += 1
-        # The client's time runs from the last byte, not from when a busy loop got to it.
+        # The client's time runs from the last byte, not from when a busy event loop handles the request.
         due_us = received_us + request.budget_us
-        leaving = 0 < self.exit_us < due_us
-        if leaving:
+        exits_first = 0 < self.exit_us < due_us  # the process exits before the deadline
+        if exits_first:
             due_us = self.exit_us
         self._requests.add(call, PendingRequest(request, due_us, answer, presence, epoch=self._epochs.epoch))
-        too_late = leaving and due_us - now < self.limits.handover.min_budget_us
-        if self._sheds(now - received_us) or too_late:
-            self._shed(call, leaving)
+        too_late = exits_first and due_us - now < self.limits.handover.min_budget_us
+        if self._must_shed(now - received_us) or too_late:
+            self._shed(call, exits_first)
             return call
         self._epochs.current["calls"] += 1
-        self._timers.at(due_us, lambda: self._overdue(call))
-        self._decisions.give(_arrival(call, request, max(0, due_us - now)))
+        self._timers.at(due_us, lambda: self._on_deadline(call))
+        self._decisions.handle(_call_arrived(call, request, max(0, due_us - now)))
         return call
 
     def withdraw(self, call: int) -> None:
-        """Drop a request whose client waits no longer: it needs no answer, and its attempts are cancelled."""
+        """Drop a request that its client has given up: it gets no answer, and its attempts are cancelled."""
         pending = self._requests.withdraw(call)
         if pending is None:
             return
         self._counters["requests.withdrawn"] += 1
-        self._decisions.give(api.CallExpired(call))
-        self._attempts.withhold(call, pending.attempts)  # where the rules let nothing be cancelled
+        self._decisions.handle(api.CallExpired(call))
+        self._attempts.withhold(call, pending.attempts)  # in case the settings forbid cancelling
 
     def client_disconnected(self, call: int) -> None:
-        """Begin nothing more for a call whose client has closed its connection, or only its side of it.
+        """Start no further attempts for a call whose client has closed its connection or its sending side.
 
-        What is out may still end, and is answered in case somebody reads it.
+        Attempts already written go on, and their answer is sent in case the client still reads.
         """
         pending = self._requests.open.get(call)
         if pending is None:
             return
         self._counters["requests.client_disconnected"] += 1
-        self._decisions.give(api.ClientDisconnected(call))
+        self._decisions.handle(api.ClientDisconnected(call))
         self._attempts.withhold(call, pending.attempts)
 
     def prepare_exit(self, exit_us: int) -> None:
-        """Answer all that has been taken, and will be, by the time at which the process ends."""
+        """Answer every request, open or yet to come, by the time at which the process exits."""
         self.exit_us = exit_us
         self._timers.at(exit_us, self.end_all)
 
     def end_all(self) -> None:
         """Answer every open request now."""
         for call in list(self._requests.open):
-            self._end(call)
+            self._fail(call)
 
-    def _sheds(self, lag_us: int) -> bool:
-        """Return whether nothing can be taken now, by the load, the policy, or the end of the process."""
+    def _must_shed(self, lag_us: int) -> bool:
+        """Return whether a new request must be rejected, for overload, an unknown policy, or shutdown.
+
+        `lag_us` is the time from the arrival of the request to its handling.
+        """
         requests, limits = self._requests, self.limits.requests
         full = len(requests.open) > limits.open_requests or requests.open_bytes > limits.open_bytes
-        # Guards memory against a flood, and the open requests against a loop that lags ever more.
+        # Without this check a flood of requests would exhaust memory, and a lagging event loop would fall
+        # further behind until the open requests miss their deadlines.
         lags = lag_us > limits.max_lag_us
-        barred = self.admits is not None and not self.admits()  # the policy to decide by is not known
-        return barred or full or lags or self.closed
+        policy_unknown = self.admits is not None and not self.admits()
+        return policy_unknown or full or lags or self.closed
 
-    def _shed(self, call: int, leaving: bool) -> None:
+    def _shed(self, call: int, exits_first: bool) -> None:
         self._counters["requests.shed"] += 1
-        # Another process takes it at once.
-        later_us = 0 if leaving or self.closed else self.limits.requests.max_retry_after_us
-        self._requests.reject(call, later_us)
+        # A process that exits is replaced by another one, which accepts the request at once.
+        retry_after_us = 0 if exits_first or self.closed else self.limits.requests.max_retry_after_us
+        self._requests.reject(call, retry_after_us)
 
-    def _overdue(self, call: int) -> None:
-        """Guard the rule of one answer in time, should the dispatcher not have answered by the deadline."""
+    def _on_deadline(self, call: int) -> None:
+        """Answer the call at its deadline if the dispatcher has not done so."""
         if call in self._requests.open:
             self._counters["requests.deadline_exceeded"] += 1
-            self._end(call)
+            self._fail(call)
 
-    def _end(self, call: int) -> None:
+    def _fail(self, call: int) -> None:
         self._requests.fail(call)
-        self._decisions.give(api.CallExpired(call))
+        self._decisions.handle(api.CallExpired(call))
 
 
-def _arrival(call: int, request: Request, left_us: int) -> api.CallArrived:
+def _call_arrived(call: int, request: Request, remaining_us: int) -> api.CallArrived:
     return api.CallArrived(
         call,
         request.function,
         request.class_name,
-        left_us,
+        remaining_us,
         request.memory_mb,
         request.lanes,
         request.cost_us,
--- a/maplestile/requests/runner_directory.py
+++ b/maplestile/requests/runner_directory.py
@@ -10,7 +10,7 @@
 
 
 class RunnerDirectory:
-    """The runners by uid: those that are listed, and those that still have connections."""
+    """The runners by uid: those on the endpoint list, and those that still have connections."""
 
     def __init__(self, table: ConnectionTable, close: Callable[[Connection, Result], None]) -> None:
         self._table = table
@@ -18,7 +18,7 @@
         self.runners: dict[str, Runner] = {}
 
     def update(self, endpoints: EndpointList) -> None:
-        """Take another endpoint list: runners drain, go, come, or are other processes than before."""
+        """Apply a new endpoint list: runners may be added or removed, start to drain, or have restarted."""
         for entry in endpoints.visible_entries():
             self._update_runner(entry, endpoints.addresses[entry.worker])
         for uid in [uid for uid in self.runners if uid not in endpoints.entries]:
@@ -29,7 +29,7 @@
             self.forget_if_unlisted(runner)
 
     def forget_if_unlisted(self, runner: Runner) -> None:
-        """Forget a runner that is not listed any more and has no connection left."""
+        """Remove a runner that is no longer listed and has no connection left."""
         if not runner.listed and not runner.connections:
             self.runners.pop(runner.uid, None)
 
@@ -48,7 +48,7 @@
             self._close_to_old_process(runner, moved)
 
     def _close_to_old_process(self, runner: Runner, moved: bool) -> None:
-        """Close connections to a process that is no more: nobody would ever answer there."""
+        """Close connections to the runner's previous process, which will never answer on them."""
         for connection in list(runner.connections):
             if moved or connection.opened_us < runner.started_us:
                 self._close(connection, Result.RESET)
--- a/maplestile/requests/runtime.py
+++ b/maplestile/requests/runtime.py
@@ -1,4 +1,4 @@
-"""What the parts of a core share."""
+"""The clock, timers and counters that the components of a core share."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Runtime:
-    """The time in Unix microseconds, the timers by it, and the counters."""
+    """A clock that gives Unix microseconds, the timers that run by it, and the counters."""
 
     clock: Callable[[], int]
     timers: TimerQueue
--- a/maplestile/requests/states.py
+++ b/maplestile/requests/states.py
@@ -1,8 +1,8 @@
-"""The states of a call, of an attempt on its way to a runner, and of a connection to one.
+"""The states of calls, of attempts and other messages to a runner, and of connections to runners.
 
-The core and the pool change them by `Transition` alone, so one that is not in the table is logged and
-counted (`states.invalid_transitions`). The state changes all the same, since a router must not fall over it;
-`maplestile explore` shows that none is ever met. `docs/attempt-states.md` says why each one is as it is.
+The core and the pool change states only through `Transition`. A change that is not in `TRANSITIONS` is a bug:
+it is logged and counted (`states.invalid_transitions`), and still carried out so that the router keeps
+serving. `maplestile explore` checks that none occurs. `docs/attempt-states.md` explains each state.
 """
 
 import logging
@@ -14,7 +14,7 @@
 
 
 class State(Enum):
-    """A state; `successors` are those that may follow: a tuple, since a member's hash is slow."""
+    """A state, with the states that may follow it: a tuple, since hashing an enum member is slow."""
 
     successors: tuple["State", ...]
 
@@ -22,20 +22,20 @@
 class CallState(State):
     """The states of a client's request."""
 
-    PENDING = "pending"  # without its one final answer
+    PENDING = "pending"  # has no final answer yet
     ANSWERED = "answered"
-    WITHDRAWN = "withdrawn"  # its client waits no longer
+    WITHDRAWN = "withdrawn"  # given up by its client
 
 
 class AttemptState(State):
-    """The states of a line to a runner: a call's attempt, a load request, a health check."""
+    """The states of a message to a runner: an attempt of a call, a load request, a health check."""
 
-    QUEUED = "queued"  # behind its connection, or what is written there: not a byte is out
-    PARTIALLY_WRITTEN = "partially written"  # the system has taken some of it, perhaps all
-    WRITTEN = "written"  # the system has all of it: from here on it may run
+    QUEUED = "queued"  # waits for its connection or behind other messages; no byte is written
+    PARTIALLY_WRITTEN = "partially written"  # the system has accepted a part of it, perhaps all
+    WRITTEN = "written"  # the system has accepted all of it, so it may run
     ANSWERED = "answered"
-    UNSENT = "unsent"  # never whole at the runner: it did not run
-    CONNECTION_LOST = "connection lost"  # its connection ended, and it may have run
+    UNSENT = "unsent"  # never reached the runner completely, so it did not run
+    CONNECTION_LOST = "connection lost"  # may have run; its connection ended before the answer
     CANCELLED = "cancelled"
 
 
@@ -44,15 +44,15 @@
 
     OPENING = "opening"
     UP = "up"
-    # Silent for longer than its requests could wait: it carries nothing new until it is heard.
+    # Silent for so long that a request on it was cancelled: nothing new is sent on it until it has input.
     UNVERIFIED = "unverified"
     CLOSED = "closed"
 
 
 TRANSITIONS: dict[State, tuple[State, ...]] = {
     CallState.PENDING: (CallState.ANSWERED, CallState.WITHDRAWN),
-    # Queued again from PARTIALLY_WRITTEN: its connection broke before the system had it all, and it goes by
-    # another.
+    # From PARTIALLY_WRITTEN back to QUEUED: the connection broke before the system had accepted all of it, so
+    # it is sent over another one.
     AttemptState.QUEUED: (AttemptState.PARTIALLY_WRITTEN, AttemptState.UNSENT, AttemptState.CANCELLED),
     AttemptState.PARTIALLY_WRITTEN: (
         AttemptState.WRITTEN,
@@ -79,15 +79,17 @@
 
 
 class Transition:
-    """The one way from state to state."""
+    """Changes states; all state changes pass through it."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.counters = counters
 
     def __call__(self, record: Stateful[StateType], to: StateType) -> None:
-        """Set the state of a record; count and log a transition that is not in the table."""
+        """Set the state of a record; log and count a transition that is not in the table."""
         if to not in record.state.successors:
             self.counters["states.invalid_transitions"] += 1
             kind = type(to).__name__
-            log.error("%s: %s to %s is no transition", kind, record.state.value, to.value)
+            log.error(
+                "%s: invalid transition from %s to %s, carried out anyway", kind, record.state.value, to.value
+            )
         record.state = to
--- a/maplestile/requests/timers.py
+++ b/maplestile/requests/timers.py
@@ -1,4 +1,4 @@
-"""Timers by ticks, with one alarm for the earliest tick; the clock and the alarm are the driver's."""
+"""A timer queue with a resolution of one tick; the driver provides the clock and a single alarm."""
 
 import heapq
 from collections import deque
@@ -10,8 +10,8 @@
 class TimerQueue:
     """Callbacks by the tick in which they are due.
 
-    `clock` gives the time in microseconds; `alarm` is given the time, in microseconds, at which the driver
-    has to call `run_due`. A tick has one alarm, however many callbacks are due in it.
+    `clock` returns the time in microseconds; `alarm` is called with the time, in microseconds, at which the
+    driver must call `run_due`. A tick has one alarm, however many callbacks are due in it.
     """
 
     __slots__ = ("_alarm", "_armed_tick", "_clock", "_tick_us", "callbacks", "ticks")
@@ -20,12 +20,12 @@
         self._tick_us = tick_us
         self._clock = clock
         self._alarm = alarm
-        self._armed_tick = 0  # the tick that the alarm is set to; 0 if it is not set
+        self._armed_tick = 0  # the tick that the alarm is set for; 0 if it is not set
         self.callbacks: dict[int, list[Callback]] = {}  # by tick
-        self.ticks: list[int] = []  # a heap of the keys of `callbacks`
+        self.ticks: list[int] = []  # the keys of `callbacks`, as a heap
 
     def at(self, due_us: int, callback: Callback) -> None:
-        """Call back in the first tick at or after `due_us`, as on the simulator's wire."""
+        """Run the callback in the first tick at or after `due_us`, as the simulator does."""
         tick = -(-due_us // self._tick_us)
         callbacks = self.callbacks.get(tick)
         if callbacks is None:
@@ -35,22 +35,22 @@
         callbacks.append(callback)
 
     def run_due(self) -> None:
-        """Run what is due; the driver calls this when the alarm goes off.
+        """Run the callbacks that are due; the driver calls this when the alarm goes off.
 
-        Raises what a callback raises; the callbacks that were due with it run in the next tick.
+        Raises what a callback raises; the callbacks that were due after it then run in the next tick.
         """
         due = self._take_due()
         self._armed_tick = 0
-        self._set_alarm()  # first, since a callback may fail, and then no timer would ever run again
+        self._set_alarm()  # before the callbacks: if one raises, later timers must still run
         try:
             while due:
                 due.popleft()()
         finally:
-            for callback in due:  # one that fails keeps back none that is due with it
+            for callback in due:  # left over because a callback raised
                 self.at(self._clock(), callback)
 
     def catch_up(self) -> None:
-        """Run what is due in the midst of much input: a deadline must not wait until all of it is handled."""
+        """Run the callbacks that are due; called while much input is handled, so that no deadline waits."""
         if self.ticks and self.ticks[0] * self._tick_us <= self._clock():
             self.run_due()
 
