--- a/maplestile/wire/__init__.py
+++ b/maplestile/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols as state machines that are fed bytes and know no socket."""
+"""Wire protocols as codecs and framers that work on bytes, without sockets."""
--- a/maplestile/wire/dns.py
+++ b/maplestile/wire/dns.py
@@ -1,4 +1,4 @@
-"""The part of DNS (RFC 1035, SRV of RFC 2782) that the name server speaks: queries out, whole lists in."""
+"""The subset of DNS that the name server uses (RFC 1035, and SRV records of RFC 2782)."""
 
 import struct
 from collections.abc import Iterable, Iterator
@@ -6,31 +6,31 @@
 
 from maplestile.dispatch.api import WorkerEntry, WorkerState
 
-# Types of records, and the class of all of them.
+# Record types, and the class that all records have.
 A = 1
 SOA = 6
 TXT = 16
 SRV = 33
 IN = 1
 
-# Of the flags in a header.
+# Flags of a message header.
 RESPONSE = 0x8000
 TRUNCATED = 0x0200
 RECURSION_DESIRED = 0x0100
 RCODE = 0x000F
 
 HEADER = struct.Struct("!6H")  # identifier, flags, and the counts of the four sections
-QUESTION = struct.Struct("!HH")  # type and class, behind the name
-RECORD = struct.Struct("!HHIH")  # type, class, time to live and size of the data, behind the name
-SERVICE = struct.Struct("!3H")  # priority, weight and port, before the target's name
+QUESTION = struct.Struct("!HH")  # type and class, after the name
+RECORD = struct.Struct("!HHIH")  # type, class, time to live and size of the data, after the name
+SERVICE = struct.Struct("!3H")  # priority, weight and port, before the name of the target
 
-POINTER = 0xC0  # both of the top bits of a length byte: a compression pointer
-POINTER_OFFSET = 0x3FFF
+POINTER = 0xC0  # the two top bits of a length byte; both are set in a compression pointer
+POINTER_OFFSET = 0x3FFF  # the bits of a pointer that hold its offset
 MAX_LABEL_BYTES = 63
 MAX_NAME_BYTES = 255
 IPV4_BYTES = 4
 
-WEIGHT_UNIT = 10  # the name server gives ten times the weight
+WEIGHT_UNIT = 10  # weight in an SRV record for a worker of weight 1
 US_PER_MS = 1000
 
 
@@ -39,14 +39,14 @@
 
 
 class Truncated(DnsError):
-    """A reply that was truncated by the server."""
+    """A reply that the server has truncated."""
 
 
 @dataclass(slots=True)
 class Host:
-    """What a reply gives of one host."""
+    """The records of one host in a reply."""
 
-    address: str = ""  # IPv4, from an A record
+    address: str = ""  # IPv4, from an A record; empty if there is none
     texts: dict[str, str] = field(default_factory=dict)  # from TXT records of the form `name=value`
 
 
@@ -56,8 +56,8 @@
 
     name: str  # of the host
     port: int
-    priority: int  # over 0 for a worker that drains
-    weight: int  # in `WEIGHT_UNIT`
+    priority: int  # greater than 0 if the worker is draining
+    weight: int  # `WEIGHT_UNIT` times the weight of the worker
 
 
 @dataclass(slots=True)
@@ -65,13 +65,13 @@
     """A decoded reply."""
 
     id: int
-    question: tuple[str, int] | None = None  # the name, in lower case, and the type that it answers
-    serial: int | None = None  # of the zone, from an SOA record
+    question: tuple[str, int] | None = None  # the name, in lower case, and the record type
+    serial: int | None = None  # of the zone, from its SOA record; None if there is none
     targets: list[Target] = field(default_factory=list)
     hosts: dict[str, Host] = field(default_factory=dict)  # by name, in lower case
 
     def missing_records(self, targets: Iterable[Target]) -> Iterator[tuple[str, int]]:
-        """Yield the names and types that must be queried for the targets, since this reply lacks them."""
+        """Yield the name and type of each host record that the targets need and this reply lacks."""
         for target in targets:
             host = self.hosts.get(target.name.lower(), Host())
             if not host.address:
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """A resource record, with its data in the message from `start` to `end`."""
+    """A resource record whose data is in the message from `start` to `end`."""
 
     name: str
     kind: int
@@ -97,28 +97,28 @@
 
 
 def parse(data: bytes) -> Reply:
-    """Decode a reply; raises `DnsError`, and `Truncated` where the server has cut it."""
+    """Decode a reply; raises `DnsError`, and `Truncated` if the server has truncated it."""
     try:
         return _parse(data)
     except (struct.error, IndexError, UnicodeDecodeError) as error:
-        raise DnsError(f"not whole: {error}") from None
+        raise DnsError(f"incomplete or malformed reply: {error}") from None
 
 
 def worker_entry(reply: Reply, target: Target) -> tuple[WorkerEntry, tuple[str, int]]:
-    """Return one worker of a whole list, and its address and port.
+    """Return the entry of one worker of a list, and its address and port.
 
-    Raises `DnsError` if the reply does not hold the address of its host, or has a text that is no number
-    where one should be.
+    Raises `DnsError` if the reply lacks the address of the worker's host, or has a TXT record whose value
+    should be a number and is not.
     """
     host = reply.hosts.get(target.name.lower())
     labels = target.name.split(".")
     if host is None or not host.address or len(labels) < 2:
-        raise DnsError(f"no address for {target.name}")
+        raise DnsError(f"the reply has no address record for {target.name}")
     try:
         cell = int(host.texts.get("cell", 0))
         started_ms = int(host.texts.get("started", 0))
     except ValueError:
-        raise DnsError(f"an odd text for {target.name}") from None
+        raise DnsError(f"a TXT record of {target.name} should hold a number and does not") from None
     worker = WorkerEntry(
         worker=labels[0],
         zone=labels[1],
@@ -137,12 +137,12 @@
     reply = Reply(id_)
     position = HEADER.size
     for _ in range(questions):
-        name, position = _name(data, position)
+        name, position = _decode_name(data, position)
         kind = struct.unpack_from("!H", data, position)[0]
         reply.question = (name.lower(), kind)
         position += QUESTION.size
     for _ in range(answers + authority + additional):
-        record = _record(data, position)
+        record = _decode_record_header(data, position)
         _add_record(reply, data, record)
         position = record.end
     return reply
@@ -157,38 +157,38 @@
         raise DnsError(f"error code {flags & RCODE}")
 
 
-def _record(data: bytes, position: int) -> _Record:
-    """Decode the head of the record at a position."""
-    name, position = _name(data, position)
+def _decode_record_header(data: bytes, position: int) -> _Record:
+    """Decode the name and the header of the record at a position."""
+    name, position = _decode_name(data, position)
     kind, _, _, size = RECORD.unpack_from(data, position)
     start = position + RECORD.size
     if start + size > len(data):
-        raise DnsError("a record past the end")
+        raise DnsError("a record extends past the end of the reply")
     return _Record(name, kind, start, start + size)
 
 
 def _add_record(reply: Reply, data: bytes, record: _Record) -> None:
-    """Add what a record holds to the reply; records of other types are skipped."""
+    """Add the data of a record to the reply; records of other types are skipped."""
     name = record.name.lower()
     if record.kind == SRV and (reply.question is None or name == reply.question[0]):
-        reply.targets.append(_target(data, record.start))
+        reply.targets.append(_decode_target(data, record.start))
     elif record.kind == A and record.end - record.start == IPV4_BYTES:
         address = data[record.start : record.end]
         reply.hosts.setdefault(name, Host()).address = ".".join(map(str, address))
     elif record.kind == TXT:
         _add_texts(reply.hosts.setdefault(name, Host()), data, record)
     elif record.kind == SOA:
-        reply.serial = _serial(data, record.start)
+        reply.serial = _decode_serial(data, record.start)
 
 
-def _target(data: bytes, start: int) -> Target:
+def _decode_target(data: bytes, start: int) -> Target:
     priority, weight, port = SERVICE.unpack_from(data, start)
-    name, _ = _name(data, start + SERVICE.size)
+    name, _ = _decode_name(data, start + SERVICE.size)
     return Target(name, port, priority, weight)
 
 
 def _add_texts(host: Host, data: bytes, record: _Record) -> None:
-    """Add the character strings of a TXT record: each has a length byte before it."""
+    """Add the character strings of a TXT record; each is preceded by its length in one byte."""
     position = record.start
     while position < record.end:
         next_position = position + 1 + data[position]
@@ -198,30 +198,30 @@
         position = next_position
 
 
-def _serial(data: bytes, start: int) -> int:
-    """Decode the serial of an SOA record, behind the names of the primary server and the mailbox."""
-    _, position = _name(data, start)
-    _, position = _name(data, position)
+def _decode_serial(data: bytes, start: int) -> int:
+    """Decode the serial of an SOA record, which follows the names of the primary server and the mailbox."""
+    _, position = _decode_name(data, start)
+    _, position = _decode_name(data, position)
     serial: int = struct.unpack_from("!I", data, position)[0]
     return serial
 
 
-def _name(data: bytes, position: int) -> tuple[str, int]:
-    """Decode the name at a position; return it with the position behind it."""
+def _decode_name(data: bytes, position: int) -> tuple[str, int]:
+    """Decode the name at a position; return it and the position after it."""
     labels: list[str] = []
     name_bytes = 0
-    end = 0  # of the name where it stands, set at the first pointer
+    end = 0  # position after the first pointer; 0 while there is none
     while (size := data[position]) != 0:
         if size & POINTER == POINTER:
             target = struct.unpack_from("!H", data, position)[0] & POINTER_OFFSET
             end = end or position + 2
-            if target >= position:  # pointers only lead back: a loop would never end
-                raise DnsError("a pointer that leads ahead")
+            if target >= position:  # must point backwards, or a loop of pointers would never end
+                raise DnsError("a compression pointer does not point backwards")
             position = target
             continue
         name_bytes += size + 1
         if size > MAX_LABEL_BYTES or name_bytes > MAX_NAME_BYTES:
-            raise DnsError("a name too long")
+            raise DnsError("a name or one of its labels is too long")
         labels.append(data[position + 1 : position + 1 + size].decode())
         position += 1 + size
     return ".".join(labels), end or position + 1
--- a/maplestile/wire/http.py
+++ b/maplestile/wire/http.py
@@ -1,4 +1,4 @@
-"""What the HTTP fronts share beside h11: requests, responses, and errors as problem details (RFC 9457)."""
+"""Types that the HTTP fronts share: requests, responses, and errors as problem details (RFC 9457)."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """A whole HTTP request."""
+    """A complete HTTP request."""
 
     method: str
     path: str
     headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
-    received_us: int = 0  # when its last bytes were received
+    received_us: int = 0  # Unix time at which its last bytes were received
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,26 +37,29 @@
     """The limits of a front's connections."""
 
     connections: int
-    idle_s: float  # silence before the first byte of a request
-    request_us: int  # for a whole request from its first bytes
+    idle_s: float  # longest silence before the first byte of a request
+    request_us: int  # time for a complete request, from its first bytes
     body_bytes: int
-    linger_us: int  # to read and drop what follows a rejection
-    accept_burst: int  # connections accepted at once
-    one_call: bool = False  # a connection is closed after its first request
+    linger_us: int  # time to read and discard input after a rejection
+    accept_burst: int  # connections accepted in a row
+    one_call: bool = False  # closes a connection after its first request
 
 
 class Application(Protocol):
-    """What answers the requests of a front, without I/O."""
+    """An application that answers the requests of an HTTP front, without doing I/O."""
 
-    bounds: Bounds  # read at each use: a reload may change them
+    bounds: Bounds  # read at each use, since a reload may change them
 
     def handle(self, request: HttpRequest, respond: Callable[[Response], None]) -> Callable[[], None]:
-        """Answer through `respond`, once; the returned function is called if the caller leaves first."""
+        """Answer a request by calling `respond` once.
+
+        The returned function is called if the caller disconnects before the answer.
+        """
         ...
 
 
 class RequestRejected(Exception):
-    """Ends the handling of a request with a response."""
+    """The rejection of a request, with the response to send."""
 
     def __init__(self, response: Response) -> None:
         super().__init__(response.status)
@@ -64,7 +67,7 @@
 
 
 def nothing() -> None:
-    """Do nothing: what `Application.handle` returns where the answer has been given already."""
+    """Do nothing; `Application.handle` returns this if the request is answered already."""
 
 
 def require_method(request: HttpRequest, *methods: str) -> None:
@@ -74,7 +77,7 @@
 
 
 def problem(status: int, detail: str, headers: Headers = ()) -> Response:
-    """Return an error as problem details."""
+    """Return an error response with problem details."""
     details = {
         "type": "about:blank",
         "title": HTTPStatus(status).phrase,
--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0 behind `Content-Length` headers: framing, and the platform's requests and answers."""
+"""JSON-RPC 2.0 with `Content-Length` headers: framing, and the requests and answers of the platform."""
 
 import binascii
 import json
@@ -14,7 +14,7 @@
 
 HEAD_END = b"\r\n\r\n"
 
-# Error codes of JSON-RPC, and the platform's own.
+# Error codes: those of JSON-RPC, and from REFUSED on those of the platform.
 PARSE_ERROR = -32700
 INVALID_REQUEST = -32600
 UNKNOWN_METHOD = -32601
@@ -26,35 +26,35 @@
 MAX_TEXT_LENGTH = 256
 MAX_LENGTH_DIGITS = 9  # of a `Content-Length`
 MAX_NUMBER = 1e9
-CACHED_EXTRAS = 1024
+CACHED_EXTRAS = 1024  # texts whose parsed numbers are cached
 US_PER_MS = 1000
 TXN_PATTERN = re.compile("[0-9a-fA-F]{16}")
 NAME_PATTERN = re.compile("[0-9A-Za-z._-]{1,64}")
 
 
 class FramingError(Exception):
-    """The stream cannot be followed any further."""
+    """A fault in the byte stream after which messages can no longer be told apart."""
 
 
 class RpcError(Exception):
-    """A message that gets an error answer; the connection goes on."""
+    """An invalid message that is answered with an error; the connection stays open."""
 
     def __init__(self, code: int, text: str, id_: object = None) -> None:
         super().__init__(text)
         self.code = code
-        self.id = id_  # of the message; None if it has no usable one
+        self.id = id_  # identifier of the message; None if it has no usable one
 
 
 @dataclass(slots=True, frozen=True)
 class KnownNames:
-    """The names that a request may use."""
+    """The names of classes and tenants that a request may use."""
 
-    classes: Mapping[str, bool]  # and whether their requests carry an idempotency key
+    classes: Mapping[str, bool]  # by name, whether requests need an idempotency key
     tenants: frozenset[str]  # empty if tenants are not checked
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "KnownNames":
-        """Return the names that these settings allow."""
+        """Return the names in these settings."""
         classes = {
             call_class.name: call_class.idempotency is Idempotency.WITH_KEY for call_class in settings.classes
         }
@@ -85,31 +85,31 @@
 
 
 class Framer:
-    """Cuts a byte stream into messages: slices of what was fed, valid until the next feed."""
+    """Splits a byte stream into message bodies, which are views of the input, valid until the next feed."""
 
     def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
-        self.rest = b""  # the beginning of a message whose end has not come
+        self.rest = b""  # start of a message that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[memoryview]:
-        """Yield the messages that are complete now; raises `FramingError`."""
+        """Yield the bodies of the messages that are now complete; raises `FramingError`."""
         buffer = self.rest + data if self.rest else data
         view = memoryview(buffer)
         start = 0
         self.rest = b""
         while (head_end := buffer.find(HEAD_END, start, start + self.limits.head_bytes)) >= 0:
             body = head_end + len(HEAD_END)
-            size = self._size(buffer[start:head_end])
+            size = self._body_size(buffer[start:head_end])
             if body + size > len(buffer):
                 break
             yield view[body : body + size]
             start = body + size
         if head_end < 0 and len(buffer) - start >= self.limits.head_bytes:
             raise FramingError("a head without an end")
-        self.rest = bytes(view[start:])  # outlives the buffer
+        self.rest = bytes(view[start:])  # a copy, since the view is only valid until the next feed
 
-    def _size(self, head: bytes) -> int:
-        """Return the size of the body that a head announces."""
+    def _body_size(self, head: bytes) -> int:
+        """Return the body size given in a message head."""
         sizes = []
         for line in head.split(b"\r\n"):
             name, colon, value = line.partition(b":")
@@ -117,7 +117,7 @@
                 raise FramingError("a head line without a colon")
             if name.strip().lower() == b"content-length":
                 sizes.append(value.strip())
-        # Digits alone: int() would take signs, underscores and spaces, and a peer might read them otherwise.
+        # Only digits: int() also accepts signs, underscores and spaces, which a peer may read differently.
         if len(sizes) != 1 or not sizes[0].isdigit() or len(sizes[0]) > MAX_LENGTH_DIGITS:
             raise FramingError("no single Content-Length")
         size = int(sizes[0])
@@ -128,16 +128,16 @@
 
 def frame(message: dict[str, Any]) -> bytes:
     """Encode a message with its header."""
-    return _framed(json.dumps(message, separators=(",", ":")).encode())
+    return _frame_body(json.dumps(message, separators=(",", ":")).encode())
 
 
 def parse(view: memoryview, limits: MessageLimits, known: KnownNames) -> Call | Interrupt | Check:
-    """Decode one message; raises `RpcError` with the code and identifier of the error answer."""
+    """Decode one message; raises `RpcError` with the code and the identifier for the error answer."""
     try:
         message = json.loads(str(view, "utf-8"))
-    except (ValueError, RecursionError):  # deep nesting must not end the program
+    except (ValueError, RecursionError):  # RecursionError: deep nesting must not crash the process
         raise RpcError(PARSE_ERROR, "no JSON") from None
-    if not isinstance(message, dict):  # a batch, too
+    if not isinstance(message, dict):  # a batch is an array, and not supported
         raise RpcError(INVALID_REQUEST, "no request object")
     id_ = message.get("id")
     method = message.get("method")
@@ -146,7 +146,7 @@
     if not isinstance(method, str) or not isinstance(params, dict):
         raise RpcError(INVALID_REQUEST, "no method or no params object", number)
     if method == "interrupt":
-        return _interrupt(params, number)
+        return _parse_interrupt(params, number)
     if number is None:
         raise RpcError(INVALID_REQUEST, "field 'id' is no number")
     if method == "check":
@@ -154,7 +154,7 @@
     if method not in known.classes:
         raise RpcError(UNKNOWN_METHOD, "unknown class", number)
     try:
-        return Call(number, _request(method, params, limits, known))
+        return Call(number, _parse_request(method, params, limits, known))
     except (ValueError, OverflowError) as error:
         raise RpcError(INVALID_PARAMS, str(error), number) from None
 
@@ -163,8 +163,8 @@
     """Encode the final answer to a call."""
     if outcome.verdict is Verdict.SERVED:
         blob = binascii.b2a_base64(outcome.body, newline=False)
-        # Formatted by hand, since nearly every answer passes here.
-        return _framed(b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"%b"}}' % (id_, blob))
+        # Formatted by hand for speed, since most answers are of this kind.
+        return _frame_body(b'{"jsonrpc":"2.0","id":%d,"result":{"blob":"%b"}}' % (id_, blob))
     if outcome.verdict is Verdict.REJECTED:
         later_ms = max(1, outcome.retry_after_us // US_PER_MS)
         return error(id_, REFUSED, "refused", {"later": later_ms})
@@ -182,15 +182,15 @@
 
 
 def result(id_: int, value: dict[str, Any]) -> bytes:
-    """Encode an answer that is no error."""
+    """Encode a success answer."""
     return frame({"jsonrpc": "2.0", "id": id_, "result": value})
 
 
-def _framed(body: bytes) -> bytes:
+def _frame_body(body: bytes) -> bytes:
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def _interrupt(params: dict[str, Any], number: int | None) -> Interrupt:
+def _parse_interrupt(params: dict[str, Any], number: int | None) -> Interrupt:
     target = params.get("id")
     txn = params.get("txn")
     if not isinstance(target, int) and txn is None:
@@ -201,76 +201,82 @@
     )
 
 
-def _request(class_name: str, params: dict[str, Any], limits: MessageLimits, known: KnownNames) -> Request:
-    """Return the request of a call; raises `ValueError` with the name of the first wrong field."""
-    extras = _extras(_text(params, "info", ""))
-    limit_us = int(_number(params, "limit") * US_PER_MS)
+def _parse_request(
+    class_name: str, params: dict[str, Any], limits: MessageLimits, known: KnownNames
+) -> Request:
+    """Return the request of a call; raises `ValueError` that names the first invalid field."""
+    extras = _parse_extras(_string_param(params, "info", ""))
+    limit_us = int(_number_param(params, "limit") * US_PER_MS)
     if not 0 < limit_us <= limits.max_budget_us:
         raise ValueError("field 'limit' is out of range")
-    tenant = _text(params, "team", "")
+    tenant = _string_param(params, "team", "")
     if known.tenants and tenant not in known.tenants:
         raise ValueError("field 'team' names no tenant")
     key = params.get("unique", "")
     if known.classes[class_name] or key:
-        key = _name(params, "unique", NAME_PATTERN)
-    tag = _name(params, "txn", TXN_PATTERN)
-    function = _name(params, "item", NAME_PATTERN)
+        key = _name_param(params, "unique", NAME_PATTERN)
+    tag = _name_param(params, "txn", TXN_PATTERN)
+    function = _name_param(params, "item", NAME_PATTERN)
     memory_mb = extras.get("memory_mb", 0.0)
     lanes = max(1, int(extras.get("lanes", 1.0)))
-    cost_us = int(_number(params, "cpu", 0.0) * US_PER_MS)
+    cost_us = int(_number_param(params, "cpu", 0.0) * US_PER_MS)
     repeat = params.get("second") in (1, "1", True)
-    body = _body(params.get("blob", ""), limits)
-    # By position: keywords would add a tenth to the time of decoding a request.
+    body = _decode_body(params.get("blob", ""), limits)
+    # Positional arguments: keywords would make decoding a request a tenth slower.
     return Request(tag, function, class_name, limit_us, memory_mb, lanes, cost_us, tenant, repeat, key, body)
 
 
 @lru_cache(CACHED_EXTRAS)
-def _extras(text: str) -> dict[str, float]:
-    """Parse the further numbers, of the form `name:value;name:value`; parts of another form are skipped.
+def _parse_extras(text: str) -> dict[str, float]:
+    """Parse additional numbers of the form `name:value;name:value`; malformed parts are skipped.
 
-    Few functions make most calls, so that few texts come again and again.
+    The result is cached: most calls are of few functions, so the same few texts recur.
     """
     extras = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
         try:
-            extras[name] = _in_range(name, float(value))
+            extras[name] = _checked_number(name, float(value))
         except ValueError:
             continue
     return extras
 
 
-def _text(params: dict[str, Any], name: str, default: str | None = None) -> str:
+def _string_param(params: dict[str, Any], name: str, default: str | None = None) -> str:
     value = params.get(name, default)
     if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
         raise ValueError(f"field '{name}' is no short string")
     return value
 
 
-def _name(params: dict[str, Any], name: str, pattern: re.Pattern[str]) -> str:
-    """Return a name of a strict form: one that a runner cannot read would cost all that is open there."""
+def _name_param(params: dict[str, Any], name: str, pattern: re.Pattern[str]) -> str:
+    """Return a name that matches the pattern.
+
+    The form is strict since a name that a runner cannot read would end its connection, with all requests open
+    on it.
+    """
     value = params.get(name)
     if not isinstance(value, str) or not pattern.fullmatch(value):
         raise ValueError(f"field '{name}' is no name of its form")
     return value
 
 
-def _number(params: dict[str, Any], name: str, default: float | None = None) -> float:
+def _number_param(params: dict[str, Any], name: str, default: float | None = None) -> float:
     value: Any = params.get(name, default)
     try:
-        return _in_range(name, float(value))
+        return _checked_number(name, float(value))
     except TypeError:
         raise ValueError(f"field '{name}' is no number") from None
 
 
-def _in_range(name: str, number: float) -> float:
-    """Return a number without a sign, no NaN and no infinity: they would poison the timers."""
+def _checked_number(name: str, number: float) -> float:
+    """Return a number that is not negative, NaN or infinite; such a value would break the timers."""
     if not 0 <= number < MAX_NUMBER:
         raise ValueError(f"field '{name}' is out of range")
     return number
 
 
-def _body(blob: Any, limits: MessageLimits) -> bytes:
+def _decode_body(blob: Any, limits: MessageLimits) -> bytes:
     try:
         body = binascii.a2b_base64(blob, strict_mode=True)
     except (TypeError, ValueError):
--- a/maplestile/wire/runner.py
+++ b/maplestile/wire/runner.py
@@ -1,4 +1,4 @@
-"""The runners' line protocol: commands out, answers in, one JSON object a line."""
+"""The line protocol of the runners: encodes commands and decodes answers, one JSON object per line."""
 
 import binascii
 import json
@@ -20,36 +20,36 @@
     "dead": Result.ERROR,
     "status": Result.OK,
 }
-"""The result of an attempt, a load request or a health check, by the kind of its answer."""
+"""The result of an attempt, a load request or a health check, by the `kind` of its answer."""
 
 US_PER_MS = 1000
 
 
 class LineError(Exception):
-    """An answer that cannot be used; the text names the field where there is one."""
+    """An answer that cannot be used; the error text names the field if one is at fault."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """An answer of a runner."""
+    """An answer from a runner."""
 
     call: str  # the tag of the command that it answers
     result: Result
-    queued_ahead: int  # requests for the same function that the runner held when this one arrived
-    copies: int  # loaded copies of the function, in the answer to a load request
+    queued_ahead: int  # requests for the function that the runner already held when this one arrived
+    copies: int  # loaded copies of the function; only given in the answer to a load request
     report: Report
     body: bytes
 
 
 class LineFramer:
-    """Cuts a byte stream into lines: slices of what was fed, valid until the next feed."""
+    """Splits a byte stream into lines, which are views of the input, valid until the next feed."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # bytes of one line
-        self.rest = b""  # the beginning of a line whose end has not come
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes  # of one line
+        self.rest = b""  # start of a line that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[memoryview]:
-        """Yield the complete lines but for empty ones; raises `LineError` if a line is too long."""
+        """Yield the complete lines, without empty ones; raises `LineError` if a line is too long."""
         buffer = self.rest + data if self.rest else data
         view = memoryview(buffer)
         start = 0
@@ -58,15 +58,16 @@
             if end > start:
                 yield view[start:end]
             start = end + 1
-        if len(buffer) - start > self.most:  # guards memory against a line that never ends
-            raise LineError("a line without an end")
-        self.rest = bytes(view[start:])  # outlives the buffer
+        if len(buffer) - start > self.max_bytes:  # a line that never ends would exhaust memory
+            raise LineError("a line is longer than the limit")
+        self.rest = bytes(view[start:])  # a copy, since the view is only valid until the next feed
 
 
 def call(request: Request, wait_us: int) -> bytes:
-    """Encode a call that the runner may take `wait_us` for.
+    """Encode a call, which the runner has `wait_us` to answer.
 
-    Formatted by hand, since every attempt passes here; strings from outside are quoted by json's encoder.
+    Formatted by hand for speed, since every attempt passes here; strings from clients are quoted by the JSON
+    encoder.
     """
     once = f',"once":{quoted(request.key)}' if request.key else ""
     head = f'"class":{quoted(request.class_name)},"key":{quoted(request.function)}'
@@ -77,26 +78,26 @@
 
 def cancel(tag: str) -> bytes:
     """Encode the cancellation of a call."""
-    return _line({"kind": "CANCEL", "call": tag})
+    return _encode_line({"kind": "CANCEL", "call": tag})
 
 
 def load(tag: str, function: str, copies: int) -> bytes:
     """Encode a request to hold at least `copies` of a function."""
-    return _line({"kind": "LOAD", "call": tag, "head": {"key": function, "units": copies}})
+    return _encode_line({"kind": "LOAD", "call": tag, "head": {"key": function, "units": copies}})
 
 
 def unload(function: str) -> bytes:
     """Encode a request to drop the copies of a function."""
-    return _line({"kind": "UNLOAD", "call": function})
+    return _encode_line({"kind": "UNLOAD", "call": function})
 
 
 def stats(tag: str) -> bytes:
-    """Encode a health check, which is answered with a load report."""
-    return _line({"kind": "STATS", "call": tag})
+    """Encode a health check; its answer holds a load report."""
+    return _encode_line({"kind": "STATS", "call": tag})
 
 
 def parse(view: memoryview) -> Answer:
-    """Decode one line; raises `LineError`."""
+    """Decode one line, an answer; raises `LineError` if it cannot be used."""
     try:
         message = json.loads(str(view, "utf-8"))
         head = message.get("head") or {}
@@ -105,7 +106,7 @@
             result=RESULTS[str(message["kind"])],
             queued_ahead=int(head.get("ahead", 0)),
             copies=int(head.get("units", 0)),
-            report=_report(head.get("stats") or message.get("stats") or ""),
+            report=_parse_report(head.get("stats") or message.get("stats") or ""),
             body=binascii.a2b_base64(message.get("bytes") or "", strict_mode=True),
         )
     except KeyError as name:
@@ -114,12 +115,12 @@
         raise LineError(str(error)) from None
 
 
-def _line(message: dict[str, Any]) -> bytes:
+def _encode_line(message: dict[str, Any]) -> bytes:
     return json.dumps(message, separators=(",", ":")).encode() + b"\n"
 
 
-def _report(text: str) -> Report:
-    """Parse a load report of the form `name:value;name:value`."""
+def _parse_report(text: str) -> Report:
+    """Parse a load report of the form `name:value;name:value`; an empty text gives an empty report."""
     if not text:
         return ()
     parts = [part.partition(":") for part in str(text).split(";") if part]
--- a/maplestile/wire/settings.py
+++ b/maplestile/wire/settings.py
@@ -1,4 +1,4 @@
-"""Parses the platform's settings, decoded from JSON, for the simulator adapter and the router alike."""
+"""Parses the platform's settings from decoded JSON; the router and the simulator adapter use it."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -14,11 +14,11 @@
 
 
 class SettingsError(Exception):
-    """Settings that cannot be used; the text names the field."""
+    """Settings that cannot be used; the error text names the field."""
 
 
 def settings_from(payload: Mapping[str, Any]) -> api.Settings:
-    """Return the settings that a decoded JSON object holds; raises `SettingsError`."""
+    """Return the settings in a decoded JSON object; raises `SettingsError`."""
     try:
         return _settings_from(payload)
     except KeyError as missing:
--- a/maplestile/wire/simulator_adapter.py
+++ b/maplestile/wire/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator: one `Dispatcher` for each simulated router, on the simulator's line protocol.
+"""The adapter to the simulator: runs a `Dispatcher` for each simulated router over a line protocol.
 
 `python -m maplestile.wire.simulator_adapter` reads batches of events from its standard input and writes the
 actions to its standard output.
@@ -10,7 +10,7 @@
 
 from maplestile.dispatch.dispatcher import Dispatcher
 from maplestile.wire.simulator_codec import (
-    SHOWN_CHARACTERS,
+    MAX_SHOWN_CHARACTERS,
     LineFields,
     WireError,
     action_line,
@@ -23,21 +23,21 @@
 
 
 class SimulatorSession:
-    """Reads batches, has each event handled by its dispatcher, and writes the actions."""
+    """Reads batches of events, passes each event to its dispatcher, and writes the actions."""
 
     def __init__(self, lines: Iterator[str], output: TextIO) -> None:
-        self.line_number = 0  # of the last line that was read
+        self.line_number = 0  # of the last line read; 0 before the first
         self._lines = lines
         self._output = output
-        self._dispatchers: dict[str, Dispatcher] = {}
+        self._dispatchers: dict[str, Dispatcher] = {}  # by the name of the simulated router
 
     def run(self) -> None:
         """Handle batches until the input ends; raises `WireError`."""
         while (line := self._next_line()) is not None:
             mark = LineFields(line)
             if mark.name != "MARK":
-                raise WireError(f"'{mark.name[:SHOWN_CHARACTERS]}' stands where MARK was due")
-            self._handle_batch(mark.whole("nowUs"), mark.whole("frame"))
+                raise WireError(f"expected MARK, found '{mark.name[:MAX_SHOWN_CHARACTERS]}'")
+            self._handle_batch(mark.integer("nowUs"), mark.integer("frame"))
 
     def _next_line(self) -> str | None:
         line = next(self._lines, None)
@@ -49,7 +49,7 @@
     def _required_line(self) -> str:
         line = self._next_line()
         if line is None:
-            raise WireError("the input ends inside a batch")
+            raise WireError("the input ended within a batch, before its FLUSH")
         return line
 
     def _handle_batch(self, now_us: int, frame: int) -> None:
@@ -61,21 +61,23 @@
         self._output.flush()
 
     def _handle_line(self, now_us: int, line: str, output: list[str]) -> None:
-        """Handle one message, and add the actions that answer it to the output."""
+        """Handle one message, and append the resulting actions to the output."""
         fields = LineFields(line, "params" if line.startswith("BEGIN ") else "")
-        who = fields.text("who")
+        router = fields.text("who")
         if fields.name == "BEGIN":
-            self._dispatchers[who] = Dispatcher(settings_from(fields.text("params")), fields.whole("salt"))
+            self._dispatchers[router] = Dispatcher(
+                settings_from(fields.text("params")), fields.integer("salt")
+            )
             return
         if fields.name == "KILLED":
-            self._dispatchers.pop(who, None)
+            self._dispatchers.pop(router, None)
             return
-        count = fields.whole("membersList", 0) if fields.name == "ROSTER_CHANGE" else 0
+        count = fields.integer("membersList", 0) if fields.name == "ROSTER_CHANGE" else 0
         entries = tuple(entry_from(self._required_line()) for _ in range(count))
         event = event_from(fields, entries)
-        dispatcher = self._dispatchers.get(who)
+        dispatcher = self._dispatchers.get(router)
         if event is not None and dispatcher is not None:
-            output.extend(action_line(who, action) for action in dispatcher.handle(now_us, event))
+            output.extend(action_line(router, action) for action in dispatcher.handle(now_us, event))
 
 
 def main() -> int:
--- a/maplestile/wire/simulator_codec.py
+++ b/maplestile/wire/simulator_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's line protocol: lines into events, settings and list entries, and actions into lines."""
+"""The line protocol of the simulator: decodes events, settings and list entries, and encodes actions."""
 
 import base64
 import json
@@ -27,27 +27,27 @@
 }
 LIST_KINDS = {kind.value: kind for kind in api.ListKind}
 WARMTHS = {warmth.value: warmth for warmth in api.Warmth}
-WARMTH_VALUES = 8  # the field `remark` is `queued_ahead` times this, and the warmth
-EMPTY = "-"  # stands for empty bytes
-SHOWN_CHARACTERS = 40  # of a line, in an error
+WARMTH_VALUES = 8  # the field `remark` holds `queued_ahead` * WARMTH_VALUES + warmth
+EMPTY = "-"  # encodes empty bytes
+MAX_SHOWN_CHARACTERS = 40  # of a line, in an error text
 
 T = TypeVar("T")
 
 
 class WireError(Exception):
-    """A line that cannot be understood; the text names the field."""
+    """A line that cannot be decoded; the error text names the field."""
 
 
 class LineFields:
-    """The name=value pairs of one line; reading one raises a `WireError` that names the field."""
+    """The message name and name=value fields of one line; reading a bad field raises `WireError`."""
 
     def __init__(self, line: str, text_field: str = "") -> None:
-        """Parse a line; the value of `text_field`, if given, holds spaces and goes to the end of the line."""
+        """Parse a line; the value of `text_field`, if given, may hold spaces and extends to the end."""
         self.name, _, pairs = line.partition(" ")
         self.values: dict[str, str] = {}
         if text_field:
             self._parse_with_text(pairs, text_field)
-        else:  # no value holds a space, which most lines rely on for speed
+        else:  # most lines have no value with spaces, and are parsed faster
             self._parse(pairs)
 
     def text(self, name: str, default: str | None = None) -> str:
@@ -64,19 +64,19 @@
         try:
             return float(self.text(name))
         except ValueError:
-            raise WireError(f"{self.name}: field '{name}' is no number") from None
+            raise WireError(f"{self.name}: field '{name}' is not a number") from None
 
-    def whole(self, name: str, default: int | None = None) -> int:
-        """Return the value of a field as a whole number."""
+    def integer(self, name: str, default: int | None = None) -> int:
+        """Return the value of a field as an integer."""
         if name not in self.values and default is not None:
             return default
         try:
             return int(self.text(name))
         except ValueError:
-            raise WireError(f"{self.name}: field '{name}' is no whole number") from None
+            raise WireError(f"{self.name}: field '{name}' is not an integer") from None
 
-    def member(self, name: str, choices: Mapping[str, T]) -> T:
-        """Return what the value of a field stands for."""
+    def choice(self, name: str, choices: Mapping[str, T]) -> T:
+        """Return the choice that the value of a field stands for."""
         value = self.text(name)
         if value not in choices:
             raise WireError(f"{self.name}: field '{name}' has the unknown value '{value}'")
@@ -88,13 +88,13 @@
         try:
             return tuple([(name, float(value)) for name, _, value in parts])
         except ValueError:
-            raise WireError(f"{self.name}: field 'usage' is no list of name:number") from None
+            raise WireError(f"{self.name}: field 'usage' is not a list of name:number pairs") from None
 
     def _parse(self, pairs: str) -> None:
         for pair in pairs.split(" ") if pairs else ():
             name, equals, value = pair.partition("=")
             if not equals or not name:
-                raise self._no_pair(pair)
+                raise self._pair_error(pair)
             self.values[name] = value
 
     def _parse_with_text(self, pairs: str, text_field: str) -> None:
@@ -102,22 +102,22 @@
         while rest:
             name, equals, after = rest.partition("=")
             if not equals or " " in name or not name:
-                raise self._no_pair(rest)
+                raise self._pair_error(rest)
             if name == text_field:
                 self.values[name] = after
                 return
             self.values[name], _, rest = after.partition(" ")
 
-    def _no_pair(self, text: str) -> WireError:
-        return WireError(f"{self.name}: no name=value pair at '{text[:SHOWN_CHARACTERS]}'")
+    def _pair_error(self, text: str) -> WireError:
+        return WireError(f"{self.name}: expected name=value at '{text[:MAX_SHOWN_CHARACTERS]}'")
 
 
 def settings_from(text: str) -> api.Settings:
-    """Parse the settings of a `BEGIN` line; raises `WireError`."""
+    """Parse the settings in a `BEGIN` line; raises `WireError`."""
     try:
         return settings.settings_from(json.loads(text))
     except json.JSONDecodeError:
-        raise WireError("BEGIN: field 'params' is no JSON object") from None
+        raise WireError("BEGIN: field 'params' is not valid JSON") from None
     except settings.SettingsError as error:
         raise WireError(f"BEGIN: field 'params' {error}") from None
 
@@ -129,69 +129,69 @@
         worker=fields.text("runner"),
         zone=fields.text("dc", ""),
         kind=fields.text("model", ""),
-        cell=fields.whole("bay", 0),
-        state=fields.member("availability", WORKER_STATES),
+        cell=fields.integer("bay", 0),
+        state=fields.choice("availability", WORKER_STATES),
         weight=fields.number("heft", 1.0),
-        started_us=fields.whole("cameUpUs", 0),
+        started_us=fields.integer("cameUpUs", 0),
     )
 
 
 def event_from(fields: LineFields, entries: tuple[api.WorkerEntry, ...] = ()) -> api.Event | None:
     """Return the event of a line, or None for an unknown message; raises `WireError`.
 
-    `entries` are those of the worker list that the line announces.
+    `entries` are the list entries in the lines that follow a ROSTER_CHANGE line.
     """
     if fields.name == "ROSTER_CHANGE":
-        kind = fields.member("how", LIST_KINDS)
-        return api.WorkerListReceived(kind, fields.whole("index", 0), entries)
+        kind = fields.choice("how", LIST_KINDS)
+        return api.WorkerListReceived(kind, fields.integer("index", 0), entries)
     decode = EVENT_DECODERS.get(fields.name)
     return None if decode is None else decode(fields)
 
 
-def action_line(who: str, action: api.Action) -> str:
-    """Return the line of an action of the dispatcher with the name `who`."""
-    return ACTION_ENCODERS[type(action)](who, action)
+def action_line(router: str, action: api.Action) -> str:
+    """Return the line for an action of the dispatcher of the simulated router `router`."""
+    return ACTION_ENCODERS[type(action)](router, action)
 
 
-def _timer_fired(fields: LineFields) -> api.TimerFired:
-    return api.TimerFired(fields.whole("mark"))
+def _decode_timer_fired(fields: LineFields) -> api.TimerFired:
+    return api.TimerFired(fields.integer("mark"))
 
 
-def _call_arrived(fields: LineFields) -> api.CallArrived:
+def _decode_call_arrived(fields: LineFields) -> api.CallArrived:
     return api.CallArrived(
-        call=fields.whole("req"),
+        call=fields.integer("req"),
         function=fields.text("model", ""),
         class_name=fields.text("grade"),
-        budget_us=fields.whole("timeBudgetUs"),
+        budget_us=fields.integer("timeBudgetUs"),
         memory_mb=fields.number("footprintMb", 0.0),
         lanes=int(fields.number("width", 1.0)),
-        cost_us=fields.whole("costGuessUs", 0),
+        cost_us=fields.integer("costGuessUs", 0),
         tenant=fields.text("party", "").removeprefix("0"),
         repeat=fields.text("isRetry", "0") == "1",
     )
 
 
-def _call_expired(fields: LineFields) -> api.CallExpired:
-    return api.CallExpired(fields.whole("req"))
+def _decode_call_expired(fields: LineFields) -> api.CallExpired:
+    return api.CallExpired(fields.integer("req"))
 
 
-def _stream_started(fields: LineFields) -> api.StreamStarted:
+def _decode_stream_started(fields: LineFields) -> api.StreamStarted:
     return api.StreamStarted(
-        call=fields.whole("req"),
-        attempt=fields.whole("attempt"),
+        call=fields.integer("req"),
+        attempt=fields.integer("attempt"),
         worker=fields.text("runner"),
-        elapsed_us=fields.whole("elapsedUs", 0),
+        elapsed_us=fields.integer("elapsedUs", 0),
     )
 
 
-def _attempt_ended(fields: LineFields) -> api.AttemptEnded:
-    queued_ahead, warmth = divmod(fields.whole("remark", 0), WARMTH_VALUES)
+def _decode_attempt_ended(fields: LineFields) -> api.AttemptEnded:
+    queued_ahead, warmth = divmod(fields.integer("remark", 0), WARMTH_VALUES)
     return api.AttemptEnded(
-        call=fields.whole("req"),
-        attempt=fields.whole("attempt"),
+        call=fields.integer("req"),
+        attempt=fields.integer("attempt"),
         worker=fields.text("runner"),
-        result=fields.member("how", RESULTS),
-        elapsed_us=fields.whole("elapsedUs", 0),
+        result=fields.choice("how", RESULTS),
+        elapsed_us=fields.integer("elapsedUs", 0),
         call_ended=fields.text("ended", "0") == "1",
         warmth=WARMTHS.get(warmth, api.Warmth.UNKNOWN),
         queued_ahead=queued_ahead,
@@ -199,110 +199,110 @@
     )
 
 
-def _health_check_ended(fields: LineFields) -> api.HealthCheckEnded:
+def _decode_health_check_ended(fields: LineFields) -> api.HealthCheckEnded:
     return api.HealthCheckEnded(
         worker=fields.text("runner"),
-        result=fields.member("how", RESULTS),
-        elapsed_us=fields.whole("elapsedUs", 0),
+        result=fields.choice("how", RESULTS),
+        elapsed_us=fields.integer("elapsedUs", 0),
         report=fields.report(),
     )
 
 
-def _load_request_ended(fields: LineFields) -> api.LoadRequestEnded:
+def _decode_load_request_ended(fields: LineFields) -> api.LoadRequestEnded:
     return api.LoadRequestEnded(
         worker=fields.text("runner"),
         function=fields.text("model"),
-        result=fields.member("how", RESULTS),
-        elapsed_us=fields.whole("elapsedUs", 0),
-        copies=fields.whole("count", 0),
+        result=fields.choice("how", RESULTS),
+        elapsed_us=fields.integer("elapsedUs", 0),
+        copies=fields.integer("count", 0),
     )
 
 
-def _peer_message(fields: LineFields) -> api.PeerMessage:
+def _decode_peer_message(fields: LineFields) -> api.PeerMessage:
     content = fields.text("content", EMPTY)
-    peer = fields.whole("neighbour")
+    peer = fields.integer("neighbour")
     return api.PeerMessage(peer, b"" if content == EMPTY else base64.b64decode(content))
 
 
 EVENT_DECODERS: dict[str, Callable[[LineFields], api.Event]] = {
-    "WAKE": _timer_fired,
-    "ARRIVAL": _call_arrived,
-    "EXPIRED": _call_expired,
-    "ESTABLISHED": _stream_started,
-    "SETTLED": _attempt_ended,
-    "HEALTH": _health_check_ended,
-    "HELD_NOW": _load_request_ended,
-    "MEMO": _peer_message,
+    "WAKE": _decode_timer_fired,
+    "ARRIVAL": _decode_call_arrived,
+    "EXPIRED": _decode_call_expired,
+    "ESTABLISHED": _decode_stream_started,
+    "SETTLED": _decode_attempt_ended,
+    "HEALTH": _decode_health_check_ended,
+    "HELD_NOW": _decode_load_request_ended,
+    "MEMO": _decode_peer_message,
 }
-"""The decoder of each message but the worker list, by its name."""
+"""The decoder of each message other than the worker list, by its name."""
 
 
-def _set_timer(who: str, action: api.SetTimer) -> str:
-    return f"AFTER who={who} timeUs={action.due_us} mark={action.token}"
+def _encode_set_timer(router: str, action: api.SetTimer) -> str:
+    return f"AFTER who={router} timeUs={action.due_us} mark={action.token}"
 
 
-def _send_attempt(who: str, action: api.SendAttempt) -> str:
-    return f"CALL_OUT who={who} req={action.call} giveUpAfterUs={action.timeout_us} runner={action.worker}"
+def _encode_send_attempt(router: str, action: api.SendAttempt) -> str:
+    return f"CALL_OUT who={router} req={action.call} giveUpAfterUs={action.timeout_us} runner={action.worker}"
 
 
-def _request_load(who: str, action: api.RequestLoad) -> str:
-    return f"ENSURE who={who} runner={action.worker} model={action.function} count={action.copies}"
+def _encode_request_load(router: str, action: api.RequestLoad) -> str:
+    return f"ENSURE who={router} runner={action.worker} model={action.function} count={action.copies}"
 
 
-def _reject_call(who: str, action: api.RejectCall) -> str:
-    return f"TURN_AWAY who={who} req={action.call} retryAfterUs={action.retry_after_us}"
+def _encode_reject_call(router: str, action: api.RejectCall) -> str:
+    return f"TURN_AWAY who={router} req={action.call} retryAfterUs={action.retry_after_us}"
 
 
-def _fail_call(who: str, action: api.FailCall) -> str:
-    return f"FINISH_ERROR who={who} req={action.call}"
+def _encode_fail_call(router: str, action: api.FailCall) -> str:
+    return f"FINISH_ERROR who={router} req={action.call}"
 
 
-def _cancel_attempt(who: str, action: api.CancelAttempt) -> str:
-    return f"RECALL who={who} req={action.call} attempt={action.attempt}"
+def _encode_cancel_attempt(router: str, action: api.CancelAttempt) -> str:
+    return f"RECALL who={router} req={action.call} attempt={action.attempt}"
 
 
-def _send_health_check(who: str, action: api.SendHealthCheck) -> str:
-    return f"HEALTH_CHECK who={who} runner={action.worker}"
+def _encode_send_health_check(router: str, action: api.SendHealthCheck) -> str:
+    return f"HEALTH_CHECK who={router} runner={action.worker}"
 
 
-def _request_unload(who: str, action: api.RequestUnload) -> str:
-    return f"SHELVE who={who} runner={action.worker} model={action.function}"
+def _encode_request_unload(router: str, action: api.RequestUnload) -> str:
+    return f"SHELVE who={router} runner={action.worker} model={action.function}"
 
 
-def _send_to_peer(who: str, action: api.SendToPeer) -> str:
+def _encode_send_to_peer(router: str, action: api.SendToPeer) -> str:
     content = base64.b64encode(action.content).decode() or EMPTY
-    return f"ANNOUNCE who={who} whom={action.peer} content={content}"
+    return f"ANNOUNCE who={router} whom={action.peer} content={content}"
 
 
-def _close_idle_connections(who: str, action: api.CloseIdleConnections) -> str:
-    return f"DISCONNECT who={who} runner={action.worker}"
+def _encode_close_idle_connections(router: str, action: api.CloseIdleConnections) -> str:
+    return f"DISCONNECT who={router} runner={action.worker}"
 
 
-def _watch_endpoints(who: str, _action: api.WatchEndpoints) -> str:
-    return f"SUBSCRIBE who={who} want=1"
+def _encode_watch_endpoints(router: str, _action: api.WatchEndpoints) -> str:
+    return f"SUBSCRIBE who={router} want=1"
 
 
-def _fetch_endpoints(who: str, _action: api.FetchEndpoints) -> str:
-    return f"PULL who={who}"
+def _encode_fetch_endpoints(router: str, _action: api.FetchEndpoints) -> str:
+    return f"PULL who={router}"
 
 
-def _write_log(who: str, action: api.WriteLog) -> str:
-    return f"LOG who={who} what={action.text}"
+def _encode_write_log(router: str, action: api.WriteLog) -> str:
+    return f"LOG who={router} what={action.text}"
 
 
 ACTION_ENCODERS: dict[type, Callable[[str, Any], str]] = {
-    api.SetTimer: _set_timer,
-    api.SendAttempt: _send_attempt,
-    api.RequestLoad: _request_load,
-    api.RejectCall: _reject_call,
-    api.FailCall: _fail_call,
-    api.CancelAttempt: _cancel_attempt,
-    api.SendHealthCheck: _send_health_check,
-    api.RequestUnload: _request_unload,
-    api.SendToPeer: _send_to_peer,
-    api.CloseIdleConnections: _close_idle_connections,
-    api.WatchEndpoints: _watch_endpoints,
-    api.FetchEndpoints: _fetch_endpoints,
-    api.WriteLog: _write_log,
+    api.SetTimer: _encode_set_timer,
+    api.SendAttempt: _encode_send_attempt,
+    api.RequestLoad: _encode_request_load,
+    api.RejectCall: _encode_reject_call,
+    api.FailCall: _encode_fail_call,
+    api.CancelAttempt: _encode_cancel_attempt,
+    api.SendHealthCheck: _encode_send_health_check,
+    api.RequestUnload: _encode_request_unload,
+    api.SendToPeer: _encode_send_to_peer,
+    api.CloseIdleConnections: _encode_close_idle_connections,
+    api.WatchEndpoints: _encode_watch_endpoints,
+    api.FetchEndpoints: _encode_fetch_endpoints,
+    api.WriteLog: _encode_write_log,
 }
-"""The encoder of each kind of action."""
+"""The encoder of each type of action."""
