--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -1,4 +1,4 @@
-"""The core between a pool that only records, and a clock that a test advances."""
+"""A test harness for the core: a pool that only records, and a clock that the test advances."""
 
 from maplestile.dispatch import api
 from maplestile.requests.core import AttemptId, Core
@@ -12,14 +12,14 @@
 
 
 class CoreHarness:
-    """A core whose pool only records what it is requested to do, and whose clock a test advances."""
+    """A core with a pool that only records what it is asked to send, and a clock that the test advances."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.now = START_US
-        self.due = 0  # when the core wants its next tick; 0 for never
+        self.due = 0  # time of the alarm that the core has set; 0 if it is not set
         self.sent: list[AttemptId] = []
         self.cancelled: list[AttemptId] = []
-        self.unwritten = set[AttemptId]()  # those that wait for their connection
+        self.unwritten = set[AttemptId]()  # attempts that still wait for their connection
         self.core = Core(
             settings_from(params()), limits or Limits(), SEED, self, lambda: self.now, self._set_alarm
         )
@@ -48,12 +48,12 @@
     def close_idle(self, worker: str) -> None: ...
 
     def submit(self, class_name: str = "review", budget_us: int = 1_000_000, age_us: int = 0) -> int:
-        """Submit a request that came so long ago, and return its call; its answer goes to `answers`."""
+        """Submit a request that arrived `age_us` ago, and return its number; its answer goes to `answers`."""
         request = Request("t", "f", class_name, budget_us, 100.0, 4)
         return self.core.submit(request, self.now - age_us, self.answers.append)
 
     def run(self, duration_us: int) -> None:
-        """Advance the clock, with a tick of the core whenever one is due."""
+        """Advance the clock, and run the timers of the core whenever its alarm is due."""
         end_us = self.now + duration_us
         while self.due and self.due <= end_us:
             self.now = max(self.now, self.due)
--- a/tests/record_wire.py
+++ b/tests/record_wire.py
@@ -1,4 +1,4 @@
-"""Records messages of DNS, of the runners' protocol, and of JSON-RPC."""
+"""Records encoded and parsed messages of DNS, of the runners' protocol, and of JSON-RPC."""
 
 import json
 import struct
@@ -97,7 +97,7 @@
 
 
 def _dns_records(query: bytes) -> bytes:
-    """The question of a query, and the records of one runner."""
+    """Return the question of a query, followed by the records of one runner."""
     name = name_bytes(RUNNER)
     texts = b"".join(bytes([len(text)]) + text for text in (b"cell=3", b"kind=std", b"started=12"))
     soa = name_bytes("a") + name_bytes("b") + struct.pack("!5I", 42, 1, 1, 1, 1)
@@ -111,7 +111,7 @@
 
 
 def dns_bytes() -> str:
-    """Encoded queries, and parsed replies: complete, cut off at each place, and invalid."""
+    """Record encoded queries, and parsed replies: complete, cut off at several places, and invalid."""
     queries = [dns.query(7, RUNNER, kind).hex() for kind in (dns.A, dns.TXT, dns.SRV)]
     body = _dns_records(dns.query(7, "runners", dns.SRV))
     complete = struct.pack("!6H", 7, dns.RESPONSE, 1, 1, 1, 2) + body
@@ -137,7 +137,7 @@
 
 
 def runner_lines() -> str:
-    """Encoded commands, and parsed answers, with the errors of invalid ones."""
+    """Record encoded commands, and parsed answers with the errors of invalid ones."""
     request = Request("00ff", "score-\u00e9", "review", 5_000_000, 100.0, 4, 0, "t", False, 'k"1', b"abc\0")
     plain = Request("00ff", "f", "review", 5_000_000)
     results: JsonTables = {
@@ -159,14 +159,14 @@
 
 
 def _parsed_messages(limits: MessageLimits) -> list[object]:
-    """Requests with what is parsed of them, or the error that answers them."""
+    """Return requests, each with its parsed form or the error that answers it."""
     known = jsonrpc.KnownNames(classes={"review": False, "deck-make": True}, tenants=frozenset({"t"}))
     messages: list[object] = [
-        {"id": 1, "method": "review", "params": CALL | changed} for changed in CALL_CHANGES
+        {"id": 1, "method": "review", "params": CALL | change} for change in CALL_CHANGES
     ]
     messages += [
-        {"id": 1, "method": "review", "params": {n: v for n, v in CALL.items() if n != left_out}}
-        for left_out in CALL
+        {"id": 1, "method": "review", "params": {n: v for n, v in CALL.items() if n != omitted}}
+        for omitted in CALL
     ]
     messages += OTHER_MESSAGES
     results: list[object] = []
@@ -179,7 +179,7 @@
 
 
 def _framed_streams(limits: MessageLimits) -> list[object]:
-    """Streams of bytes with the messages found in them, or the error that ends them."""
+    """Return byte streams, each with the messages found in it or the error that ends it."""
     results: list[object] = []
     for stream in STREAMS:
         try:
@@ -190,7 +190,7 @@
 
 
 def jsonrpc_messages() -> str:
-    """Parsed requests and encoded answers, with the errors that an invalid request gets."""
+    """Record parsed requests and encoded answers, with the errors that invalid requests get."""
     limits = MessageLimits()
     results = _parsed_messages(limits)
     results += [jsonrpc.answer(5, outcome) for outcome in OUTCOMES]
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -1,4 +1,4 @@
-"""A router between a client and workers, with a name server, for tests of the real program."""
+"""A test case that runs the real program between a client and fake workers, with a name server."""
 
 import signal
 import unittest
@@ -8,14 +8,14 @@
 
 
 class RouterTestCase(unittest.TestCase):
-    """Starts a router when a test says which workers it has."""
+    """Starts a router with the workers that a test gives."""
 
     names: NameServer
     program: Program
     client: Client
 
     def start(self, *workers: Worker, **changes: Any) -> None:
-        """Start a router with these workers and changes of its settings, and connect a client to it."""
+        """Start a router with these workers and changed settings, and connect a client to it."""
         self.names = NameServer()
         self.names.list_workers(workers)
         self.program = start_router(list(workers), self.names, **changes)
@@ -23,19 +23,19 @@
         self.client = self.connect()
 
     def connect(self) -> Client:
-        """Connect one more client."""
+        """Connect another client."""
         return Client(self.program.port("platform"))
 
     def suspend_process(self) -> None:
-        """Stop the router's process as it stands."""
+        """Suspend the process of the router with SIGSTOP."""
         self.program.process.send_signal(signal.SIGSTOP)
 
     def resume_process(self) -> None:
-        """Let a suspended process go on."""
+        """Resume the suspended process."""
         self.program.process.send_signal(signal.SIGCONT)
 
-    def give_up(self, ending: str, id_: int, client: Client | None = None) -> None:
-        """End a call for its client: by a `close` of the connection, or by an `interrupt`."""
+    def cancel_call(self, ending: str, id_: int, client: Client | None = None) -> None:
+        """Cancel a call: by closing its connection if `ending` is "close", else by an `interrupt` message."""
         client = client or self.client
         if ending == "close":
             client.close()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core with a pool and a clock of its own: one answer each, whatever comes late, twice or never."""
+"""Tests of the core: each request gets one answer, whatever results come late, twice or never."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from tests.core_harness import START_US, CoreHarness
 
 
-def test_first_good_answer_is_final_and_late_ones_are_ignored() -> None:
+def test_first_successful_answer_is_final_and_later_ones_are_ignored() -> None:
     harness = CoreHarness()
     harness.submit()
     harness.core.attempt_ended(harness.sent[0], Result.OK, b"one")
@@ -18,7 +18,7 @@
     assert harness.core.counters["attempts.late"] == 1
 
 
-def test_deadline_counts_from_the_last_byte_and_not_from_when_the_loop_got_to_it() -> None:
+def test_deadline_counts_from_the_last_byte_received() -> None:
     harness = CoreHarness()
     harness.submit("test-submit", budget_us=1_000_000, age_us=50_000)
     harness.run(840_000)
@@ -28,7 +28,7 @@
     assert harness.cancelled == harness.sent
 
 
-def test_loop_that_lags_sheds_at_once_with_advice() -> None:
+def test_request_handled_too_late_is_rejected_with_a_retry_time() -> None:
     harness = CoreHarness(Limits(requests=RequestLimits(max_lag_us=100_000)))
     harness.submit(age_us=150_000)
     assert not harness.sent
@@ -44,7 +44,7 @@
     assert harness.answers == [] and harness.cancelled == harness.sent
 
 
-def test_unsafe_call_that_may_have_run_fails_at_once_and_is_not_sent_again() -> None:
+def test_non_idempotent_call_that_may_have_run_fails_without_a_retry() -> None:
     harness = CoreHarness()
     harness.submit("test-submit")
     harness.core.attempt_ended(harness.sent[0], Result.RESET)
@@ -53,7 +53,7 @@
     assert len(harness.sent) == 1
 
 
-def test_attempt_that_never_ran_goes_elsewhere() -> None:
+def test_attempt_that_never_ran_is_retried() -> None:
     harness = CoreHarness()
     harness.submit("test-submit")
     harness.core.attempt_ended(harness.sent[0], Result.CONNECT_FAILED)
@@ -61,23 +61,23 @@
     assert len(harness.sent) == 2 and not harness.answers
 
 
-def test_deadline_is_met_in_the_midst_of_much_input() -> None:
-    """575 calls were lost on a day on which one read's worth of requests outlasted the deadlines."""
+def test_deadline_is_met_while_much_input_is_handled() -> None:
+    """Handling the requests of one read took longer than the deadlines, and 575 calls were lost."""
     harness = CoreHarness()
     harness.submit("test-submit", budget_us=1_000_000)
-    harness.now += 990_000  # the loop is busy and no alarm goes off
+    harness.now += 990_000  # the event loop is busy, and no alarm goes off
     harness.core.catch_up()
     assert [answer.verdict for answer in harness.answers] == [Verdict.EXPIRED]
 
 
-def test_flood_is_refused() -> None:
+def test_request_over_the_limit_of_open_requests_is_rejected() -> None:
     harness = CoreHarness(Limits(requests=RequestLimits(open_requests=1)))
     harness.submit()
     harness.submit()
     assert [answer.verdict for answer in harness.answers] == [Verdict.REJECTED]
 
 
-def test_bodies_in_hand_are_bounded_by_bytes_and_given_back() -> None:
+def test_bytes_of_open_requests_are_limited_and_released() -> None:
     harness = CoreHarness(Limits(requests=RequestLimits(open_bytes=3 * Request("", "", "", 1).bytes())))
     calls = [harness.submit() for _ in range(4)]
     assert [answer.verdict for answer in harness.answers] == [Verdict.REJECTED]
@@ -87,7 +87,7 @@
     assert harness.core.open_bytes == 0 and not harness.core.open
 
 
-def test_process_that_ends_soon_answers_all_it_takes_before_and_refuses_what_comes_too_late() -> None:
+def test_exiting_process_answers_accepted_requests_and_rejects_late_ones() -> None:
     harness = CoreHarness(Limits(handover=HandoverLimits(min_budget_us=250_000)))
     harness.core.intake.exit_us = START_US + 1_000_000
     harness.submit(budget_us=5_000_000)
@@ -101,32 +101,32 @@
 
 
 def fail() -> None:
-    """Raise, as a timer of a faulty program."""
-    raise ValueError("a fault of the program")
+    """Raise an error, as a timer callback with a bug does."""
+    raise ValueError("timer callback failed")
 
 
-def test_timer_that_fails_keeps_back_no_later_one() -> None:
+def test_failing_timer_does_not_stop_later_timers() -> None:
     harness = CoreHarness()
     harness.core.at(harness.now + 10_000, fail)
     harness.submit("test-submit", budget_us=1_000_000)
-    with pytest.raises(ValueError, match="fault"):
+    with pytest.raises(ValueError, match="timer callback failed"):
         harness.run(20_000)
     harness.run(1_000_000)
     assert [answer.verdict for answer in harness.answers] == [Verdict.EXPIRED]
 
 
-def test_timer_that_fails_keeps_back_none_that_is_due_with_it() -> None:
+def test_failing_timer_does_not_stop_timers_due_at_the_same_time() -> None:
     harness = CoreHarness()
     harness.core.at(harness.now + 10_000, fail)
     harness.submit("test-submit", budget_us=1_000_000)
-    harness.now += 1_010_000  # the loop was busy, and all of it is due at once
-    with pytest.raises(ValueError, match="fault"):
+    harness.now += 1_010_000  # the event loop was busy, and all timers are due at once
+    with pytest.raises(ValueError, match="timer callback failed"):
         harness.core.tick()
     harness.run(10_000)
     assert [answer.verdict for answer in harness.answers] == [Verdict.EXPIRED]
 
 
-def test_core_that_is_closed_takes_nothing_more_and_ends_what_is_open() -> None:
+def test_closed_core_rejects_new_requests_and_answers_open_ones() -> None:
     harness = CoreHarness()
     harness.submit()
     harness.core.close()
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,7 +1,7 @@
-"""Deadlines and departures, on the real program.
+"""Tests of deadlines and of clients that leave, on the real program.
 
-What a worker is sent as the time that its client has left, and what begins for a client that has closed or
-cancelled while the program did not read of it.
+They check the remaining time that is sent to workers, and that no attempt starts for a client that closed or
+cancelled before the program read its input.
 """
 
 import asyncio
@@ -39,31 +39,32 @@
 from tests.standins.worker import READ_BYTES
 
 LIMIT_MS = 6_000
-SLACK_MS = 150  # by how much the time sent to a worker may be over what its client has left
-SUSPENDED_S = 0.6
-BACKOFF_S = 1.0  # after a second rejection by a worker the next attempt is due by then
-BUSY_S = 0.2  # how long the loop reads nothing
-CALL_ARRIVED_S = 0.3  # a call that is written is at the worker by then
+SLACK_MS = 150  # by how much the time sent to a worker may exceed the remaining time of its client
+SUSPENDED_S = 0.6  # how long the process or a connection is held up
+BACKOFF_S = 1.0  # time within which the next attempt is due after a second rejection by a worker
+BUSY_S = 0.2  # how long the event loop reads nothing
+CALL_ARRIVED_S = 0.3  # time within which a call that is written has arrived at the worker
 SEED = 7
-# Of a router in the process of the test: it sheds nothing for lag, however long the machine keeps it waiting.
+# For a router in the process of the test: it rejects nothing for lag, however busy the machine is.
 LIMITS = Limits(requests=RequestLimits(max_lag_us=60_000_000))
-# Of Linux, and not in the module `socket`: the time at which the system received the data of a read.
+# Linux option that gives the time at which the system received data; missing in the module `socket`.
 SO_TIMESTAMPNS = 35
 TIMESPEC = struct.Struct("ll")
 
 
 @dataclass
 class Arrival:
-    """When a call came whole, and the time that its line says its client waits."""
+    """A call that arrived completely at a worker."""
 
     at_s: float  # Unix time
-    wait_ms: int
+    wait_ms: int  # remaining time of the client, as sent to the worker
 
 
 class TimingWorker(Worker):
-    """Records when each call came whole, answers once it may, and while it is `full` rejects calls.
+    """Records when each call arrived completely, and answers once `may_answer` is set; rejects while `full`.
 
-    A call comes when the system has its last byte: this process may read it much later on a busy machine.
+    A call arrives when the system receives its last byte; on a busy machine this process may read it much
+    later.
     """
 
     def __init__(self) -> None:
@@ -71,13 +72,13 @@
         self.full = threading.Event()
         self.may_answer = threading.Event()
         self.may_answer.set()
-        self._read = threading.local()  # by the thread of each connection: `at_s`, of the last read
+        self._read = threading.local()  # for the thread of each connection: `at_s` of the last read
         super().__init__()
         self.listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # connections inherit it
 
     def _receive(self, peer: socket.socket) -> bytes:
         data, ancillary, _, _ = peer.recvmsg(READ_BYTES, socket.CMSG_SPACE(TIMESPEC.size))
-        for _, _, timestamp in ancillary:  # none at the end of the connection
+        for _, _, timestamp in ancillary:  # there is none at the end of the connection
             seconds, nanoseconds = TIMESPEC.unpack(timestamp)
             self._read.at_s = seconds + nanoseconds / 1e9
         return data
@@ -92,31 +93,31 @@
 
 
 class HoldingTimingWorker(HoldingWorker, TimingWorker):
-    """A `TimingWorker` whose connections are held before their handshake."""
+    """A `TimingWorker` whose connections are held up before their handshake."""
 
 
 class DeadlineTest(RouterTestCase):
-    """A worker is sent no more time than its client has left."""
+    """The remaining time sent to a worker is no more than its client still waits."""
 
     def call(self) -> None:
-        """Send a call, and note when."""
+        """Send a call, and record the time."""
         self.called_s = time.time()
         self.client.call("review", b"abc", LIMIT_MS)
 
     def call_until_sent(self) -> None:
-        """Send calls until one has an attempt, and note when the first was sent."""
+        """Send calls until an attempt of one is made, and record when the first was sent."""
         self.called_s = time.time()
         self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
 
     def assert_time_left(self, *workers: TimingWorker, least: int = 1) -> None:
-        """Check that so many calls came, and that each had no more time than its client has left."""
+        """Check that at least so many calls arrived, each with no more time than its client still waits."""
         arrivals = [arrival for worker in workers for arrival in worker.arrivals]
         self.assertGreaterEqual(len(arrivals), least)
         for arrival in arrivals:
             left_ms = LIMIT_MS - (arrival.at_s - self.called_s) * 1e3
             self.assertLessEqual(arrival.wait_ms, left_ms + SLACK_MS)
 
-    def test_after_it_has_waited_between_tries(self) -> None:
+    def test_remaining_time_is_reduced_after_a_backoff(self) -> None:
         worker = TimingWorker()
         worker.full.set()
         self.start(worker)
@@ -126,7 +127,7 @@
         self.assertIn("result", self.client.read() or {})
         self.assert_time_left(worker, least=2)
 
-    def test_after_a_retry_at_another_worker(self) -> None:
+    def test_remaining_time_is_reduced_after_a_retry_at_another_worker(self) -> None:
         workers = (TimingWorker(), TimingWorker())
         for worker in workers:
             worker.may_answer.clear()
@@ -140,7 +141,7 @@
         eventually(lambda: all(worker.arrivals for worker in workers), "a retry at the other worker")
         self.assert_time_left(*workers, least=2)
 
-    def test_after_its_connection_was_held(self) -> None:
+    def test_remaining_time_is_reduced_after_a_wait_for_the_connection(self) -> None:
         worker = HoldingTimingWorker()
         self.start(worker)
         self.call_until_sent()
@@ -149,7 +150,7 @@
         self.assertIn("result", self.client.read() or {})
         self.assert_time_left(worker)
 
-    def test_after_the_process_stood_still(self) -> None:
+    def test_remaining_time_is_reduced_after_the_process_was_suspended(self) -> None:
         worker = HoldingTimingWorker()
         self.start(worker)
         self.call_until_sent()
@@ -161,11 +162,11 @@
         self.assert_time_left(worker)
 
 
-class DepartureTest(RouterTestCase):
-    """Nothing begins for a client that closed or cancelled while the process read nothing."""
+class DisconnectWhileSuspendedTest(RouterTestCase):
+    """No attempt starts for a client that closed or cancelled while the process was suspended."""
 
-    def test_connection_that_came_up_before_the_close_or_cancel_was_read(self) -> None:
-        """The worker's connection is ready first, so it is handled first once the process goes on."""
+    def test_waiting_attempt_is_dropped_if_its_connection_opens_first(self) -> None:
+        """The worker's connection is ready before the client closes, so the process handles it first."""
         for ending in ("close", "interrupt"):
             with self.subTest(ending):
                 worker = HoldingTimingWorker()
@@ -173,8 +174,8 @@
                 id_ = self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
                 self.suspend_process()
                 worker.accept_connections()
-                time.sleep(SUSPENDED_S)  # the worker's handshake is over by now
-                self.give_up(ending, id_)
+                time.sleep(SUSPENDED_S)  # the handshake with the worker is finished by now
+                self.cancel_call(ending, id_)
                 time.sleep(SUSPENDED_S)
                 self.resume_process()
                 other = Client(self.program.port("platform"))
@@ -182,8 +183,8 @@
                 self.assertEqual({line["bytes"] for line in call_lines(worker)}, {in_base64(b"later")})
                 self.program.kill()
 
-    def test_retry_that_was_due_before_the_close_or_cancel_was_read(self) -> None:
-        """A timer that is due is handled before what comes is read, once the process goes on."""
+    def test_retry_is_dropped_if_it_is_due_first(self) -> None:
+        """When the process resumes, it runs the timers that are due before it reads input."""
         for ending in ("close", "interrupt"):
             with self.subTest(ending):
                 worker = TimingWorker()
@@ -192,7 +193,7 @@
                 id_ = self.client.call("review", b"abc", LIMIT_MS)
                 self.wait_for_attempts(worker, 2)
                 self.suspend_process()
-                self.give_up(ending, id_)
+                self.cancel_call(ending, id_)
                 before = len(worker.arrivals)
                 time.sleep(SUSPENDED_S + BACKOFF_S)
                 self.resume_process()
@@ -201,12 +202,12 @@
                 self.program.kill()
 
     def wait_for_attempts(self, worker: TimingWorker, count: int) -> None:
-        """Wait until a worker has got so many attempts."""
+        """Wait until a worker has received so many attempts."""
         eventually(lambda: len(worker.arrivals) >= count, "attempts")
 
 
 class HoldingRunnerPool(RunnerPool):
-    """Reports connections that have come up only once the test says so."""
+    """Reports established connections only when the test tells it to."""
 
     def __init__(self, limits: RunnerLimits, counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
@@ -216,22 +217,23 @@
         self.unreported.append((connection, socket))
 
     def report_connections(self) -> None:
-        """Report all connections that have come up."""
+        """Report all established connections."""
         for connection, socket_ in self.unreported:
             super().connected(connection, socket_)
 
 
-class UnreadDepartureTest(unittest.TestCase):
-    """The same, in one process with the loop.
+class UnreadDisconnectTest(unittest.TestCase):
+    """A router in the process of the test whose client leaves while the event loop is busy.
 
-    An attempt is about to begin in the very turn of the loop in which it was busy, before anything that came
-    meanwhile can be read.
+    An attempt is due in the same iteration of the loop, before it can read the input that came meanwhile.
     """
 
-    def play(self, leave: Callable[[Client, int], None], least: int = 0) -> tuple[list[str], Counter[str]]:
-        """Have a client call and leave while the loop is busy; return what began, and the counters.
+    def run_scenario(
+        self, leave: Callable[[Client, int], None], least: int = 0
+    ) -> tuple[list[str], Counter[str]]:
+        """Have a client call, and leave while the loop is busy; wait for `least` calls at the worker.
 
-        At least so many calls are waited for.
+        Return the bodies of the calls that the worker received, and the counters.
         """
         selector = TimestampingSelector(clock)
         with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
@@ -240,7 +242,7 @@
     async def leave_while_busy(
         self, selector: TimestampingSelector, leave: Callable[[Client, int], None], least: int
     ) -> tuple[list[str], Counter[str]]:
-        """Start a front with one worker, and have its client leave before the loop reads on."""
+        """Run the scenario in the event loop; see `run_scenario`."""
         worker = Worker()
         counters = Counter[str]()
         pool = HoldingRunnerPool(LIMITS.runners, counters)
@@ -260,7 +262,7 @@
         return [line["bytes"] for line in call_lines(worker)], counters
 
     def start_core(self, pool: HoldingRunnerPool, worker: Worker, counters: Counter[str]) -> Core:
-        """Connect a core to the pool, with one worker on its list."""
+        """Create a core for the pool, with one worker on its list."""
         loop = asyncio.get_running_loop()
 
         def set_alarm(due_us: int) -> None:
@@ -275,33 +277,33 @@
         core.list_changed(endpoints.event())
         return core
 
-    def test_cancel_that_is_not_read_yet(self) -> None:
-        started, counters = self.play(
+    def test_no_attempt_starts_after_an_unread_cancel(self) -> None:
+        started, counters = self.run_scenario(
             lambda client, id_: discard(client.send("interrupt", {"id": id_}, id_=id_))
         )
         self.assertEqual((started, counters["clients.interrupts"]), ([], 1))
         self.assertGreater(counters["runners.postponed"], 0)
 
-    def test_close_that_is_not_read_yet(self) -> None:
-        started, counters = self.play(lambda client, _: client.close())
+    def test_no_attempt_starts_after_an_unread_close(self) -> None:
+        started, counters = self.run_scenario(lambda client, _: client.close())
         self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
-    def test_end_of_its_side_that_is_not_read_yet(self) -> None:
-        started, counters = self.play(lambda client, _: client.socket.shutdown(socket.SHUT_WR))
+    def test_no_attempt_starts_after_an_unread_half_close(self) -> None:
+        started, counters = self.run_scenario(lambda client, _: client.socket.shutdown(socket.SHUT_WR))
         self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
-    def test_client_that_waits_is_served_after_the_loop_was_away(self) -> None:
-        started, _ = self.play(lambda client, _: None, least=1)
+    def test_waiting_client_is_served_after_the_loop_was_busy(self) -> None:
+        started, _ = self.run_scenario(lambda client, _: None, least=1)
         self.assertEqual(started, [in_base64(b"abc")])
 
 
 def discard(_: object) -> None:
-    """Take a result that is of no use."""
+    """Ignore a result."""
 
 
 class SettingsTest(unittest.TestCase):
-    """What the other tests of this file rely on."""
+    """Settings that the other tests of this file rely on."""
 
-    def test_the_settings_let_a_connection_come_up_as_late_as_these_tests_hold_it(self) -> None:
+    def test_connect_timeout_is_longer_than_these_tests_hold_a_connection(self) -> None:
         connect_timeout_s = params()["limits"]["connectTimeoutUs"] / 1e6
         self.assertGreater(connect_timeout_s, 2 * SUSPENDED_S + 0.5)
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -1,6 +1,6 @@
-"""The end of the real program while clients go on: each request that it took has its one answer.
+"""Tests of the shutdown of the real program while clients continue: each accepted request gets one answer.
 
-`docs/endings.md` lists the moments.
+`docs/endings.md` lists the cases.
 """
 
 import contextlib
@@ -22,13 +22,13 @@
     start_router,
 )
 
-KILLED_S = 3.7  # after SIGTERM: 0.7 s after 3 s, or the longest deadline, comes SIGKILL
-END_WITH_UNREAD_ANSWERS_S = 4.5
+KILLED_S = 3.7  # time from SIGTERM to SIGKILL: the longest deadline, at most 3 s, and 0.7 s more
+END_WITH_UNREAD_ANSWERS_S = 4.5  # time within which the process exits although a client reads no answers
 LONG_LIMIT_MS = 15_000  # longer than any process here lives after SIGTERM
 
 
 class SequentialCaller(threading.Thread):
-    """A client that calls again as soon as it has its answer, until its connection is closed."""
+    """A client that sends its next call as soon as it has its answer, until its connection is closed."""
 
     def __init__(self, port: int) -> None:
         super().__init__(daemon=True)
@@ -45,14 +45,14 @@
             except OSError as fault:
                 self.faults.append(repr(fault))
                 return
-            if answer is None:  # a clean end, which the request has crossed
+            if answer is None:  # a clean close, which the request crossed
                 return
             if answer.get("id") != id_:
                 self.faults.append(repr(answer))
 
 
 class PersistentClient:
-    """A client with a thread of its own that keeps `ahead` requests open, until it finds a close."""
+    """A client with its own thread that keeps `ahead` requests open until its connection is closed."""
 
     def __init__(self, port: int, method: str, ahead: int) -> None:
         self.client = Client(port)
@@ -65,7 +65,10 @@
         self.thread.start()
 
     def _send(self) -> None:
-        with contextlib.suppress(BrokenPipeError), self.client.in_one_write():  # a close: that is read next
+        with (
+            contextlib.suppress(BrokenPipeError),
+            self.client.in_one_write(),
+        ):  # closed by the router: the read that follows finds it
             for _ in range(max(1, self.ahead // 4)):
                 check = self.method == "check"
                 self.open.add(self.client.send("check") if check else self.client.call(self.method, b"abc"))
@@ -85,14 +88,14 @@
             self.faults.append(repr(fault))
 
     def end(self) -> list[str]:
-        """Wait for the close of the connection, and return what was wrong before it."""
+        """Wait for the close of the connection, and return the faults found before it."""
         self.thread.join(PATIENCE_S)
         self.client.close()
-        return self.faults + (["it has not ended"] if self.thread.is_alive() else [])
+        return self.faults + (["the connection was not closed in time"] if self.thread.is_alive() else [])
 
 
 class DrainTest(unittest.TestCase):
-    """The process ends, and each request that it took has its one answer."""
+    """The process exits, and each request that it accepted gets one answer."""
 
     def setUp(self) -> None:
         self.worker = Worker()
@@ -101,8 +104,8 @@
         self.addCleanup(self.program.kill)
         self.port = self.program.port("platform")
 
-    def test_request_that_comes_when_nothing_is_pending_is_answered_or_finds_a_clean_close(self) -> None:
-        """Clients that call again the moment they have their answer, up to the very end of the process."""
+    def test_request_sent_at_the_end_is_answered_or_finds_a_clean_close(self) -> None:
+        """Clients send their next call as soon as they have an answer, until the process exits."""
         callers = [SequentialCaller(self.port) for _ in range(8)]
         for caller in callers:
             caller.start()
@@ -115,25 +118,25 @@
         self.assert_answered()
 
     def assert_answered(self) -> None:
-        """Check that whatever was taken had its one answer."""
+        """Check that each accepted request got one answer."""
         counters = json.loads(self.program.find(r'^(\{"counters".*)'))["counters"]
         answered = sum(count for name, count in counters.items() if name.startswith("answers."))
         self.assertEqual((counters["requests.taken"], counters.get("requests.withdrawn", 0)), (answered, 0))
 
     def keep_sending(self, method: str, ahead: int) -> PersistentClient:
-        """Start a client that never stops, and has always about so many requests open."""
+        """Start a client that never stops and always has about `ahead` requests open."""
         persistent = PersistentClient(self.port, method, ahead)
         eventually(lambda: persistent.answered > ahead, "answers")
         return persistent
 
     def pending_call(self) -> Client:
-        """Send a call that stays open until the process ends, so that until then something is pending."""
+        """Send a call that stays open until the process exits, so that a request is pending until then."""
         client = Client(self.port)
         client.call("test-submit", b"hang:", limit_ms=LONG_LIMIT_MS)
         self.addCleanup(client.close)
         return client
 
-    def test_clients_that_never_stop_are_closed_while_another_still_waits_for_its_answer(self) -> None:
+    def test_clients_that_never_stop_are_closed_before_the_last_answer(self) -> None:
         waiting_client = self.pending_call()
         persistent = [self.keep_sending(*kind) for kind in (("review", 4), ("review", 1), ("test-submit", 2))]
         self.program.process.send_signal(signal.SIGTERM)
@@ -144,7 +147,7 @@
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assert_answered()
 
-    def test_clients_whose_connections_are_never_read_to_their_end_find_a_clean_close(self) -> None:
+    def test_clients_with_constantly_unread_input_find_a_clean_close(self) -> None:
         waiting_client = self.pending_call()
         persistent = [self.keep_sending("check", 2000), self.keep_sending("check", 2000)]
         self.program.process.send_signal(signal.SIGTERM)
@@ -153,7 +156,7 @@
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assert_answered()
 
-    def test_connections_that_wait_to_be_accepted_do_not_keep_a_process_without_a_descriptor(self) -> None:
+    def test_process_without_free_descriptors_exits_despite_unaccepted_connections(self) -> None:
         idle = connect_idle_clients(self.port, 8)
         self.program.forbid_new_descriptors()
         waiting = [Client(self.port) for _ in range(4)]
@@ -165,7 +168,7 @@
         for client in (*idle, *waiting):
             client.close()
 
-    def test_call_that_outlasts_the_process_is_answered_before_it_is_killed(self) -> None:
+    def test_call_with_a_later_deadline_is_answered_before_sigkill(self) -> None:
         client = Client(self.port)
         id_ = client.call("test-submit", b"hang:", limit_ms=LONG_LIMIT_MS)
         eventually(lambda: self.worker.ran, "the call")
@@ -176,11 +179,12 @@
         self.assertIsNone(client.read())  # a clean close
         self.assertLess(time.monotonic() - started_s, KILLED_S)
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
-        # Not by luck, as its parts fall: what ends a worker's connection first would bring an answer, too.
+        # The log shows that the call was answered on purpose: closing the worker's connection first would also
+        # have caused an answer.
         self.program.find("(nothing is owed)")
         client.close()
 
-    def test_client_that_never_reads_its_answers_does_not_keep_the_process(self) -> None:
+    def test_process_exits_although_a_client_never_reads_its_answers(self) -> None:
         unreading = socket.socket()
         unreading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         unreading.connect(("127.0.0.1", self.port))
@@ -193,7 +197,7 @@
         self.assertLess(elapsed_s, END_WITH_UNREAD_ANSWERS_S)
         unreading.close()
 
-    def test_sigterm_at_any_moment_of_the_start_ends_the_process_soon(self) -> None:
+    def test_sigterm_during_the_start_ends_the_process(self) -> None:
         for delay_s in (0.0, 0.1, 0.2, 0.3, 0.4, 0.6):
             program = start_router([self.worker], NameServer())
             time.sleep(delay_s)
--- a/tests/test_endings_reload.py
+++ b/tests/test_endings_reload.py
@@ -1,6 +1,6 @@
-"""A name server that is replaced by a reload of the real program at an awkward moment.
+"""Tests of a reload of the real program that changes its name server.
 
-`docs/endings.md` lists the moments.
+`docs/endings.md` lists the cases.
 """
 
 import socket
@@ -10,9 +10,9 @@
 
 
 class DescriptorsExhaustedTest(unittest.TestCase):
-    """A process whose idle clients have every descriptor."""
+    """A process whose idle clients hold all its descriptors."""
 
-    def test_new_name_server_is_queried_though_idle_clients_hold_every_descriptor(self) -> None:
+    def test_new_name_server_is_queried_although_no_descriptor_is_free(self) -> None:
         worker = Worker()
         names = NameServer()
         other = NameServer()
@@ -34,9 +34,9 @@
 
 
 class ReloadTest(unittest.TestCase):
-    """A new name server that does not answer."""
+    """A reload to a name server that does not answer."""
 
-    def test_new_name_server_that_does_not_answer_hides_no_drain(self) -> None:
+    def test_drain_is_still_received_from_the_old_name_server(self) -> None:
         workers = [Worker(), Worker()]
         names = NameServer()
         names.list_workers(workers)
@@ -50,7 +50,7 @@
         self.assertEqual(reloaded["taken"], ["dns"])
         names.workers = [("s-0", workers[0].port, 1), ("s-1", workers[1].port, 0)]
         names.serial = 2
-        eventually(lambda: program.counters().get("names.lists"), "the list of the one before")
+        eventually(lambda: program.counters().get("names.lists"), "the list of the old name server")
         client = Client(port)
         for number in range(12):
             client.call_until_served("review", b"x", item=f"f{number}")
--- a/tests/test_endings_slow_start.py
+++ b/tests/test_endings_slow_start.py
@@ -1,6 +1,6 @@
-"""A cold worker that joins as a warm one drains, at twenty routers of the real program.
+"""Test of the slow start of a worker at twenty routers of the real program.
 
-`docs/endings.md` lists the moments.
+`docs/endings.md` lists the cases.
 """
 
 import contextlib
@@ -12,7 +12,7 @@
 
 
 class ArrivalTimesWorker(Worker):
-    """Records when each call and each load request came."""
+    """Records when each call and each load request arrived."""
 
     def __init__(self) -> None:
         self.arrived_s: list[float] = []  # Unix time
@@ -25,17 +25,17 @@
 
 
 class FleetSlowStartTest(unittest.TestCase):
-    """The budget of a cold worker, summed over all routers."""
+    """The slow-start budget of a new worker, summed over all routers."""
 
     ROUTERS = 20
     FUNCTIONS = 40
-    CALLS_PER_S = 24.0  # 0.6 of what three of these workers carry
+    CALLS_PER_S = 24.0  # 0.6 of the capacity of three workers
     WORKER_CALLS_PER_S = CALLS_PER_S / 0.6 / 3
-    JOIN_S = 4.0  # after the start, when the cold worker comes
-    END_S = 9.0
+    JOIN_S = 4.0  # from the start until the cold worker is listed
+    END_S = 9.0  # from the start until the last call
 
-    def test_cold_worker_gets_no_more_than_its_budget_from_twenty_routers_together(self) -> None:
-        """A warm worker drains just as a cold one comes: every router has homes to move, and thin traffic."""
+    def test_cold_worker_gets_no_more_than_its_budget_from_all_routers(self) -> None:
+        """A warm worker drains as a cold one joins: each router reassigns functions and has little traffic."""
         self.workers = [Worker(), Worker(), Worker()]
         self.names = NameServer()
         self.names.list_workers(self.workers)
@@ -44,7 +44,7 @@
         ]
         for program in programs:
             self.addCleanup(program.kill)
-        # Once all have started: a connection that sends nothing for 1.5 s is closed.
+        # Connect once all have started, since a connection that sends nothing for 1.5 s is closed.
         ports = [program.port("platform") for program in programs]
         clients = [Client(port) for port in ports]
         for client in clients:
@@ -54,7 +54,7 @@
         self.check_budget(joined_s)
 
     def call_in_turns(self, clients: list[Client]) -> float:
-        """Call until the end, and return the Unix time at which the cold worker was listed."""
+        """Send calls until `END_S`; return the Unix time at which the cold worker was listed."""
         started_s = time.time()
         joined_s = 0.0
         turn = 0
@@ -62,7 +62,7 @@
             if not joined_s and now_s > started_s + self.JOIN_S:
                 joined_s = now_s
                 self.list_cold_worker(joined_s)
-            # Uneven: a third of the routers get most of the calls.
+            # An uneven distribution, in which a third of the routers get most of the calls.
             client = clients[turn * turn % self.ROUTERS]
             client.call("review", b"abc", item=f"{turn * 7 % self.FUNCTIONS:016x}")
             with contextlib.suppress(OSError):
@@ -83,7 +83,7 @@
         self.names.serial = 2
 
     def check_budget(self, joined_s: float) -> None:
-        """Check that no overload window had more calls than the worker's share at its age allows."""
+        """Check that no overload window has more calls than the worker's budget at its age allows."""
         guarantees = params()["guarantees"]
         span_s = guarantees["overloadForUs"] / 1e6
         slow_start_s = guarantees["coldUs"] / 1e6
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The numbers that a router keeps to under some settings, as they were when `Limits` had no parts yet."""
+"""Tests of the limits of a router: their defaults, and their values under several settings."""
 
 from dataclasses import asdict, replace
 
@@ -25,7 +25,7 @@
     "stand-in": Limits.from_settings(STAND_IN, 384, 80.5),
     "tiny": Limits.from_settings(BARE, 64, 20),
 }
-EXIT_US = 100_000  # for the exit of the interpreter, which takes 10 to 40 ms where a core is free
+EXIT_US = 100_000  # time for the interpreter to exit, which takes 10 to 40 ms if a CPU is free
 DEFAULTS = {
     "clients.connections": 512,
     "clients.streams": 32,
@@ -95,7 +95,7 @@
     "process.descriptors": 1_024,
     "process.memory_mb": 192,
 }
-# What differs from the defaults for a process that is alone, and for one of 2, 3 and 4.
+# Differences from the defaults for one process alone, and for each of 2, 3 and 4 processes.
 TINY: dict[str, float] = {
     "clients.connections": 1,
     "clients.unread_bytes": 1_048_576,
@@ -237,38 +237,42 @@
 }
 
 
-def test_a_process_has_time_to_exit_between_its_last_answers_and_its_kill() -> None:
-    """What is pending is answered `spare_us` before SIGKILL; then connections are closed, and it ends."""
+def test_process_has_time_to_exit_between_its_last_answers_and_sigkill() -> None:
+    """Open requests are answered `spare_us` before SIGKILL; then connections close and the process exits."""
     handover = Limits().handover
     closing_us = handover.linger_us + 2 * POLL_S * 1e6
     assert handover.spare_us - closing_us >= EXIT_US
 
 
-def numbers(limits: Limits) -> dict[str, float]:
-    """Return each number by its part and its name."""
-    return {f"{part}.{name}": value for part, each in asdict(limits).items() for name, value in each.items()}
+def flat_values(limits: Limits) -> dict[str, float]:
+    """Return each value by the names of its group and its field."""
+    return {
+        f"{group}.{name}": value for group, values in asdict(limits).items() for name, value in values.items()
+    }
 
 
-def test_defaults() -> None:
-    assert numbers(Limits()) == DEFAULTS
+def test_default_limits() -> None:
+    assert flat_values(Limits()) == DEFAULTS
 
 
 @pytest.mark.parametrize("process_count", [1, 2, 3, 4])
 @pytest.mark.parametrize("name", CHANGES)
-def test_limits_under_settings_for_each_share(name: str, process_count: int) -> None:
+def test_limits_of_each_process_that_shares(name: str, process_count: int) -> None:
     limits = ALONE[name].shared(process_count)
-    assert numbers(limits) == DEFAULTS | CHANGES[name][process_count - 1]
-    assert limits.shared(1) == ALONE[name]  # what is divided is never divided twice
+    assert flat_values(limits) == DEFAULTS | CHANGES[name][process_count - 1]
+    assert (
+        limits.shared(1) == ALONE[name]
+    )  # sharing starts from the limits of the process, so it is never applied twice
 
 
 @pytest.mark.parametrize("name", CHANGES)
-def test_limits_from_settings_are_those_of_a_process_alone(name: str) -> None:
-    assert numbers(ALONE[name]) == DEFAULTS | CHANGES[name][0]
+def test_limits_from_settings_are_those_of_a_single_process(name: str) -> None:
+    assert flat_values(ALONE[name]) == DEFAULTS | CHANGES[name][0]
 
 
 @pytest.mark.parametrize(
     ("longest_us", "kill_after_us"),
     [(0, 700_000), (1_000_000, 1_700_000), (3_000_000, 3_700_000), (9_000_000, 3_700_000)],
 )
-def test_kill_after(longest_us: int, kill_after_us: int) -> None:
+def test_time_from_sigterm_to_sigkill(longest_us: int, kill_after_us: int) -> None:
     assert Limits().kill_after_us(longest_us) == kill_after_us
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The wire's state machines, fed bytes in pieces of any size."""
+"""Tests of the framers and codecs of all protocols, with input in pieces of any size."""
 
 import json
 import logging
@@ -22,7 +22,7 @@
 
 
 def message(method: str = "review", **params: object) -> bytes:
-    """The body of a call; `params` replace or add to those of a good one."""
+    """Return the body of a call; `params` change or add to the parameters of a valid one."""
     all_params = {
         "txn": TXN,
         "limit": 900,
@@ -35,12 +35,12 @@
 
 
 def framed(body: bytes) -> bytes:
-    """The body after a head that gives its length."""
+    """Return the body with a head that gives its length."""
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 @pytest.mark.parametrize("step", [1, 3, 64, 10_000])
-def test_messages_are_the_same_in_pieces_of_any_size(step: int) -> None:
+def test_messages_are_found_in_pieces_of_any_size(step: int) -> None:
     stream = framed(message()) + framed(message(txn=TXN[::-1])) + b"content-length:2\r\nX: y\r\n\r\n{}"
     framer = jsonrpc.Framer(MessageLimits())
     found = list[bytes]()
@@ -60,14 +60,14 @@
         b"Content-Length: 1\r\nContent-Length: 2",
     ],
 )
-def test_head_without_one_good_length_ends_the_connection(head: bytes) -> None:
+def test_head_without_a_valid_length_is_a_framing_error(head: bytes) -> None:
     with pytest.raises(jsonrpc.FramingError):
         list(jsonrpc.Framer(MessageLimits()).feed(head + b"\r\n\r\n{}"))
     with pytest.raises(jsonrpc.FramingError):
         list(jsonrpc.Framer(MessageLimits()).feed(b"x" * 1024))
 
 
-def test_call_takes_class_from_the_method_and_body_from_the_blob() -> None:
+def test_call_is_parsed_from_method_and_params() -> None:
     call = jsonrpc.parse(memoryview(message(second="1", unique=KEY, cpu=8.2)), MessageLimits(), KNOWN)
     assert isinstance(call, jsonrpc.Call)
     request = call.request
@@ -99,13 +99,13 @@
         (message(unique=5), -32602),
     ],
 )
-def test_malformed_message_is_one_error(body: bytes, code: int) -> None:
+def test_invalid_message_gets_an_error_code(body: bytes, code: int) -> None:
     with pytest.raises(jsonrpc.RpcError) as fault:
         jsonrpc.parse(memoryview(body), MessageLimits(), KNOWN)
     assert fault.value.code == code
 
 
-def test_rejection_always_says_when_to_retry() -> None:
+def test_rejection_always_gives_a_retry_time() -> None:
     for retry_after_us, later_ms in ((0, 1), (250_000, 250)):
         data = jsonrpc.answer(7, Outcome(Verdict.REJECTED, retry_after_us=retry_after_us))
         error = json.loads(data.partition(b"\r\n\r\n")[2])["error"]
@@ -115,7 +115,7 @@
         assert json.loads(data.partition(b"\r\n\r\n")[2])["error"]["code"] != -32050
 
 
-def test_runner_lines_in_pieces_and_with_numbers_as_strings() -> None:
+def test_runner_lines_are_parsed_in_pieces_and_with_numbers_as_strings() -> None:
     lines = runner.LineFramer(1000)
     found = list[runner.Answer]()
     stream = b'{"kind":503,"call":"a"}\n\n{"kind":"200","call":"b","head":{"ahead":"2","stats":"queue:3"}}\n'
@@ -132,7 +132,7 @@
 
 
 def dns_reply(flags: int = 0x8400, target_name: bytes = b"") -> bytes:
-    """A name server's reply with one SRV target, its address and text, and the zone's serial."""
+    """Return a reply with one SRV target, its A and TXT records, and the serial of the zone."""
     host = name_bytes("s-1.east.hosts")
     answer = record(b"\xc0\x0c", dns.SRV, struct.pack("!3H", 1, 25, 99) + (target_name or host))
     extra = record(host, dns.A, bytes([10, 1, 0, 9]))
@@ -142,14 +142,14 @@
     return head + dns.query(5, "_app._tcp.cluster.lan", dns.SRV)[12:] + answer + soa + extra
 
 
-def test_list_is_read_with_compressed_names() -> None:
+def test_dns_list_with_compressed_names_is_parsed() -> None:
     found = dns.parse(dns_reply())
     entry = api.WorkerEntry("s-1", "east", "std", 2, api.WorkerState.DRAINING, 2.5, 5000)
     assert [dns.worker_entry(found, target) for target in found.targets] == [(entry, ("10.1.0.9", 99))]
     assert found.serial == 41 and not list(found.missing_records(found.targets))
 
 
-def test_truncated_looped_and_broken_replies_are_refused() -> None:
+def test_truncated_looping_and_malformed_dns_replies_are_rejected() -> None:
     with pytest.raises(dns.Truncated):
         dns.parse(dns_reply(0x8600))
     complete = dns_reply()
@@ -159,7 +159,7 @@
             dns.parse(data)
 
 
-def test_endpoint_list_applies_changes_in_order_and_no_old_list_brings_back_a_removed_worker() -> None:
+def test_endpoint_list_applies_changes_in_order_and_ignores_old_lists() -> None:
     endpoints = EndpointList()
     endpoints.apply_known(
         {
@@ -176,17 +176,17 @@
     assert endpoints.apply_whole(4, [dns.worker_entry(found, target) for target in found.targets])
     assert list(endpoints.entries) == ["s-1"]
     with pytest.raises(EndpointListError):
-        odd = {"targets": [target("x", 1, "Odd")]}
-        endpoints.apply_known({"updates": [{"index": 5, "endpoints": odd}]})
+        unknown_state = {"targets": [target("x", 1, "Odd")]}
+        endpoints.apply_known({"updates": [{"index": 5, "endpoints": unknown_state}]})
 
 
-def test_warnings_of_one_kind_are_rate_limited_and_others_are_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_repeated_warnings_are_rate_limited_and_others_are_not(monkeypatch: pytest.MonkeyPatch) -> None:
     now_s = [0.0]
     limit = logs.RateLimit()
     monkeypatch.setattr("time.monotonic", lambda: now_s[0])
 
     def logged(level: int, text: str) -> str:
-        """The text that is logged, empty if it is suppressed."""
+        """Return the text that is logged, empty if it is suppressed."""
         record = logging.LogRecord("x", level, "", 0, text, (), None)
         return record.getMessage() if limit.filter(record) else ""
 
@@ -197,7 +197,7 @@
     assert logged(logging.WARNING, "odd") == "odd"
 
 
-def test_unusable_weight_is_replaced_by_a_very_small_one() -> None:
+def test_invalid_weight_is_replaced_by_a_small_one() -> None:
     for weight in (0.0, -1.0, float("nan"), float("inf")):
         endpoints = EndpointList()
         entry = api.WorkerEntry("s-1", "east", "std", 0, api.WorkerState.RUNNING, weight, 0)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,4 +1,4 @@
-"""The name server's client: lists of more workers than one answer holds, and lost replies to its queries."""
+"""Tests of service discovery by DNS: lists too long for one reply, lost replies, and serial numbers."""
 
 import asyncio
 import errno
@@ -21,17 +21,17 @@
 
 WORKERS = 60
 FIRST_SERIAL = 7
-DISCOVERY_S = 30.0  # how long a test waits for what the name server lists
-DRAIN_BINDS_S = 1.9  # from when it is listed; a little less than the two seconds within which it binds
+DISCOVERY_S = 30.0  # how long a test waits for a condition
+DRAIN_BINDS_S = 1.9  # a little less than the two seconds after which a listed drain binds
 
-# Of a query: its name stands between the head and the type and class, and an answer points back to it.
+# Offsets of the name in a query, which stands between the header and the type and class.
 NAME_START = 12
 NAME_END = -4
-SAME_NAME = b"\xc0\x0c"
+SAME_NAME = b"\xc0\x0c"  # compression pointer to the name in the question
 
 
 class TruncatingDnsServer(asyncio.DatagramProtocol):
-    """Lists workers without the records of their hosts, as where one answer does not hold those.
+    """Lists workers without the records of their hosts, as a server does if one reply has no room for them.
 
     Queries for hosts wait until there are `host_batch` of them, and are then answered together.
     """
@@ -40,10 +40,10 @@
         self.host_batch = host_batch
         self.serial = serial
         self.worker_count = WORKERS
-        self.draining = set[int]()  # numbers of workers
+        self.draining = set[int]()  # numbers of the draining workers
         self.unanswered_hosts = set[bytes]()
-        self.malformed_hosts = set[bytes]()  # their TXT records hold no number where one is due
-        self.repeats_question = True  # if not, its lists answer another question
+        self.malformed_hosts = set[bytes]()  # hosts whose TXT records have an invalid number
+        self.repeats_question = True  # if false, its lists answer another question
         self.queries = Counter[bytes]()  # by name
         self.list_queries = 0
         self._waiting: list[tuple[bytes, Address]] = []
@@ -99,7 +99,7 @@
 
 
 class DiscoveryTestCase(unittest.IsolatedAsyncioTestCase):
-    """Starts a name server and the discovery that polls it."""
+    """Runs a name server and a discovery that polls it."""
 
     async def start(
         self,
@@ -109,7 +109,7 @@
         restart_us: int = 60_000_000,
         complete_us: int = 600_000,
     ) -> None:
-        """Poll a server that lists `WORKERS` workers, until the test ends."""
+        """Start to poll a server that lists `WORKERS` workers; this goes on until the test ends."""
         loop = asyncio.get_running_loop()
         self.endpoints = EndpointList()
         self.counters = Counter[str]()
@@ -136,43 +136,45 @@
         await self.until(lambda: len(self.endpoints.entries) >= WORKERS)
 
     async def until_version(self, version: int) -> None:
-        """Wait until the endpoint list is the one with this serial."""
+        """Wait until the endpoint list has this serial."""
         await self.until(lambda: self.endpoints.version == version)
 
     async def until_state(self, worker: str, state: WorkerState) -> None:
-        """Wait until the endpoint list has a worker in this state."""
+        """Wait until a worker is in this state in the endpoint list."""
         await self.until(lambda: self.endpoints.entries[worker].state is state)
 
     async def until_polled(self, count: int) -> None:
-        """Wait for so many further queries of the list."""
+        """Wait for `count` further queries of the list."""
         polls_before = self.server.list_queries
         await self.until(lambda: self.server.list_queries >= polls_before + count)
 
     def publish(self, serial: int, draining: Iterable[int] = (), worker_count: int = WORKERS) -> None:
-        """Have the server answer with another list."""
+        """Change the list that the server answers with."""
         self.server.serial = serial
         self.server.draining = set(draining)
         self.server.worker_count = worker_count
 
     def assert_list_is(self, version: int, worker_count: int) -> None:
-        """Check the endpoint list's serial and its number of workers."""
+        """Check the serial of the endpoint list and its number of workers."""
         self.assertEqual((self.endpoints.version, len(self.endpoints.entries)), (version, worker_count))
 
 
 class HostsTest(DiscoveryTestCase):
-    """Records of hosts that the list's answer does not hold."""
+    """Hosts whose records are not in the reply with the list."""
 
-    async def test_hosts_that_one_answer_does_not_hold_are_queried_together(self) -> None:
-        await self.start(host_batch=8, timeout_us=60_000_000)  # one by one, the first would wait for a minute
+    async def test_missing_hosts_are_queried_concurrently(self) -> None:
+        await self.start(
+            host_batch=8, timeout_us=60_000_000
+        )  # one by one, the first query would time out after a minute
         await self.until_complete()
         self.assertEqual(self.endpoints.version, FIRST_SERIAL)
 
-    async def test_host_that_never_resolves_keeps_back_nothing_else_and_is_queried_again(self) -> None:
-        # A busy machine, on which replies take longer than usual, must not make other hosts late, too.
+    async def test_unresolved_host_does_not_delay_others_and_is_queried_again(self) -> None:
+        # Long timeouts, so that slow replies on a busy machine do not delay other hosts as well.
         await self.start(timeout_us=500_000, complete_us=60_000_000)
         unanswered = host(33)
         self.server.unanswered_hosts = {unanswered}
-        # Its two records, in two rounds.
+        # Two rounds of queries for its two records.
         await self.until(lambda: self.server.queries[unanswered] >= 4 * HOST_TRIES)
         self.assert_list_is(FIRST_SERIAL, WORKERS - 1)
         self.assertEqual(self.counters["names.lists"], 1)
@@ -182,15 +184,15 @@
         self.server.unanswered_hosts = {unanswered}
         self.publish(FIRST_SERIAL + 1, draining={12, 33})
         await self.until(lambda: self.endpoints.version >= FIRST_SERIAL + 1)
-        # What was known of it holds, and the list itself shows its drain.
+        # Its known records are kept, and the list itself shows that it is draining.
         self.assertEqual(len(self.endpoints.entries), WORKERS)
         entries = self.endpoints.entries.items()
         draining = {uid for uid, entry in entries if entry.state is WorkerState.DRAINING}
         self.assertEqual(draining, {"s-12", "s-33"})
         self.assertEqual(self.endpoints.addresses["s-33"], ("10.0.0.1", 99))
 
-    async def test_drains_are_obeyed_while_many_hosts_do_not_resolve(self) -> None:
-        """The list shows the drain at once; the hosts that it lacks may not keep it back until it binds."""
+    async def test_drain_is_applied_in_time_although_many_hosts_do_not_resolve(self) -> None:
+        """The list shows the drain at once; waiting for missing hosts must not delay it until it binds."""
         await self.start(timeout_us=150_000)
         await self.until_complete()
         self.server.unanswered_hosts = {host(number) for number in range(WORKERS)}
@@ -199,7 +201,7 @@
         await self.until_state("s-5", WorkerState.DRAINING)
         self.assertLess(asyncio.get_running_loop().time() - started_s, DRAIN_BINDS_S)
 
-    async def test_answer_to_another_question_and_malformed_records_replace_nothing(self) -> None:
+    async def test_reply_to_another_question_and_malformed_records_are_ignored(self) -> None:
         await self.start(timeout_us=500_000)
         await self.until_complete()
         self.server.repeats_question = False
@@ -213,9 +215,9 @@
 
 
 class SerialsTest(DiscoveryTestCase):
-    """Which lists are newer than the one before."""
+    """Which lists count as newer than the current one."""
 
-    async def test_serials_that_wrap_are_news_and_late_ones_are_not(self) -> None:
+    async def test_wrapped_serial_is_newer_and_late_one_is_not(self) -> None:
         await self.start(serial=2**32 - 2)
         await self.until_complete()
         self.publish(1, draining={3})
@@ -225,12 +227,12 @@
         state = self.endpoints.entries["s-3"].state
         self.assertEqual((self.endpoints.version, state), (1, WorkerState.DRAINING))
 
-    async def test_server_that_numbers_anew_is_followed_again_and_its_drains_at_once(self) -> None:
+    async def test_server_with_restarted_serials_is_accepted_again_and_its_drains_at_once(self) -> None:
         await self.start(restart_us=2_000_000, serial=70)
         await self.until_complete()
         self.publish(1, draining={3}, worker_count=WORKERS - 1)
         await self.until_state("s-3", WorkerState.DRAINING)
-        self.assert_list_is(70, WORKERS)  # nothing else of it yet
+        self.assert_list_is(70, WORKERS)  # only the drain is applied yet
         await self.until_version(1)
         self.assertEqual(
             (len(self.endpoints.entries), self.counters["names.serial_restarts"]), (WORKERS - 1, 1)
@@ -240,8 +242,8 @@
         await self.until_version(2)
         self.assertEqual(self.endpoints.entries["s-4"].state, WorkerState.DRAINING)
 
-    async def test_stale_server_takes_nothing_back_and_its_next_good_list_counts(self) -> None:
-        """Behind for a while: what it lists is old, but for drains; the next list sets all right."""
+    async def test_stale_server_changes_nothing_but_drains_until_its_next_current_list(self) -> None:
+        """Of a list with an older serial only the drains are applied; the next current list replaces it."""
         await self.start(serial=70)
         await self.until_complete()
         self.publish(60, draining={3}, worker_count=20)
@@ -253,9 +255,9 @@
 
 
 class SocketTest(DiscoveryTestCase):
-    """The socket from which the name server is queried."""
+    """The socket for queries to the name server."""
 
-    async def test_socket_for_which_there_is_no_descriptor_asks_for_room(self) -> None:
+    async def test_missing_descriptor_for_the_socket_is_reported(self) -> None:
         loop = asyncio.get_running_loop()
         requests_for_room = list[int]()
         no_descriptor = OSError(errno.EMFILE, "Too many open files")
@@ -273,7 +275,7 @@
             polling.cancel()
             await asyncio.wait([polling])
 
-    async def test_socket_that_is_lost_is_opened_again(self) -> None:
+    async def test_lost_socket_is_opened_again(self) -> None:
         await self.start()
         await self.until(lambda: self.endpoints.entries and self.discovery.client.transport is not None)
         assert self.discovery.client.transport is not None
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""The runner pool between a core that records and a fake worker: rules are checked as lines are written."""
+"""Tests of the runner pool on sockets, between a core that only records and a fake worker."""
 
 import errno
 import unittest
@@ -17,11 +17,11 @@
 from tests.standins import Worker, wait_until
 
 BUDGET_US = 5_000_000
-OVER_ALL_BUFFERS = 30_000_000  # bytes that no socket takes while its peer reads nothing
+OVER_ALL_BUFFERS = 30_000_000  # bytes; more than the socket buffers hold while the peer reads nothing
 
 
 class CoreRecorder:
-    """Records how attempts and health checks end."""
+    """Records the results of attempts and health checks."""
 
     def __init__(self) -> None:
         self.ended: dict[AttemptId, Result] = {}
@@ -42,7 +42,7 @@
 
 
 class PoolTestCase(unittest.IsolatedAsyncioTestCase):
-    """A pool with one worker, `s-0`, on a clock that a test advances."""
+    """A pool with one worker, `s-0`, and a clock that the test advances."""
 
     def setUp(self) -> None:
         self.now = 1_000_000
@@ -58,7 +58,7 @@
     def list_worker(
         self, state: api.WorkerState = api.WorkerState.RUNNING, started_us: int = 0, port: int = 0
     ) -> None:
-        """Give the pool a new list, of the worker in this state."""
+        """Give the pool a new list that holds the worker in this state."""
         entry = api.WorkerEntry("s-0", "east", "std", 2, state, 4.0, started_us)
         self.endpoints.apply_whole(
             self.endpoints.version + 1, [(entry, ("127.0.0.1", port or self.worker.port))]
@@ -66,27 +66,27 @@
         self.pool.update(self.endpoints)
 
     def send(self, number: int, body: bytes, worker: str = "s-0", attempt: int = 0) -> None:
-        """Send an attempt of the call with this number."""
+        """Send an attempt of the call `number`."""
         request = Request(f"t{number}", "f", "review", BUDGET_US, body=body)
         self.pool.send((number, attempt), worker, request, BUDGET_US)
 
     async def until_ended(self, *numbers: int) -> None:
-        """Wait for the end of the first attempts of these calls."""
+        """Wait for the results of the first attempts of these calls."""
         await wait_until(lambda: all((number, 0) in self.core.ended for number in numbers))
 
     async def until_run(self, count: int = 1) -> None:
-        """Wait until the worker has run so many calls."""
+        """Wait until the worker has run `count` calls."""
         await wait_until(lambda: len(self.worker.ran) >= count)
 
 
 class WithheldAttemptsTest(PoolTestCase):
-    """Attempts that may not be written any more, or not yet."""
+    """Attempts that are dropped before they are written."""
 
-    async def test_attempt_that_is_withheld_never_goes_and_one_that_is_out_goes_on(self) -> None:
+    async def test_withheld_attempt_is_never_sent_and_written_one_continues(self) -> None:
         self.send(1, b"x")
         self.send(2, b"y")
         self.assertTrue(self.pool.withhold((1, 0)))
-        self.assertFalse(self.pool.withhold((1, 0)))  # it is forgotten
+        self.assertFalse(self.pool.withhold((1, 0)))  # it is dropped already
         await self.until_ended(2)
         self.assertEqual([line["call"] for line in self.worker.lines], ["t2"])
         self.send(3, b"hang:")
@@ -97,8 +97,8 @@
         self.assertEqual((self.core.ended[3, 0], set(self.core.ended)), (Result.RESET, {(2, 0), (3, 0)}))
         self.assertNotIn("states.invalid_transitions", self.counters)
 
-    async def test_connection_without_a_descriptor_says_nothing_of_the_runner(self) -> None:
-        """Clients hold them all: one of those has to make room, and the call goes on elsewhere."""
+    async def test_attempt_without_a_free_descriptor_ends_as_superseded(self) -> None:
+        """Client connections hold all descriptors: one must be closed, and the runner is not to blame."""
         requests_for_room = list[int]()
         self.pool.on_no_descriptor = lambda: requests_for_room.append(1)
         none_left = OSError(errno.EMFILE, "Too many open files")
@@ -107,7 +107,7 @@
             await self.until_ended(1)
         self.assertEqual((self.core.ended[1, 0], requests_for_room), (Result.SUPERSEDED, [1]))
 
-    async def test_send_that_waits_for_its_connection_goes_stale_when_its_runner_is_suspended(self) -> None:
+    async def test_messages_that_wait_for_a_connection_are_dropped_when_the_runner_is_suspended(self) -> None:
         self.send(1, b"x")
         self.pool.check_health(7, "s-0")
         self.endpoints.suspended = frozenset({"s-0"})
@@ -116,17 +116,17 @@
         self.assertEqual((self.core.ended[1, 0], self.worker.lines), (Result.SUPERSEDED, []))
         self.assertEqual(self.core.health_checks_ended, {7: Result.SUPERSEDED})
 
-    async def test_send_that_waits_for_its_connection_goes_stale_when_a_drain_is_notified(self) -> None:
-        self.send(1, b"x")  # the connection is not up before the loop runs
+    async def test_attempt_that_waits_for_a_connection_is_dropped_when_the_runner_drains(self) -> None:
+        self.send(1, b"x")  # the connection cannot be established before the event loop runs
         self.list_worker(api.WorkerState.DRAINING)
         await self.until_ended(1)
         self.assertEqual((self.core.ended[1, 0], self.worker.ran), (Result.SUPERSEDED, []))
 
 
 class IdleConnectionsTest(PoolTestCase):
-    """How long connections are kept, and which one makes room."""
+    """How long connections are kept, and which one is closed at the limit."""
 
-    async def test_streams_are_bounded_and_a_second_connection_is_opened(self) -> None:
+    async def test_second_connection_is_opened_when_the_streams_of_the_first_are_used(self) -> None:
         for n in range(3):
             self.send(n, b"hang:")
         self.assertEqual(self.pool.connections, 2)
@@ -135,11 +135,11 @@
         await self.until_ended(3)
         self.assertEqual((self.core.ended[3, 0], self.pool.connections), (Result.OK, 2))
 
-    async def test_idle_time_that_breaks_connections_is_learned_and_forgotten(self) -> None:
+    async def test_idle_timeout_shrinks_after_a_break_and_recovers(self) -> None:
         self.send(1, b"abc")
         await self.until_ended(1)
         self.now += 1_000_000
-        # The first one after an idle time: it meets the reset of a connection long dropped.
+        # The first request after the idle time meets the reset of a connection that was dropped meanwhile.
         self.send(2, b"die")
         await self.until_ended(2)
         self.assertEqual(self.pool.idle_timeout.timeout_us, 800_000)
@@ -148,7 +148,7 @@
         self.send(3, b"abc")
         await self.until_ended(3)
         self.now += 900_000
-        self.send(4, b"abc")  # not by the one that has been idle for so long
+        self.send(4, b"abc")  # not over the connection that has been idle for so long
         await self.until_ended(4)
         self.assertEqual(len(self.worker.open), 2)
         for _ in range(3):
@@ -156,8 +156,8 @@
             self.pool.sweep()
         self.assertEqual(self.pool.idle_timeout.timeout_us, 5_000_000)
 
-    async def test_idle_time_that_others_survived_of_late_is_not_blamed_for_a_break(self) -> None:
-        """One runner that goes had a router of many close all its idle connections, and shake hands anew."""
+    async def test_break_is_not_blamed_on_an_idle_time_that_connections_recently_survived(self) -> None:
+        """The failure of one of many runners made a router close all idle connections and open new ones."""
         for n in range(5):
             self.send(n, b"abc")
             await self.until_ended(n)
@@ -167,8 +167,8 @@
         self.assertEqual(self.pool.idle_timeout.timeout_us, 5_000_000)
         self.assertEqual(self.counters["runners.broke_after_idle"], 1)
 
-    async def test_idle_connections_make_room_for_another_runner_at_the_cap(self) -> None:
-        """A fleet of more runners than descriptors: each call to a further one counted as refused there."""
+    async def test_idle_connections_are_closed_for_another_runner_at_the_limit(self) -> None:
+        """With more runners than descriptors, calls to further runners failed as if refused by them."""
         self.pool.limits = replace(self.pool.limits, connections=2)
         workers = [Worker() for _ in range(4)]
         entries = [
@@ -188,7 +188,7 @@
         self.assertEqual((self.pool.connections, self.counters["runners.idle_evicted"]), (2, 2))
         self.assertEqual([len(self.pool.runners[f"m-{n}"].connections) for n in range(4)], [0, 0, 1, 1])
 
-    async def test_restarted_runner_is_not_spoken_to_on_an_old_connection(self) -> None:
+    async def test_restarted_runner_gets_nothing_over_an_old_connection(self) -> None:
         self.send(1, b"hang:")
         self.send(2, b"abc")
         await self.until_ended(2)
@@ -199,7 +199,7 @@
         await self.until_ended(3)
         self.assertEqual(self.core.ended[3, 0], Result.OK)
 
-    async def test_idle_connection_is_closed_before_the_runner_does(self) -> None:
+    async def test_idle_connection_is_closed_before_the_runner_closes_it(self) -> None:
         self.send(1, b"abc")
         await self.until_ended(1)
         self.now += 4_000_000
@@ -211,9 +211,9 @@
 
 
 class BrokenConnectionsTest(PoolTestCase):
-    """What becomes of attempts on a connection that breaks, stalls or carries what cannot be read."""
+    """Attempts on a connection that breaks, stalls or carries malformed answers."""
 
-    async def test_refused_connection_proves_that_nothing_ran(self) -> None:
+    async def test_attempt_ends_as_connect_failed_if_the_connection_is_refused(self) -> None:
         self.worker.die()
         self.send(1, b"abc")
         await self.until_ended(1)
@@ -221,24 +221,24 @@
         self.pool.send((2, 0), "s-unknown", Request("t", "f", "review", 1), 1)
         self.assertEqual(self.core.ended[2, 0], Result.CONNECT_FAILED)
 
-    async def test_death_resets_what_was_written(self) -> None:
+    async def test_written_attempt_ends_as_reset_if_the_worker_dies(self) -> None:
         self.send(1, b"die")
         await self.until_ended(1)
         self.assertEqual(self.core.ended[1, 0], Result.RESET)
 
-    async def test_line_that_cannot_be_read_condemns_its_connection_and_all_that_is_open_there(self) -> None:
+    async def test_malformed_line_closes_its_connection_and_resets_the_attempts_on_it(self) -> None:
         too_long = b"x" * 70_000
         malformed = (b"\x99\xce\n", b'{"call":"TAG"}\n', b"5\n", b'{"kind":"200', too_long)
         for n, line in enumerate(malformed):
             self.send(2 * n, b"hang:")
-            self.send(2 * n + 1, b"raw:" + line)  # on the same connection; the last two have no end
+            self.send(2 * n + 1, b"raw:" + line)  # on the same connection; the last two lines have no end
             await self.until_ended(2 * n, 2 * n + 1)
             results = self.core.ended[2 * n, 0], self.core.ended[2 * n + 1, 0]
             self.assertEqual(results, (Result.RESET, Result.RESET))
             self.assertEqual(self.pool.connections, 0)
         self.assertEqual(self.counters["runners.malformed"], 5)
 
-    async def test_duplicate_answers_and_unknown_ids_are_dropped_and_the_connection_goes_on(self) -> None:
+    async def test_duplicate_answers_and_unknown_tags_are_ignored(self) -> None:
         good = b'{"kind":"200","call":"TAG"}\n'
         self.send(1, b"raw:" + good.replace(b"TAG", b"nobody") + 2 * good)
         await self.until_ended(1)
@@ -247,19 +247,20 @@
         self.assertEqual((self.core.ended[1, 0], self.core.ended[2, 0]), (Result.OK, Result.OK))
         self.assertEqual((self.counters["runners.late"], self.pool.connections), (2, 1))
 
-    async def test_retry_after_a_full_answer_does_not_take_a_duplicate_of_that_for_its_own(self) -> None:
+    async def test_retry_after_a_rejection_does_not_reuse_the_connection(self) -> None:
+        """A duplicate of the rejection would be taken for the answer to the retry, which has the same tag."""
         self.send(1, b"full:")
         await self.until_ended(1)
         self.send(1, b"abc", attempt=1)
         await wait_until(lambda: (1, 1) in self.core.ended)
         self.assertEqual(self.pool.connections, 2)
 
-    async def test_what_was_not_written_whole_goes_by_another_connection_when_one_breaks(self) -> None:
+    async def test_partially_written_attempt_is_resent_over_another_connection_after_a_break(self) -> None:
         self.send(1, b"hang:")
         await self.until_run()
         (connection,) = self.pool.runners["s-0"].connections
         self.pool.limits = replace(self.pool.limits, stall_us=60_000_000)
-        self.worker.pause()  # reads nothing, so what comes stays in the buffers
+        self.worker.pause()  # it reads nothing, so the message stays in the buffers
         self.send(2, b"error:" + bytes(OVER_ALL_BUFFERS))
         self.assertIsNotNone(connection.partial)
         self.worker.resume()
@@ -268,17 +269,17 @@
         await self.until_ended(2)
         self.assertEqual((self.core.ended[2, 0], len(self.worker.ran)), (Result.ERROR, 2))
 
-    async def test_line_that_a_runner_does_not_take_goes_nowhere_else_and_ends_its_connection(self) -> None:
-        """It would come too late for the deadline that it tells; another connection would be filled, too."""
+    async def test_stalled_write_closes_the_connection_and_is_not_resent(self) -> None:
+        """The deadline in the message would be out of date, and another connection would fill up, too."""
         self.pool.limits = replace(self.pool.limits, streams=8)
         self.send(1, b"hang:")
         await self.until_run()
         self.worker.pause()
         self.send(2, bytes(OVER_ALL_BUFFERS))
-        self.send(3, b"abc")  # behind it
+        self.send(3, b"abc")  # queued behind it
         await self.until_ended(1, 2, 3)
-        never_ran = Result.CONNECT_FAILED
-        self.assertEqual(self.core.ended, {(1, 0): Result.RESET, (2, 0): never_ran, (3, 0): never_ran})
+        failed = Result.CONNECT_FAILED
+        self.assertEqual(self.core.ended, {(1, 0): Result.RESET, (2, 0): failed, (3, 0): failed})
         self.assertEqual((self.counters["runners.stalled"], self.pool.connections), (1, 0))
         self.worker.resume()
 
@@ -291,4 +292,4 @@
         await self.until_ended(2)
         self.assertEqual(self.pool.connections, 2)
         self.pool.sweep()
-        self.assertEqual(self.pool.connections, 1)  # the silent one carries nothing any more
+        self.assertEqual(self.pool.connections, 1)  # the silent one carries no request any more and is closed
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The lines of the simulator, as events and actions."""
+"""Tests of the codec for the simulator's line protocol."""
 
 import pytest
 
@@ -66,23 +66,23 @@
 
 
 @pytest.mark.parametrize(("line", "event"), EVENTS)
-def test_event_is_read(line: str, event: api.Event) -> None:
+def test_event_is_decoded(line: str, event: api.Event) -> None:
     assert codec.event_from(codec.LineFields(line)) == event
 
 
 @pytest.mark.parametrize(("action", "line"), ACTIONS)
-def test_action_is_written(action: api.Action, line: str) -> None:
+def test_action_is_encoded(action: api.Action, line: str) -> None:
     assert codec.action_line("d/1", action) == line
 
 
-def test_list_entry_is_read_with_and_without_its_start() -> None:
+def test_list_entry_is_decoded_with_and_without_its_start_time() -> None:
     line = f"M runner={WORKER} dc=z model=k bay=3 availability=Stopping heft=1.5"
     draining = api.WorkerState.DRAINING
     assert codec.entry_from(line) == api.WorkerEntry(WORKER, "z", "k", 3, draining, 1.5, 0)
     assert codec.entry_from(line + " cameUpUs=8").started_us == 8
 
 
-def test_unknown_message_is_skipped_and_unknown_value_is_named() -> None:
+def test_unknown_message_is_skipped_and_invalid_field_is_named() -> None:
     assert codec.event_from(codec.LineFields("NEWS who=d/1 what=1")) is None
     with pytest.raises(codec.WireError, match="'how' has the unknown value 'odd'"):
         codec.event_from(codec.LineFields(f"SETTLED who=d/1 req=9 attempt=0 runner={WORKER} how=odd"))
