--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -109,10 +109,10 @@
         self.called_s = time.time()
         self.client.call_until_sent(self.program, "review", b"abc", limit_ms=LIMIT_MS)
 
-    def assert_time_left(self, *workers: TimingWorker, least: int = 1) -> None:
-        """Check that at least so many calls arrived, each with no more time than its client still waits."""
+    def assert_time_left(self, *workers: TimingWorker, min_calls: int = 1) -> None:
+        """Check that `min_calls` calls or more arrived, each with no more time than its client waits."""
         arrivals = [arrival for worker in workers for arrival in worker.arrivals]
-        self.assertGreaterEqual(len(arrivals), least)
+        self.assertGreaterEqual(len(arrivals), min_calls)
         for arrival in arrivals:
             left_ms = LIMIT_MS - (arrival.at_s - self.called_s) * 1e3
             self.assertLessEqual(arrival.wait_ms, left_ms + SLACK_MS)
@@ -125,7 +125,7 @@
         eventually(lambda: len(worker.arrivals) >= 2, "a second attempt")
         worker.full.clear()
         self.assertIn("result", self.client.read() or {})
-        self.assert_time_left(worker, least=2)
+        self.assert_time_left(worker, min_calls=2)
 
     def test_remaining_time_is_reduced_after_a_retry_at_another_worker(self) -> None:
         workers = (TimingWorker(), TimingWorker())
@@ -139,7 +139,7 @@
         for worker in workers:
             worker.may_answer.set()
         eventually(lambda: all(worker.arrivals for worker in workers), "a retry at the other worker")
-        self.assert_time_left(*workers, least=2)
+        self.assert_time_left(*workers, min_calls=2)
 
     def test_remaining_time_is_reduced_after_a_wait_for_the_connection(self) -> None:
         worker = HoldingTimingWorker()
@@ -202,7 +202,7 @@
                 self.program.kill()
 
     def wait_for_attempts(self, worker: TimingWorker, count: int) -> None:
-        """Wait until a worker has received so many attempts."""
+        """Wait until a worker has received `count` attempts."""
         eventually(lambda: len(worker.arrivals) >= count, "attempts")
 
 
@@ -229,18 +229,18 @@
     """
 
     def run_scenario(
-        self, leave: Callable[[Client, int], None], least: int = 0
+        self, leave: Callable[[Client, int], None], min_calls: int = 0
     ) -> tuple[list[str], Counter[str]]:
-        """Have a client call, and leave while the loop is busy; wait for `least` calls at the worker.
+        """Have a client call, and leave while the loop is busy; wait for `min_calls` calls at the worker.
 
         Return the bodies of the calls that the worker received, and the counters.
         """
         selector = TimestampingSelector(clock)
         with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
-            return runner.run(self.leave_while_busy(selector, leave, least))
+            return runner.run(self.leave_while_busy(selector, leave, min_calls))
 
     async def leave_while_busy(
-        self, selector: TimestampingSelector, leave: Callable[[Client, int], None], least: int
+        self, selector: TimestampingSelector, leave: Callable[[Client, int], None], min_calls: int
     ) -> tuple[list[str], Counter[str]]:
         """Run the scenario in the event loop; see `run_scenario`."""
         worker = Worker()
@@ -257,7 +257,7 @@
         time.sleep(BUSY_S)
         pool.report_connections()
         await asyncio.sleep(CALL_ARRIVED_S)
-        await wait_until(lambda: len(call_lines(worker)) >= least)
+        await wait_until(lambda: len(call_lines(worker)) >= min_calls)
         listener.close()
         return [line["bytes"] for line in call_lines(worker)], counters
 
@@ -293,7 +293,7 @@
         self.assertEqual((started, counters["requests.client_disconnected"]), ([], 1))
 
     def test_waiting_client_is_served_after_the_loop_was_busy(self) -> None:
-        started, _ = self.run_scenario(lambda client, _: None, least=1)
+        started, _ = self.run_scenario(lambda client, _: None, min_calls=1)
         self.assertEqual(started, [in_base64(b"abc")])
 
 
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -52,12 +52,12 @@
 
 
 class PersistentClient:
-    """A client with its own thread that keeps `ahead` requests open until its connection is closed."""
+    """A client with its own thread that keeps `open_target` requests open until its connection is closed."""
 
-    def __init__(self, port: int, method: str, ahead: int) -> None:
+    def __init__(self, port: int, method: str, open_target: int) -> None:
         self.client = Client(port)
         self.method = method
-        self.ahead = ahead
+        self.open_target = open_target
         self.open = set[int]()
         self.answered = 0
         self.faults = list[str]()
@@ -65,29 +65,27 @@
         self.thread.start()
 
     def _send(self) -> None:
-        with (
-            contextlib.suppress(BrokenPipeError),
-            self.client.in_one_write(),
-        ):  # closed by the router: the read that follows finds it
-            for _ in range(max(1, self.ahead // 4)):
+        # A broken pipe shows that the router has closed the connection, which the next read finds.
+        with contextlib.suppress(BrokenPipeError), self.client.in_one_write():
+            for _ in range(max(1, self.open_target // 4)):
                 check = self.method == "check"
                 self.open.add(self.client.send("check") if check else self.client.call(self.method, b"abc"))
 
     def _run(self) -> None:
         try:
-            while len(self.open) < self.ahead:
+            while len(self.open) < self.open_target:
                 self._send()
             while (answer := self.client.read()) is not None:
                 if answer.get("id") not in self.open:
                     self.faults.append(repr(answer))
                 self.open.discard(answer["id"])
                 self.answered += 1
-                if len(self.open) < self.ahead:
+                if len(self.open) < self.open_target:
                     self._send()
         except OSError as fault:
             self.faults.append(repr(fault))
 
-    def end(self) -> list[str]:
+    def wait_for_close(self) -> list[str]:
         """Wait for the close of the connection, and return the faults found before it."""
         self.thread.join(PATIENCE_S)
         self.client.close()
@@ -123,13 +121,13 @@
         answered = sum(count for name, count in counters.items() if name.startswith("answers."))
         self.assertEqual((counters["requests.taken"], counters.get("requests.withdrawn", 0)), (answered, 0))
 
-    def keep_sending(self, method: str, ahead: int) -> PersistentClient:
-        """Start a client that never stops and always has about `ahead` requests open."""
-        persistent = PersistentClient(self.port, method, ahead)
-        eventually(lambda: persistent.answered > ahead, "answers")
+    def keep_sending(self, method: str, open_target: int) -> PersistentClient:
+        """Start a client that never stops and always has about `open_target` requests open."""
+        persistent = PersistentClient(self.port, method, open_target)
+        eventually(lambda: persistent.answered > open_target, "answers")
         return persistent
 
-    def pending_call(self) -> Client:
+    def send_pending_call(self) -> Client:
         """Send a call that stays open until the process exits, so that a request is pending until then."""
         client = Client(self.port)
         client.call("test-submit", b"hang:", limit_ms=LONG_LIMIT_MS)
@@ -137,10 +135,10 @@
         return client
 
     def test_clients_that_never_stop_are_closed_before_the_last_answer(self) -> None:
-        waiting_client = self.pending_call()
+        waiting_client = self.send_pending_call()
         persistent = [self.keep_sending(*kind) for kind in (("review", 4), ("review", 1), ("test-submit", 2))]
         self.program.process.send_signal(signal.SIGTERM)
-        self.assertEqual([client.end() for client in persistent], [[], [], []])
+        self.assertEqual([client.wait_for_close() for client in persistent], [[], [], []])
         self.assertEqual(select.select([waiting_client.socket], [], [], 0)[0], [])
         self.assertIn("error", waiting_client.read() or {})
         self.assertIsNone(waiting_client.read())
@@ -148,10 +146,10 @@
         self.assert_answered()
 
     def test_clients_with_constantly_unread_input_find_a_clean_close(self) -> None:
-        waiting_client = self.pending_call()
+        waiting_client = self.send_pending_call()
         persistent = [self.keep_sending("check", 2000), self.keep_sending("check", 2000)]
         self.program.process.send_signal(signal.SIGTERM)
-        self.assertEqual([client.end() for client in persistent], [[], []])
+        self.assertEqual([client.wait_for_close() for client in persistent], [[], []])
         self.assertIn("error", waiting_client.read() or {})
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assert_answered()
--- a/tests/test_endings_slow_start.py
+++ b/tests/test_endings_slow_start.py
@@ -50,10 +50,10 @@
         for client in clients:
             self.addCleanup(client.close)
         self.cold = ArrivalTimesWorker()
-        joined_s = self.call_in_turns(clients)
+        joined_s = self.send_calls(clients)
         self.check_budget(joined_s)
 
-    def call_in_turns(self, clients: list[Client]) -> float:
+    def send_calls(self, clients: list[Client]) -> float:
         """Send calls until `END_S`; return the Unix time at which the cold worker was listed."""
         started_s = time.time()
         joined_s = 0.0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -260,9 +260,8 @@
 def test_limits_of_each_process_that_shares(name: str, process_count: int) -> None:
     limits = ALONE[name].shared(process_count)
     assert flat_values(limits) == DEFAULTS | CHANGES[name][process_count - 1]
-    assert (
-        limits.shared(1) == ALONE[name]
-    )  # sharing starts from the limits of the process, so it is never applied twice
+    # `shared` starts from the limits of the process, so sharing is never applied twice.
+    assert limits.shared(1) == ALONE[name]
 
 
 @pytest.mark.parametrize("name", CHANGES)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -66,7 +66,7 @@
         if not self.repeats_question:
             query = query[:NAME_START] + name_bytes("_other._tcp.cluster.lan") + query[NAME_END:]
         targets = [
-            struct.pack("!3H", number in self.draining, 40, 99) + host(number)
+            struct.pack("!3H", number in self.draining, 40, 99) + host_name(number)
             for number in range(self.worker_count)
         ]
         answer = b"".join(record(SAME_NAME, dns.SRV, target) for target in targets)
@@ -88,7 +88,7 @@
         self.transport.sendto(head + query[NAME_START:] + data, peer)
 
 
-def host(number: int) -> bytes:
+def host_name(number: int) -> bytes:
     """Encode the name of a worker's host."""
     return name_bytes(f"s-{number}.east.hosts")
 
@@ -127,26 +127,26 @@
         self.addAsyncCleanup(asyncio.wait, [polling])
         self.addCleanup(polling.cancel)
 
-    async def until(self, condition: Callable[[], Any]) -> None:
+    async def wait_for(self, condition: Callable[[], Any]) -> None:
         """Wait until the condition holds."""
         await wait_until(condition, DISCOVERY_S)
 
-    async def until_complete(self) -> None:
+    async def wait_until_complete(self) -> None:
         """Wait until every worker is in the endpoint list."""
-        await self.until(lambda: len(self.endpoints.entries) >= WORKERS)
+        await self.wait_for(lambda: len(self.endpoints.entries) >= WORKERS)
 
-    async def until_version(self, version: int) -> None:
+    async def wait_until_version(self, version: int) -> None:
         """Wait until the endpoint list has this serial."""
-        await self.until(lambda: self.endpoints.version == version)
+        await self.wait_for(lambda: self.endpoints.version == version)
 
-    async def until_state(self, worker: str, state: WorkerState) -> None:
+    async def wait_until_state(self, worker: str, state: WorkerState) -> None:
         """Wait until a worker is in this state in the endpoint list."""
-        await self.until(lambda: self.endpoints.entries[worker].state is state)
+        await self.wait_for(lambda: self.endpoints.entries[worker].state is state)
 
-    async def until_polled(self, count: int) -> None:
+    async def wait_until_polled(self, count: int) -> None:
         """Wait for `count` further queries of the list."""
         polls_before = self.server.list_queries
-        await self.until(lambda: self.server.list_queries >= polls_before + count)
+        await self.wait_for(lambda: self.server.list_queries >= polls_before + count)
 
     def publish(self, serial: int, draining: Iterable[int] = (), worker_count: int = WORKERS) -> None:
         """Change the list that the server answers with."""
@@ -163,27 +163,26 @@
     """Hosts whose records are not in the reply with the list."""
 
     async def test_missing_hosts_are_queried_concurrently(self) -> None:
-        await self.start(
-            host_batch=8, timeout_us=60_000_000
-        )  # one by one, the first query would time out after a minute
-        await self.until_complete()
+        # The server answers eight host queries together: if sent one by one, the first would time out.
+        await self.start(host_batch=8, timeout_us=60_000_000)
+        await self.wait_until_complete()
         self.assertEqual(self.endpoints.version, FIRST_SERIAL)
 
     async def test_unresolved_host_does_not_delay_others_and_is_queried_again(self) -> None:
         # Long timeouts, so that slow replies on a busy machine do not delay other hosts as well.
         await self.start(timeout_us=500_000, complete_us=60_000_000)
-        unanswered = host(33)
+        unanswered = host_name(33)
         self.server.unanswered_hosts = {unanswered}
         # Two rounds of queries for its two records.
-        await self.until(lambda: self.server.queries[unanswered] >= 4 * HOST_TRIES)
+        await self.wait_for(lambda: self.server.queries[unanswered] >= 4 * HOST_TRIES)
         self.assert_list_is(FIRST_SERIAL, WORKERS - 1)
         self.assertEqual(self.counters["names.lists"], 1)
         self.assertNotIn("s-33", self.endpoints.entries)
         self.server.unanswered_hosts = set()
-        await self.until_complete()
+        await self.wait_until_complete()
         self.server.unanswered_hosts = {unanswered}
         self.publish(FIRST_SERIAL + 1, draining={12, 33})
-        await self.until(lambda: self.endpoints.version >= FIRST_SERIAL + 1)
+        await self.wait_for(lambda: self.endpoints.version >= FIRST_SERIAL + 1)
         # Its known records are kept, and the list itself shows that it is draining.
         self.assertEqual(len(self.endpoints.entries), WORKERS)
         entries = self.endpoints.entries.items()
@@ -194,23 +193,23 @@
     async def test_drain_is_applied_in_time_although_many_hosts_do_not_resolve(self) -> None:
         """The list shows the drain at once; waiting for missing hosts must not delay it for too long."""
         await self.start(timeout_us=150_000)
-        await self.until_complete()
-        self.server.unanswered_hosts = {host(number) for number in range(WORKERS)}
+        await self.wait_until_complete()
+        self.server.unanswered_hosts = {host_name(number) for number in range(WORKERS)}
         self.publish(9, draining={5})
         started_s = asyncio.get_running_loop().time()
-        await self.until_state("s-5", WorkerState.DRAINING)
+        await self.wait_until_state("s-5", WorkerState.DRAINING)
         self.assertLess(asyncio.get_running_loop().time() - started_s, MAX_DRAIN_DELAY_S)
 
     async def test_reply_to_another_question_and_malformed_records_are_ignored(self) -> None:
         await self.start(timeout_us=500_000)
-        await self.until_complete()
+        await self.wait_until_complete()
         self.server.repeats_question = False
         self.server.serial = FIRST_SERIAL + 1
-        await self.until_polled(4)
+        await self.wait_until_polled(4)
         self.assert_list_is(FIRST_SERIAL, WORKERS)
         self.server.repeats_question = True
-        self.server.malformed_hosts = {host(8)}
-        await self.until_version(FIRST_SERIAL + 1)
+        self.server.malformed_hosts = {host_name(8)}
+        await self.wait_until_version(FIRST_SERIAL + 1)
         self.assertEqual((len(self.endpoints.entries), self.endpoints.entries["s-8"].cell), (WORKERS, 2))
 
 
@@ -219,38 +218,38 @@
 
     async def test_wrapped_serial_is_newer_and_late_one_is_not(self) -> None:
         await self.start(serial=2**32 - 2)
-        await self.until_complete()
+        await self.wait_until_complete()
         self.publish(1, draining={3})
-        await self.until_version(1)
+        await self.wait_until_version(1)
         self.publish(2**32 - 1)
-        await self.until_polled(4)
+        await self.wait_until_polled(4)
         state = self.endpoints.entries["s-3"].state
         self.assertEqual((self.endpoints.version, state), (1, WorkerState.DRAINING))
 
     async def test_server_with_restarted_serials_is_accepted_again_and_its_drains_at_once(self) -> None:
         await self.start(restart_us=2_000_000, serial=70)
-        await self.until_complete()
+        await self.wait_until_complete()
         self.publish(1, draining={3}, worker_count=WORKERS - 1)
-        await self.until_state("s-3", WorkerState.DRAINING)
+        await self.wait_until_state("s-3", WorkerState.DRAINING)
         self.assert_list_is(70, WORKERS)  # only the drain is applied yet
-        await self.until_version(1)
+        await self.wait_until_version(1)
         self.assertEqual(
             (len(self.endpoints.entries), self.counters["names.serial_restarts"]), (WORKERS - 1, 1)
         )
         self.assertGreaterEqual(self.counters["names.outdated"], NameServerLimits().restart_replies)
         self.publish(2, draining={3, 4}, worker_count=WORKERS - 1)
-        await self.until_version(2)
+        await self.wait_until_version(2)
         self.assertEqual(self.endpoints.entries["s-4"].state, WorkerState.DRAINING)
 
     async def test_stale_server_changes_nothing_but_drains_until_its_next_current_list(self) -> None:
         """Of a list with an older serial only the drains are applied; the next current list replaces it."""
         await self.start(serial=70)
-        await self.until_complete()
+        await self.wait_until_complete()
         self.publish(60, draining={3}, worker_count=20)
-        await self.until_state("s-3", WorkerState.DRAINING)
+        await self.wait_until_state("s-3", WorkerState.DRAINING)
         self.assert_list_is(70, WORKERS)
         self.publish(70)
-        await self.until_state("s-3", WorkerState.RUNNING)
+        await self.wait_until_state("s-3", WorkerState.RUNNING)
         self.assertEqual((len(self.endpoints.entries), self.counters["names.serial_restarts"]), (WORKERS, 0))
 
 
@@ -271,16 +270,16 @@
         )
         with unittest.mock.patch.object(loop, "create_datagram_endpoint", side_effect=no_descriptor):
             polling = loop.create_task(discovery.run())
-            await self.until(lambda: requests_for_room)
+            await self.wait_for(lambda: requests_for_room)
             polling.cancel()
             await asyncio.wait([polling])
 
     async def test_lost_socket_is_opened_again(self) -> None:
         await self.start()
-        await self.until(lambda: self.endpoints.entries and self.discovery.client.transport is not None)
+        await self.wait_for(lambda: self.endpoints.entries and self.discovery.client.transport is not None)
         assert self.discovery.client.transport is not None
         self.discovery.client.transport.abort()
         queries_before = self.counters["names.queries"]
         self.discovery.has_answered = False
-        await self.until(lambda: self.discovery.has_answered)
+        await self.wait_for(lambda: self.discovery.has_answered)
         self.assertGreater(self.counters["names.queries"], queries_before)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -70,11 +70,11 @@
         request = Request(f"t{number}", "f", "review", BUDGET_US, body=body)
         self.pool.send((number, attempt), worker, request, BUDGET_US)
 
-    async def until_ended(self, *numbers: int) -> None:
+    async def wait_until_ended(self, *numbers: int) -> None:
         """Wait for the results of the first attempts of these calls."""
         await wait_until(lambda: all((number, 0) in self.core.ended for number in numbers))
 
-    async def until_run(self, count: int = 1) -> None:
+    async def wait_until_run(self, count: int = 1) -> None:
         """Wait until the worker has run `count` calls."""
         await wait_until(lambda: len(self.worker.ran) >= count)
 
@@ -87,13 +87,13 @@
         self.send(2, b"y")
         self.assertTrue(self.pool.withhold((1, 0)))
         self.assertFalse(self.pool.withhold((1, 0)))  # it is dropped already
-        await self.until_ended(2)
+        await self.wait_until_ended(2)
         self.assertEqual([line["call"] for line in self.worker.lines], ["t2"])
         self.send(3, b"hang:")
-        await self.until_run(2)
+        await self.wait_until_run(2)
         self.assertFalse(self.pool.withhold((3, 0)))
         self.worker.die()
-        await self.until_ended(3)
+        await self.wait_until_ended(3)
         self.assertEqual((self.core.ended[3, 0], set(self.core.ended)), (Result.RESET, {(2, 0), (3, 0)}))
         self.assertNotIn("states.invalid_transitions", self.counters)
 
@@ -104,7 +104,7 @@
         none_left = OSError(errno.EMFILE, "Too many open files")
         with unittest.mock.patch("asyncio.open_connection", side_effect=none_left):
             self.send(1, b"x")
-            await self.until_ended(1)
+            await self.wait_until_ended(1)
         self.assertEqual((self.core.ended[1, 0], requests_for_room), (Result.SUPERSEDED, [1]))
 
     async def test_messages_that_wait_for_a_connection_are_dropped_when_the_runner_is_suspended(self) -> None:
@@ -112,14 +112,14 @@
         self.pool.check_health(7, "s-0")
         self.endpoints.suspended = frozenset({"s-0"})
         self.pool.update(self.endpoints)
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.assertEqual((self.core.ended[1, 0], self.worker.lines), (Result.SUPERSEDED, []))
         self.assertEqual(self.core.health_checks_ended, {7: Result.SUPERSEDED})
 
     async def test_attempt_that_waits_for_a_connection_is_dropped_when_the_runner_drains(self) -> None:
         self.send(1, b"x")  # the connection cannot be established before the event loop runs
         self.list_worker(api.WorkerState.DRAINING)
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.assertEqual((self.core.ended[1, 0], self.worker.ran), (Result.SUPERSEDED, []))
 
 
@@ -132,24 +132,24 @@
         self.assertEqual(self.pool.connections, 2)
         self.pool.cancel((0, 0))
         self.send(3, b"abc")
-        await self.until_ended(3)
+        await self.wait_until_ended(3)
         self.assertEqual((self.core.ended[3, 0], self.pool.connections), (Result.OK, 2))
 
     async def test_idle_timeout_shrinks_after_a_break_and_recovers(self) -> None:
         self.send(1, b"abc")
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.now += 1_000_000
         # The first request after the idle time meets the reset of a connection that was dropped meanwhile.
         self.send(2, b"die")
-        await self.until_ended(2)
+        await self.wait_until_ended(2)
         self.assertEqual(self.pool.idle_timeout.timeout_us, 800_000)
         self.worker = Worker()
         self.list_worker(port=self.worker.port)
         self.send(3, b"abc")
-        await self.until_ended(3)
+        await self.wait_until_ended(3)
         self.now += 900_000
         self.send(4, b"abc")  # not over the connection that has been idle for so long
-        await self.until_ended(4)
+        await self.wait_until_ended(4)
         self.assertEqual(len(self.worker.open), 2)
         for _ in range(3):
             self.now += 5_100_000
@@ -160,10 +160,10 @@
         """The failure of one of many runners made a router close all idle connections and open new ones."""
         for n in range(5):
             self.send(n, b"abc")
-            await self.until_ended(n)
+            await self.wait_until_ended(n)
             self.now += 1_000_000
         self.send(9, b"die")
-        await self.until_ended(9)
+        await self.wait_until_ended(9)
         self.assertEqual(self.pool.idle_timeout.timeout_us, 5_000_000)
         self.assertEqual(self.counters["runners.broke_after_idle"], 1)
 
@@ -183,7 +183,7 @@
         for number in range(4):
             self.now += 1_000
             self.send(number, b"abc", f"m-{number}")
-            await self.until_ended(number)
+            await self.wait_until_ended(number)
         self.assertEqual(set(self.core.ended.values()), {Result.OK})
         self.assertEqual((self.pool.connections, self.counters["runners.idle_evicted"]), (2, 2))
         self.assertEqual([len(self.pool.runners[f"m-{n}"].connections) for n in range(4)], [0, 0, 1, 1])
@@ -191,17 +191,17 @@
     async def test_restarted_runner_gets_nothing_over_an_old_connection(self) -> None:
         self.send(1, b"hang:")
         self.send(2, b"abc")
-        await self.until_ended(2)
+        await self.wait_until_ended(2)
         self.list_worker(started_us=2_000_000)
         self.assertEqual(self.core.ended[1, 0], Result.RESET)
         self.now = 3_000_000
         self.send(3, b"abc")
-        await self.until_ended(3)
+        await self.wait_until_ended(3)
         self.assertEqual(self.core.ended[3, 0], Result.OK)
 
     async def test_idle_connection_is_closed_before_the_runner_closes_it(self) -> None:
         self.send(1, b"abc")
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.now += 4_000_000
         self.pool.sweep()
         self.assertEqual(self.pool.connections, 1)
@@ -216,14 +216,14 @@
     async def test_attempt_ends_as_connect_failed_if_the_connection_is_refused(self) -> None:
         self.worker.die()
         self.send(1, b"abc")
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.assertEqual(self.core.ended[1, 0], Result.CONNECT_FAILED)
         self.pool.send((2, 0), "s-unknown", Request("t", "f", "review", 1), 1)
         self.assertEqual(self.core.ended[2, 0], Result.CONNECT_FAILED)
 
     async def test_written_attempt_ends_as_reset_if_the_worker_dies(self) -> None:
         self.send(1, b"die")
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.assertEqual(self.core.ended[1, 0], Result.RESET)
 
     async def test_malformed_line_closes_its_connection_and_resets_the_attempts_on_it(self) -> None:
@@ -232,7 +232,7 @@
         for n, line in enumerate(malformed):
             self.send(2 * n, b"hang:")
             self.send(2 * n + 1, b"raw:" + line)  # on the same connection; the last two lines have no end
-            await self.until_ended(2 * n, 2 * n + 1)
+            await self.wait_until_ended(2 * n, 2 * n + 1)
             results = self.core.ended[2 * n, 0], self.core.ended[2 * n + 1, 0]
             self.assertEqual(results, (Result.RESET, Result.RESET))
             self.assertEqual(self.pool.connections, 0)
@@ -241,23 +241,23 @@
     async def test_duplicate_answers_and_unknown_tags_are_ignored(self) -> None:
         good = b'{"kind":"200","call":"TAG"}\n'
         self.send(1, b"raw:" + good.replace(b"TAG", b"nobody") + 2 * good)
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.send(2, b"abc")
-        await self.until_ended(2)
+        await self.wait_until_ended(2)
         self.assertEqual((self.core.ended[1, 0], self.core.ended[2, 0]), (Result.OK, Result.OK))
         self.assertEqual((self.counters["runners.late"], self.pool.connections), (2, 1))
 
     async def test_retry_after_a_rejection_does_not_reuse_the_connection(self) -> None:
         """A duplicate of the rejection would be taken for the answer to the retry, which has the same tag."""
         self.send(1, b"full:")
-        await self.until_ended(1)
+        await self.wait_until_ended(1)
         self.send(1, b"abc", attempt=1)
         await wait_until(lambda: (1, 1) in self.core.ended)
         self.assertEqual(self.pool.connections, 2)
 
     async def test_partially_written_attempt_is_resent_over_another_connection_after_a_break(self) -> None:
         self.send(1, b"hang:")
-        await self.until_run()
+        await self.wait_until_run()
         (connection,) = self.pool.runners["s-0"].connections
         self.pool.limits = replace(self.pool.limits, stall_us=60_000_000)
         self.worker.pause()  # it reads nothing, so the message stays in the buffers
@@ -266,18 +266,18 @@
         self.worker.resume()
         self.pool.close(connection, Result.RESET)
         self.assertEqual(self.core.ended, {(1, 0): Result.RESET})
-        await self.until_ended(2)
+        await self.wait_until_ended(2)
         self.assertEqual((self.core.ended[2, 0], len(self.worker.ran)), (Result.ERROR, 2))
 
     async def test_stalled_write_closes_the_connection_and_is_not_resent(self) -> None:
         """The deadline in the message would be out of date, and another connection would fill up, too."""
         self.pool.limits = replace(self.pool.limits, streams=8)
         self.send(1, b"hang:")
-        await self.until_run()
+        await self.wait_until_run()
         self.worker.pause()
         self.send(2, bytes(OVER_ALL_BUFFERS))
         self.send(3, b"abc")  # queued behind it
-        await self.until_ended(1, 2, 3)
+        await self.wait_until_ended(1, 2, 3)
         failed = Result.CONNECT_FAILED
         self.assertEqual(self.core.ended, {(1, 0): Result.RESET, (2, 0): failed, (3, 0): failed})
         self.assertEqual((self.counters["runners.stalled"], self.pool.connections), (1, 0))
@@ -285,11 +285,11 @@
 
     async def test_silent_connection_carries_nothing_new_until_it_answers(self) -> None:
         self.send(1, b"hang:")
-        await self.until_run()
+        await self.wait_until_run()
         self.now += 600_000
         self.pool.cancel((1, 0))
         self.send(2, b"abc")
-        await self.until_ended(2)
+        await self.wait_until_ended(2)
         self.assertEqual(self.pool.connections, 2)
         self.pool.sweep()
         self.assertEqual(self.pool.connections, 1)  # the silent one carries no request any more and is closed
