--- a/maplestile/wire/dns.py
+++ b/maplestile/wire/dns.py
@@ -154,7 +154,7 @@
     if flags & TRUNCATED:
         raise Truncated("truncated")
     if flags & RCODE:
-        raise DnsError(f"error code {flags & RCODE}")
+        raise DnsError(f"the name server answered with error code {flags & RCODE}")
 
 
 def _decode_record_header(data: bytes, position: int) -> _Record:
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -12,7 +12,7 @@
 MB = 1 << 20
 # Share of the runner's idle time after which the router closes a connection: it closes first, so that no
 # request crosses the runner's close.
-IDLE_MARGIN = 0.8
+IDLE_TIMEOUT_SHARE = 0.8
 RESERVED_DESCRIPTORS = 32  # for listeners, log, name server, interpreter, and a burst of accepted connections
 # For connections that are accepted and not counted yet, or rejected and not closed yet: two bursts.
 BURST_DESCRIPTORS = 32
@@ -216,7 +216,8 @@
         runners = RunnerLimits(
             streams=settings.streams_per_connection,
             connect_timeout_us=settings.connect_timeout_us or default.runners.connect_timeout_us,
-            idle_timeout_us=int(IDLE_MARGIN * settings.idle_close_us) or default.runners.idle_timeout_us,
+            idle_timeout_us=int(IDLE_TIMEOUT_SHARE * settings.idle_close_us)
+            or default.runners.idle_timeout_us,
         )
         load_timeout_us = settings.load_timeout_us or default.control_requests.load_timeout_us
         return cls(
@@ -231,16 +232,16 @@
         shutdown = self.shutdown
         return min(longest_us, shutdown.kill_deadline_us) + shutdown.kill_spare_us
 
-    def shared(self, live: int) -> "Limits":
-        """Return the limits of one process where `live` processes share descriptors and memory."""
+    def shared(self, process_count: int) -> "Limits":
+        """Return the limits of one process where `process_count` processes share descriptors and memory."""
         default = type(self)()
-        descriptors = self.process.descriptors // live
+        descriptors = self.process.descriptors // process_count
         # Runners are few, with a handful of connections each; clients hold a third of the descriptors, and
         # come and go.
         runners = max(1, descriptors // 2 - RESERVED_DESCRIPTORS - BURST_DESCRIPTORS)
         operators = self.operators.connections
         clients = descriptors - runners - RESERVED_DESCRIPTORS - BURST_DESCRIPTORS - operators
-        spare_mb = int(max(MIN_SPARE_MEMORY_MB, self.process.memory_mb / live - BASE_MEMORY_MB))
+        spare_mb = int(max(MIN_SPARE_MEMORY_MB, self.process.memory_mb / process_count - BASE_MEMORY_MB))
         spare_bytes = spare_mb * MB
         all_unread_bytes = min(default.clients.all_unread_bytes, spare_bytes // 8)
         return replace(
--- a/maplestile/wire/simulator_adapter.py
+++ b/maplestile/wire/simulator_adapter.py
@@ -33,28 +33,28 @@
 
     def run(self) -> None:
         """Handle batches until the input ends; raises `WireError`."""
-        while (line := self._next_line()) is not None:
+        while (line := self._read_line()) is not None:
             mark = LineFields(line)
             if mark.name != "MARK":
                 raise WireError(f"expected MARK, found '{mark.name[:MAX_SHOWN_CHARACTERS]}'")
             self._handle_batch(mark.integer("nowUs"), mark.integer("frame"))
 
-    def _next_line(self) -> str | None:
+    def _read_line(self) -> str | None:
         line = next(self._lines, None)
         if line is None:
             return None
         self.line_number += 1
         return line.rstrip("\n")
 
-    def _required_line(self) -> str:
-        line = self._next_line()
+    def _read_required_line(self) -> str:
+        line = self._read_line()
         if line is None:
             raise WireError("the input ended within a batch, before its FLUSH")
         return line
 
     def _handle_batch(self, now_us: int, frame: int) -> None:
         output: list[str] = []
-        while (line := self._required_line()) != "FLUSH":
+        while (line := self._read_required_line()) != "FLUSH":
             self._handle_line(now_us, line, output)
         output.append(f"OK frame={frame}\n")
         self._output.write("\n".join(output))
@@ -73,7 +73,7 @@
             self._dispatchers.pop(router, None)
             return
         count = fields.integer("membersList", 0) if fields.name == "ROSTER_CHANGE" else 0
-        entries = tuple(entry_from(self._required_line()) for _ in range(count))
+        entries = tuple(entry_from(self._read_required_line()) for _ in range(count))
         event = event_from(fields, entries)
         dispatcher = self._dispatchers.get(router)
         if event is not None and dispatcher is not None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,21 +9,23 @@
 from maplestile.wire.settings import settings_from
 from tests.standins import params
 
-STAND_IN = settings_from(params())
-BARE = replace(STAND_IN, max_open=0, connect_timeout_us=0, idle_close_us=0, load_timeout_us=0)
-FULL = replace(
-    STAND_IN,
+TEST_SETTINGS = settings_from(params())
+SETTINGS_WITHOUT_LIMITS = replace(
+    TEST_SETTINGS, max_open=0, connect_timeout_us=0, idle_close_us=0, load_timeout_us=0
+)
+SETTINGS_WITH_LIMITS = replace(
+    TEST_SETTINGS,
     max_open=77,
     streams_per_connection=5,
     connect_timeout_us=90_000,
     idle_close_us=4_000_001,
     load_timeout_us=3_000_000,
 )
-ALONE = {
-    "bare": Limits.from_settings(BARE, 1024, 192),
-    "full": Limits.from_settings(FULL, 256, 64),
-    "stand-in": Limits.from_settings(STAND_IN, 384, 80.5),
-    "tiny": Limits.from_settings(BARE, 64, 20),
+SINGLE_PROCESS_LIMITS = {
+    "bare": Limits.from_settings(SETTINGS_WITHOUT_LIMITS, 1024, 192),
+    "full": Limits.from_settings(SETTINGS_WITH_LIMITS, 256, 64),
+    "stand-in": Limits.from_settings(TEST_SETTINGS, 384, 80.5),
+    "tiny": Limits.from_settings(SETTINGS_WITHOUT_LIMITS, 64, 20),
 }
 EXIT_US = 100_000  # time for the interpreter to exit, which takes 10 to 40 ms if a CPU is free
 DEFAULTS = {
@@ -258,15 +260,15 @@
 @pytest.mark.parametrize("process_count", [1, 2, 3, 4])
 @pytest.mark.parametrize("name", CHANGES)
 def test_limits_of_each_process_that_shares(name: str, process_count: int) -> None:
-    limits = ALONE[name].shared(process_count)
+    limits = SINGLE_PROCESS_LIMITS[name].shared(process_count)
     assert flat_values(limits) == DEFAULTS | CHANGES[name][process_count - 1]
     # `shared` starts from the limits of the process, so sharing is never applied twice.
-    assert limits.shared(1) == ALONE[name]
+    assert limits.shared(1) == SINGLE_PROCESS_LIMITS[name]
 
 
 @pytest.mark.parametrize("name", CHANGES)
 def test_limits_from_settings_are_those_of_a_single_process(name: str) -> None:
-    assert flat_values(ALONE[name]) == DEFAULTS | CHANGES[name][0]
+    assert flat_values(SINGLE_PROCESS_LIMITS[name]) == DEFAULTS | CHANGES[name][0]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -258,7 +258,7 @@
 
     async def test_missing_descriptor_for_the_socket_is_reported(self) -> None:
         loop = asyncio.get_running_loop()
-        requests_for_room = list[int]()
+        no_descriptor_reports = list[int]()
         no_descriptor = OSError(errno.EMFILE, "Too many open files")
         discovery = DnsDiscovery(
             ("127.0.0.1", 9),
@@ -266,11 +266,11 @@
             NameServerLimits(),
             Counter(),
             lambda: None,
-            lambda: requests_for_room.append(1),
+            lambda: no_descriptor_reports.append(1),
         )
         with unittest.mock.patch.object(loop, "create_datagram_endpoint", side_effect=no_descriptor):
             polling = loop.create_task(discovery.run())
-            await self.wait_for(lambda: requests_for_room)
+            await self.wait_for(lambda: no_descriptor_reports)
             polling.cancel()
             await asyncio.wait([polling])
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -99,13 +99,13 @@
 
     async def test_attempt_without_a_free_descriptor_ends_as_superseded(self) -> None:
         """Client connections hold all descriptors: one must be closed, and the runner is not to blame."""
-        requests_for_room = list[int]()
-        self.pool.on_no_descriptor = lambda: requests_for_room.append(1)
+        no_descriptor_reports = list[int]()
+        self.pool.on_no_descriptor = lambda: no_descriptor_reports.append(1)
         none_left = OSError(errno.EMFILE, "Too many open files")
         with unittest.mock.patch("asyncio.open_connection", side_effect=none_left):
             self.send(1, b"x")
             await self.wait_until_ended(1)
-        self.assertEqual((self.core.ended[1, 0], requests_for_room), (Result.SUPERSEDED, [1]))
+        self.assertEqual((self.core.ended[1, 0], no_descriptor_reports), (Result.SUPERSEDED, [1]))
 
     async def test_messages_that_wait_for_a_connection_are_dropped_when_the_runner_is_suspended(self) -> None:
         self.send(1, b"x")
