--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -31,7 +31,7 @@
         self._clock = runtime.clock
         self._counters = runtime.counters
         self.in_flight: dict[AttemptId, InFlightAttempt] = {}
-        # Called with each attempt and the policy epoch that it was decided under; None if nobody needs it.
+        # Called with each attempt and the policy epoch that it was decided under; None for no callback.
         self.on_sent: Callable[[AttemptId, int], None] | None = None
 
     def send(self, action: api.SendAttempt) -> None:
--- a/maplestile/requests/line_ends.py
+++ b/maplestile/requests/line_ends.py
@@ -1,4 +1,4 @@
-"""Reports the results of messages to runners to the core."""
+"""Reports to the core how messages to runners ended."""
 
 from collections import Counter
 from typing import Protocol
@@ -43,9 +43,9 @@
 
 
 class ResultReporter:
-    """Moves attempts to their final states, and reports the results of all messages to the core."""
+    """Sets the final states of attempts, and reports to the core how all messages ended."""
 
-    core: PoolObserver  # set before anything is sent; the pool is built first, the core needs it
+    core: PoolObserver  # set before anything is sent, since the core is built after the pool
 
     def __init__(self, transition: Transition, counters: Counter[str]) -> None:
         self._transition = transition
--- a/maplestile/requests/line_writer.py
+++ b/maplestile/requests/line_writer.py
@@ -87,8 +87,8 @@
     def _is_stale(self, connection: Connection, message: Message) -> bool:
         """Return whether a message that could be sent when it was queued may not be sent any more.
 
-        Its runner has started to drain (rule 3), the deduplication window of its idempotency key has passed
-        (rule 1), or its deadline has passed.
+        Its runner has started to drain, the deduplication window of its idempotency key has passed, so that
+        a second run of the call would not be detected, or its deadline has passed.
         """
         now = self._clock()
         window_passed = 0 < message.until_us <= now
