--- a/maplestile/agent/command_client.py
+++ b/maplestile/agent/command_client.py
@@ -1,4 +1,4 @@
-"""The client of a running agent's command server: the command line, and agents that are no voters."""
+"""The client of an agent's command server, used by the command line and by agents without a vote."""
 
 import asyncio
 import json
@@ -6,20 +6,21 @@
 
 from maplestile.common.address import Address
 
-COMMAND_TIMEOUT_S = 60.0  # of a command, which may wait for processes to end
-REPLY_BYTES_MAX = 1 << 20  # metrics of many instances
+COMMAND_TIMEOUT_S = 60.0  # a command may have to wait for processes to end
+MAX_REPLY_BYTES = 1 << 20  # enough for the metrics of many instances
 NO_REPLY = b'{"error":"the agent gave no answer"}'
 
 
-async def send_command(address: Address, do: str, names: list[str], **more: Any) -> dict[str, Any]:
+async def send_command(address: Address, name: str, instances: list[str], **fields: Any) -> dict[str, Any]:
     """Send one command to the agent at an address, and return its reply.
 
-    `names` are the instances that it is for, all where empty; `more` are the further keys of the command.
-    Raises OSError, TimeoutError, or ValueError for a reply that is no JSON.
+    `name` is the command, `instances` are the names of the instances that it is for (empty for all), and
+    `fields` are further fields of the command. Raises OSError, TimeoutError, or ValueError if the reply is
+    not valid JSON.
     """
-    reader, writer = await asyncio.open_connection(*address, limit=REPLY_BYTES_MAX)
+    reader, writer = await asyncio.open_connection(*address, limit=MAX_REPLY_BYTES)
     try:
-        writer.write(json.dumps({"do": do, "instances": names, **more}).encode() + b"\n")
+        writer.write(json.dumps({"do": name, "instances": instances, **fields}).encode() + b"\n")
         async with asyncio.timeout(COMMAND_TIMEOUT_S):
             line = await reader.readline()
     finally:
--- a/maplestile/agent/command_results.py
+++ b/maplestile/agent/command_results.py
@@ -1,4 +1,4 @@
-"""The results of the agent's commands, and the JSON objects in which its clients read them."""
+"""The results of the agent's commands, and their wire form: JSON objects."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -22,16 +22,16 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandFailure:
-    """Why a command was refused, or has failed."""
+    """The result of a command that was refused or has failed."""
 
-    reason: str
+    reason: str  # for the sender of the command
 
     def encoded(self) -> dict[str, Any]:
         """Return the JSON object of the reply."""
         return {"error": self.reason}
 
 
-# Processes, each by its instance.
+# Results of commands about processes, by instance name.
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,9 +47,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessCounters:
-    """The counters of the chosen routers."""
+    """The counters of the chosen instances."""
 
-    counters: Mapping[str, Any]  # as the process printed them; None where it printed none in time
+    counters: Mapping[str, Any]  # as the process printed them; None for a process that printed none in time
 
     def encoded(self) -> dict[str, Any]:
         """Return the JSON object of the reply."""
@@ -58,9 +58,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ReloadReports:
-    """What the chosen routers made of their files, read again."""
+    """The reports of the chosen routers on reloading their files."""
 
-    reports: Mapping[str, Any]  # as the process printed them; None where it printed none in time
+    reports: Mapping[str, Any]  # as the router printed it; None for an instance that printed none in time
 
     def encoded(self) -> dict[str, Any]:
         """Return the JSON object of the reply."""
@@ -69,9 +69,9 @@
 
 @dataclass(slots=True, frozen=True)
 class FrontReplies:
-    """The answers of the operators' fronts of the chosen instances."""
+    """The replies of the operators' fronts of the chosen instances."""
 
-    command: str
+    command: str  # the name of the agent's command, such as "ready"
     replies: Mapping[str, OperatorReply]
 
     def encoded(self) -> dict[str, Any]:
@@ -79,12 +79,12 @@
         return {self.command: {name: reply.encoded() for name, reply in self.replies.items()}}
 
 
-# The control plane.
+# Results of commands for the control plane.
 
 
 @dataclass(slots=True, frozen=True)
 class VoterAnswer:
-    """The answer to an agent that is no voter."""
+    """The answer of a voter's agent to an agent without a vote."""
 
     answer: LogAnswer
 
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutAccepted:
-    """The log's reply to an operator's command about rollouts."""
+    """The reply of the replicated log to an operator's command about rollouts."""
 
     reply: EncodedReply
 
@@ -106,11 +106,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutStatus:
-    """The agreed state, and this agent's own part in it."""
+    """The replicated state, and the status of this agent's control plane."""
 
     control: ControlState
     voter: VoterStatus
-    ready: bool
+    ready: bool  # whether the state is up to date and a leader is known
     counters: Mapping[str, int]
 
     def encoded(self) -> dict[str, Any]:
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyAccepted:
-    """The log's reply to an operator's command about the policy."""
+    """The reply of the replicated log to an operator's command about the policy."""
 
     reply: EncodedReply
 
@@ -139,23 +139,23 @@
 class InstancePolicy:
     """The policy of one instance, as its agent last reported it."""
 
-    agent: str
-    age_s: float | None  # since that report; None where none came
-    report: Mapping[str, Any]  # the router's own, as it came
+    agent: str  # the one that manages the instance
+    age_s: float | None  # seconds since that report; None if there was none
+    report: Mapping[str, Any]  # the report of the router, unchanged; empty if there was none
 
     def encoded(self) -> dict[str, Any]:
-        """Return it as an entry of the reply."""
+        """Return the wire form: one entry of the reply."""
         return {"agent": self.agent, "heard_s": self.age_s, **self.report}
 
 
 @dataclass(slots=True, frozen=True)
 class FleetPolicyStatus:
-    """What is agreed on, and the policy of each instance."""
+    """The replicated state of the fleet's policy, and the policy of each instance."""
 
     agreed: AgreedPolicies
-    instances: Mapping[str, InstancePolicy]
+    instances: Mapping[str, InstancePolicy]  # by instance name
     voter: VoterStatus
-    ready: bool
+    ready: bool  # whether the state is up to date and a leader is known
 
     def encoded(self) -> dict[str, Any]:
         """Return the JSON object of the reply."""
--- a/maplestile/agent/command_server.py
+++ b/maplestile/agent/command_server.py
@@ -1,9 +1,9 @@
-"""The agent's command server: one JSON object a line in, one object back.
+"""The agent's command server: a client sends one JSON object on a line, and gets one JSON object back.
 
     {"do": "status", "instances": ["n1"]}
 
-`instances` may be left out, for all. Commands to the control plane have `what` and `command` as well, those
-about a runner have `runner`.
+Without `instances`, a command is for all instances. Commands for the control plane also have `what` and
+`command`; commands about a runner have `runner`.
 """
 
 import asyncio
@@ -31,10 +31,10 @@
 from maplestile.operation.api import MEMBERS, METRICS, READY
 
 log = logging.getLogger("maplestile.agent")
-LINE_BYTES = 65_536
+MAX_LINE_BYTES = 65_536
 Answer = TypeVar("Answer")
 
-# By command: method and path at the operators' front of each chosen instance.
+# By command: the HTTP method and path of the request to the operators' front of each chosen instance.
 OPERATE = {
     "ready": ("GET", READY),
     "figures": ("GET", METRICS),
@@ -46,29 +46,29 @@
 
 @dataclass(slots=True, frozen=True)
 class AgentCommand:
-    """A command line, decoded."""
+    """A decoded command."""
 
-    name: object
-    instances: dict[str, Instance]  # those named, or all
-    names_instances: bool
-    operation: str  # of a command to the control plane
-    content: Any  # of a command to the control plane
-    runner: object
+    name: object  # the value of `do`, of any JSON type
+    instances: dict[str, Instance]  # the chosen ones: those that the command names, or all
+    is_for_named_instances: bool  # False if the command is for all instances
+    operation: str  # `what` of a command for the control plane, such as "start"; "None" if missing
+    content: Any  # `command` of a command for the control plane; None if missing
+    runner: object  # of any JSON type; None if missing
 
     @classmethod
     def decode(cls, line: bytes, instances: Mapping[str, Instance]) -> "AgentCommand":
-        """Decode a command line. Raises CommandError where it is invalid, or names an unknown instance."""
+        """Decode a command. Raises CommandError if it is invalid or names an unknown instance."""
         try:
             message = json.loads(line)
             name = message["do"]
-            chosen = message.get("instances") or list(instances)
-            chosen_instances = {instance: instances[instance] for instance in chosen}
-        except (ValueError, KeyError, TypeError, AttributeError) as fault:
-            raise CommandError(f"not understood, or no such instance: {fault}") from None
+            chosen_names = message.get("instances") or list(instances)
+            chosen_instances = {instance: instances[instance] for instance in chosen_names}
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
+            raise CommandError(f"not understood, or no such instance: {error}") from None
         return cls(
             name=name,
             instances=chosen_instances,
-            names_instances=bool(message.get("instances")),
+            is_for_named_instances=bool(message.get("instances")),
             operation=str(message.get("what")),
             content=message.get("command"),
             runner=message.get("runner"),
@@ -79,18 +79,18 @@
 
 
 class ControlCommands(Protocol):
-    """The agent's control plane as its command server reaches it."""
+    """The interface by which the command server uses the agent's control plane."""
 
-    async def rollout(self, operation: str, command: Any) -> CommandResult:
-        """The result of an operator's command about rollouts. Raises CommandError."""
+    async def execute_rollout_command(self, operation: str, command: Any) -> CommandResult:
+        """Execute an operator's command about rollouts, and return the result. Raises CommandError."""
         ...
 
-    async def policy(self, operation: str, command: Any) -> CommandResult:
-        """The result of an operator's command about the fleet's policy. Raises CommandError."""
+    async def execute_policy_command(self, operation: str, command: Any) -> CommandResult:
+        """Execute an operator's command about the policy, and return the result. Raises CommandError."""
         ...
 
-    async def replicated_log(self, command: object) -> LogAnswer:
-        """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
+    async def serve_log(self, command: object) -> LogAnswer:
+        """Answer an agent without a vote: return the replicated state, and the reply to its command, if any.
 
         Raises CommandError.
         """
@@ -98,7 +98,7 @@
 
 
 class CommandServer:
-    """Answers the commands of operators and of other agents, one a connection."""
+    """Answers the commands of operators and of other agents, one command per connection."""
 
     def __init__(self, instances: Mapping[str, Instance], stop_agent: Callable[[], None]) -> None:
         self.instances = instances
@@ -113,43 +113,43 @@
             "reload": self._reload,
             "rollout": self._rollout,
             "policy": self._policy,
-            "control": self._replicated_log,
-            **dict.fromkeys(OPERATE, self._operate),
+            "control": self._serve_log,
+            **dict.fromkeys(OPERATE, self._request_fronts),
         }
 
     def enable_control(self, control: ControlCommands) -> None:
-        """Pass commands about rollouts and policy on from now on."""
+        """Pass commands about rollouts and policy to this control plane from now on."""
         self.control = control
 
     def disable_control(self, reason: str) -> None:
-        """Refuse commands about rollouts and policy from now on, so that nobody acts by an old state."""
+        """Refuse commands about rollouts and policy from now on, so that nobody acts on an outdated state."""
         self.control = None
         self.no_control_reason = reason
 
     async def listen(self, host: str, port: int) -> asyncio.Server:
-        """Listen for connections. Raises OSError."""
-        return await asyncio.start_server(self.serve, host, port, limit=LINE_BYTES)
+        """Start to listen, and return the server. Raises OSError."""
+        return await asyncio.start_server(self.serve, host, port, limit=MAX_LINE_BYTES)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the one command of a connection, and close it."""
+        """Answer the one command of a connection, and close the connection."""
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT_S):
                 result = await self._execute(await reader.readline())
                 writer.write(json.dumps(result.encoded()).encode() + b"\n")
                 await writer.drain()
-        except (OSError, ValueError, TimeoutError) as fault:
-            log.warning("a question that cannot be answered: %s", fault)
+        except (OSError, ValueError, TimeoutError) as error:
+            log.warning("agent: a command gets no answer, and its connection is closed: %s", error)
         finally:
             writer.close()
 
     async def _execute(self, line: bytes) -> CommandResult:
         try:
             command = AgentCommand.decode(line, self.instances)
-            return await self._handler_of(command)(command)
-        except CommandError as fault:
-            return CommandFailure(str(fault))
+            return await self._find_handler(command)(command)
+        except CommandError as error:
+            return CommandFailure(str(error))
 
-    def _handler_of(self, command: AgentCommand) -> Handler:
+    def _find_handler(self, command: AgentCommand) -> Handler:
         handler = self.handlers.get(command.name) if isinstance(command.name, str) else None
         if handler is None:
             raise CommandError(f"no command '{command.name}'")
@@ -164,7 +164,7 @@
 
     async def _stop(self, command: AgentCommand) -> ProcessStatuses:
         await asyncio.gather(*(instance.process.stop() for instance in command.instances.values()))
-        if not command.names_instances:
+        if not command.is_for_named_instances:
             self.stop_agent()
         return await self._status(command)
 
@@ -173,33 +173,37 @@
         return await self._status(command)
 
     async def _counters(self, command: AgentCommand) -> ProcessCounters:
-        return ProcessCounters(await _of_each(command, lambda instance: instance.process.count()))
+        return ProcessCounters(
+            await _for_each_instance(command, lambda instance: instance.process.read_counters())
+        )
 
     async def _reload(self, command: AgentCommand) -> ReloadReports:
-        return ReloadReports(await _of_each(command, lambda instance: instance.process.reload()))
+        return ReloadReports(await _for_each_instance(command, lambda instance: instance.process.reload()))
 
     # Operators' fronts.
 
-    async def _operate(self, command: AgentCommand) -> FrontReplies:
+    async def _request_fronts(self, command: AgentCommand) -> FrontReplies:
         name = str(command.name)
         method, path = OPERATE[name]
         if isinstance(command.runner, str):
             path = path.format(quote(command.runner, safe=""))
         elif "{}" in path:
             raise CommandError(f"'{name}' needs a runner")
-        replies = await _of_each(command, lambda instance: instance.client.operate(method, path))
+        replies = await _for_each_instance(
+            command, lambda instance: instance.client.send_request(method, path)
+        )
         return FrontReplies(name, replies)
 
     # The control plane.
 
     async def _rollout(self, command: AgentCommand) -> CommandResult:
-        return await self._control_plane().rollout(command.operation, command.content or {})
+        return await self._control_plane().execute_rollout_command(command.operation, command.content or {})
 
     async def _policy(self, command: AgentCommand) -> CommandResult:
-        return await self._control_plane().policy(command.operation, command.content or {})
+        return await self._control_plane().execute_policy_command(command.operation, command.content or {})
 
-    async def _replicated_log(self, command: AgentCommand) -> VoterAnswer:
-        return VoterAnswer(await self._control_plane().replicated_log(command.content))
+    async def _serve_log(self, command: AgentCommand) -> VoterAnswer:
+        return VoterAnswer(await self._control_plane().serve_log(command.content))
 
     def _control_plane(self) -> ControlCommands:
         if self.control is None:
@@ -207,6 +211,9 @@
         return self.control
 
 
-async def _of_each(command: AgentCommand, call: Callable[[Instance], Awaitable[Answer]]) -> dict[str, Answer]:
+async def _for_each_instance(
+    command: AgentCommand, call: Callable[[Instance], Awaitable[Answer]]
+) -> dict[str, Answer]:
+    """Call the function with each chosen instance concurrently; return the answers by instance name."""
     answers = await asyncio.gather(*(call(instance) for instance in command.instances.values()))
     return dict(zip(command.instances, answers, strict=True))
--- a/maplestile/agent/control_plane.py
+++ b/maplestile/agent/control_plane.py
@@ -19,7 +19,7 @@
 
 
 class ControlPlane:
-    """The two controllers over one replicated log."""
+    """Runs the rollout controller and the policy controller over one replicated log."""
 
     def __init__(self, rollouts: RolloutController, policies: PolicyController) -> None:
         self.rollouts = rollouts
@@ -29,41 +29,44 @@
     def open(
         cls, settings: ControlSettings, instances: Mapping[str, Instance], counters: Counter[str]
     ) -> "ControlPlane":
-        """Open the log: the agent's own replica, or another agent's. Raises what its library raises."""
+        """Open the replicated log and create its controllers. Raises what the Raft library raises.
+
+        An agent that is a voter has its own replica; any other agent reaches the log through the voters.
+        """
         replicated_log: ReplicatedLog
         if settings.listen:
             replicated_log = RaftLog(settings, counters)
         else:
             replicated_log = RemoteLog(settings, send_command, counters)
         routers: dict[str, Instance] = {}
-        others: dict[str, SupervisedProcess] = {}
+        other_processes: dict[str, SupervisedProcess] = {}
         for name, instance in instances.items():
             if instance.process.settings.has_operator_front:
                 routers[name] = instance
-            else:  # a runner's process, where a router lists a runner by that name
-                others[name] = instance.process
-        rollouts = RolloutController(settings, replicated_log, routers, others, counters)
+            else:  # the process of a runner, if a router lists a runner of that name
+                other_processes[name] = instance.process
+        rollouts = RolloutController(settings, replicated_log, routers, other_processes, counters)
         policies = PolicyController(settings, replicated_log, routers)
         return cls(rollouts, policies)
 
     async def run(self) -> None:
         """Run both controllers until cancelled. Raises what the rollout controller or the log raises."""
-        policies = asyncio.get_running_loop().create_task(self.policies.run())
+        policy_task = asyncio.get_running_loop().create_task(self.policies.run())
         try:
             await self.rollouts.run()
         finally:
-            policies.cancel()
+            policy_task.cancel()
 
-    async def rollout(self, operation: str, command: Any) -> CommandResult:
-        """The result of an operator's command about rollouts. Raises CommandError."""
+    async def execute_rollout_command(self, operation: str, command: Any) -> CommandResult:
+        """Execute an operator's command about rollouts, and return the result. Raises CommandError."""
         return await self.rollouts.execute(operation, command)
 
-    async def policy(self, operation: str, command: Any) -> CommandResult:
-        """The result of an operator's command about the fleet's policy. Raises CommandError."""
+    async def execute_policy_command(self, operation: str, command: Any) -> CommandResult:
+        """Execute an operator's command about the policy, and return the result. Raises CommandError."""
         return await self.policies.execute(operation, command)
 
-    async def replicated_log(self, command: object) -> LogAnswer:
-        """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
+    async def serve_log(self, command: object) -> LogAnswer:
+        """Answer an agent without a vote: return the replicated state, and the reply to its command, if any.
 
         Raises CommandError.
         """
--- a/maplestile/agent/errors.py
+++ b/maplestile/agent/errors.py
@@ -2,4 +2,4 @@
 
 
 class CommandError(Exception):
-    """A command that is refused, with the reason for whoever sent it."""
+    """A command is refused or has failed; the message is the reason for its sender."""
--- a/maplestile/agent/health_reporter.py
+++ b/maplestile/agent/health_reporter.py
@@ -1,4 +1,4 @@
-"""Collects the health of an agent's routers, and sends it to the leader as a heartbeat."""
+"""Collects health reports from an agent's routers and sends them to the leader in heartbeats."""
 
 import asyncio
 import contextlib
@@ -11,34 +11,34 @@
 
 
 class HealthReporter:
-    """What the routers of one agent report of themselves, of other members, and of the runners they list."""
+    """Collects what one agent's routers report about themselves, about other members, and about runners."""
 
     def __init__(
         self,
         agent: str,
         replicated_log: ReplicatedLog,
         routers: Mapping[str, RouterHandle],
-        managed: Collection[str],
+        managed_processes: Collection[str],
     ) -> None:
         self.agent = agent
         self.replicated_log = replicated_log
         self.routers = routers
-        self.managed = managed  # names of the processes here that are no routers
-        self.lost_members: frozenset[str] = frozenset()
-        self.listed_runners: dict[str, bool] = {}  # and whether the runner's process is managed here
+        self.managed_processes = managed_processes  # names of this agent's processes that are not routers
+        self.lost_members: frozenset[str] = frozenset()  # names of lost members and silent runners
+        self.listed_runners: dict[str, bool] = {}  # by runner id: whether this agent manages its process
 
-    async def report(self) -> None:
-        """Query all routers concurrently, and submit a heartbeat."""
+    async def send_heartbeat(self) -> None:
+        """Query all routers concurrently, and submit a heartbeat with their health reports."""
         clients = [router.client for router in self.routers.values()]
         reports, lost, listed = await asyncio.gather(
-            asyncio.gather(*(client.health_report() for client in clients)),
-            asyncio.gather(*(client.lost_members() for client in clients)),
-            asyncio.gather(*(client.runners() for client in clients)),
+            asyncio.gather(*(client.fetch_health_report() for client in clients)),
+            asyncio.gather(*(client.fetch_lost_members() for client in clients)),
+            asyncio.gather(*(client.fetch_runners() for client in clients)),
         )
         self.lost_members = frozenset(name for members in lost for name in members)
-        runners = {runner for of_router in listed if of_router is not None for runner in of_router}
-        if runners:  # where no router answers, the last list is kept
-            self.listed_runners = {runner: runner in self.managed for runner in sorted(runners)}
+        runners = {runner for runner_list in listed if runner_list is not None for runner in runner_list}
+        if runners:  # if no router answers, the previous list is kept
+            self.listed_runners = {runner: runner in self.managed_processes for runner in sorted(runners)}
         heartbeat = Heartbeat(agent=self.agent, reports=dict(zip(self.routers, reports, strict=True)))
-        with contextlib.suppress(LogError):  # counted there; the next one follows soon
+        with contextlib.suppress(LogError):  # the log counts its errors, and the next heartbeat follows soon
             await self.replicated_log.submit(heartbeat)
--- a/maplestile/agent/instance.py
+++ b/maplestile/agent/instance.py
@@ -1,4 +1,4 @@
-"""One instance of an agent, and the interfaces by which the controllers use it."""
+"""The instances of an agent, and the interfaces by which the controllers use them."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,85 +10,91 @@
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """One instance of the agent: its process, and the client of its operators' front."""
+    """One instance of the agent: its process and the client of its operators' front."""
 
     process: SupervisedProcess
     client: RouterClient
 
 
 class ProcessHandle(Protocol):
-    """One process of the agent, as the controllers use it."""
+    """The interface by which the controllers use the process of an instance."""
 
     @property
-    def adopted(self) -> bool:
-        """Whether an earlier agent started it."""
+    def is_adopted(self) -> bool:
+        """Whether an earlier agent started the current process."""
         ...
 
     @property
     def starts(self) -> int:
-        """How often it was started or adopted: another number is another process."""
+        """The number of times a process was started or adopted; if it has changed, so has the process."""
         ...
 
     async def drain(self) -> str:
-        """Stop it gracefully, and wait for its end without a limit; "" for a clean end, else how it ended."""
+        """Stop the process gracefully and wait, without a time limit, until it has ended.
+
+        Returns "" after a clean exit, else how the process ended.
+        """
         ...
 
     def start(self) -> None:
-        """Start it again."""
+        """Let the process be started again after a drain."""
         ...
 
-    def running(self) -> bool:
-        """Whether a process runs, ready or not."""
+    def is_running(self) -> bool:
+        """Return whether a process runs; it need not be ready yet."""
         ...
 
-    def renew(self) -> None:
-        """Read its settings again from the agent's file, for the next start. Raises OperatorError."""
+    def reload_settings(self) -> None:
+        """Reload the settings from the agent's file, for the next start. Raises OperatorError."""
         ...
 
-    def restore(self) -> None:
-        """Return to the settings before the last `renew`, for the next start."""
+    def restore_settings(self) -> None:
+        """Restore the settings before the last `reload_settings`, for the next start."""
         ...
 
 
 class RouterApi(Protocol):
-    """The calls that a controller makes at a router's operators' front."""
+    """The requests that the controllers make to the operators' front of a router."""
 
-    async def operate(
-        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_TIMEOUT_S
+    async def send_request(
+        self, method: str, path: str, content: bytes = b"", timeout_s: float = ANSWER_TIMEOUT_S
     ) -> OperatorReply:
-        """Call its operators' front; faults are part of the reply."""
+        """Send a request and return the reply; an error is returned as a reply that is not `ok`."""
         ...
 
-    async def ready(self) -> bool:
-        """Whether it runs and takes calls."""
+    async def is_ready(self) -> bool:
+        """Return whether the router runs and accepts calls."""
         ...
 
-    async def health_report(self) -> HealthReport:
-        """Its readiness, and the calls that it has served and failed since its start."""
+    async def fetch_health_report(self) -> HealthReport:
+        """Return the router's readiness, and its numbers of served and failed calls since its start."""
         ...
 
-    async def lost_members(self) -> set[str]:
-        """Members dead or left in its view, and runners found silent; empty where it has no view."""
+    async def fetch_lost_members(self) -> set[str]:
+        """Return the members that the router sees as dead or left, and the runners that do not respond.
+
+        The set is empty if the router does not answer or has no view of the members.
+        """
         ...
 
-    async def runners(self) -> dict[str, ListedRunner] | None:
-        """The runners that it lists, by their ids; None if it does not answer."""
+    async def fetch_runners(self) -> dict[str, ListedRunner] | None:
+        """Return the runners that the router lists, by runner id, or None if the router does not answer."""
         ...
 
-    async def suspend(self, runner: str, out: bool) -> bool:
-        """Cordon a runner if `out`, else lift its cordon; returns whether the router did so."""
+    async def set_suspended(self, runner: str, suspended: bool) -> bool:
+        """Cordon a runner or lift its cordon; return whether the router accepted the request."""
         ...
 
 
 class RouterHandle(Protocol):
-    """One router of the agent."""
+    """One router of the agent: its process, and the client of its operators' front."""
 
     @property
     def process(self) -> ProcessHandle:
-        """Its process."""
+        """The process of the router."""
         ...
 
     @property
     def client(self) -> RouterApi:
-        """The client of its operators' front."""
+        """The client of the router's operators' front."""
         ...
--- a/maplestile/agent/leader.py
+++ b/maplestile/agent/leader.py
@@ -1,4 +1,4 @@
-"""What the leaders of rollouts and of policy changes share: a planner a term, and one command at a time."""
+"""The base class of the rollout leader and the policy leader: one planner per term, one command at a time."""
 
 import asyncio
 import time
@@ -12,22 +12,22 @@
 from maplestile.control.commands import AbortPolicy, CommitPolicy, EncodedCommand, GrantLease, HaltRollout
 
 Planner = TypeVar("Planner")
-Planned = TypeVar("Planned", bound=AbortPolicy | CommitPolicy | GrantLease | HaltRollout)
+PlannedCommand = TypeVar("PlannedCommand", bound=AbortPolicy | CommitPolicy | GrantLease | HaltRollout)
 
 
-class Leader(ABC, Generic[Planner, Planned]):
-    """Runs a planner for each term in which this agent's voter leads, and submits its commands."""
+class Leader(ABC, Generic[Planner, PlannedCommand]):
+    """Runs a new planner in each term in which this agent's voter is the leader, and submits its commands."""
 
     def __init__(self, agent: str, replicated_log: ReplicatedLog, event_log: str) -> None:
         self.agent = agent
         self.replicated_log = replicated_log
         self.events = logs.events(event_log)
-        self.planner: Planner | None = None  # while this voter leads
-        self.term = -1
+        self.planner: Planner | None = None  # None while another voter leads
+        self.term = -1  # of the planner; -1 before the first
         self.submission: asyncio.Task[None] | None = None
 
     def run_once(self) -> None:
-        """Submit the planner's next command, unless the one before is still being submitted."""
+        """Submit the planner's next command, unless the previous one is still being submitted."""
         status = self.replicated_log.status()
         if not status.leading:
             self.planner = None
@@ -35,7 +35,7 @@
         now_us = time.monotonic_ns() // 1000
         if self.planner is None or status.term != self.term:
             self.term = status.term
-            self.planner = self._start_term(now_us)
+            self.planner = self._create_planner(now_us)
         self._observe(self.planner, now_us)
         if not self._is_idle():
             return
@@ -45,31 +45,31 @@
             self.submission = asyncio.get_running_loop().create_task(submission)
 
     def cancel(self) -> None:
-        """Give up the command that is being submitted."""
+        """Cancel the submission in progress, if any."""
         if self.submission is not None:
             self.submission.cancel()
 
     def _is_idle(self) -> bool:
-        """Whether no command is being submitted."""
+        """Return whether no command is being submitted."""
         return self.submission is None or self.submission.done()
 
     @abstractmethod
-    def _start_term(self, now_us: int) -> Planner:
-        """Return the planner of a term that has just begun."""
+    def _create_planner(self, now_us: int) -> Planner:
+        """Return a new planner for a term in which this voter has just become the leader."""
 
     @abstractmethod
     def _observe(self, planner: Planner, now_us: int) -> None:
-        """Pass the planner what was received since the last call."""
+        """Pass the planner the reports that arrived since the last call."""
 
     @abstractmethod
-    def _next_command(self, planner: Planner, now_us: int) -> Planned | None:
-        """Return what the planner decides on; None where there is nothing to do."""
+    def _next_command(self, planner: Planner, now_us: int) -> PlannedCommand | None:
+        """Return the planner's next command, or None if there is nothing to do."""
 
     @abstractmethod
-    async def _submit(self, command: Planned) -> None:
-        """Submit a command, and log what becomes of it."""
+    async def _submit(self, command: PlannedCommand) -> None:
+        """Submit a command, and log the outcome."""
 
 
 def logged_fields(encoded: EncodedCommand, keys: Sequence[str]) -> dict[str, Any]:
-    """Return the fields of a command that go into its log line, where it has them."""
+    """Return those fields of a command that are named by `keys`, for its log line."""
     return {key: encoded[key] for key in keys if key in encoded}
--- a/maplestile/agent/log_reader.py
+++ b/maplestile/agent/log_reader.py
@@ -1,24 +1,25 @@
-"""Reads the log file of a process while it is written."""
+"""Reads the log file of a process while the process writes it."""
 
 import asyncio
 from collections.abc import AsyncIterator
 from pathlib import Path
 
 POLL_INTERVAL_S = 0.05
-READ_BYTES = 65_536  # of one read
-MAX_LOG_BYTES = 8 << 20  # of a log file, which is then truncated
+READ_BYTES = 65_536  # the most that one read returns
+MAX_LOG_BYTES = 8 << 20  # a log file that has grown larger is truncated once it has been read
 
 
-async def lines(path: Path, offset: int, ended: asyncio.Event) -> AsyncIterator[bytes]:
-    """The lines of a log from that offset on as they come, until its writer has ended.
+async def read_lines(path: Path, offset: int, writer_ended: asyncio.Event) -> AsyncIterator[bytes]:
+    """Yield the lines of a log file from an offset on as they are written, until the writer has ended.
 
-    A file that has grown large is truncated once it is read; its writer appends.
+    A file larger than MAX_LOG_BYTES is truncated once it has been read to its end. The writer opened it in
+    append mode, so it goes on at the new end of the file.
     """
     incomplete = b""
     with path.open("r+b") as file:
         file.seek(offset)
         while True:
-            is_last = ended.is_set()  # checked before the read, so that the last lines are read as well
+            is_last = writer_ended.is_set()  # checked before the read, so that the last lines are read too
             if data := file.read(READ_BYTES):
                 *complete, incomplete = (incomplete + data).split(b"\n")
                 for line in complete:
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -1,9 +1,10 @@
-"""The agent's part in the fleet's policy: its routers check a change, and are sent what is committed.
+"""The agent's side of the fleet's policy: its routers check proposed changes and receive committed epochs.
 
-An announcement to a router is fenced by a read of the log: the read was agreed on after it was requested, at
-a time of the machine's monotonic clock, which the routers share. A read names the routers that answer, and
-its fence is sent to those alone, so no router goes on with an old epoch once a change is committed. Where the
-agent's voter leads, `PolicyLeader` decides whether a change is committed.
+Each announcement to a router carries a fence, which comes from a read of the replicated log: the time at
+which the read was requested, by the machine's monotonic clock, which the routers share. The read was
+committed after that time. A read names the routers that are answering, and only those routers get its fence,
+so no router keeps using an old epoch once a change is committed. While this agent's voter is the leader,
+`PolicyLeader` decides whether a change is committed.
 """
 
 import asyncio
@@ -32,13 +33,13 @@
 from maplestile.control.settings import ControlSettings
 
 log = logging.getLogger("maplestile.policy")
-POLL_INTERVAL_S = 0.05  # of the agreed state
-READ_INTERVAL_S = 1.0  # between reads
+POLL_INTERVAL_S = 0.05  # between looks at the replicated state
+READ_INTERVAL_S = 1.0  # between reads while no change is being checked
 READ_INTERVAL_CHECKING_S = 0.5  # between reads while a change is being checked
 
 
 class PolicyController:
-    """Takes this agent's part in the policy that the fleet agrees on."""
+    """Announces committed epochs to this agent's routers, and has them check proposed changes."""
 
     def __init__(
         self,
@@ -52,17 +53,17 @@
         self.events = logs.events("policy")
         self.router_policies: dict[str, RouterPolicy] = {}
         self.leader = PolicyLeader(settings.name, replicated_log)
-        self.epoch = -1  # of this replica, as it was logged last
-        self.read_s = 0.0
-        self.reading: asyncio.Task[None] | None = None
+        self.logged_epoch = -1  # number of the last epoch whose commit was logged
+        self.last_read_s = 0.0
+        self.read_task: asyncio.Task[None] | None = None
 
     @property
     def agreed(self) -> AgreedPolicies:
-        """The agreed state of the policy."""
+        """The replicated state of the policy."""
         return self.replicated_log.control.policy
 
     async def run(self) -> None:
-        """Take this agent's part until cancelled."""
+        """Run until cancelled."""
         try:
             while True:
                 await asyncio.sleep(POLL_INTERVAL_S)
@@ -73,9 +74,9 @@
 
     def _cancel_tasks(self) -> None:
         self.leader.cancel()
-        tasks = [self.reading]
+        tasks = [self.read_task]
         for policy in self.router_policies.values():
-            tasks += [policy.announcing, policy.checking]
+            tasks += [policy.announcement_task, policy.check_task]
         for task in tasks:
             if task is not None:
                 task.cancel()
@@ -91,17 +92,20 @@
         self.leader.run_once()
 
     def _log_commit(self) -> None:
-        """Log the commit of an epoch once, also where the answer to the commit was lost."""
+        """Log the commit of each epoch once.
+
+        The replicated state is the source, so the commit is logged even if the reply to the commit was lost.
+        """
         epoch = self.agreed.epoch
-        if epoch.number != self.epoch:
-            self.epoch = epoch.number
+        if epoch.number != self.logged_epoch:
+            self.logged_epoch = epoch.number
             self.events.info("committed", epoch=epoch.number, change=epoch.change)
 
     def _running_routers(self) -> list[RouterPolicy]:
-        """The routers that run; nothing is known yet of one whose process was started since the last poll."""
+        """Return the routers that run; a router that was restarted since the last poll gets a new record."""
         running = []
         for name, router in self.routers.items():
-            if not router.process.running():
+            if not router.process.is_running():
                 continue
             policy = self.router_policies.get(name)
             if policy is None or policy.starts != router.process.starts:
@@ -109,75 +113,83 @@
             running.append(policy)
         return running
 
-    # Announcements of what is committed.
+    # Announcements of committed epochs.
 
     def _start_read(self, running: list[RouterPolicy], change: Change | None) -> None:
-        following = [policy for policy in running if not policy.has_own_policy]
+        followers = [policy for policy in running if not policy.has_own_policy]
         interval_s = READ_INTERVAL_S if change is None else READ_INTERVAL_CHECKING_S
-        if following and time.monotonic() - self.read_s >= interval_s and is_idle(self.reading):
-            self.read_s = time.monotonic()
-            self.reading = asyncio.get_running_loop().create_task(self.read(following))
+        if followers and time.monotonic() - self.last_read_s >= interval_s and is_idle(self.read_task):
+            self.last_read_s = time.monotonic()
+            self.read_task = asyncio.get_running_loop().create_task(self.read(followers))
 
     async def read(self, policies: list[RouterPolicy]) -> None:
-        """Have a read agreed on that names those of the routers that answer, and fence these by it."""
+        """Submit a read to the log that names the answering routers, and set their fences by the reply."""
         requested_us = time.monotonic_ns() // 1000
-        answering = {policy.name: policy for policy in policies if policy.answers}
+        answering = {policy.name: policy for policy in policies if policy.is_answering}
         reports = {
             name: policy.report.content
             for name, policy in self.router_policies.items()
             if policy.report is not None
         }
         command = ReadPolicy(agent=self.settings.name, instances=tuple(answering), router_status=reports)
-        with contextlib.suppress(LogError):  # counted there; its routers get no new fence meanwhile
+        # The log counts its errors itself. The routers get no new fence until a later read succeeds.
+        with contextlib.suppress(LogError):
             reply = decode_reply(command, await self.replicated_log.submit(command))
             if isinstance(reply, PolicyRead):
-                for name in reply.named:  # these processes, not later ones of the same names
+                for name in reply.named:  # sets the fence of the process that answered, not of its successor
                     answering[name].fence = Fence(reply.epoch, requested_us)
 
     def _start_announcement(self, policy: RouterPolicy, change: Change | None) -> None:
-        if policy.has_own_policy or not is_idle(policy.announcing):
+        if policy.has_own_policy or not is_idle(policy.announcement_task):
             return
         announcement = policy.next_announcement(self.agreed.epoch.number, change)
         if announcement is not None:
-            announcing = self.announce(policy, announcement)
-            policy.announcing = asyncio.get_running_loop().create_task(announcing)
+            sending = self.announce(policy, announcement)
+            policy.announcement_task = asyncio.get_running_loop().create_task(sending)
 
     async def announce(self, policy: RouterPolicy, announcement: Announcement) -> None:
-        """Send a router what it has to know now."""
+        """Send an announcement to a router."""
         if await policy.announce(announcement, self.agreed):
-            self.read_s = 0.0  # read at once, so that the others learn of it
+            self.last_read_s = (
+                0.0  # the next poll reads at once, which reports the router's new epoch to the others
+            )
 
     # Checks of a proposed change.
 
     def _start_check(self, policy: RouterPolicy, change: Change | None) -> None:
-        if change is None or policy.checked_change == change.number or not is_idle(policy.checking):
+        if change is None or policy.checked_change == change.number or not is_idle(policy.check_task):
             return
-        policy.checking = asyncio.get_running_loop().create_task(self.check(policy, change))
+        policy.check_task = asyncio.get_running_loop().create_task(self.check(policy, change))
 
     async def check(self, policy: RouterPolicy, change: Change) -> None:
-        """Have a router check the change, and its verdict agreed on."""
+        """Have a router check a change, and submit its verdict to the log."""
         reason = await policy.check(change)
         if reason is None:
-            await asyncio.sleep(POLL_INTERVAL_S)  # it is repeated, for as long as the change is checked
+            await asyncio.sleep(POLL_INTERVAL_S)  # the next poll repeats the check while it is still needed
             return
         verdict = SubmitVerdict(
             agent=self.settings.name, change=change.number, instance=policy.name, reason=reason
         )
-        is_agreed = await self._submit_verdict(verdict)
-        if is_agreed:
+        is_accepted = await self._submit_verdict(verdict)
+        if is_accepted:
             policy.checked_change = change.number
-        elif is_agreed is False:
-            # The change is decided, or this agent has not registered yet: it is repeated where needed.
+        elif is_accepted is False:
+            # The change is already decided, or this agent has not registered yet. In the second case the
+            # check is repeated after this wait.
             await asyncio.sleep(REPEAT_INTERVAL_S)
 
     async def _submit_verdict(self, verdict: SubmitVerdict) -> bool | None:
-        """Whether the log takes the verdict; None where it gives no answer."""
+        """Submit a verdict; return whether the log accepts it, or None if the log gives no reply."""
         try:
             reply = await self.replicated_log.submit(verdict)
         except LogError as error:
-            log.warning("policy: the verdict of %s is not agreed on yet: %s", verdict.instance, error)
+            log.warning(
+                "policy: the log has not confirmed the verdict of router %s, which is checked again: %s",
+                verdict.instance,
+                error,
+            )
             return None
-        is_agreed = bool(reply["ok"])
+        is_accepted = bool(reply["ok"])
         self.events.info(
             "verdict",
             instance=verdict.instance,
@@ -185,12 +197,15 @@
             reason=verdict.reason,
             agreed=reply["ok"],
         )
-        return is_agreed
+        return is_accepted
 
     # Operators' commands.
 
     async def execute(self, operation: str, command: EncodedCommand) -> CommandResult:
-        """The result of `status`, `propose` or `rollback`. Raises CommandError where it is not agreed on."""
+        """Execute the operator's command `status`, `propose` or `rollback`, and return the result.
+
+        Raises CommandError if the command is unknown, or if the log refuses it or gives no reply.
+        """
         if operation == "status":
             return self._status()
         if operation not in ("propose", "rollback"):
--- a/maplestile/agent/policy_leader.py
+++ b/maplestile/agent/policy_leader.py
@@ -1,4 +1,4 @@
-"""The leader's part in a change of policy: its commit or its abort."""
+"""The policy leader: while this agent's voter leads, it commits or aborts the proposed change."""
 
 import logging
 
@@ -14,7 +14,7 @@
 
 
 class PolicyLeader(Leader[PolicyPlanner, CommitPolicy | AbortPolicy]):
-    """Decides on the change of policy that is being checked, while this agent's voter leads."""
+    """Commits or aborts the change of policy that is being checked, while this agent's voter leads."""
 
     def __init__(self, agent: str, replicated_log: ReplicatedLog) -> None:
         super().__init__(agent, replicated_log, "policy")
@@ -22,11 +22,11 @@
     def _is_idle(self) -> bool:
         return is_idle(self.submission)
 
-    def _start_term(self, now_us: int) -> PolicyPlanner:  # noqa: ARG002 - a rollout's planner needs it
+    def _create_planner(self, now_us: int) -> PolicyPlanner:  # noqa: ARG002 - used by the rollout leader
         return PolicyPlanner()
 
     def _observe(self, planner: PolicyPlanner, now_us: int) -> None:
-        """Do nothing: this planner decides by the agreed state alone."""
+        """Do nothing: this planner decides by the replicated state alone."""
 
     def _next_command(self, planner: PolicyPlanner, now_us: int) -> CommitPolicy | AbortPolicy | None:
         control = self.replicated_log.control
@@ -37,10 +37,10 @@
         try:
             reply = await self.replicated_log.submit(command)
         except LogError as error:
-            log.warning("policy: %s not agreed on: %s", name, error)
+            log.warning("policy: the log has not confirmed the command '%s': %s", name, error)
             return
         if not reply["ok"]:
-            log.info("policy: %s refused: %s", name, reply["reason"])
+            log.info("policy: the log refused the command '%s': %s", name, reply["reason"])
             return
         logged = logged_fields(encode(command), LOGGED_KEYS)
         content = {key: value for key, value in reply.items() if key != "ok"}
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -1,4 +1,4 @@
-"""One process of a router and the policy: it is sent what is committed, and checks what is proposed."""
+"""Announces committed epochs of the policy to one router process, and has it check proposed changes."""
 
 import asyncio
 import json
@@ -16,44 +16,44 @@
 from maplestile.operation.api import POLICY, POLICY_CHECK
 
 log = logging.getLogger("maplestile.policy")
-REPEAT_INTERVAL_S = 0.5  # between announcements to a router that does not answer, or does not take the epoch
-ANSWER_TIMEOUT_S = 1.0  # of a router on loopback; one that gives none is not named in the next read
+REPEAT_INTERVAL_S = 0.5  # between announcements to a router that does not answer or does not accept the epoch
+ANSWER_TIMEOUT_S = 1.0  # for a router on loopback; the next read does not name a router that has not answered
 NO_POLICY = "the policy is its own: no [policy] in its file"
-# Of a router whose file has no [policy], of an older one, and of another program.
-NO_POLICY_STATUS = (HTTPStatus.NOT_FOUND, HTTPStatus.METHOD_NOT_ALLOWED, HTTPStatus.NOT_IMPLEMENTED)
-UNKNOWN_EPOCH = -1
+# Replies of a router without [policy] in its file, of an older router version, and of another program.
+NO_POLICY_STATUSES = (HTTPStatus.NOT_FOUND, HTTPStatus.METHOD_NOT_ALLOWED, HTTPStatus.NOT_IMPLEMENTED)
+UNKNOWN_EPOCH = -1  # the epoch of a router that has not reported one
 
 
 @dataclass(slots=True, frozen=True)
 class Fence:
-    """What a read that named the router has agreed on."""
+    """The result of a read of the replicated log that named the router."""
 
-    epoch: int = 0  # the committed epoch
+    epoch: int = 0  # the committed epoch at the time of the read
     requested_us: int = 0  # when the read was requested, by the machine's monotonic clock
 
 
 @dataclass(slots=True, frozen=True)
 class Announcement:
-    """What a router has to be sent now."""
+    """A message to a router: the committed epoch, and until when this agent knows that it is the latest."""
 
     epoch: int
-    fenced_us: int
+    fenced_us: int  # `Fence.requested_us` of the last read that named the router
     checking: int  # the number of the change that is being checked; 0 for none
 
 
 @dataclass(slots=True, frozen=True)
 class RouterReport:
-    """A router's answer to an announcement: the state of its policy."""
+    """A router's reply to an announcement: the state of its policy."""
 
-    epoch: int  # that it decides by
-    lacks_document: bool  # of the announced epoch
-    content: Mapping[str, Any]  # the full answer, as operators see it
+    epoch: int  # the one that the router uses
+    lacks_document: bool  # whether the router needs the document of the announced epoch
+    content: Mapping[str, Any]  # the whole reply, which is shown to operators
 
     @classmethod
     def decode(cls, text: str) -> "RouterReport | None":
-        """The report of a router's JSON; None where its epoch is no number.
+        """Decode a router's JSON reply; return None if its epoch is not an integer.
 
-        Raises KeyError, TypeError or ValueError for anything else that is no report.
+        Raises KeyError, TypeError or ValueError if it is invalid in another way.
         """
         content: dict[str, Any] = json.loads(text)
         epoch = content["epoch"]
@@ -62,35 +62,42 @@
 
 @dataclass(slots=True)
 class RouterPolicy:
-    """What is known of one process of a router; nothing is known of one that was just started."""
+    """What the agent knows about the policy of one router process; a restarted router gets a new record."""
 
-    name: str
+    name: str  # of the instance
     router: RouterHandle
-    starts: int
-    answers: bool = True  # until it does not
-    has_own_policy: bool = False  # its file has no [policy], so it is sent none
+    starts: int  # the number of the instance's starts, which identifies the process
+    is_answering: bool = True  # whether it answered the last request; True before the first
+    has_own_policy: bool = False  # whether its file has no [policy], so that it does not follow the fleet's
     fence: Fence = Fence()
-    epoch: int = UNKNOWN_EPOCH  # by its own last report
-    sent: Announcement | None = None
-    sent_s: float = 0.0
-    report: RouterReport | None = None  # its last
-    checked_change: int = 0  # the change whose verdict has been agreed on
-    announcing: asyncio.Task[None] | None = None
-    checking: asyncio.Task[None] | None = None
+    epoch: int = UNKNOWN_EPOCH  # as the router last reported it
+    last_announcement: Announcement | None = None
+    last_announced_s: float = 0.0
+    report: RouterReport | None = None  # the last one; None before the first
+    checked_change: int = (
+        0  # number of the last change for which the log has the router's verdict; 0 for none
+    )
+    announcement_task: asyncio.Task[None] | None = None
+    check_task: asyncio.Task[None] | None = None
 
     def next_announcement(self, agreed_epoch: int, change: Change | None) -> Announcement | None:
-        """What the router has to be sent now; None where it has it already."""
+        """Return the announcement that the router needs now, or None if there is nothing new to send."""
         if agreed_epoch < self.fence.epoch:
-            return None  # this replica is behind what is agreed
-        number = 0 if change is None else change.number
-        announcement = Announcement(agreed_epoch, self.fence.requested_us, number)
-        repeats = self.epoch < agreed_epoch and time.monotonic() - self.sent_s >= REPEAT_INTERVAL_S
-        return announcement if announcement != self.sent or repeats else None
+            return None  # the read returned a later epoch than this agent's replica has yet
+        change_number = 0 if change is None else change.number
+        announcement = Announcement(agreed_epoch, self.fence.requested_us, change_number)
+        is_repeat_due = (
+            self.epoch < agreed_epoch and time.monotonic() - self.last_announced_s >= REPEAT_INTERVAL_S
+        )
+        return announcement if announcement != self.last_announcement or is_repeat_due else None
 
     async def announce(self, announcement: Announcement, agreed: AgreedPolicies) -> bool:
-        """Send an announcement, with the document where the router lacks it; whether it took a new epoch."""
-        self.sent = announcement
-        self.sent_s = time.monotonic()
+        """Send an announcement, and the document if the router lacks it.
+
+        Returns whether the router changed to the announced epoch.
+        """
+        self.last_announcement = announcement
+        self.last_announced_s = time.monotonic()
         epoch = agreed.kept_epoch(announcement.epoch) or agreed.epoch
         report = await self._put(announcement, epoch, with_document=self.epoch != epoch.number)
         if report is not None and report.lacks_document:
@@ -98,52 +105,56 @@
         if report is None:
             self.epoch = UNKNOWN_EPOCH
             return False
-        took_epoch = report.epoch == epoch.number != self.epoch
+        has_changed_epoch = report.epoch == epoch.number != self.epoch
         self.epoch = report.epoch
         self.report = report
-        if took_epoch:
-            logs.events("policy").info("told", instance=self.name, epoch=epoch.number)
-        return took_epoch
+        if has_changed_epoch:
+            logs.events("policy").info("router uses epoch", instance=self.name, epoch=epoch.number)
+        return has_changed_epoch
 
     async def _put(
         self, announcement: Announcement, epoch: Epoch, *, with_document: bool
     ) -> RouterReport | None:
-        """Send an epoch; the router's report, None where it gives none, or an invalid one."""
+        """Send an epoch; return the router's report, or None if it sends none or an invalid one."""
         content = {
             "epoch": epoch.number,
             "fenced_us": announcement.fenced_us,
             "checking": announcement.checking,
             **({"document": epoch.document} if with_document else {}),
         }
-        reply = await self.router.client.operate(
+        reply = await self.router.client.send_request(
             "PUT", POLICY, json.dumps(content).encode(), ANSWER_TIMEOUT_S
         )
-        self.answers = reply.status is not None
+        self.is_answering = reply.status is not None
         if _has_no_policy(reply):
             self.has_own_policy = True
             self.report = None
-            log.info("policy: %s: %s", self.name, NO_POLICY)
+            log.info("policy: router %s gets no announcements: %s", self.name, NO_POLICY)
             return None
         if not reply.ok:
-            log.warning("policy: %s does not take its word: %s", self.name, reply.text)
+            log.warning("policy: router %s did not accept an announcement: %s", self.name, reply.text)
             return None
         try:
             return RouterReport.decode(reply.text)
-        except (ValueError, KeyError, TypeError) as fault:
-            log.warning("policy: %s gives an answer of no use: %s", self.name, fault)
+        except (ValueError, KeyError, TypeError) as error:
+            log.warning("policy: router %s sent an invalid report, which is ignored: %s", self.name, error)
             return None
 
     async def check(self, change: Change) -> str | None:
-        """Why the router refuses the change; "" where it accepts, None where it gives no answer."""
+        """Have the router check a change.
+
+        Returns "" if the router accepts the change, the reason if it refuses it, and None if it does not
+        answer.
+        """
         content = json.dumps({"change": change.number, "document": change.document}).encode()
-        reply = await self.router.client.operate("POST", POLICY_CHECK, content, ANSWER_TIMEOUT_S)
-        self.answers = reply.status is not None
+        reply = await self.router.client.send_request("POST", POLICY_CHECK, content, ANSWER_TIMEOUT_S)
+        self.is_answering = reply.status is not None
         if _has_no_policy(reply):
             return NO_POLICY
-        if not self.answers:
+        if not self.is_answering:
             return None
         return "" if reply.ok else reply.text or "it says no, and not why"
 
 
 def _has_no_policy(reply: OperatorReply) -> bool:
-    return not reply.has_front or reply.status in NO_POLICY_STATUS
+    return not reply.has_front or reply.status in NO_POLICY_STATUSES
--- a/maplestile/agent/polling.py
+++ b/maplestile/agent/polling.py
@@ -1,4 +1,4 @@
-"""Waits for a state of a process or a router that signals no event."""
+"""Waiting by polling, for conditions on a process or a router that send no notification."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,7 +7,7 @@
 
 
 async def poll_until(condition: Callable[[], Awaitable[bool]]) -> None:
-    """Return once the condition holds; it is checked at once, and then every POLL_INTERVAL_S."""
+    """Wait until the condition holds; it is checked at once and then every POLL_INTERVAL_S."""
     while True:
         if await condition():
             return
--- a/maplestile/agent/process_launcher.py
+++ b/maplestile/agent/process_launcher.py
@@ -1,4 +1,4 @@
-"""Starts the process of one instance, or adopts one that an earlier agent left, and reads its log lines."""
+"""Starts the process of one instance, finds the one that an earlier agent left, and reads its log lines."""
 
 import asyncio
 import os
@@ -6,7 +6,7 @@
 from functools import partial
 
 from maplestile.agent.adopted_process import AdoptedProcess
-from maplestile.agent.log_reader import lines
+from maplestile.agent.log_reader import read_lines
 from maplestile.agent.process_registry import ProcessRegistry
 from maplestile.agent.settings import InstanceSettings
 
@@ -14,26 +14,26 @@
 
 
 class ProcessLauncher:
-    """The processes of one instance.
+    """Starts the processes of one instance and reads their logs.
 
-    Without a registry a process logs to a pipe, which its agent reads; with one it logs to a file, and may be
-    adopted by the next agent.
+    Without a registry, a process logs to a pipe that its agent reads. With a registry, it logs to a file, and
+    the next agent can adopt it.
     """
 
     def __init__(self, name: str, registry: ProcessRegistry | None) -> None:
         self.name = name
         self.registry = registry
 
-    def orphan(self) -> AdoptedProcess | None:
-        """The process that an earlier agent has left, if it is there."""
-        return None if self.registry is None else self.registry.orphan(self.name)
+    def find_orphan(self) -> AdoptedProcess | None:
+        """Return the running process that an earlier agent has left, or None."""
+        return None if self.registry is None else self.registry.find_orphan(self.name)
 
     def log_size(self) -> int:
-        """The bytes of its log file; 0 where it has none. Raises OSError."""
+        """Return the size of the log file in bytes, or 0 without a registry. Raises OSError."""
         return 0 if self.registry is None else self.registry.log_file(self.name).stat().st_size
 
     async def start(self, settings: InstanceSettings) -> asyncio.subprocess.Process:
-        """Start its command. Raises OSError."""
+        """Start the command of the instance. Raises OSError."""
         start = partial(
             asyncio.create_subprocess_exec,
             *settings.command,
@@ -46,21 +46,24 @@
             return await start(stderr=file)
 
     def record(self, pid: int | None) -> None:
-        """Put the process on record; None once it has ended."""
+        """Record the running process in the registry, if there is one; None once the process has ended."""
         if self.registry is not None:
             self.registry.record(self.name, pid)
 
-    async def follow(self, process: Process, log_offset: int, handle: Callable[[bytes], None]) -> int:
-        """Hand on its log lines, from that place of the file on, until it ends; its exit code."""
+    async def follow(self, process: Process, log_offset: int, handle_line: Callable[[bytes], None]) -> int:
+        """Pass each log line to `handle_line` until the process ends, and return its exit code.
+
+        A log file is read from `log_offset` on.
+        """
         if self.registry is None:
             assert isinstance(process, asyncio.subprocess.Process)
             assert process.stderr is not None
             while line := await process.stderr.readline():
-                handle(line)
+                handle_line(line)
             return await process.wait()
         ended = asyncio.Event()
-        waiting = asyncio.get_running_loop().create_task(process.wait())
-        waiting.add_done_callback(lambda _: ended.set())
-        async for line in lines(self.registry.log_file(self.name), log_offset, ended):
-            handle(line)
+        wait_task = asyncio.get_running_loop().create_task(process.wait())
+        wait_task.add_done_callback(lambda _: ended.set())
+        async for line in read_lines(self.registry.log_file(self.name), log_offset, ended):
+            handle_line(line)
         return await process.wait()
--- a/maplestile/agent/process_output.py
+++ b/maplestile/agent/process_output.py
@@ -1,30 +1,30 @@
-"""The log lines of a supervised process: printed under its name, and searched for its answers to signals."""
+"""Handles the log lines of a supervised process: prints them, and finds its answers to signals among them."""
 
 import asyncio
 import json
 import sys
 from typing import Any
 
-# The last log line of a router's drain; `router/drain.py` writes it, so both have to agree.
+# The end of the last log line of a router that has drained. `router/drain.py` writes it, so both must agree.
 DRAINED_LINE = b"stops; nothing is owed"
 
 
 class SignalAnswers:
-    """The answers of a router to SIGUSR1 and SIGHUP.
+    """Finds the answers of a router to SIGUSR1 and SIGHUP among its log lines.
 
-    Each is a line with a JSON object of one key, as `{"counters": ...}`.
+    An answer is a line that is a JSON object with one key, such as `{"counters": ...}`.
     """
 
     def __init__(self) -> None:
-        self._pending: dict[str, asyncio.Future[Any]] = {}  # by the key of the line that is waited for
+        self._pending: dict[str, asyncio.Future[Any]] = {}  # by the key of the expected answer
 
     def expect(self, key: str) -> asyncio.Future[Any]:
-        """The value of the next line that is an object with that key alone."""
+        """Return a future for the value of the next line that is an object with only this key."""
         answer = self._pending[key] = asyncio.get_running_loop().create_future()
         return answer
 
     def accept(self, line: bytes) -> bool:
-        """Take a line if it is an answer that is waited for; whether it is one."""
+        """Resolve the future of an expected answer; return whether the line is such an answer."""
         if not line.startswith(b'{"'):
             return False
         try:
@@ -39,16 +39,17 @@
 
 
 class ProcessOutput:
-    """The lines that one instance logs, over all its processes."""
+    """Handles the log lines of one instance, across restarts of its process."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.drained = False  # the running process has logged that its drain is over
+        self.drained = False  # whether the current process has logged that its drain is complete
         self.answers = SignalAnswers()
 
     def handle(self, line: bytes) -> None:
-        """Take one line: an answer that is waited for, or else a line to be printed."""
-        # An adopted process has no exit code to tell a clean end from a kill; this line serves instead.
+        """Handle one line: resolve an expected answer, or print the line with the instance's name."""
+        # The exit code of an adopted process is not known. This line distinguishes a complete drain from a
+        # kill.
         if line.rstrip().endswith(DRAINED_LINE):
             self.drained = True
         if self.answers.accept(line):
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -1,4 +1,4 @@
-"""The replicated log as the controllers of one agent use it."""
+"""The interface by which an agent's controllers use the replicated log, and its clients."""
 
 import asyncio
 import logging
@@ -13,15 +13,15 @@
 from maplestile.control.state import ControlState
 
 log = logging.getLogger("maplestile.control")
-RETRY_INTERVAL_S = 0.5
+RETRY_INTERVAL_S = 0.5  # between submissions of a command that got no reply
 
 
 class ReplicatedLog(Protocol):
-    """The agreed state as this agent reaches it: its own voter, or another agent's."""
+    """The replicated log and its state, reached through this agent's own voter or that of another agent."""
 
     @property
     def control(self) -> ControlState:
-        """The agreed state; it may be a little old."""
+        """The replicated state, as this agent knows it; it may lag behind the leader's."""
         ...
 
     @property
@@ -31,33 +31,38 @@
 
     @property
     def router_status(self) -> Mapping[str, RouterStatus]:
-        """The last report of each agent on its routers' policy."""
+        """The last report of each agent on the policy of its routers."""
         ...
 
     def ready(self) -> bool:
-        """Whether the state is up to date, and a leader is known."""
+        """Return whether the state is up to date and a leader is known."""
         ...
 
     def status(self) -> VoterStatus:
-        """The voter as operators see it."""
+        """Return the status of the voter, as reported to operators."""
         ...
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Take part in the replication until cancelled."""
         ...
 
     async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
-        """Have a command agreed on and applied; the wire form of the reply. Raises LogError."""
+        """Submit a command, wait until it is committed and applied, and return the encoded reply.
+
+        Raises LogError if there is no reply.
+        """
         ...
 
 
 async def submit_for_operator(
     replicated_log: ReplicatedLog, agent: str, name: str, command: EncodedCommand
 ) -> EncodedReply:
-    """Submit an operator's command under its name in the log, for this agent; the reply of one applied.
+    """Submit an operator's command on behalf of an agent, and return the reply.
+
+    `name` is the name of the command in the log.
 
-    The command is passed on undecoded, so that the log rejects a damaged one as any that does not fit. Raises
-    CommandError where it is refused, or not agreed on.
+    The command is passed on without being decoded here, so that the log checks and rejects invalid commands
+    in one place. Raises CommandError if the command is refused or gets no reply.
     """
     try:
         reply = await replicated_log.submit({**command, "do": name, "agent": agent})
@@ -69,34 +74,43 @@
 
 
 class LogClient:
-    """Submits the rollout commands of one agent, and logs what becomes of them."""
+    """Submits the rollout commands of one agent, and logs those that fail."""
 
     def __init__(self, replicated_log: ReplicatedLog, counters: Counter[str]) -> None:
         self.replicated_log = replicated_log
         self.counters = counters
 
     async def submit(self, command: Command) -> EncodedReply | None:
-        """The reply; None where the log did not answer, or refused."""
+        """Submit a command; return the reply, or None if the log refuses the command or gives no reply."""
         try:
             reply = await self.replicated_log.submit(command)
         except LogError as error:
-            log.warning("control: %s not agreed on: %s", name_of(command), error)
+            log.warning("control: the log has not confirmed the command '%s': %s", name_of(command), error)
             return None
         if reply["ok"]:
             return reply
         self.counters["control.refused"] += 1
-        log.warning("control: %s refused: %s", name_of(command), reply["reason"])
+        log.warning("control: the log refused the command '%s': %s", name_of(command), reply["reason"])
         return None
 
-    async def submit_until_agreed(self, command: Command) -> None:
-        """Submit the end of a step until the log answers, since without it the instance stays counted out."""
+    async def submit_until_answered(self, command: Command) -> None:
+        """Submit a command that reports progress of a step, and repeat it until the log replies.
+
+        Without the report, the instance would count as out of service for ever.
+        """
         while True:
             try:
                 reply = await self.replicated_log.submit(command)
             except LogError as error:
-                log.warning("control: %s not agreed on yet: %s", name_of(command), error)
+                log.warning(
+                    "control: the log has not confirmed the command '%s', which is submitted again: %s",
+                    name_of(command),
+                    error,
+                )
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            if not reply["ok"]:  # submitted before, and agreed on after all; or released by an operator
-                log.info("control: %s refused: %s", name_of(command), reply["reason"])
+            if not reply[
+                "ok"
+            ]:  # an earlier submission was committed after all, or an operator released the lease
+                log.info("control: the log refused the command '%s': %s", name_of(command), reply["reason"])
             return
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -1,6 +1,6 @@
-"""The agent's part in rollouts: registration, the steps of its leases, heartbeats, and operators' commands.
+"""The agent's side of rollouts: registration, the steps of its leases, heartbeats, and operators' commands.
 
-Where the agent's voter leads, `RolloutLeader` plans what comes next.
+While this agent's voter is the leader, `RolloutLeader` also plans the next step of the rollout.
 """
 
 import asyncio
@@ -23,89 +23,94 @@
 from maplestile.control.rollout import ACTIVE
 from maplestile.control.settings import ControlSettings
 
-POLL_INTERVAL_S = 0.05  # of the agreed state
+POLL_INTERVAL_S = 0.05  # between looks at the replicated state
 HEARTBEAT_ACTIVE_S = 0.5  # between heartbeats during a rollout
-HEARTBEAT_IDLE_S = 2.0  # and without one
+HEARTBEAT_IDLE_S = 2.0  # between heartbeats while there is no rollout
 
 
 class RolloutController:
-    """Takes this agent's part in the rollouts that the fleet agrees on."""
+    """Carries out this agent's steps of the rollouts in the replicated state, and reports its health."""
 
     def __init__(
         self,
         settings: ControlSettings,
         replicated_log: ReplicatedLog,
         routers: Mapping[str, RouterHandle],
-        others: Mapping[str, ProcessHandle],
+        other_processes: Mapping[str, ProcessHandle],
         counters: Counter[str],
     ) -> None:
-        """`others` are processes that are no routers; runners, if a router lists them by their names."""
+        """Create the controller.
+
+        `other_processes` are this agent's processes that are not routers, by name. A process is a runner if a
+        router lists a runner of that name.
+        """
         self.settings = settings
         self.replicated_log = replicated_log
         self.routers = routers
         self.counters = counters
         self.events = logs.events("control")
         self.log_client = LogClient(replicated_log, counters)
-        self.steps = LeaseSteps(StepContext(settings.name, self.log_client, routers, others))
-        self.health = HealthReporter(settings.name, replicated_log, routers, others)
+        self.steps = LeaseSteps(StepContext(settings.name, self.log_client, routers, other_processes))
+        self.health = HealthReporter(settings.name, replicated_log, routers, other_processes)
         self.leader = RolloutLeader(settings, self.log_client, lambda: self.health.lost_members)
-        self.registered = False
-        self.reported_s = -HEARTBEAT_IDLE_S
-        self.reporting: asyncio.Task[None] | None = None
+        self.is_registered = False
+        self.last_heartbeat_s = -HEARTBEAT_IDLE_S
+        self.heartbeat_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Run the log and this agent's part until cancelled. Raises what the log raises."""
-        running = asyncio.get_running_loop().create_task(self.replicated_log.run())
+        """Run the replicated log and this controller until cancelled. Raises what the log raises."""
+        log_task = asyncio.get_running_loop().create_task(self.replicated_log.run())
         try:
-            while not running.done():
+            while not log_task.done():
                 await asyncio.sleep(POLL_INTERVAL_S)
                 if self.replicated_log.ready():
                     await self._poll()
-            await running
+            await log_task
         finally:
-            running.cancel()
+            log_task.cancel()
             self.leader.cancel()
             self.steps.cancel()
-            if self.reporting is not None:
-                self.reporting.cancel()
+            if self.heartbeat_task is not None:
+                self.heartbeat_task.cancel()
 
     async def _poll(self) -> None:
         await self._register()
         self.steps.start_tasks()
-        self._report_health()
+        self._start_heartbeat()
         self.leader.run_once()
 
     async def _register(self) -> None:
-        """Register this agent's instances, where the agreed state has others."""
+        """Register this agent's instances and runners if the replicated state does not have the same ones."""
         control = self.replicated_log.control
         instances = sorted(self.routers)
         registered = sorted(name for name, agent in control.instances.items() if agent == self.settings.name)
         listed = control.listed.get(self.settings.name, [])
         runners = self.health.listed_runners
-        is_same = registered == instances and (not runners or listed == sorted(runners))
-        if self.registered and is_same:
+        is_up_to_date = registered == instances and (not runners or listed == sorted(runners))
+        if self.is_registered and is_up_to_date:
             return
         command = Register(instances=tuple(instances), runners=runners, agent=self.settings.name)
-        self.registered = await self.log_client.submit(command) is not None
+        self.is_registered = await self.log_client.submit(command) is not None
 
-    def _report_health(self) -> None:
+    def _start_heartbeat(self) -> None:
+        """Start sending a heartbeat if one is due and the one before has been sent."""
         rollout = self.replicated_log.control.rollout
         is_active = rollout is not None and rollout.phase in ACTIVE
         interval_s = HEARTBEAT_ACTIVE_S if is_active else HEARTBEAT_IDLE_S
-        if time.monotonic() - self.reported_s < interval_s:
+        if time.monotonic() - self.last_heartbeat_s < interval_s:
             return
-        if self.reporting is None or self.reporting.done():
-            self.reported_s = time.monotonic()
-            self.reporting = asyncio.get_running_loop().create_task(self.health.report())
+        if self.heartbeat_task is None or self.heartbeat_task.done():
+            self.last_heartbeat_s = time.monotonic()
+            self.heartbeat_task = asyncio.get_running_loop().create_task(self.health.send_heartbeat())
 
     # Commands.
 
     async def serve_log(self, command: object) -> LogAnswer:
-        """The answer to an agent that is no voter: the agreed state, and the reply to its command, if any.
+        """Answer an agent without a vote: return the replicated state, and the reply to its command, if any.
 
-        Raises CommandError where its command is not agreed on.
+        Raises CommandError if the log gives no reply to the command.
         """
-        ready = self.replicated_log.ready()  # before the command is submitted
+        ready = self.replicated_log.ready()  # as it was before the command is submitted
         reply = None
         try:
             if isinstance(command, dict):
@@ -115,7 +120,10 @@
         return LogAnswer(ready, self.replicated_log.control, self.replicated_log.router_status, reply)
 
     async def execute(self, operation: str, command: EncodedCommand) -> CommandResult:
-        """The result of `status` or an operator's command. Raises CommandError where it is not agreed on."""
+        """Execute an operator's command about rollouts, or `status`, and return the result.
+
+        Raises CommandError if the log refuses the command or gives no reply.
+        """
         if operation == "status":
             return self._status()
         if operation == "start" and command.get("budget") is None:
--- a/maplestile/agent/rollout_leader.py
+++ b/maplestile/agent/rollout_leader.py
@@ -1,4 +1,4 @@
-"""The leader's part in a rollout: where this agent's voter leads, it plans the steps of all agents."""
+"""The rollout leader: while this agent's voter leads, it plans the steps of all agents."""
 
 from collections.abc import Callable
 
@@ -12,24 +12,24 @@
 
 
 class RolloutLeader(Leader[RolloutPlanner, GrantLease | HaltRollout]):
-    """Grants the steps of a rollout, or halts it, while this agent's voter leads."""
+    """Grants the steps of a rollout, or halts the rollout, while this agent's voter leads."""
 
     def __init__(
         self, settings: ControlSettings, log_client: LogClient, lost_members: Callable[[], frozenset[str]]
     ) -> None:
-        """`lost_members` returns the instances and runners that the membership finds gone."""
+        """Create the leader; `lost_members` returns the instances and runners that membership found lost."""
         super().__init__(settings.name, log_client.replicated_log, "control")
         self.rules = settings.rules
         self.log_client = log_client
         self.lost_members = lost_members
-        # By agent, the number of the last heartbeat that is not to be passed to the planner again.
+        # By agent: the number of the last heartbeat that the planner has, or must not get.
         self.last_heartbeats: dict[str, int] = {}
 
-    def _start_term(self, now_us: int) -> RolloutPlanner:
+    def _create_planner(self, now_us: int) -> RolloutPlanner:
         heartbeats = self.replicated_log.heartbeats
-        # Those that came before this voter led are old, and are never passed.
+        # Heartbeats that came before this voter led may be old, so the planner never gets them.
         self.last_heartbeats = {agent: heartbeat.number for agent, heartbeat in heartbeats.items()}
-        self.events.info("leads", term=self.term, voter=self.agent)
+        self.events.info("became leader", term=self.term, voter=self.agent)
         return RolloutPlanner(self.rules, now_us)
 
     def _observe(self, planner: RolloutPlanner, now_us: int) -> None:
--- a/maplestile/agent/rollout_steps.py
+++ b/maplestile/agent/rollout_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a rollout at one agent: a task for each lease that it holds or has a part in."""
+"""The rollout steps of one agent: one task for each lease that the agent holds or has a part in."""
 
 import asyncio
 import logging
@@ -14,7 +14,7 @@
 
 
 class LeaseSteps:
-    """The tasks of an agent's steps, one a lease."""
+    """Runs the agent's rollout steps, one task per lease."""
 
     def __init__(self, context: StepContext) -> None:
         self.agent = context.agent
@@ -22,35 +22,35 @@
         self.routers = context.routers
         self.router_steps = RouterSteps(context)
         self.runner_steps = RunnerSteps(context)
-        self.tasks: dict[int, asyncio.Task[None]] = {}  # by the number of the lease
+        self.tasks: dict[int, asyncio.Task[None]] = {}  # by lease number
 
     def start_tasks(self) -> None:
-        """Start or resume the step of each lease that this agent has a part in."""
-        self._forget_ended()
+        """Start or resume the step of each lease that this agent has work in."""
+        self._remove_finished_tasks()
         for lease in self.replicated_log.control.leases.values():
-            step = None if lease.number in self.tasks else self._step_of(lease)
+            step = None if lease.number in self.tasks else self._create_step(lease)
             if step is not None:
                 self.tasks[lease.number] = asyncio.get_running_loop().create_task(step)
 
     def cancel(self) -> None:
-        """Cancel the tasks; the next agent resumes the steps."""
+        """Cancel the tasks; this agent resumes the steps when it is started again."""
         for task in self.tasks.values():
             task.cancel()
 
-    def _step_of(self, lease: Lease) -> Coroutine[Any, Any, None] | None:
-        """The step of a lease, for this agent to take; None where it has nothing to do."""
+    def _create_step(self, lease: Lease) -> Coroutine[Any, Any, None] | None:
+        """Return the coroutine of this agent's step for a lease, or None if the agent has nothing to do."""
         if lease.parts is not None:
             has_part = self.agent in lease.parts
-            return self.runner_steps.follow(lease.number, lease.instance) if has_part else None
+            return self.runner_steps.run(lease.number, lease.instance) if has_part else None
         if lease.holder != self.agent or lease.instance not in self.routers:
             return None
         router = self.routers[lease.instance]
-        is_drained = lease.stage is Stage.OUT and not router.process.running()
+        is_drained = lease.stage is Stage.OUT and not router.process.is_running()
         return None if is_drained else self.router_steps.run(lease, router)
 
-    def _forget_ended(self) -> None:
-        ended = [number for number, task in self.tasks.items() if task.done()]
-        for number in ended:
+    def _remove_finished_tasks(self) -> None:
+        finished = [number for number, task in self.tasks.items() if task.done()]
+        for number in finished:
             task = self.tasks.pop(number)
             if not task.cancelled() and task.exception() is not None:
-                log.error("control: a step has failed", exc_info=task.exception())
+                log.error("control: a rollout step has failed and is retried", exc_info=task.exception())
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -1,4 +1,4 @@
-"""The client of the operators' front of an instance: its readiness, metrics, members and runners."""
+"""The client of an instance's operators' front: readiness, metrics, members, runners and other requests."""
 
 import asyncio
 import contextlib
@@ -20,20 +20,20 @@
 ANSWER_TIMEOUT_S = 3.0
 SUSPEND_PATH = RUNNERS + "/{}/suspend"
 RESUME_PATH = RUNNERS + "/{}/resume"
-CALLS_METRIC = "svc_{}_total{{"  # by class, so one line for each
+CALLS_METRIC = "svc_{}_total{{"  # start of a metric line: one line per outcome and class
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorReply:
-    """What an operators' front has answered, or why there is no answer."""
+    """The reply of an operators' front, or the reason why there is none."""
 
-    ok: bool
-    text: str  # the body, or what went wrong
-    status: int | None = None  # None where it gave no answer
-    has_front: bool = True
+    ok: bool  # whether the front replied with a status below 300
+    text: str  # the body, or the error
+    status: int | None = None  # the HTTP status; None if there was no reply
+    has_front: bool = True  # whether the instance has an operators' front
 
     def encoded(self) -> dict[str, Any]:
-        """The form in which the agent's clients read it."""
+        """Return the wire form for the agent's clients."""
         reply: dict[str, Any] = {"ok": self.ok, "told": self.text}
         if self.status is not None:
             reply["status"] = self.status
@@ -44,22 +44,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedRunner:
-    """A runner as a router lists it."""
+    """The state of a runner in a router's runner list."""
 
-    suspended: bool
-    in_flight: int  # attempts
+    suspended: bool  # whether an operator or an agent has cordoned it
+    in_flight: int  # number of attempts in flight
 
 
 class InstanceProcess(Protocol):
-    """The process that the front belongs to."""
+    """The process of the instance that has the front."""
 
     @property
     def settings(self) -> InstanceSettings:
-        """Where its front listens."""
+        """The settings of the instance, with the address of its front."""
         ...
 
-    def running(self) -> bool:
-        """Whether a process runs; otherwise the address may be another's by now."""
+    def is_running(self) -> bool:
+        """Return whether a process runs; if not, another program may be using the address by now."""
         ...
 
 
@@ -69,36 +69,39 @@
     def __init__(self, process: InstanceProcess) -> None:
         self.process = process
 
-    async def operate(
-        self, method: str, path: str, content: bytes = b"", wait_s: float = ANSWER_TIMEOUT_S
+    async def send_request(
+        self, method: str, path: str, content: bytes = b"", timeout_s: float = ANSWER_TIMEOUT_S
     ) -> OperatorReply:
-        """Call its operators' front; faults are part of the reply."""
+        """Send a request and return the reply; an error is returned as a reply that is not `ok`."""
         try:
             address = _operator_address(self.process.settings)
             if not address:
                 return OperatorReply(False, "it has no operators' front", has_front=False)
-            response = await call(parse_address(address), method, path, wait_s, content)
-        except (CallError, OperatorError) as fault:
-            return OperatorReply(False, str(fault))
+            response = await call(parse_address(address), method, path, timeout_s, content)
+        except (CallError, OperatorError) as error:
+            return OperatorReply(False, str(error))
         text = response.body
         if response.status >= HTTPStatus.BAD_REQUEST:
             with contextlib.suppress(ValueError, KeyError, TypeError):
                 text = json.loads(text)["detail"]
         return OperatorReply(response.status < HTTPStatus.MULTIPLE_CHOICES, text.strip(), response.status)
 
-    async def ready(self) -> bool:
-        """Whether it runs and takes calls."""
-        return self.process.running() and (await self.operate("GET", READY)).ok
+    async def is_ready(self) -> bool:
+        """Return whether the instance runs and accepts calls."""
+        return self.process.is_running() and (await self.send_request("GET", READY)).ok
 
-    async def health_report(self) -> HealthReport:
-        """Its readiness, and the calls that it has served and failed since its start."""
-        ready, metrics = await asyncio.gather(self.ready(), self.operate("GET", METRICS))
+    async def fetch_health_report(self) -> HealthReport:
+        """Return the router's readiness, and its numbers of served and failed calls since its start."""
+        ready, metrics = await asyncio.gather(self.is_ready(), self.send_request("GET", METRICS))
         text = metrics.text if metrics.ok else ""
-        return HealthReport(ready, _calls_in(text, "success"), _calls_in(text, "failure"))
+        return HealthReport(ready, _count_calls(text, "success"), _count_calls(text, "failure"))
 
-    async def lost_members(self) -> set[str]:
-        """Members dead or left in its view, and runners found silent; empty where it has no view."""
-        reply = await self.operate("GET", MEMBERS)
+    async def fetch_lost_members(self) -> set[str]:
+        """Return the members that the router sees as dead or left, and the runners that do not respond.
+
+        The set is empty if the router does not answer or has no view of the members.
+        """
+        reply = await self.send_request("GET", MEMBERS)
         if not reply.ok:
             return set()
         try:
@@ -108,9 +111,9 @@
         except (ValueError, KeyError, TypeError):
             return set()
 
-    async def runners(self) -> dict[str, ListedRunner] | None:
-        """The runners that it lists, by their ids; None if it does not answer."""
-        reply = await self.operate("GET", RUNNERS)
+    async def fetch_runners(self) -> dict[str, ListedRunner] | None:
+        """Return the runners that the router lists, by runner id, or None if the router does not answer."""
+        reply = await self.send_request("GET", RUNNERS)
         if not reply.ok:
             return None
         try:
@@ -119,20 +122,21 @@
         except (ValueError, KeyError, TypeError):
             return None
 
-    async def suspend(self, runner: str, out: bool) -> bool:
-        """Cordon a runner if `out`, else lift its cordon; returns whether the router did so."""
-        path = SUSPEND_PATH if out else RESUME_PATH
-        return (await self.operate("PUT", path.format(quote(runner, safe="")))).ok
+    async def set_suspended(self, runner: str, suspended: bool) -> bool:
+        """Cordon a runner or lift its cordon; return whether the router accepted the request."""
+        path = SUSPEND_PATH if suspended else RESUME_PATH
+        return (await self.send_request("PUT", path.format(quote(runner, safe="")))).ok
 
 
 def _operator_address(settings: InstanceSettings) -> str:
-    """HOST:PORT of the front; empty where there is none. Raises OperatorError."""
+    """Return the `host:port` of the operators' front, or "" if there is none. Raises OperatorError."""
     if settings.operator_address or settings.router_file is None:
         return settings.operator_address
     operation = TomlTable(read_operator(settings.router_file), "", OperatorError).table("operation")
     return operation.loopback("listen") if operation.values else ""
 
 
-def _calls_in(metrics: str, outcome: str) -> int:
+def _count_calls(metrics: str, outcome: str) -> int:
+    """Return the number of calls with an outcome, summed over all classes."""
     prefix = CALLS_METRIC.format(outcome)
     return sum(int(line.rpartition(" ")[2]) for line in metrics.splitlines() if line.startswith(prefix))
--- a/maplestile/agent/router_steps.py
+++ b/maplestile/agent/router_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a rollout of routers: those of the leases that this agent holds."""
+"""Rollout steps of routers, for the leases that this agent holds."""
 
 from dataclasses import replace
 
@@ -10,22 +10,28 @@
 
 
 class RouterSteps:
-    """The steps of the routers that an agent manages."""
+    """Runs the rollout steps of the routers that an agent manages."""
 
     def __init__(self, context: StepContext) -> None:
         self.agent = context.agent
         self.log_client = context.log_client
-        self.beginning = set[int]()  # leases whose begin was submitted here, without an answer yet
-
-    async def run(self, agreed: Lease, router: RouterHandle) -> None:
-        """Take the step of a lease to its end; ends at once where its begin is not agreed on."""
-        lease = replace(agreed)  # as it is now: the agreed one changes while the step is taken
-        # Not the first attempt: the agent before this one began the step, and the instance was started since
-        # (unless it was adopted); or the step was a drain, and somebody has started the instance since.
-        is_first = lease.stage is Stage.GRANTED or lease.number in self.beginning or router.process.adopted
+        # Numbers of the leases whose BeginStep this agent has submitted without a reply so far.
+        self.unconfirmed_begins = set[int]()
+
+    async def run(self, agreed_lease: Lease, router: RouterHandle) -> None:
+        """Run the step of a lease to its end, or return at once if the log does not confirm its begin."""
+        lease = replace(agreed_lease)  # a copy, because the replicated lease changes while the step runs
+        # Otherwise this is a repetition: an earlier agent began the step, and the instance was started again
+        # since then (unless it was adopted), or the step was a drain and somebody has started the instance
+        # again.
+        is_first = (
+            lease.stage is Stage.GRANTED
+            or lease.number in self.unconfirmed_begins
+            or router.process.is_adopted
+        )
         if lease.stage is Stage.GRANTED and not await self._begin(lease):
             return
-        self.beginning.discard(lease.number)
+        self.unconfirmed_begins.discard(lease.number)
         events = StepEvents(lease)
         events.info("begin" if is_first else "take up", action=lease.action)
         if lease.action == DRAIN:
@@ -34,12 +40,13 @@
         if is_first and lease.action != START:
             await drain_process(router.process, events)
             change_settings(lease.action, router.process, events)
-        await self._bring_back(lease, router, events)
+        await self._return_to_service(lease, router, events)
 
     async def _begin(self, lease: Lease) -> bool:
-        # The lease as it was read may be outdated: the log may have a halt or a release after it. Where the
-        # answer is lost, the lease is found begun later, and the instance untouched.
-        self.beginning.add(lease.number)
+        # The log decides, because a halt or a release may have been committed after this lease was read. If
+        # the reply is lost, a later poll finds the step begun, and `unconfirmed_begins` says that the
+        # instance has not been touched yet.
+        self.unconfirmed_begins.add(lease.number)
         begin = BeginStep(instance=lease.instance, lease=lease.number, agent=self.agent)
         return await self.log_client.submit(begin) is not None
 
@@ -47,11 +54,11 @@
         await drain_process(process, events)
         if lease.stage is not Stage.OUT:
             drained = ConfirmDrained(instance=lease.instance, lease=lease.number, agent=self.agent)
-            await self.log_client.submit_until_agreed(drained)
+            await self.log_client.submit_until_answered(drained)
 
-    async def _bring_back(self, lease: Lease, router: RouterHandle, events: StepEvents) -> None:
+    async def _return_to_service(self, lease: Lease, router: RouterHandle, events: StepEvents) -> None:
         router.process.start()
-        await poll_until(router.client.ready)
+        await poll_until(router.client.is_ready)
         events.info("back", action=lease.action)
         finished = FinishStep(instance=lease.instance, lease=lease.number, agent=self.agent)
-        await self.log_client.submit_until_agreed(finished)
+        await self.log_client.submit_until_answered(finished)
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a rollout of runners: this agent's part in each of their leases."""
+"""Rollout steps of runners: this agent's part in each of their leases."""
 
 import asyncio
 from functools import partial
@@ -11,9 +11,10 @@
 
 
 class RunnerSteps:
-    """An agent's part in the leases of runners.
+    """Carries out an agent's part in the leases of runners.
 
-    Out of the routers here, its process renewed if it is managed here, and in again.
+    The agent's routers stop using the runner; if this agent manages the runner's process, it replaces the
+    process; then the routers use the runner again.
     """
 
     def __init__(self, context: StepContext) -> None:
@@ -22,90 +23,98 @@
         self.routers = context.routers
         self.processes = context.processes
 
-    async def follow(self, number: int, name: str) -> None:
-        """Follow the lease of a runner to its end.
+    async def run(self, lease_number: int, runner: str) -> None:
+        """Carry out this agent's part in the lease of a runner until the lease has ended.
 
-        While the runner is out this is repeated, since a router that was restarted does not know of it.
+        While the runner is out, the routers are told so again and again, because a router that was restarted
+        does not know of it.
         """
-        while (lease := self._lease(name)) is not None and lease.number == number:
+        while (lease := self._lease(runner)) is not None and lease.number == lease_number:
             if lease.stage is Stage.RETURNING:
-                await self._bring_in(lease)
-            elif not await self._take_out(lease):
+                await self._resume_runner(lease)
+            elif not await self._suspend_runner(lease):
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
-        await poll_until(partial(self._is_used_or_leased, name))
+        await poll_until(partial(self._is_used_or_leased, runner))
 
-    async def _is_used_or_leased(self, name: str) -> bool:
-        """Have the routers use a runner again whose lease an operator, who vouches for it, has released."""
-        return self._lease(name) is not None or await self._set_used(name, True)
+    async def _is_used_or_leased(self, runner: str) -> bool:
+        """Resume a runner whose lease has ended; return whether all routers use it, or it has a new lease.
 
-    def _lease(self, name: str) -> Lease | None:
-        return self.log_client.replicated_log.control.leases.get(name)
+        The runner may still be suspended here if an operator, who vouches for it, has released the lease.
+        """
+        return self._lease(runner) is not None or await self._set_used(runner, True)
+
+    def _lease(self, runner: str) -> Lease | None:
+        return self.log_client.replicated_log.control.leases.get(runner)
 
-    async def _bring_in(self, lease: Lease) -> None:
+    async def _resume_runner(self, lease: Lease) -> None:
+        """Make the routers here use the runner again, and report it once all of them do."""
         assert lease.parts is not None
         if lease.parts.get(self.agent) != PART_IN and await self._set_used(lease.instance, True):
             StepEvents(lease).info("in")
-            await self.log_client.submit_until_agreed(self._part(lease, PART_IN))
+            await self.log_client.submit_until_answered(self._part_report(lease, PART_IN))
 
-    async def _take_out(self, lease: Lease) -> bool:
-        """Take the runner out of the routers here; False where the step's begin is not agreed on."""
+    async def _suspend_runner(self, lease: Lease) -> bool:
+        """Make the routers here stop using the runner, report it, and replace the process if it is ours.
+
+        Returns False if the log does not confirm that this agent has begun its part.
+        """
         assert lease.parts is not None
         if not lease.parts.get(self.agent) and not await self._begin(lease):
             return False
         is_idle = await self._set_used(lease.instance, False)
         if is_idle and lease.parts.get(self.agent) == PART_BEGUN:
             StepEvents(lease).info("out")
-            await self.log_client.submit_until_agreed(self._part(lease, PART_OUT))
+            await self.log_client.submit_until_answered(self._part_report(lease, PART_OUT))
         if lease.stage is Stage.AWAY and lease.holder == self.agent:
-            await self._renew(lease)
+            await self._replace_process(lease)
         return True
 
     async def _begin(self, lease: Lease) -> bool:
-        is_agreed = await self.log_client.submit(self._part(lease, PART_BEGUN)) is not None
-        if is_agreed:
+        is_confirmed = await self.log_client.submit(self._part_report(lease, PART_BEGUN)) is not None
+        if is_confirmed:
             StepEvents(lease).info("begin", action="runner")
-        return is_agreed
+        return is_confirmed
 
-    def _part(self, lease: Lease, part: str) -> ReportPart:
+    def _part_report(self, lease: Lease, part: str) -> ReportPart:
         return ReportPart(part=part, instance=lease.instance, lease=lease.number, agent=self.agent)
 
     async def _set_used(self, runner: str, used: bool) -> bool:
-        """Have the routers here use a runner or not.
+        """Make the routers here use a runner, or stop using it; return whether that is done.
 
-        True if all do so, and have nothing in flight there if not. A router whose process has ended has
-        nothing; one that does not answer may have.
+        It is done once all routers use the runner, or none does and none has an attempt in flight there. A
+        router whose process has ended has no attempt in flight; one that does not answer may have some.
         """
         is_done = True
         for router in self.routers.values():
-            if router.process.running():
+            if router.process.is_running():
                 is_done = await self._set_used_by(router, runner, used) and is_done
         return is_done
 
     async def _set_used_by(self, router: RouterHandle, runner: str, used: bool) -> bool:
-        runners = await router.client.runners()
+        runners = await router.client.fetch_runners()
         if runners is None:
             return False
         if runner not in runners:
             return True
         listed = runners[runner]
         if listed.suspended == used:
-            # Just suspended: what is in flight there is checked the next time.
-            return await router.client.suspend(runner, not used) and used
+            # A runner that was just suspended may have attempts in flight; the next call checks that.
+            return await router.client.set_suspended(runner, not used) and used
         return used or not listed.in_flight
 
-    async def _renew(self, lease: Lease) -> None:
+    async def _replace_process(self, lease: Lease) -> None:
         """Replace the runner's process, which no router uses now."""
         events = StepEvents(lease)
         process = self.processes[lease.instance]
 
         async def is_running() -> bool:
-            return process.running()
+            return process.is_running()
 
         await drain_process(process, events)
         change_settings(lease.action, process, events)
         process.start()
         await poll_until(is_running)
         events.info("renewed")
-        renewed = ConfirmRenewed(instance=lease.instance, lease=lease.number, agent=self.agent)
-        await self.log_client.submit_until_agreed(renewed)
+        replaced = ConfirmRenewed(instance=lease.instance, lease=lease.number, agent=self.agent)
+        await self.log_client.submit_until_answered(replaced)
--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an agent: its TOML file with the instances that it supervises."""
+"""The settings of an agent, read from its TOML file, with the instances that it supervises."""
 
 import sys
 import tomllib
@@ -13,41 +13,41 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceSettings:
-    """One `[[instance]]` of the agent's file: a router of this program, or any other command."""
+    """One `[[instance]]` of the agent's file: a router, or any other command."""
 
     name: str
-    command: tuple[str, ...]
-    environment: tuple[tuple[str, str], ...]
-    router_file: Path | None  # the configuration of a router; None of any other command
-    operator_address: str  # HOST:PORT of the operators' front, where no router file names it
+    command: tuple[str, ...]  # the program and its arguments
+    environment: tuple[tuple[str, str], ...]  # names and values, added to the agent's own environment
+    router_file: Path | None  # the operator's file of a router; None for any other command
+    operator_address: str  # `host:port` of the operators' front if there is no router file; "" for none
 
     @property
     def is_router(self) -> bool:
-        """Whether it is a router of this program; to any other command SIGHUP may mean its end."""
+        """Whether the instance is a router. SIGHUP is sent only to routers: it may end any other command."""
         return self.router_file is not None
 
     @property
     def has_operator_front(self) -> bool:
-        """Whether it gives its readiness, metrics and members."""
+        """Whether the instance has an operators' front, which serves readiness, metrics and members."""
         return self.is_router or bool(self.operator_address)
 
 
 @dataclass(slots=True, frozen=True)
 class AgentSettings:
-    """The agent's file."""
+    """The settings of the agent's file."""
 
-    listen: tuple[str, int]
+    listen: tuple[str, int]  # of the command server
     instances: tuple[InstanceSettings, ...]
-    backoff_s: float  # before the first restart of a process that has ended early
+    backoff_s: float  # wait before the first restart; doubled after each further early end
     max_backoff_s: float
-    steady_s: float  # after which a process that ends did not end early
-    stop_s: float  # from SIGTERM to SIGKILL
-    control: ControlSettings | None = None
-    folder: Path | None = None  # of the process registry, and of the instances' logs
+    steady_s: float  # a process that ran at least this long did not end early, which resets the backoff
+    stop_s: float  # time from SIGTERM to SIGKILL
+    control: ControlSettings | None = None  # None if the agent has no control plane
+    folder: Path | None = None  # for the process registry and the instances' logs; None for neither
 
 
 def load_settings(path: Path) -> AgentSettings:
-    """Read the agent's file. Raises OperatorError, which names the field, where it cannot be used."""
+    """Read the agent's file. Raises OperatorError, which names the invalid field."""
     root = _read_toml(path)
     agent = root.table("agent")
     settings = AgentSettings(
@@ -71,10 +71,10 @@
 def _read_toml(path: Path) -> TomlTable:
     try:
         return TomlTable(tomllib.loads(path.read_text(encoding="utf-8")), "", OperatorError)
-    except OSError as fault:
-        raise OperatorError(f"{path}: {fault.strerror}") from None
-    except tomllib.TOMLDecodeError as fault:
-        raise OperatorError(f"{path}: no TOML: {fault}") from None
+    except OSError as error:
+        raise OperatorError(f"{path}: {error.strerror}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise OperatorError(f"{path}: no TOML: {error}") from None
 
 
 def _control_settings(root: TomlTable) -> ControlSettings | None:
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -1,4 +1,4 @@
-"""One supervised process: started, watched, and started again with exponential backoff."""
+"""Supervision of one process: it is started, watched, and restarted with exponential backoff."""
 
 import asyncio
 import logging
@@ -16,163 +16,172 @@
 from maplestile.common.waiting import wait_until_set
 
 log = logging.getLogger("maplestile.agent")
-SIGNAL_ANSWER_S = 3.0
+SIGNAL_ANSWER_TIMEOUT_S = 3.0
 BACKOFF_FACTOR = 2
 
 
 class ProcessState(Enum):
-    """The state of an instance, as the agent's `status` shows it."""
+    """The state of an instance, as the agent's `status` command reports it."""
 
     NEW = "new"
     RUNNING = "running"
-    WAITING = "waiting"  # for its next start, after an unexpected end
+    WAITING = "waiting"  # for its next start, after the process ended unexpectedly
     STOPPED = "stopped"
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessStatus:
-    """The status of an instance, as operators see it."""
+    """The status of an instance, as reported to operators."""
 
     state: ProcessState
     pid: int | None  # None while no process runs
-    starts: int  # how often it was started or adopted
-    for_s: float  # in this state
-    last_exit: str
+    starts: int  # number of times a process was started or adopted
+    for_s: float  # seconds in this state
+    last_exit: str  # how the last process ended, or why it could not start; "" if none has ended
 
     def encoded(self) -> dict[str, Any]:
-        """The wire form, an entry of the reply to `status`."""
+        """Return the wire form: one entry of the reply to `status`."""
         return {**asdict(self), "state": self.state.value}
 
 
 class SupervisedProcess:
-    """The process of one instance, over all its starts.
+    """The process of one instance, across restarts.
 
-    `reread` returns the present settings of an instance in the agent's file, or raises OperatorError.
+    `read_settings` returns the current settings of an instance from the agent's file, or raises
+    OperatorError.
     """
 
     def __init__(
         self,
         settings: InstanceSettings,
         agent: AgentSettings,
-        reread: Callable[[str], InstanceSettings],
+        read_settings: Callable[[str], InstanceSettings],
         registry: ProcessRegistry | None = None,
     ) -> None:
         self.settings = settings
-        self.previous_settings = settings  # before the last `renew`
+        self.previous_settings = settings  # those before the last `reload_settings`
         self.agent = agent
-        self.reread = reread
+        self.read_settings = read_settings
         self.launcher = ProcessLauncher(settings.name, registry)
         self.output = ProcessOutput(settings.name)
         self.process: Process | None = None
-        self.orphan: Process | None = None  # left by an earlier agent, to be adopted in place of a start
-        self.adopted = False  # an earlier agent has started the process
+        self.orphan: Process | None = (
+            None  # left running by an earlier agent; adopted instead of a first start
+        )
+        self.is_adopted = False  # whether an earlier agent started the current process
         self.state = ProcessState.NEW
         self.starts = 0
         self.changed_at_s = time.time()
         self.last_exit = ""
-        self.wanted = asyncio.Event()
-        self.wanted.set()
-        self.changed = asyncio.Condition()
+        self.should_run = asyncio.Event()
+        self.should_run.set()
+        self.state_changed = asyncio.Condition()
         self.skip_backoff = asyncio.Event()
         self.backoff_s = agent.backoff_s
 
     # Supervision.
 
     async def run(self) -> None:
-        """Keep it running while it is wanted, until cancelled."""
-        self.orphan = self.launcher.orphan()
+        """Keep the process running while `should_run` is set, until cancelled."""
+        self.orphan = self.launcher.find_orphan()
         while True:
-            await self.wanted.wait()
+            await self.should_run.wait()
             started_s = time.monotonic()
             await self._run_once()
-            if self.wanted.is_set() and not self.skip_backoff.is_set():
+            if self.should_run.is_set() and not self.skip_backoff.is_set():
                 await self._back_off(time.monotonic() - started_s)
                 continue
             self.skip_backoff.clear()
             self.backoff_s = self.agent.backoff_s
-            await self._enter(ProcessState.STOPPED)
+            await self._set_state(ProcessState.STOPPED)
 
     async def _run_once(self) -> None:
-        """Start a process, or adopt the orphan, and return at its end."""
+        """Start the process, or adopt the orphan, and wait until it ends."""
         try:
             log_offset = self.launcher.log_size()
-            self.adopted = self.orphan is not None
+            self.is_adopted = self.orphan is not None
             self.output.drained = False
             self.process = self.orphan or await self.launcher.start(self.settings)
-        except OSError as fault:
-            self.last_exit = f"cannot start: {fault.strerror}"
+        except OSError as error:
+            self.last_exit = f"cannot start: {error.strerror}"
             return
         self.orphan = None
         self.starts += 1
-        how = "adopted" if self.adopted else "started"
-        log.info("%s: %s, pid %d", self.settings.name, how, self.process.pid)
+        verb = "adopted" if self.is_adopted else "started"
+        log.info("%s: %s, pid %d", self.settings.name, verb, self.process.pid)
         self.launcher.record(self.process.pid)
-        await self._enter(ProcessState.RUNNING)
-        if not self.wanted.is_set():  # it was stopped while it was being started
-            self.send(signal.SIGTERM)
-        code = await self.launcher.follow(self.process, log_offset, self.output.handle)
+        await self._set_state(ProcessState.RUNNING)
+        if not self.should_run.is_set():  # stopped by an operator while the process was being started
+            self.send_signal(signal.SIGTERM)
+        exit_code = await self.launcher.follow(self.process, log_offset, self.output.handle)
         self.process = None
-        self.last_exit = _describe_exit(code, self.adopted)
+        self.last_exit = _describe_exit(exit_code, self.is_adopted)
         self.launcher.record(None)
 
     async def _back_off(self, ran_s: float) -> None:
         if ran_s >= self.agent.steady_s:
             self.backoff_s = self.agent.backoff_s
-        log.warning("%s: %s; starts again in %.2f s", self.settings.name, self.last_exit, self.backoff_s)
-        await self._enter(ProcessState.WAITING)
+        log.warning("%s: %s; restarting in %.2f s", self.settings.name, self.last_exit, self.backoff_s)
+        await self._set_state(ProcessState.WAITING)
         await wait_until_set(self.skip_backoff, self.backoff_s)
         self.skip_backoff.clear()
         self.backoff_s = min(self.agent.max_backoff_s, BACKOFF_FACTOR * self.backoff_s)
 
-    async def _enter(self, state: ProcessState) -> None:
-        async with self.changed:
+    async def _set_state(self, state: ProcessState) -> None:
+        async with self.state_changed:
             self.state = state
             self.changed_at_s = time.time()
-            self.changed.notify_all()
+            self.state_changed.notify_all()
 
-    def send(self, number: signal.Signals) -> bool:
-        """Send a signal; False where no process runs."""
+    def send_signal(self, number: signal.Signals) -> bool:
+        """Send a signal to the process; return False if none runs."""
         if self.process is None or self.process.returncode is not None:
             return False
         self.process.send_signal(number)
         return True
 
-    def running(self) -> bool:
-        """Whether a process runs, ready or not."""
+    def is_running(self) -> bool:
+        """Return whether a process runs; it need not be ready yet."""
         return self.process is not None and self.process.returncode is None
 
     # Operators' commands.
 
     async def stop(self) -> None:
-        """Stop it until it is wanted again: SIGTERM, and SIGKILL where that does not end it in time."""
-        self._release()
+        """Stop the process, and do not restart it until `start` or `restart`.
+
+        Sends SIGTERM, then SIGKILL if the process has not ended after `stop_s`.
+        """
+        self._cancel_restart()
         await self._terminate()
         if self.state in (ProcessState.NEW, ProcessState.WAITING):
-            await self._enter(ProcessState.STOPPED)
+            await self._set_state(ProcessState.STOPPED)
 
     async def restart(self) -> None:
-        """Stop it and start it again at once; returns when it has started, or could not."""
+        """Stop the process and start it without backoff; return once it has started or failed to start."""
         starts = self.starts
         self.skip_backoff.set()
-        if self.wanted.is_set():
+        if self.should_run.is_set():
             await self._terminate()
         else:
-            self.wanted.set()
-        async with self.changed:
-            await self.changed.wait_for(
+            self.should_run.set()
+        async with self.state_changed:
+            await self.state_changed.wait_for(
                 lambda: self.starts > starts or self.state is ProcessState.WAITING,
             )
 
-    async def count(self) -> Any:
-        """A router's counters; None where it gives none in time."""
-        return await self._signal_answer(signal.SIGUSR1, "counters")
+    async def read_counters(self) -> Any:
+        """Return a router's counters, or None if it does not print them in time."""
+        return await self._request_by_signal(signal.SIGUSR1, "counters")
 
     async def reload(self) -> Any:
-        """Have a router read its file again; its report, or None where it gives none in time."""
-        return await self._signal_answer(signal.SIGHUP, "reload") if self.settings.is_router else None
+        """Make a router reload its file; return its report, or None if it prints none in time.
+
+        A process that is not a router is sent no signal, and the result is None.
+        """
+        return await self._request_by_signal(signal.SIGHUP, "reload") if self.settings.is_router else None
 
     def status(self) -> ProcessStatus:
-        """The status of the instance now."""
+        """Return the current status of the instance."""
         return ProcessStatus(
             state=self.state,
             pid=self.process.pid if self.process else None,
@@ -181,28 +190,31 @@
             last_exit=self.last_exit,
         )
 
-    def _release(self) -> None:
-        self.wanted.clear()
+    def _cancel_restart(self) -> None:
+        self.should_run.clear()
         self.skip_backoff.set()
 
     async def _terminate(self) -> None:
         process = self.process
-        if process is None or not self.send(signal.SIGTERM):
+        if process is None or not self.send_signal(signal.SIGTERM):
             return
         try:
             async with asyncio.timeout(self.agent.stop_s):
                 await process.wait()
         except TimeoutError:
-            log.warning("%s: still there %.1f s after SIGTERM; killed", self.settings.name, self.agent.stop_s)
-            self.send(signal.SIGKILL)
+            log.warning(
+                "%s: still running %.1f s after SIGTERM; killed", self.settings.name, self.agent.stop_s
+            )
+            self.send_signal(signal.SIGKILL)
             await process.wait()
 
-    async def _signal_answer(self, number: signal.Signals, key: str) -> Any:
+    async def _request_by_signal(self, number: signal.Signals, key: str) -> Any:
+        """Send a signal and return what the process prints under `key`; None if it prints nothing in time."""
         answer = self.output.answers.expect(key)
-        if not self.send(number):
+        if not self.send_signal(number):
             return None
         try:
-            async with asyncio.timeout(SIGNAL_ANSWER_S):
+            async with asyncio.timeout(SIGNAL_ANSWER_TIMEOUT_S):
                 return await answer
         except TimeoutError:
             return None
@@ -210,40 +222,41 @@
     # Steps of a rollout.
 
     async def drain(self) -> str:
-        """Ask the process to end, and wait for it however long its calls in flight take.
+        """Send SIGTERM and wait, without a time limit, until the process has finished its calls and ended.
 
-        Unlike `stop` this never kills it. Returns "" for a clean end, else how it ended.
+        Unlike `stop` this never kills the process. Returns "" after a clean exit, else how the process ended.
         """
-        self._release()
+        self._cancel_restart()
         process = self.process
-        if process is None or not self.send(signal.SIGTERM):
-            return ""  # there was none
+        if process is None or not self.send_signal(signal.SIGTERM):
+            return ""  # no process was running
         await process.wait()
-        if self.adopted and self.settings.is_router:
-            async with self.changed:  # notified once its last lines are read
-                await self.changed.wait_for(lambda: self.process is not process)
+        if self.is_adopted and self.settings.is_router:
+            async with self.state_changed:  # notified once the last log lines have been read
+                await self.state_changed.wait_for(lambda: self.process is not process)
             return "" if self.output.drained else "it ended without its last word: how is not known"
-        code = process.returncode
-        # A router ends by itself once its drain is over; other programs may leave SIGTERM to the system.
-        is_clean = code == 0 or (code == -signal.SIGTERM and not self.settings.is_router)
-        return "" if is_clean else f"it ended with {code}"
+        exit_code = process.returncode
+        # A router handles SIGTERM and exits with 0 after its drain. SIGTERM may kill other programs by
+        # default.
+        is_clean = exit_code == 0 or (exit_code == -signal.SIGTERM and not self.settings.is_router)
+        return "" if is_clean else f"it ended with {exit_code}"
 
     def start(self) -> None:
-        """Start it again."""
-        self.wanted.set()
+        """Let the supervision start the process again after `stop` or `drain`."""
+        self.should_run.set()
 
-    def renew(self) -> None:
-        """Read its settings again from the agent's file, for the next start. Raises OperatorError."""
-        settings = self.reread(self.settings.name)
+    def reload_settings(self) -> None:
+        """Reload the settings from the agent's file, for the next start. Raises OperatorError."""
+        settings = self.read_settings(self.settings.name)
         self.previous_settings = self.settings
         self.settings = settings
 
-    def restore(self) -> None:
-        """Return to the settings before the last `renew`, for the next start."""
+    def restore_settings(self) -> None:
+        """Restore the settings before the last `reload_settings`, for the next start."""
         self.settings = self.previous_settings
 
 
-def _describe_exit(code: int, adopted: bool) -> str:
-    if adopted:
+def _describe_exit(exit_code: int, is_adopted: bool) -> str:
+    if is_adopted:
         return "ended; how is not known, for it was adopted"
-    return f"ended with {code}" if code >= 0 else f"ended by {signal.Signals(-code).name}"
+    return f"ended with {exit_code}" if exit_code >= 0 else f"ended by {signal.Signals(-exit_code).name}"
--- a/maplestile/agent/supervisor.py
+++ b/maplestile/agent/supervisor.py
@@ -1,4 +1,4 @@
-"""The agent process: keeps many instances running, answers the command line, and runs the control plane."""
+"""The agent process: keeps its instances running, answers the command line, and runs the control plane."""
 
 import asyncio
 import logging
@@ -29,35 +29,42 @@
 
 
 class Supervisor:
-    """An agent with its instances."""
+    """Runs one agent: supervises its instances and serves its commands."""
 
-    def __init__(self, settings: AgentSettings, reread: Callable[[str], InstanceSettings]) -> None:
-        """Raises OSError where its folder is another agent's, or cannot be used."""
+    def __init__(self, settings: AgentSettings, read_settings: Callable[[str], InstanceSettings]) -> None:
+        """Create the agent; nothing is started yet.
+
+        `read_settings` returns the current settings of an instance from the agent's file. Raises OSError if
+        the agent's folder cannot be used, or is in use by another agent.
+        """
         self.settings = settings
         registry = None
         if settings.folder is not None:
-            # Two agents over the same instances would each start what the other has stopped.
+            # Two agents with the same instances would each restart the processes that the other has stopped.
             self.lock = ProcessLocks(settings.folder)
             if not self.lock.acquire("agent"):
                 raise OSError(f"another agent has the folder {settings.folder}")
             registry = ProcessRegistry(settings.folder)
         self.instances: dict[str, Instance] = {}
         for instance in settings.instances:
-            process = SupervisedProcess(instance, settings, reread, registry)
+            process = SupervisedProcess(instance, settings, read_settings, registry)
             self.instances[instance.name] = Instance(process, RouterClient(process))
         self.stopping = asyncio.Event()
         self.counters: Counter[str] = Counter()
         self.command_server = CommandServer(self.instances, self.stopping.set)
 
     async def run(self) -> None:
-        """Run until a signal or a command stops it, and end its instances. Raises OSError at the start."""
+        """Run until a signal or a command stops the agent, then stop its instances.
+
+        Raises OSError if the command server cannot listen.
+        """
         self._handle_signals()
         server = await self.command_server.listen(*self.settings.listen)
         host, port = server.sockets[0].getsockname()[:2]
         log.info("agent listens on %s:%d, %d instances", host, port, len(self.instances))
         tasks = self._start_tasks()
         await self.stopping.wait()
-        log.info("agent stops its instances")
+        log.info("agent stops: waiting for its instances to end")
         await asyncio.gather(*(instance.process.stop() for instance in self.instances.values()))
         server.close()
         for task in tasks:
@@ -78,24 +85,24 @@
         return tasks
 
     async def _run_control_plane(self, settings: ControlSettings) -> None:
-        # The library of the replicated log is loaded by an agent with a control plane alone.
+        # Imported here so that an agent without a control plane does not load the Raft library.
         from maplestile.agent.control_plane import ControlPlane
 
         try:
             control_plane = ControlPlane.open(settings, self.instances, self.counters)
             self.command_server.enable_control(control_plane)
             await control_plane.run()
-        except Exception as fault:  # whatever the library raises over its folder or address
-            self.command_server.disable_control(f"it does not run: {fault}")
-            trace = None if isinstance(fault, CommandRejected | OSError) else fault
+        except Exception as error:  # the Raft library raises various types for a bad folder or address
+            self.command_server.disable_control(f"it does not run: {error}")
+            trace = None if isinstance(error, CommandRejected | OSError) else error
             text = "the control plane does not run; the instances go on without it: %s"
-            log.error(text, fault, exc_info=trace)  # noqa: TRY400 - an expected fault is logged untraced
+            log.error(text, error, exc_info=trace)  # noqa: TRY400 - no traceback for an expected error
 
     def _reload_routers(self) -> None:
-        """Pass SIGHUP on to the routers; the agent's own file is read at its start alone."""
+        """Forward SIGHUP to the routers. The agent reads its own file only when it starts."""
         reloaded = [
             name
             for name, instance in self.instances.items()
-            if instance.process.settings.is_router and instance.process.send(signal.SIGHUP)
+            if instance.process.settings.is_router and instance.process.send_signal(signal.SIGHUP)
         ]
-        log.info("agent: SIGHUP passed on to %s", ", ".join(reloaded) or "nobody")
+        log.info("agent: SIGHUP passed on to %s", ", ".join(reloaded) or "no router: none is running")
--- a/maplestile/agent/tasks.py
+++ b/maplestile/agent/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that a loop checks, and starts again once they have ended."""
+"""Helpers for background tasks that a polling loop starts again once they have ended."""
 
 import asyncio
 import logging
@@ -7,11 +7,11 @@
 
 
 def is_idle(task: asyncio.Task[None] | None) -> bool:
-    """Whether there is no task, or it has ended; one that has failed is logged."""
+    """Return whether there is no task or it has ended; the error of a failed task is logged."""
     if task is None:
         return True
     if not task.done():
         return False
-    if not task.cancelled() and (fault := task.exception()) is not None:
-        log.error("policy: a part has failed", exc_info=fault)
+    if not task.cancelled() and (error := task.exception()) is not None:
+        log.error("policy: a background task has failed", exc_info=error)
     return True
--- a/maplestile/common/__init__.py
+++ b/maplestile/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every other package may use: logs, addresses, TOML tables, durable files, errors, bounded waits."""
+"""Helpers for all other packages: logs, addresses, TOML tables, durable files, errors, bounded waits."""
--- a/maplestile/common/address.py
+++ b/maplestile/common/address.py
@@ -4,6 +4,6 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that `host:port` names. Raises ValueError where the port is not a number."""
+    """Parse `host:port`. Raises ValueError if the port is not a number."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/maplestile/common/durable_file.py
+++ b/maplestile/common/durable_file.py
@@ -1,7 +1,7 @@
-"""Small records on disk that are there whole or not at all: a version, a checksum, a rename.
+"""Small records on disk, written atomically and read back only if their version and checksum are right.
 
-A record is written beside the old one, flushed, and renamed over it, which POSIX makes atomic; the folder is
-flushed as well, since the rename is an entry of it.
+A record is written to a temporary file beside the old one, flushed, and renamed over the old one, which is
+atomic under POSIX. The folder is flushed too, because the rename is a change of the folder.
 """
 
 import hashlib
@@ -16,18 +16,21 @@
 
 
 def read(path: Path, version: int) -> Any:
-    """The body of a record, in JSON's types; None where there is none, or none of use, which is logged."""
+    """Return the body of a record, in JSON types, or None if the file is missing or invalid.
+
+    An invalid file is logged.
+    """
     try:
         return _decode(path.read_bytes(), version)
     except FileNotFoundError:
         return None
-    except (OSError, ValueError, KeyError, TypeError) as fault:
-        log.warning("%s is of no use: %s", path, fault)
+    except (OSError, ValueError, KeyError, TypeError) as error:
+        log.warning("%s is of no use: %s", path, error)
         return None
 
 
 def write(path: Path, version: int, body: Any) -> None:
-    """Write a record of JSON's types. Raises OSError; what stood there before then stands."""
+    """Write a record whose body is of JSON types. Raises OSError; the old record is then kept."""
     content = json.dumps({"version": version, "sum": _checksum(body), "body": body}).encode()
     path.parent.mkdir(parents=True, exist_ok=True)
     temporary = path.with_name(f"{path.name}.new")
@@ -40,7 +43,10 @@
 
 
 def _decode(content: bytes, version: int) -> Any:
-    """Raises ValueError, KeyError or TypeError for content that is no whole record of that version."""
+    """Decode a record and return its body.
+
+    Raises ValueError, KeyError or TypeError if it is not an intact record of that version.
+    """
     record = json.loads(content)
     body = record["body"]
     if record["version"] != version or record["sum"] != _checksum(body):
@@ -49,7 +55,7 @@
 
 
 def _flush_folder(folder: Path) -> None:
-    """Guards a new name in the folder against a power cut."""
+    """Flush a folder, so that a new name in it survives a power failure."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/maplestile/common/errors.py
+++ b/maplestile/common/errors.py
@@ -2,4 +2,4 @@
 
 
 class CommandRejected(Exception):
-    """A command that the replicated state does not accept; the text is the reason, for its issuer."""
+    """The replicated state does not accept a command; the message is the reason, for the command's issuer."""
--- a/maplestile/common/logs.py
+++ b/maplestile/common/logs.py
@@ -1,4 +1,4 @@
-"""The log on standard error, with a bound on what bad clients and peers can have written there."""
+"""Logging to standard error, with a rate limit on the warnings that bad clients and peers can cause."""
 
 import logging
 import sys
@@ -10,34 +10,35 @@
 from structlog.typing import EventDict, Processor
 
 WINDOW_S = 10.0
-MAX_PER_WINDOW = 5
-MAX_KINDS = 256
-EVENT_LOGGERS = "maplestile.events"  # the loggers of structured events, whose lines are JSON alone
+MAX_PER_WINDOW = 5  # warnings of one kind that are written in a window
+MAX_KINDS = 256  # kinds of warnings that are tracked at once
+EVENT_LOGGERS = "maplestile.events"  # common prefix of the loggers of structured events, written as JSON
 
 
 @dataclass(slots=True)
 class Window:
-    """When a window began, and how many warnings of a kind came in it."""
+    """The current window of the rate limit for one kind of warning."""
 
     start_s: float
-    count: int = 0
+    count: int = 0  # warnings so far, whether written or suppressed
 
 
 class RateLimit(logging.Filter):
-    """Passes a bounded number of warnings of one kind in a window.
+    """Limits the number of warnings of one kind that are written in a window of WINDOW_S seconds.
 
-    The first of the next window says how many were suppressed.
+    A kind is a logger name with a message text before its arguments are filled in. The first warning of the
+    next window says how many were suppressed.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._windows: dict[tuple[str, str], Window] = {}  # by the logger's name and the warning's text
+        self._windows: dict[tuple[str, str], Window] = {}  # by logger name and message text
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a record is to be written."""
+        """Return whether to write a record; records that are not warnings are always written."""
         if record.levelno != logging.WARNING:
             return True
-        if len(self._windows) >= MAX_KINDS:  # bounds memory against kinds that are all different
+        if len(self._windows) >= MAX_KINDS:  # bounds the memory if message texts never repeat
             self._windows.clear()
         now = time.monotonic()
         window = self._windows.setdefault((record.name, _kind(record)), Window(now))
@@ -50,9 +51,9 @@
 
 
 def start() -> None:
-    """Configure the log of this program and of its libraries, for the rest of the process.
+    """Configure logging for this program and its libraries.
 
-    Every line goes through the rate limit, then structlog's processors, and then to standard error.
+    Every record passes the rate limit and structlog's processors, and is then written to standard error.
     """
     shared: list[Processor] = [structlog.stdlib.add_log_level]
     structlog.configure(
@@ -72,7 +73,7 @@
 
 
 def events(part: str) -> Any:
-    """Return a structlog logger whose events are JSON lines, with the rate limit of all others.
+    """Return a structlog logger that writes its events as JSON lines, under the rate limit for warnings.
 
     `events("peers").info("suspect", member="r2")` writes `{"event": "suspect", "member": "r2", ...}`.
     """
@@ -80,7 +81,7 @@
 
 
 def _kind(record: logging.LogRecord) -> str:
-    message: Any = record.msg  # a text, or the fields of a structured event
+    message: Any = record.msg  # a string, or the dict of a structured event
     return str(message.get("event", "")) if isinstance(message, dict) else message
 
 
@@ -95,7 +96,7 @@
 
 
 def _add_time(_logger: Any, _method: str, event: EventDict) -> EventDict:
-    """Add the monotonic clock, one for all processes of a machine, by which checkers order events."""
+    """Add the time of the machine's monotonic clock in microseconds, which orders events of all processes."""
     event["t_us"] = time.monotonic_ns() // 1000
     return event
 
@@ -104,13 +105,13 @@
 
 
 def _render_plain(_logger: Any, _method: str, event: EventDict) -> str:
-    """Return `LEVEL text`, and below it the traceback of what failed, if any."""
+    """Return `LEVEL text`, followed by the traceback of the logged exception, if any."""
     line = f"{str(event['level']).upper()} {event['event']}"
     return f"{line}\n{event['exception']}" if "exception" in event else line
 
 
 def _render(logger: Any, method: str, event: EventDict) -> str:
-    """Return the line of a record: structured events as JSON, the rest as plain text."""
+    """Render a record: structured events as JSON, all others as plain text."""
     is_event = event.pop("_record").name.startswith(EVENT_LOGGERS)
     event.pop("_from_structlog", None)
     return str((_render_json if is_event else _render_plain)(logger, method, event))
--- a/maplestile/common/toml_table.py
+++ b/maplestile/common/toml_table.py
@@ -1,30 +1,31 @@
-"""A reader for the tables of TOML files: field by field, with an error that names the field.
+"""Reads the tables of TOML files field by field, with errors that name the field.
 
-Used by the operator's file, the agent's file, and the schedules and experiments. A field that is left over at
-the end is a mistake: `end` says which one is not known.
+Used for the operator's file, the agent's file, fault schedules and experiments. A field that nobody has read
+is unknown, which is an error: `end` raises it.
 """
 
 import contextlib
 import ipaddress
 from typing import Any
 
-PORTS = 1 << 16
-NUMBER_LIMIT = 1e12  # every number of a file is below
+PORT_LIMIT = 1 << 16  # every port is below
+NUMBER_LIMIT = 1e12  # every number in a file must be below
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; the text names the field."""
+    """A configuration is invalid; the message names the field."""
 
 
 class TomlTable:
-    """A table of a file; each method takes one field out of `values`.
+    """A table of a TOML file; each method that reads a field removes it from `values`.
 
-    `path` is where the table stands ("" for the top). `error` is the type of what the methods raise, with the
-    place first: `net.loss: must be a number from 0 to 1`. A field without a default must be there.
+    `path` is the dotted name of the table ("" for the top level). `error` is the type of the errors that the
+    methods raise; their message begins with the field: `net.loss: must be a number from 0 to 1`. A field
+    without a default is required.
     """
 
     def __init__(self, values: Any, path: str, error: type[Exception] = ConfigError) -> None:
-        """Copy the values. Raises `error` where they are not a table."""
+        """Copy the values. Raises `error` if they are not a table."""
         self.path = path
         self.error = error
         if not isinstance(values, dict):
@@ -34,43 +35,43 @@
     # Errors.
 
     def place(self, name: str) -> str:
-        """Return where a field stands in the file."""
+        """Return the dotted name of a field."""
         return f"{self.path}.{name}" if self.path else name
 
     def wrong(self, name: str, problem: str) -> Exception:
-        """Return the error to raise for a field."""
+        """Create the error for a field, for the caller to raise."""
         return self.error(f"{self.place(name)}: {problem}")
 
     def end(self) -> None:
-        """Raise the error of a field that is not known, if one is left."""
+        """Raise an error if there are fields that have not been read, since they are unknown."""
         if self.values:
             raise self.wrong(next(iter(self.values)), "is not known here")
 
-    # Texts.
+    # Strings.
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Take a text."""
+        """Read a string."""
         return str(self._take(name, (str,), "a text", default))
 
     def choice(self, name: str, choices: tuple[str, ...], default: str | None = None) -> str:
-        """Take a text that is one of `choices`."""
+        """Read a string that is one of `choices`."""
         value = self.text(name, default)
         if value not in choices:
             raise self.wrong(name, f"must be one of {', '.join(choices)}")
         return value
 
     def address(self, name: str) -> str:
-        """Take a `host:port`."""
+        """Read a `host:port`."""
         value = self.text(name)
         host, _, port = value.rpartition(":")
-        if not host or not port.isdigit() or not 0 <= int(port) < PORTS:
+        if not host or not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
             raise self.wrong(name, "must be host:port")
         return value
 
     def loopback(self, name: str) -> str:
-        """Take a `host:port` on the loopback interface.
+        """Read a `host:port` whose host is a loopback IP address.
 
-        Whoever reaches such an address can stop the service, or take its runners out.
+        Used for fronts whose clients may stop the service or suspend its runners.
         """
         value = self.address(name)
         with contextlib.suppress(ValueError):
@@ -78,12 +79,12 @@
                 return value
         raise self.wrong(name, "must be a loopback address")
 
-    # Numbers and flags.
+    # Numbers and booleans.
 
     def number(
         self, name: str, default: float | None = None, minimum: float = 0.0, maximum: float | None = None
     ) -> float:
-        """Take a number from `minimum` to `maximum`."""
+        """Read a number from `minimum` to `maximum`; None for no maximum but NUMBER_LIMIT."""
         value = float(self._take(name, (int, float), "a number", default))
         if not minimum <= value < NUMBER_LIMIT or (maximum is not None and value > maximum):
             raise self.wrong(name, _range(minimum, maximum))
@@ -92,25 +93,25 @@
     def whole(
         self, name: str, default: int | None = None, minimum: int = 0, maximum: int | None = None
     ) -> int:
-        """Take a whole number from `minimum` to `maximum`."""
+        """Read an integer from `minimum` to `maximum`; None for no maximum."""
         value = int(self._take(name, (int,), "a whole number", default))
         if value < minimum or (maximum is not None and value > maximum):
             raise self.wrong(name, _range(minimum, maximum))
         return value
 
     def flag(self, name: str, default: bool) -> bool:
-        """Take true or false."""
+        """Read a boolean."""
         return bool(self._take(name, (bool,), "true or false", default))
 
-    # Lists of members, by their numbers.
+    # Lists of integers, such as the numbers of members.
 
     def numbers(self, name: str, below: int) -> tuple[int, ...]:
-        """Take a list, not empty, of whole numbers from 0 to `below` - 1."""
+        """Read a non-empty list of integers from 0 to `below` - 1."""
         value = self._take(name, (list,), "a list", None)
         return self._numbers(name, value, below)
 
     def groups(self, name: str, below: int) -> tuple[tuple[int, ...], ...]:
-        """Take a list, not empty, of such lists."""
+        """Read a non-empty list of non-empty lists of integers from 0 to `below` - 1."""
         value = self._take(name, (list,), "a list of lists", None)
         if not value:
             raise self.wrong(name, "must not be empty")
@@ -119,11 +120,11 @@
     # Tables.
 
     def table(self, name: str) -> "TomlTable":
-        """Take a table; an empty one where there is none."""
+        """Read a table; an empty one if it is missing."""
         return TomlTable(self.values.pop(name, {}), self.place(name), self.error)
 
     def tables(self, name: str, needed: bool = True) -> list["TomlTable"]:
-        """Take an array of tables, with one at least where `needed`."""
+        """Read an array of tables; if `needed`, it must not be empty."""
         items = self.values.pop(name, [])
         if not isinstance(items, list) or (needed and not items):
             raise self.wrong(name, f"at least one [[{name}]] is needed")
@@ -133,7 +134,9 @@
         value = self.values.pop(name, default)
         if value is None:
             raise self.wrong(name, "is missing")
-        is_unwanted_flag = isinstance(value, bool) and bool not in types  # a bool is an int in Python
+        is_unwanted_flag = (
+            isinstance(value, bool) and bool not in types
+        )  # in Python, bool is a subclass of int
         if not isinstance(value, types) or is_unwanted_flag:
             raise self.wrong(name, f"must be {description}")
         return value
--- a/maplestile/common/waiting.py
+++ b/maplestile/common/waiting.py
@@ -1,15 +1,18 @@
-"""Bounded waits that never lose a cancellation.
+"""Waits with a timeout that never lose a cancellation.
 
-`asyncio.wait_for` of Python 3.11 returns a result in place of raising `CancelledError` where the task is
-cancelled while what it waits for is done already. A loop around it then goes on, and a caller that awaits the
-task's end hangs.
+In Python 3.11, `asyncio.wait_for` returns the result instead of raising `CancelledError` if the task is
+cancelled when the awaited object is already done. A loop around it then continues, and a caller that waits
+for the end of the task hangs.
 """
 
 import asyncio
 
 
 async def wait_until_set(event: asyncio.Event, timeout_s: float) -> bool:
-    """Return whether the event was set in time. A cancellation is always raised, also if the event is set."""
+    """Wait for the event; return whether it was set in time.
+
+    A cancellation is always raised, even if the event is set at the same time.
+    """
     try:
         async with asyncio.timeout(timeout_s):
             return await event.wait()
--- a/tests/agent_doubles.py
+++ b/tests/agent_doubles.py
@@ -1,4 +1,4 @@
-"""Test doubles around an agent: its replicated log, its processes and routers, and agents that it asks."""
+"""Test doubles for what an agent works with: the replicated log, processes, routers and other agents."""
 
 import asyncio
 import contextlib
@@ -18,19 +18,19 @@
 from maplestile.control.state import ControlState
 from tests.control_script import SCRIPT
 
-PATIENCE_S = 30.0
+PATIENCE_S = 30.0  # timeout of a wait in a test
 PORT = re.compile(r"127\.0\.0\.1:[0-9]+")
-LINE_BYTES = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 def without_ports(text: str) -> str:
-    """The text with each port on loopback masked."""
+    """Return the text with each loopback port replaced by PORT."""
     return PORT.sub("127.0.0.1:PORT", text)
 
 
 class RecordingLog:
-    """A replicated log without a cluster: applies each command at once, and records it."""
+    """A replicated log without voters: it applies each command at once and records it."""
 
     def __init__(self, control: ControlState) -> None:
         self.control = control
@@ -38,26 +38,26 @@
         self.router_status: dict[str, RouterStatus] = {
             "a0": RouterStatus(1.5, {"r0": {"epoch": 2, "standing": "current"}})
         }
-        self.submitted: list[dict[str, Any]] = []
-        self.leads = False
-        self.fault = ""
+        self.submitted: list[dict[str, Any]] = []  # each command once
+        self.is_leader = False
+        self.error = ""  # text of the LogError that `submit` raises; "" for none
 
     def ready(self) -> bool:
-        """Whether the log can be used; it always can."""
+        """Return that the log can be used."""
         return True
 
     def status(self) -> VoterStatus:
-        """The status of voter a0, which leads if the test says so."""
-        return VoterStatus(voter="a0", leading=self.leads, leader="a0", term=3, index=9)
+        """Return the status of voter a0."""
+        return VoterStatus(voter="a0", leading=self.is_leader, leader="a0", term=3, index=9)
 
     async def run(self) -> None:
         """Do nothing until cancelled."""
         await asyncio.Event().wait()
 
     async def submit(self, command: Command | EncodedCommand) -> EncodedReply:
-        """Apply and record a command, or raise `LogError` with the fault that the test has set."""
-        if self.fault:
-            raise LogError(self.fault)
+        """Apply and record a command, or raise LogError if the test has set an error."""
+        if self.error:
+            raise LogError(self.error)
         return self._apply(as_encoded(command))
 
     def _apply(self, command: EncodedCommand) -> EncodedReply:
@@ -73,7 +73,7 @@
 
 
 def control_after_script() -> ControlState:
-    """The agreed state after all commands of the script."""
+    """Return the replicated state after all commands of the script."""
     control = ControlState()
     for command in SCRIPT:
         control.apply_encoded(command)
@@ -82,8 +82,8 @@
 
 @contextlib.asynccontextmanager
 async def serving(handler: Handler) -> AsyncIterator[int]:
-    """Serve connections with the handler; the value is the port."""
-    server = await asyncio.start_server(handler, "127.0.0.1", 0, limit=LINE_BYTES)
+    """Serve connections with the handler on a free port, and yield the port."""
+    server = await asyncio.start_server(handler, "127.0.0.1", 0, limit=MAX_LINE_BYTES)
     try:
         yield server.sockets[0].getsockname()[1]
     finally:
@@ -91,13 +91,13 @@
 
 
 class RouterAnswer(NamedTuple):
-    """The HTTP status and the body of an answer."""
+    """The HTTP status and the body of a router's answer."""
 
     status: int
     body: str
 
 
-ROUTER_ANSWERS = {
+ROUTER_ANSWERS = {  # by method and path
     "GET /v1/readyz": RouterAnswer(200, ""),
     "GET /v1/metrics": RouterAnswer(200, 'svc_success_total{class="safe"} 5\n'),
     "GET /v1/members": RouterAnswer(501, '{"detail": "membership is off"}'),
@@ -108,13 +108,13 @@
 
 
 class RouterFront:
-    """A router's operator front: gives fixed answers, and records the requests."""
+    """A router's operators' front that gives fixed answers and records the requests."""
 
     def __init__(self) -> None:
         self.requests = list[str]()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one request, and close the connection."""
+        """Answer one request and close the connection."""
         head = await reader.readuntil(b"\r\n\r\n")
         length = re.search(rb"(?i)content-length: ([0-9]+)", head)
         body = await reader.readexactly(int(length[1])) if length else b""
@@ -128,7 +128,7 @@
 
 
 class ScriptedAgent:
-    """An agent that answers each connection with the next of the given lines, and records the requests."""
+    """An agent that answers each connection with the next of the given lines and records the requests."""
 
     def __init__(self, answers: list[bytes]) -> None:
         self.answers = answers
@@ -149,7 +149,7 @@
                 peer.sendall(answer)
 
     def close(self) -> None:
-        """Stop accepting connections, and wait for the thread."""
+        """Stop accepting connections and wait until the thread has ended."""
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
@@ -157,76 +157,76 @@
 
 
 class RecordingProcess:
-    """A process of a router or of a runner, and a router's client: each operation succeeds."""
+    """Double of a router or runner process and of the router's client; every operation succeeds."""
 
     def __init__(self) -> None:
-        self.adopted = False
+        self.is_adopted = False
         self.starts = 1
-        self.is_running = True
-        self.suspended = {"w0": False}
+        self.has_process = True
+        self.suspended_runners = {"w0": False}  # by runner id: whether the runner is suspended
         self.requests = list[object]()
-        self.wants_document = False  # whether the next answer asks for the policy's document
+        self.wants_document = False  # whether the next answer requests the policy's document
 
     async def drain(self) -> str:
-        """End the process; the empty reason says that it drained."""
-        self.is_running = False
+        """End the process; return "" for a clean exit."""
+        self.has_process = False
         return ""
 
     def start(self) -> None:
         """Start the process."""
-        self.is_running = True
+        self.has_process = True
 
-    def running(self) -> bool:
-        """Whether the process runs."""
-        return self.is_running
+    def is_running(self) -> bool:
+        """Return whether the process runs."""
+        return self.has_process
 
-    def renew(self) -> None:
-        """Do nothing: there is no file to read anew."""
+    def reload_settings(self) -> None:
+        """Do nothing: there is no file to reload."""
 
-    def restore(self) -> None:
-        """Do nothing: there is no earlier file."""
+    def restore_settings(self) -> None:
+        """Do nothing: there are no earlier settings."""
 
-    async def ready(self) -> bool:
-        """Whether the process runs."""
-        return self.is_running
+    async def is_ready(self) -> bool:
+        """Return whether the process runs."""
+        return self.has_process
 
-    async def health_report(self) -> HealthReport:
-        """A report of a ready router that served five calls and failed one."""
+    async def fetch_health_report(self) -> HealthReport:
+        """Return the report of a ready router that has served five calls and failed one."""
         return HealthReport(True, 5, 1)
 
-    async def lost_members(self) -> set[str]:
-        """No member is lost."""
+    async def fetch_lost_members(self) -> set[str]:
+        """Return that no member is lost."""
         return set()
 
-    async def runners(self) -> dict[str, ListedRunner] | None:
-        """The runners, with those that are suspended."""
-        return {runner: ListedRunner(out, 0) for runner, out in self.suspended.items()}
+    async def fetch_runners(self) -> dict[str, ListedRunner] | None:
+        """Return the runners, none of which has an attempt in flight."""
+        return {runner: ListedRunner(suspended, 0) for runner, suspended in self.suspended_runners.items()}
 
-    async def suspend(self, runner: str, out: bool) -> bool:
-        """Suspend a runner, or take it back."""
-        self.suspended[runner] = out
+    async def set_suspended(self, runner: str, suspended: bool) -> bool:
+        """Suspend or resume a runner."""
+        self.suspended_runners[runner] = suspended
         return True
 
-    async def operate(
-        self, method: str, path: str, content: bytes = b"", wait_s: float = PATIENCE_S
+    async def send_request(
+        self, method: str, path: str, content: bytes = b"", timeout_s: float = PATIENCE_S
     ) -> OperatorReply:
-        """Record a request to the operator front, and answer it as a router that applied the policy."""
+        """Record a request to the operators' front, and answer like a router that has applied the policy."""
         self.requests.append({"method": method, "path": path, "content": content.decode()})
         report = {"epoch": json.loads(content).get("epoch"), "standing": "current"}
-        fetch = {"fetch": True} if self.wants_document else {}
+        document_request = {"fetch": True} if self.wants_document else {}
         self.wants_document = False
-        return OperatorReply(True, json.dumps(report | fetch), 200)
+        return OperatorReply(True, json.dumps(report | document_request), 200)
 
 
 @dataclass(slots=True, frozen=True)
 class RecordingRouter:
-    """A router whose process and client share one recording."""
+    """A router whose process and client are the same double."""
 
     process: RecordingProcess
     client: RecordingProcess
 
 
 def recording_router() -> RecordingRouter:
-    """A router with a new recording."""
+    """Create a router with a new double."""
     process = RecordingProcess()
     return RecordingRouter(process, process)
--- a/tests/agent_replies.py
+++ b/tests/agent_replies.py
@@ -1,4 +1,4 @@
-"""Uses of the command line that send a request to an agent, with the reply that a double of it gives."""
+"""Commands of the command line that send a request to an agent, each with the reply of a scripted agent."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class AgentReply(NamedTuple):
-    """A use of the command line, and the reply that its agent gives."""
+    """The arguments of a command, and the agent's reply to its request."""
 
     arguments: Arguments
     reply: object
--- a/tests/record_agent.py
+++ b/tests/record_agent.py
@@ -1,5 +1,8 @@
-"""Records an agent's lines: requests of the command line and of other agents with its answers, the requests
-that it sends to its routers, and the commands that it submits to the replicated log."""
+"""Records what an agent sends and receives.
+
+These are requests of the command line and of other agents with the agent's answers, the agent's requests to
+its routers, and the commands that it submits to the replicated log.
+"""
 
 import asyncio
 import tempfile
@@ -15,7 +18,7 @@
 
 
 def agent_lines() -> dict[str, bytes]:
-    """The content of the recorded files, by file name."""
+    """Return the content of the recorded files, by file name."""
     files = dict[str, bytes]()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -1,4 +1,4 @@
-"""Records the requests of the command line, and of an agent without a vote, to an agent."""
+"""Records the requests that an agent receives from the command line and from an agent without a vote."""
 
 import asyncio
 import contextlib
@@ -18,21 +18,21 @@
 from tests.control_script import POLICY_CHANGES, REGISTRATIONS, SCRIPT
 from tests.standins import wait_until
 
-INSTANCE = {"state": "running", "pid": 17, "starts": 2, "for_s": 3.5, "last_exit": "ended with 1"}
-STOPPED = {"state": "stopped", "pid": None, "starts": 0, "for_s": 0.1, "last_exit": ""}
-VIEW = {"isolated": False, "members": [{"name": "n1", "status": "alive", "incarnation": 2}]}
-FOREIGN = {"foreign": [1]}
-REQUESTS = 2  # of an agent without a vote: a command, and a poll of the state
+RUNNING_INSTANCE = {"state": "running", "pid": 17, "starts": 2, "for_s": 3.5, "last_exit": "ended with 1"}
+STOPPED_INSTANCE = {"state": "stopped", "pid": None, "starts": 0, "for_s": 0.1, "last_exit": ""}
+MEMBERS_VIEW = {"isolated": False, "members": [{"name": "n1", "status": "alive", "incarnation": 2}]}
+UNKNOWN_FIELD = {"foreign": [1]}  # as a later version may add to a reply
+REQUESTS = 2  # from an agent without a vote: a command, and a poll of the state
 
 
 def _policy_status(changes: int) -> dict[str, Any]:
-    """The answer to `policy status` after so many changes of policy."""
+    """Return the answer to `policy status` after the first `changes` commands of the policy script."""
     control = ControlState()
     for command in REGISTRATIONS + POLICY_CHANGES[:changes]:
         control.apply_encoded(command)
     known = {"epoch": 0, "standing": "stale", "stale_s": 4.0, "reason": "old"}
     instances = {
-        "r0": {"agent": "a0", "heard_s": 1.5, **known, **FOREIGN},
+        "r0": {"agent": "a0", "heard_s": 1.5, **known, **UNKNOWN_FIELD},
         "r1": {"agent": "a0", "heard_s": None, "stale_s": 0},
     }
     raft = {"voter": "a0", "leading": True, "leader": "a0", "term": 3, "index": 9}
@@ -42,23 +42,23 @@
 
 
 def _rollout_status(commands: int) -> dict[str, Any]:
-    """The answer to `rollout status` after so many commands of the script."""
+    """Return the answer to `rollout status` after the first `commands` commands of the script."""
     control = ControlState()
     for command in SCRIPT[:commands]:
         control.apply_encoded(command)
     raft = {"voter": "a0", "leading": False, "leader": "a1", "term": 3, "index": 9}
-    return {"rollout": {**control.encoded(), "raft": raft, "ready": True, "counters": {}, **FOREIGN}}
+    return {"rollout": {**control.encoded(), "raft": raft, "ready": True, "counters": {}, **UNKNOWN_FIELD}}
 
 
 class CommandLine(NamedTuple):
-    """The arguments of a command, and the agent's replies one after another."""
+    """The arguments of a command, and the agent's replies to its requests, in order."""
 
     arguments: list[str]
     replies: list[object]
 
 
 def command_lines(policy: Path) -> Iterator[CommandLine]:
-    """All command lines that are recorded; `policy` is the file that is proposed."""
+    """Yield all command lines that are recorded; `policy` is the policy file that is proposed."""
     yield from instance_command_lines()
     yield from rollout_command_lines()
     yield from policy_command_lines(policy)
@@ -68,12 +68,12 @@
 
 
 def instance_command_lines() -> Iterator[CommandLine]:
-    """Commands on an agent's instances."""
-    instances = {"instances": {"r0": INSTANCE, "w0": STOPPED}, **FOREIGN}
+    """Yield commands on an agent's instances."""
+    instances = {"instances": {"r0": RUNNING_INSTANCE, "w0": STOPPED_INSTANCE}, **UNKNOWN_FIELD}
     yield CommandLine(["status"], [instances])
     yield CommandLine(["status", "r0", "--json"], [instances])
-    yield CommandLine(["stop", "w0"], [{"instances": {"w0": STOPPED}}])
-    yield CommandLine(["restart", "r0"], [{"instances": {"r0": INSTANCE}}])
+    yield CommandLine(["stop", "w0"], [{"instances": {"w0": STOPPED_INSTANCE}}])
+    yield CommandLine(["restart", "r0"], [{"instances": {"r0": RUNNING_INSTANCE}}])
     yield CommandLine(["counters"], [{"counters": {"r0": {"calls": 5}, "w0": None}}])
     yield CommandLine(["reload"], [{"reload": {"r0": {"ok": True}, "w0": None}}])
     yield CommandLine(["reload", "r0"], [{"reload": {"r0": {"ok": False, "reason": "rules: no"}}}])
@@ -84,12 +84,12 @@
     yield CommandLine(
         ["resume", "w0"], [{"resume": {"r0": {"ok": False, "told": "no such runner", "status": 404}}}]
     )
-    views = {"r0": {"ok": True, "told": json.dumps(VIEW)}, "w0": {"ok": False, "told": "no front"}}
+    views = {"r0": {"ok": True, "told": json.dumps(MEMBERS_VIEW)}, "w0": {"ok": False, "told": "no front"}}
     yield CommandLine(["members"], [{"members": views}])
 
 
 def rollout_command_lines() -> Iterator[CommandLine]:
-    """Commands on rollouts, and their status at three places of the script."""
+    """Yield commands on rollouts, and `rollout status` at three places of the script."""
     started = {"rollout": {"ok": True, "rollout": 4, "budget": 1}}
     yield CommandLine(["rollout", "start", "--action", "drain", "--budget", "25%", "r0"], [started])
     yield CommandLine(["rollout", "start", "--runners"], [{"error": "nothing to roll out to"}])
@@ -103,7 +103,11 @@
 
 
 def policy_command_lines(policy: Path) -> Iterator[CommandLine]:
-    """Commands on the policy; what changes it first reads its status, and waits for the decision."""
+    """Yield commands on the policy.
+
+    A command that changes the policy first requests the policy's status. Unless it has `--no-wait`, it then
+    waits until the change is decided.
+    """
     yield CommandLine(["policy", "status"], [_policy_status(0)])
     yield CommandLine(["policy", "status"], [_policy_status(len(POLICY_CHANGES))])
     yield CommandLine(["policy", "status", "--json"], [_policy_status(8)])
@@ -116,8 +120,10 @@
     yield CommandLine(
         ["policy", "propose", str(policy), "--base", "3"], [_policy_status(0), {"error": "made on epoch 3"}]
     )
-    back = {"policy": {"ok": True, "change": 3, "base": 1}}
-    yield CommandLine(["policy", "rollback", "--to", "0"], [_policy_status(20), back, _policy_status(22)])
+    rolled_back = {"policy": {"ok": True, "change": 3, "base": 1}}
+    yield CommandLine(
+        ["policy", "rollback", "--to", "0"], [_policy_status(20), rolled_back, _policy_status(22)]
+    )
     yield CommandLine(
         ["policy", "rollback"], [_policy_status(20), {"error": "there is nothing before to go back to"}]
     )
@@ -135,12 +141,12 @@
 
 
 def _reply_line(reply: object) -> bytes:
-    """Bytes as they are, anything else as a line of JSON."""
+    """Return bytes unchanged, and anything else as a line of JSON."""
     return reply if isinstance(reply, bytes) else json.dumps(reply).encode() + b"\n"
 
 
 def sent_by_command_line(folder: Path) -> dict[str, bytes]:
-    """Each command line with what it sent to the agent, its exit code and its output."""
+    """Return the record of each command line: what it sent to the agent, its exit code and its output."""
     policy = folder / "policy.toml"
     policy.write_text(POLICY_FILE)
     exchanges = list[object]()
@@ -164,7 +170,7 @@
 
 
 async def sent_to_voter(folder: Path) -> dict[str, bytes]:
-    """The lines by which an agent without a vote submits a command and requests the state."""
+    """Return the lines by which an agent without a vote submits a command and requests the state."""
     control = control_after_script().encoded()
     reply = {"control": {"ready": True, "reply": {"ok": True, "rollout": 15}, "state": control, "told": {}}}
     scripted = ScriptedAgent([json.dumps(reply).encode() + b"\n"] * REQUESTS)
@@ -172,10 +178,10 @@
         settings = control_settings(folder, f'ask = ["127.0.0.1:{scripted.port}"]')
         remote_log = RemoteLog(settings, send_command, Counter())
         await remote_log.submit({"do": "resume", "agent": "a0"})
-        running = asyncio.get_running_loop().create_task(remote_log.run())
+        log_task = asyncio.get_running_loop().create_task(remote_log.run())
         await wait_until(lambda: len(scripted.lines) >= REQUESTS, PATIENCE_S)
-        running.cancel()
-        await asyncio.gather(running, return_exceptions=True)
+        log_task.cancel()
+        await asyncio.gather(log_task, return_exceptions=True)
     finally:
         scripted.close()
     return {"asked-of-voter.jsonl": as_lines(scripted.lines)}
--- a/tests/record_agent_commands.py
+++ b/tests/record_agent_commands.py
@@ -1,4 +1,4 @@
-"""Records an agent's answers to commands, and the requests that it sends to a router for them."""
+"""Records an agent's answers to commands, and the requests that the agent sends to a router for them."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from maplestile.agent.supervisor import InstanceSettings, Supervisor
 from maplestile.control.settings import ControlSettings
 from tests.agent_doubles import (
-    LINE_BYTES,
+    MAX_LINE_BYTES,
     PATIENCE_S,
     RecordingLog,
     RouterFront,
@@ -23,7 +23,7 @@
 from tests.control_recordings import NOBODY, agent_settings, as_lines
 from tests.control_script import DOCUMENT
 
-AGE = re.compile(r'"for_s": [0-9.]+')
+STATE_DURATION = re.compile(r'"for_s": [0-9.]+')
 COMMANDS: list[object] = [
     {"do": "status", "instances": []},
     {"do": "status", "instances": ["w0"], "foreign": {"a": 1}},
@@ -77,8 +77,8 @@
 
 
 async def exchange(port: int, line: bytes) -> str:
-    """Send a line to an agent, and return its answer with ports and ages masked."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=LINE_BYTES)
+    """Send a line to an agent, and return its answer with ports and durations masked."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=MAX_LINE_BYTES)
     writer.write(line)
     writer.write_eof()
     try:
@@ -86,30 +86,30 @@
             answer = (await reader.read()).decode()
     finally:
         writer.close()
-    return AGE.sub('"for_s": 0.0', without_ports(answer))
+    return STATE_DURATION.sub('"for_s": 0.0', without_ports(answer))
 
 
-def reread(name: str) -> InstanceSettings:
-    """In place of reading an instance's settings anew, which no command here leads to."""
-    raise AssertionError(f"'{name}' is not read anew here")
+def read_settings(name: str) -> InstanceSettings:
+    """Fail: no command in this file makes the agent reload the settings of an instance."""
+    raise AssertionError(f"the settings of '{name}' were reloaded")
 
 
 LINES = [json.dumps(command).encode() + b"\n" for command in COMMANDS] + RAW_LINES
 
 
 async def command_answers(folder: Path) -> dict[str, bytes]:
-    """The answers without a control plane, with one, and with one that has no leader."""
+    """Return the answers without a control plane, with one, and with one that has no leader."""
     front = RouterFront()
     replicated_log = RecordingLog(control_after_script())
     async with serving(front.serve) as router_port:
         settings = agent_settings(folder, f'ask = ["{NOBODY}"]', operator=f"127.0.0.1:{router_port}")
         assert settings.control is not None
-        supervisor = Supervisor(settings, reread)
+        supervisor = Supervisor(settings, read_settings)
         async with serving(supervisor.command_server.serve) as port:
             without_control = await control_answers(port)
             enable_control(supervisor, settings.control, replicated_log)
             answers = [await exchange(port, line) for line in LINES]
-            replicated_log.fault = "no leader within 5 s: it was not taken"
+            replicated_log.error = "no leader within 5 s: it was not taken"
             without_leader = await control_answers(port)
     exchanges = [
         {"asked": line.decode("latin-1"), "answer": answer}
@@ -125,7 +125,7 @@
 
 
 def enable_control(supervisor: Supervisor, control: ControlSettings, replicated_log: RecordingLog) -> None:
-    """Give the supervisor's command server a control plane over this log, with the router r0."""
+    """Give the supervisor's command server a control plane with this log and the router r0."""
     routers = {"r0": supervisor.instances["r0"]}
     rollouts = RolloutController(control, replicated_log, routers, {}, Counter())
     policies = PolicyController(control, replicated_log, routers)
@@ -133,11 +133,11 @@
 
 
 async def control_answers(port: int) -> list[str]:
-    """The answers to all commands of the control plane."""
+    """Return the answers to all commands for the control plane."""
     lines = [LINES[COMMANDS.index(command)] for command in COMMANDS if is_control_command(command)]
     return [await exchange(port, line) for line in lines]
 
 
 def is_control_command(command: object) -> bool:
-    """Whether the control plane answers it."""
+    """Return whether the command is for the control plane."""
     return isinstance(command, dict) and command.get("do") in ("rollout", "policy", "control")
--- a/tests/record_agent_lines.py
+++ b/tests/record_agent_lines.py
@@ -1,4 +1,4 @@
-"""Records the answers of a real agent's command server."""
+"""Records the answers of the command server of a real agent process."""
 
 import socket
 import tempfile
@@ -46,7 +46,7 @@
 
 
 def exchange(port: int, line: str) -> str:
-    """A line sent to an agent, and its answer, as they are recorded."""
+    """Send a line to an agent; return the line and the answer as they are recorded."""
     with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as connection:
         connection.sendall(line.encode() + b"\n")
         with connection.makefile("rb") as answer:
@@ -54,7 +54,7 @@
 
 
 def agent_lines() -> str:
-    """The answers of a real agent with a router, a process that stays, and one that ends at once."""
+    """Return the answers of an agent with a router, a process that keeps running, and one that fails."""
     with tempfile.TemporaryDirectory() as folder:
         workers = [Worker(), Worker()]
         router_file(Path(folder), workers)
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -1,4 +1,4 @@
-"""Records what an agent's controllers submit to the log and send to routers, and the routers' answers."""
+"""Records what an agent's controllers submit to the log and send to routers, and a router's answers."""
 
 import asyncio
 import re
@@ -18,15 +18,15 @@
 from tests.policy_driver_rig import PolicyDriverRig
 from tests.standins import wait_until
 
-STALE = re.compile(r'"stale_s": [0-9.]+')
+STALE_SECONDS = re.compile(r'"stale_s": [0-9.]+')
 
 
 class RolloutRig:
-    """A rollout controller with the router r0 and the runner w0, over a log without a cluster."""
+    """A rollout controller with the router r0 and the runner w0, and a replicated log without voters."""
 
     def __init__(self, folder: Path) -> None:
         self.log = RecordingLog(ControlState())
-        self.log.leads = True
+        self.log.is_leader = True
         self.controller = RolloutController(
             control_settings(folder, f'ask = ["{NOBODY}"]'),
             self.log,
@@ -35,17 +35,17 @@
             Counter(),
         )
 
-    async def execute(self, what: str, command: dict[str, Any], phase: Phase) -> None:
-        """Execute an operator's command, and wait for the rollout's phase."""
-        await self.controller.execute(what, command)
+    async def execute(self, operation: str, command: dict[str, Any], phase: Phase) -> None:
+        """Execute an operator's command, and wait until the rollout is in a phase."""
+        await self.controller.execute(operation, command)
         control = self.log.control
         await wait_until(lambda: control.rollout is not None and control.rollout.phase is phase, PATIENCE_S)
 
 
 async def submitted_by_rollout_controller(folder: Path) -> dict[str, bytes]:
-    """The commands of rollouts of a router and of a runner by each action, and of their undoing."""
+    """Return the commands submitted in rollouts of a router and of a runner, by action, and in their undo."""
     rig = RolloutRig(folder)
-    running = asyncio.get_running_loop().create_task(rig.controller.run())
+    controller_task = asyncio.get_running_loop().create_task(rig.controller.run())
     try:
         await wait_until(lambda: bool(rig.log.control.runners), PATIENCE_S)
         for action in ("restart", "replace", "drain"):
@@ -56,44 +56,46 @@
             await rig.execute("start", {"action": action, **runners}, Phase.DONE)
         await rig.execute("undo", {"reason": ""}, Phase.UNDONE)
     finally:
-        running.cancel()
-        await asyncio.gather(running, return_exceptions=True)
+        controller_task.cancel()
+        await asyncio.gather(controller_task, return_exceptions=True)
     return {"steward-submitted.jsonl": as_lines(rig.log.submitted)}
 
 
 async def sent_by_policy_controller(folder: Path) -> dict[str, bytes]:
-    """The commands and the requests to a router of two changes of policy."""
+    """Return the commands and the requests to a router for two changes of policy."""
     settings = control_settings(folder, f'ask = ["{NOBODY}"]')
     replicated_log = RecordingLog(ControlState())
     router = recording_router()
     replicated_log.control.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
-    replicated_log.leads = True
+    replicated_log.is_leader = True
     controller = PolicyController(settings, replicated_log, {"r0": router})
-    known = controller.router_policies["r0"] = RouterPolicy("r0", router, 1)
-    await controller.read([known])
-    await controller.announce(known, Announcement(0, 500, 0))
-    await controller.read([known])
-    for what, command in (
+    router_policy = controller.router_policies["r0"] = RouterPolicy("r0", router, 1)
+    await controller.read([router_policy])
+    await controller.announce(router_policy, Announcement(0, 500, 0))
+    await controller.read([router_policy])
+    for operation, command in (
         ("propose", {"document": DOCUMENT, "base": 0}),
         ("rollback", {"base": 1, "to": None}),
     ):
-        await controller.execute(what, command)
+        await controller.execute(operation, command)
         change = replicated_log.control.policy.checking()
         assert change is not None
-        await controller.announce(known, Announcement(known.epoch, 600, change.number))
-        await controller.check(known, change)
+        await controller.announce(router_policy, Announcement(router_policy.epoch, 600, change.number))
+        await controller.check(router_policy, change)
         controller.leader.run_once()
         assert controller.leader.submission is not None
         await controller.leader.submission
-        router.client.wants_document = what == "rollback"
-        await controller.announce(known, Announcement(replicated_log.control.policy.epoch.number, 700, 0))
+        router.client.wants_document = operation == "rollback"
+        await controller.announce(
+            router_policy, Announcement(replicated_log.control.policy.epoch.number, 700, 0)
+        )
     return {
         "herald-submitted.jsonl": as_lines(replicated_log.submitted),
         "herald-told-routers.jsonl": as_lines(router.client.requests),
     }
 
 
-# A router's answers to what the policy controller sends.
+# A router's answers to the requests of a policy controller.
 
 ANNOUNCEMENTS: list[object] = [
     {"epoch": 0, "checking": 0},
@@ -125,33 +127,33 @@
 ]
 
 
-def _policy_in(message: object, rig: PolicyDriverRig) -> object:
-    """The message with the rig's own policy, changed a little, in place of the word `policy`."""
+def _fill_in_policy(message: object, rig: PolicyDriverRig) -> object:
+    """Return the message, with the rig's policy, under a changed attempt limit, in place of "policy"."""
     if isinstance(message, dict) and message.get("document") == "policy":
         return message | {"document": rig.policy(attempts=2)}
     return message
 
 
 def answered_by_router(folder: Path) -> dict[str, bytes]:
-    """A router's answers to announcements and to checks, good and damaged."""
+    """Return a router's answers to valid and invalid announcements and checks."""
     rig = PolicyDriverRig(folder)
     announcements = list[object]()
     checks = list[object]()
     for announcement in ANNOUNCEMENTS:
         answers = list[object]()
-        timed = (
+        fenced = (
             announcement | {"fenced_us": monotonic_us()} if isinstance(announcement, dict) else announcement
         )
         try:
-            rig.take_announcement(_policy_in(timed, rig), answers.append)
-        except PolicyError as fault:
-            answers.append({"refused": str(fault)})
-        announcements.append({"word": _policy_in(announcement, rig), "answers": answers})
+            rig.take_announcement(_fill_in_policy(fenced, rig), answers.append)
+        except PolicyError as error:
+            answers.append({"refused": str(error)})
+        announcements.append({"word": _fill_in_policy(announcement, rig), "answers": answers})
     for check in CHECKS:
-        message = _policy_in(check, rig)
+        message = _fill_in_policy(check, rig)
         try:
             checks.append({"check": message, "answer": rig.check(message)})
-        except PolicyError as fault:
-            checks.append({"check": message, "refused": str(fault)})
-    lines = STALE.sub('"stale_s": 0.0', as_lines(announcements).decode())
+        except PolicyError as error:
+            checks.append({"check": message, "refused": str(error)})
+    lines = STALE_SECONDS.sub('"stale_s": 0.0', as_lines(announcements).decode())
     return {"router-words.jsonl": lines.encode(), "router-checks.jsonl": as_lines(checks)}
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -14,10 +14,10 @@
 OPERATOR_FILE = (ROOT / "deploy" / "operator.toml").read_text()
 
 
-STAYING_PROGRAM = """import signal, sys
-def tell(*_):
+LASTING_PROGRAM = """import signal, sys
+def print_counters(*_):
     print('{"counters": {"n": 3}}', file=sys.stderr, flush=True)
-signal.signal(signal.SIGUSR1, tell)
+signal.signal(signal.SIGUSR1, print_counters)
 print("up", file=sys.stderr, flush=True)
 while True:
     signal.pause()
@@ -25,23 +25,23 @@
 
 
 class AgentTest(unittest.IsolatedAsyncioTestCase):
-    """An agent with a process that stays, one that fails at once, and a router."""
+    """An agent with a process that keeps running, one that fails at once, and a router."""
 
     def setUp(self) -> None:
         folder = Path(tempfile.mkdtemp())
-        (folder / "stays.py").write_text(STAYING_PROGRAM)
-        self.operator = folder / "operator.toml"
-        self.operator.write_text(re.sub(r"127.0.0.1:808\d", "127.0.0.1:0", OPERATOR_FILE))
+        (folder / "lasting.py").write_text(LASTING_PROGRAM)
+        self.operator_file = folder / "operator.toml"
+        self.operator_file.write_text(re.sub(r"127.0.0.1:808\d", "127.0.0.1:0", OPERATOR_FILE))
         file = folder / "agent.toml"
         file.write_text(f"""[agent]
 listen = "127.0.0.1:0"
 backoff_s = 0.05
 backoff_most_s = 0.1
 [[instance]]
-name = "stays"
-command = ["{sys.executable}", "{folder / "stays.py"}"]
+name = "lasting"
+command = ["{sys.executable}", "{folder / "lasting.py"}"]
 [[instance]]
-name = "falls"
+name = "failing"
 command = ["{sys.executable}", "-c", "raise SystemExit(3)"]
 [[instance]]
 name = "router"
@@ -50,28 +50,29 @@
         self.agent = Program("agent", str(file))
         self.addCleanup(self.agent.kill)
 
-    async def test_agent_restarts_what_ends_and_stops_what_runs(self) -> None:
+    async def test_agent_restarts_failed_process_and_executes_commands(self) -> None:
+        """Also covers the commands `counters`, `reload`, `restart` and `stop`, and SIGHUP to the agent."""
         address = ("127.0.0.1", int(self.agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")))
-        self.agent.find(r"\[stays\] (up)")
-        self.agent.find(r"falls: (ended with 3; starts again in 0\.10 s)")  # doubled
+        self.agent.find(r"\[lasting\] (up)")
+        self.agent.find(r"failing: (ended with 3; restarting in 0\.10 s)")  # twice backoff_s
         status = await send_command(address, "status", [])
-        stays = status["instances"]["stays"]
-        falls = status["instances"]["falls"]
-        self.assertEqual((stays["state"], stays["starts"]), ("running", 1))
-        self.assertGreaterEqual(falls["starts"], 2)
+        lasting = status["instances"]["lasting"]
+        failing = status["instances"]["failing"]
+        self.assertEqual((lasting["state"], lasting["starts"]), ("running", 1))
+        self.assertGreaterEqual(failing["starts"], 2)
         self.assertEqual(
-            await send_command(address, "counters", ["stays"]), {"counters": {"stays": {"n": 3}}}
+            await send_command(address, "counters", ["lasting"]), {"counters": {"lasting": {"n": 3}}}
         )
         self.agent.find(r"\[router\] (.*platform front listens)")
-        self.operator.write_text(self.operator.read_text().replace("shapla", "padma"))
-        reloaded = (await send_command(address, "reload", ["router", "stays"]))["reload"]
-        self.assertEqual((reloaded["router"]["taken"], reloaded["stays"]), (["invoke"], None))
+        self.operator_file.write_text(self.operator_file.read_text().replace("shapla", "padma"))
+        reports = (await send_command(address, "reload", ["router", "lasting"]))["reload"]
+        self.assertEqual((reports["router"]["taken"], reports["lasting"]), (["invoke"], None))
         self.agent.process.send_signal(signal.SIGHUP)
         self.agent.find(r"SIGHUP passed on to (router)$")
-        again = await send_command(address, "restart", ["stays"])
-        self.assertEqual(again["instances"]["stays"]["starts"], 2)
-        self.assertIn("error", await send_command(address, "status", ["nobody"]))
-        stopped = await send_command(address, "stop", ["falls"])
-        self.assertEqual(stopped["instances"]["falls"]["state"], "stopped")
+        restarted = await send_command(address, "restart", ["lasting"])
+        self.assertEqual(restarted["instances"]["lasting"]["starts"], 2)
+        self.assertIn("error", await send_command(address, "status", ["unknown"]))
+        stopped = await send_command(address, "stop", ["failing"])
+        self.assertEqual(stopped["instances"]["failing"]["state"], "stopped")
         self.agent.process.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.to_thread(self.agent.process.wait, 20), 0)
--- a/tests/test_hangs.py
+++ b/tests/test_hangs.py
@@ -1,4 +1,4 @@
-"""A test that hangs is ended and named, and the others are run."""
+"""The test timeout of this project's pytest configuration ends and reports a test that hangs."""
 
 import subprocess
 import sys
@@ -24,7 +24,7 @@
 """
 
 
-def test_hang_is_reported_by_name_also_if_a_task_ignores_its_cancellation(tmp_path: Path) -> None:
+def test_reports_hanging_test_that_ignores_cancellation_and_runs_the_others(tmp_path: Path) -> None:
     options = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["pytest"]["ini_options"]
     assert options["timeout"] > 0
     (tmp_path / "pytest.ini").write_text(
@@ -32,6 +32,6 @@
     )
     (tmp_path / "test_a.py").write_text(TESTS)
     command = [sys.executable, "-m", "pytest", "-q", "-n", "1", "-p", "no:cacheprovider"]
-    found = subprocess.run(command, cwd=tmp_path, text=True, capture_output=True, timeout=60)
-    assert found.returncode == 1 and "1 failed, 1 passed" in found.stdout
-    assert "FAILED test_a.py::test_hangs" in found.stdout
+    result = subprocess.run(command, cwd=tmp_path, text=True, capture_output=True, timeout=60)
+    assert result.returncode == 1 and "1 failed, 1 passed" in result.stdout
+    assert "FAILED test_a.py::test_hangs" in result.stdout
