--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -1,4 +1,4 @@
-"""Agents that are killed, and their successors: routers serve on, and are adopted."""
+"""Agents that are killed and started again: their routers keep serving and are adopted."""
 
 import os
 import signal
@@ -10,26 +10,27 @@
 from tests.rollout_fleet import Calls, HangingCall
 from tests.standins import PATIENCE_S, Program, eventually
 
-STEP_UNDER_WAY_S = 0.3  # from the event of a step's begin until its router surely drains
+STEP_UNDER_WAY_S = 0.3  # after a step's `begin` event, the time by which the router is certainly draining
 
 
 class AdoptTest(PolicyTest):
-    """Agents of a fleet that are killed, and their successors, which find the registry of processes."""
+    """A fleet whose agents keep a process registry; some agents are killed and started again."""
 
     def create_fleet(self) -> PolicyFleet:
-        """Agents with a folder for the registry of their processes."""
+        """Create a fleet whose agents have folders for their process registries."""
         return PolicyFleet(self, with_registry=True)
 
     def wait_for_hanging_call(self) -> None:
-        """Wait until a worker has the call that it never answers."""
-        eventually(lambda: any(worker.ran for worker in self.fleet.workers), "the call that hangs")
+        """Wait until a worker has received the call that it never answers."""
+        eventually(lambda: any(worker.ran for worker in self.fleet.workers), "the hanging call")
 
     def wait_until_step_is_under_way(self) -> None:
-        """Wait until an agent has begun a step, and its router drains."""
-        eventually(lambda: self.fleet.events_of("begin"), "the step's begin")
+        """Wait until an agent has begun a step and its router is draining."""
+        eventually(lambda: self.fleet.events_of("begin"), "the step's `begin` event")
         time.sleep(STEP_UNDER_WAY_S)
 
-    def test_routers_serve_on_without_their_agent_and_the_next_one_adopts_them(self) -> None:
+    def test_routers_keep_serving_without_agent_and_are_adopted_by_next(self) -> None:
+        """The leader's agent is killed; its routers miss a policy change, which they get once adopted."""
         number = self.fleet.wait_for_leader()
         other = other_agents(number)[0]
         orphans = self.fleet.routers_of_agent(number)
@@ -37,16 +38,16 @@
         calls = Calls(self.fleet, 14)
         self.fleet.kill_agent(number)
         eventually(lambda: self.fleet.leader(other_agents(number)) is not None, "another leader")
-        # Its routers get nothing now: the change is made without them, and they learn of it later.
+        # The killed agent's routers get no announcements now, so the change is committed without them.
         supervised = [name for name in self.fleet.names if name not in orphans]
-        eventually(lambda: self.fleet.propose(other, attempts=3).exit_code == 0, "the change")
+        eventually(lambda: self.fleet.propose(other, attempts=3).exit_code == 0, "the change to be accepted")
         self.fleet.wait_for_epoch(other, 1, supervised)
         self.fleet.restart_agent(number)
         self.fleet.wait_for_epoch(number, 1)
         self.assertEqual({name: self.fleet.pid(name) for name in orphans}, pids)
         self.assert_adopted(number, orphans)
         self.check_logs(calls)
-        # What was adopted is drained and started anew like any other.
+        # Adopted routers can be drained and restarted like others.
         self.assertEqual(self.fleet.run(other, "rollout", "start", "--budget", "2", *orphans).exit_code, 0)
         self.fleet.wait_for_phase(other, "done")
         self.assertTrue(all(self.fleet.pid(name) != pids[name] for name in orphans))
@@ -54,17 +55,18 @@
         self.assertEqual(self.fleet.metric(orphans[0], "policy_epoch"), 1)
 
     def assert_adopted(self, number: int, orphans: list[str]) -> None:
-        """Check that the agent logged that it adopted these, and that it reads and commands the first."""
+        """Check that the agent adopted these routers, reads the log of the first, and can make it reload."""
         adopted = [line for line in self.fleet.agents[number].log if "adopted, pid" in line]
         self.assertEqual(len(adopted), len(orphans))
         first = orphans[0]
         counters = self.fleet.command(number, "counters", first).answer["counters"][first]
-        # Its log is read, and what it answers is found there.
+        # The router prints its counters to its log, so the agent reads the log of an adopted process.
         self.assertGreater(counters["requests.taken"], 0)
         reply = self.fleet.command(number, "reload", first).answer["reload"][first]
         self.assertTrue(reply["ok"])
 
-    def test_a_step_under_way_when_its_agent_is_killed_is_taken_up_by_the_next(self) -> None:
+    def test_restarted_agent_resumes_step_that_was_under_way(self) -> None:
+        """The agent is killed while its router drains with one call in flight, which is still answered."""
         number = 0
         name = "r0"
         pid = self.fleet.pid(name)
@@ -72,16 +74,17 @@
         self.wait_for_hanging_call()
         self.assertEqual(self.fleet.run(1, "rollout", "start", "--budget", "1", name).exit_code, 0)
         self.wait_until_step_is_under_way()
-        self.fleet.kill_agent(number)  # the router drains, and has one pending call
+        self.fleet.kill_agent(number)  # while the router drains with one call in flight
         self.fleet.restart_agent(number)
         self.fleet.wait_for_phase(1, "done")
         self.assertTrue(call.answered.wait(PATIENCE_S))
         self.assertNotEqual(self.fleet.pid(name), pid)
-        eventually(lambda: self.fleet.status(1)["leases"] == [], "no lease")
-        eventually(lambda: self.fleet.run(0, "ready", name).exit_code == 0, "r0 ready")
+        eventually(lambda: self.fleet.status(1)["leases"] == [], "all leases to end")
+        eventually(lambda: self.fleet.run(0, "ready", name).exit_code == 0, "r0 to be ready")
         self.assertEqual(len([event for _, event in self.fleet.events_of("back")]), 1)
 
-    def test_a_step_granted_to_an_agent_that_dies_before_it_begins_is_taken_by_the_next(self) -> None:
+    def test_restarted_agent_runs_step_that_was_granted_but_not_begun(self) -> None:
+        """The agent is paused before the grant and killed after it, so it never begins the step itself."""
         number = next(n for n in range(AGENTS) if n != self.fleet.wait_for_leader())
         name = self.fleet.routers_of_agent(number)[0]
         peer = (number + 1) % AGENTS
@@ -89,23 +92,25 @@
         self.fleet.agents[number].process.send_signal(signal.SIGSTOP)
         self.assert_succeeded(self.fleet.run(peer, "rollout", "start", "--budget", "3", name))
         eventually(
-            lambda: [lease["stage"] for lease in self.fleet.status(peer)["leases"]] == ["granted"], "grant"
+            lambda: [lease["stage"] for lease in self.fleet.status(peer)["leases"]] == ["granted"],
+            "the lease to be granted",
         )
         self.fleet.kill_agent(number)
         self.assertEqual(self.fleet.events_of("begin"), [])
         self.fleet.restart_agent(number)
         self.fleet.wait_for_phase(peer, "done")
         self.assertNotEqual(self.fleet.pid(name), pid)
-        eventually(lambda: self.fleet.status(peer)["leases"] == [], "no lease")
+        eventually(lambda: self.fleet.status(peer)["leases"] == [], "all leases to end")
         steps = [event["event"] for _, event in self.fleet.events_of("begin", "drained", "back")]
         self.assertEqual(steps, ["begin", "drained", "back"])
         self.assertLessEqual(self.fleet.max_instances_out(), 3)
 
-    def test_an_adopted_router_that_is_killed_in_its_drain_is_not_called_drained(self) -> None:
+    def test_adopted_router_killed_during_drain_is_not_reported_as_drained(self) -> None:
+        """The exit code of an adopted process is not known, so the log must tell a kill from a drain."""
         pid = self.fleet.pid("r0")
         self.fleet.kill_agent(0)
         self.fleet.restart_agent(0)
-        eventually(lambda: self.fleet.run(0, "ready", "r0", "r1").exit_code == 0, "the adopted routers")
+        eventually(lambda: self.fleet.run(0, "ready", "r0", "r1").exit_code == 0, "both routers to be ready")
         HangingCall(self.fleet.invoke_ports[0])
         self.wait_for_hanging_call()
         self.fleet.wait_for_leader()
@@ -113,12 +118,13 @@
         self.wait_until_step_is_under_way()
         os.kill(pid, signal.SIGKILL)
         self.fleet.wait_for_phase(1, "done")
-        ends = [
-            (event["instance"], event["event"]) for _, event in self.fleet.events_of("drained", "unclean end")
+        exits = [
+            (event["instance"], event["event"])
+            for _, event in self.fleet.events_of("drained", "unclean exit")
         ]
-        self.assertEqual(ends, [("r0", "unclean end"), ("r1", "drained")])
+        self.assertEqual(exits, [("r0", "unclean exit"), ("r1", "drained")])
 
-    def test_of_two_agents_with_one_folder_the_second_does_not_start(self) -> None:
+    def test_second_agent_with_same_folder_does_not_start(self) -> None:
         second = Program("agent", str(self.fleet.agents[0].file))
         self.addCleanup(second.kill)
         self.assertEqual(second.process.wait(PATIENCE_S), 1)
--- a/tests/test_process_unrecorded.py
+++ b/tests/test_process_unrecorded.py
@@ -1,4 +1,4 @@
-"""An agent that is killed after it has started a process, and before that is on record."""
+"""An agent that is killed after it has started a process and before it has recorded it in the registry."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class UnrecordedProcessTest(unittest.TestCase):
-    """An agent with one router, whose successors find the registry missing or damaged."""
+    """An agent with one router; when the agent is started again, its registry is missing or damaged."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -35,33 +35,33 @@
         self.start_agent()
 
     def start_agent(self) -> None:
-        """Start the agent, or its successor."""
+        """Start the agent, or start it again."""
         self.agent = Program("agent", str(self.folder / "agent.toml"))
         self.addCleanup(self.end_program, self.agent)
 
     def end_program(self, program: Program) -> None:
-        """Stop an agent with its router."""
+        """Stop an agent and its router."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             program.stop()
         program.kill()
 
     def end_orphan(self, pid: int) -> None:
-        """Kill the router if no agent has it, unless its pid is another process's by now."""
+        """Kill the router if no agent has stopped it; its pid may belong to another process by now."""
         with contextlib.suppress(OSError):
             if str(self.folder) in Path(f"/proc/{pid}/cmdline").read_text():
                 os.kill(pid, signal.SIGKILL)
 
     def status(self) -> dict[str, Any]:
-        """The router as the agent has it; no pid while the agent cannot be reached."""
+        """Return the agent's status of the router; the pid is None while the agent cannot be reached."""
         try:
             reply = asyncio.run(send_command(("127.0.0.1", self.agent_port), "status", []))
         except OSError:
             return {"state": "", "pid": None}
-        found: dict[str, Any] = reply["instances"]["r"]
-        return found
+        router_status: dict[str, Any] = reply["instances"]["r"]
+        return router_status
 
-    def test_process_that_is_not_on_record_is_adopted_and_not_started_again(self) -> None:
-        pid = eventually(lambda: self.status()["pid"], "the router")
+    def test_adopts_running_process_that_is_not_in_registry(self) -> None:
+        pid = eventually(lambda: self.status()["pid"], "the router to run")
         self.addCleanup(self.end_orphan, pid)
         for content in (None, b"{", b'{"version": 1, "sum": "", "body": {"r": [1, 2]}}'):
             with self.subTest(content=content):
@@ -75,7 +75,7 @@
                 status = self.status()
                 self.assertEqual((status["state"], status["pid"]), ("running", pid))
         asyncio.run(send_command(("127.0.0.1", self.agent_port), "restart", ["r"]))
-        eventually(lambda: self.status()["pid"] not in (None, pid), "another process")
+        eventually(lambda: self.status()["pid"] not in (None, pid), "another process to run")
         self.assertEqual(self.status()["state"], "running")
 
 
--- a/tests/test_process_voters.py
+++ b/tests/test_process_voters.py
@@ -1,4 +1,4 @@
-"""Rollouts with a voter whose folder is damaged, and with an agent that is no voter, by real processes."""
+"""Rollouts with real processes: with a voter whose journal is damaged, and with an agent without a vote."""
 
 import os
 import unittest
@@ -12,9 +12,10 @@
 
 
 class DamagedJournalTest(FleetTest):
-    """A voter whose journal was cut, or overwritten: it takes no part, and says why."""
+    """A voter whose journal is truncated or overwritten."""
 
-    def test_damaged_journal_is_refused_with_its_place_and_spoils_nothing_for_the_others(self) -> None:
+    def test_voter_with_damaged_journal_reports_it_and_others_continue(self) -> None:
+        """Its agent runs without a control plane, names the file in its replies, and does not modify it."""
         number = next(n for n in range(AGENTS) if n != self.fleet.leader())
         others = other_agents(number)
         self.start_rollout(others[0], "r0")
@@ -27,7 +28,7 @@
         for content in (cut_short, os.urandom(5000), overwritten):
             file.write_bytes(content)
             self.fleet.restart_agent(number)
-            eventually(lambda: self.fleet.run(number, "ready").exit_code == 0, "its routers")
+            eventually(lambda: self.fleet.run(number, "ready").exit_code == 0, "its routers to be ready")
             code, _, err = self.fleet.run(number, "rollout", "status")
             self.assertEqual(code, 1)
             self.assertIn(f"it does not run: {file}", err)
@@ -43,12 +44,14 @@
 
 
 class NonVoterTest(FleetTest):
-    """An agent without a vote takes part through those that have one."""
+    """An agent without a vote, which takes part in rollouts through the voters."""
 
-    def test_its_router_is_replaced_and_restored_through_the_voters(self) -> None:
+    def test_replaces_and_restores_router_of_agent_without_vote(self) -> None:
         agent = self.fleet.start_non_voter().program
-        eventually(lambda: NON_VOTER_ROUTER in self.fleet.status(0)["instances"], "its router known to all")
-        eventually(lambda: self.fleet.run(NON_VOTER, "ready").exit_code == 0, "its router ready")
+        eventually(
+            lambda: NON_VOTER_ROUTER in self.fleet.status(0)["instances"], "its router to be registered"
+        )
+        eventually(lambda: self.fleet.run(NON_VOTER, "ready").exit_code == 0, "its router to be ready")
         self.assertEqual(self.release(), "one")
         agent.file.write_text(agent.file.read_text().replace("one", "two"))
         self.start_rollout(NON_VOTER, "--action", "replace", "--budget", "2", NON_VOTER_ROUTER, "r1")
@@ -61,7 +64,7 @@
         self.assert_within_budget(2)
 
     def release(self) -> str:
-        """The release in the environment of the non-voter's router, set by its agent's file at its start."""
+        """Return the value of RELEASE in the environment of the router, which its agent's file sets."""
         instances = self.fleet.command(NON_VOTER, "status", NON_VOTER_ROUTER).answer["instances"]
         environment = (
             Path(f"/proc/{instances[NON_VOTER_ROUTER]['pid']}/environ").read_bytes().decode().split("\0")
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""A cancelled task ends, also if its wait would have ended by itself in the same turn of the event loop."""
+"""A cancelled task ends, even if the event that it waits for is set in the same event loop iteration."""
 
 import asyncio
 from collections import Counter
@@ -9,34 +9,37 @@
 from maplestile.membership.settings import membership_settings_from
 from maplestile.net.gossip import GossipDriver
 
-LONG_S = 30.0
-TURNS = 5  # of the event loop, after which a task has reached its wait
-END_S = 2.0  # for a cancelled task to end
+LONG_S = 30.0  # a timeout that no wait of these tests reaches
+ITERATIONS = 5  # of the event loop, after which a task has reached its wait
+END_TIMEOUT_S = 2.0  # for a cancelled task to end
 
 
 def new_member() -> GossipDriver:
-    """A member of the gossip group that knows nobody."""
+    """Create a member of a gossip group that knows no other member."""
     settings = membership_settings_from({"listen": "127.0.0.1:0"})
     return GossipDriver("r0", settings, 1, Counter(), lambda runner: None)
 
 
 async def let_tasks_reach_their_waits() -> None:
-    """Give the other tasks some turns of the event loop."""
-    for _ in range(TURNS):
+    """Let the event loop run the other tasks for some iterations."""
+    for _ in range(ITERATIONS):
         await asyncio.sleep(0)
 
 
 async def ends_when_set_and_cancelled(event: asyncio.Event, task: asyncio.Task[Any]) -> bool:
-    """Set the event and cancel the task that waits for it in one turn; whether that ends the task."""
+    """Set the event and cancel the task that waits for it, without letting it run in between.
+
+    Returns whether the task ends as cancelled.
+    """
     event.set()
     task.cancel()
-    done, _ = await asyncio.wait((task,), timeout=END_S)
-    task.cancel()  # one that went on is ended here, for the loop to close
+    done, _ = await asyncio.wait((task,), timeout=END_TIMEOUT_S)
+    task.cancel()  # ends a task that went on, so that the event loop can close
     await asyncio.wait((task,))
     return bool(done) and task.cancelled()
 
 
-def test_wait_ends_by_a_cancellation_in_the_turn_in_which_its_event_is_set() -> None:
+def test_wait_raises_cancellation_although_event_is_set() -> None:
     async def scenario() -> None:
         event = asyncio.Event()
         task = asyncio.create_task(wait_until_set(event, LONG_S))
@@ -46,7 +49,7 @@
     asyncio.run(scenario())
 
 
-def test_wait_reports_whether_its_event_was_set_in_time() -> None:
+def test_wait_returns_whether_event_was_set_in_time() -> None:
     async def scenario() -> list[bool]:
         event = asyncio.Event()
         asyncio.get_running_loop().call_later(0.01, event.set)
@@ -59,14 +62,14 @@
     assert asyncio.run(scenario()) == [False, True, True]
 
 
-def test_member_ends_by_a_cancellation_in_the_turn_in_which_a_datagram_wakes_it() -> None:
+def test_member_ends_when_cancelled_although_datagram_wakes_it() -> None:
     async def scenario() -> None:
-        peers = new_member()
-        task = asyncio.create_task(peers.run())
+        member = new_member()
+        task = asyncio.create_task(member.run())
         async with asyncio.timeout(LONG_S):
-            while peers.transport is None:
+            while member.transport is None:
                 await asyncio.sleep(0)
         await let_tasks_reach_their_waits()
-        assert await ends_when_set_and_cancelled(peers.wake, task)
+        assert await ends_when_set_and_cancelled(member.wake, task)
 
     asyncio.run(scenario())
