--- a/maplestile/agent/adopted_process.py
+++ b/maplestile/agent/adopted_process.py
@@ -22,7 +22,7 @@
 
 
 class ProcessGone(Exception):
-    """The process has ended; its pid may belong to another process by now."""
+    """Raised when a process has ended; its pid may belong to another process by now."""
 
 
 class ProcessId(NamedTuple):
@@ -46,9 +46,8 @@
             self.pidfd = os.pidfd_open(pid)
         except OSError as error:
             raise ProcessGone(str(error)) from None
-        if (
-            start_time_of(pid) != start_time
-        ):  # checked once the pidfd is open, so that a reused pid is noticed
+        # Checked once the pidfd is open, so that a pid that was reused before is noticed.
+        if start_time_of(pid) != start_time:
             os.close(self.pidfd)
             raise ProcessGone("another process has its number")
         self.ended = asyncio.Event()
--- a/maplestile/agent/errors.py
+++ b/maplestile/agent/errors.py
@@ -2,4 +2,4 @@
 
 
 class CommandError(Exception):
-    """A command is refused or has failed; the message is the reason for its sender."""
+    """Raised when a command is refused or has failed; the message is the reason, for its sender."""
--- a/maplestile/agent/leader.py
+++ b/maplestile/agent/leader.py
@@ -23,7 +23,7 @@
         self.replicated_log = replicated_log
         self.events = logs.events(event_log)
         self.planner: Planner | None = None  # None while another voter leads
-        self.term = -1  # of the planner; -1 before the first
+        self.term = -1  # the term of the planner; -1 before the first planner
         self.submission: asyncio.Task[None] | None = None
 
     def run_once(self) -> None:
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -33,7 +33,7 @@
 from maplestile.control.settings import ControlSettings
 
 log = logging.getLogger("maplestile.policy")
-POLL_INTERVAL_S = 0.05  # between looks at the replicated state
+POLL_INTERVAL_S = 0.05  # between polls of the replicated state
 READ_INTERVAL_S = 1.0  # between reads while no change is being checked
 READ_INTERVAL_CHECKING_S = 0.5  # between reads while a change is being checked
 
@@ -136,7 +136,9 @@
         with contextlib.suppress(LogError):
             reply = decode_reply(command, await self.replicated_log.submit(command))
             if isinstance(reply, PolicyRead):
-                for name in reply.named:  # sets the fence of the process that answered, not of its successor
+                # `answering` has the processes that were named; one that was restarted meanwhile gets no
+                # fence.
+                for name in reply.named:
                     answering[name].fence = Fence(reply.epoch, requested_us)
 
     def _start_announcement(self, policy: RouterPolicy, change: Change | None) -> None:
@@ -150,9 +152,8 @@
     async def announce(self, policy: RouterPolicy, announcement: Announcement) -> None:
         """Send an announcement to a router."""
         if await policy.announce(announcement, self.agreed):
-            self.last_read_s = (
-                0.0  # the next poll reads at once, which reports the router's new epoch to the others
-            )
+            # Makes the next poll read at once, which reports the router's new epoch to the other agents.
+            self.last_read_s = 0.0
 
     # Checks of a proposed change.
 
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -34,10 +34,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Announcement:
-    """A message to a router: the committed epoch, and until when this agent knows that it is the latest."""
+    """A message to a router: the committed epoch, its fence, and the change that is being checked."""
 
     epoch: int
-    fenced_us: int  # `Fence.requested_us` of the last read that named the router
+    fenced_us: int  # `Fence.requested_us` of the last read that named the router; 0 before the first
     checking: int  # the number of the change that is being checked; 0 for none
 
 
@@ -74,9 +74,7 @@
     last_announcement: Announcement | None = None
     last_announced_s: float = 0.0
     report: RouterReport | None = None  # the last one; None before the first
-    checked_change: int = (
-        0  # number of the last change for which the log has the router's verdict; 0 for none
-    )
+    checked_change: int = 0  # number of the last change whose verdict the log has accepted; 0 for none
     announcement_task: asyncio.Task[None] | None = None
     check_task: asyncio.Task[None] | None = None
 
@@ -132,7 +130,11 @@
             log.info("policy: router %s gets no announcements: %s", self.name, NO_POLICY)
             return None
         if not reply.ok:
-            log.warning("policy: router %s did not accept an announcement: %s", self.name, reply.text)
+            log.warning(
+                "policy: router %s did not accept an announcement, which is repeated: %s",
+                self.name,
+                reply.text,
+            )
             return None
         try:
             return RouterReport.decode(reply.text)
--- a/maplestile/agent/process_launcher.py
+++ b/maplestile/agent/process_launcher.py
@@ -46,7 +46,7 @@
             return await start(stderr=file)
 
     def record(self, pid: int | None) -> None:
-        """Record the running process in the registry, if there is one; None once the process has ended."""
+        """Record the pid of the running process in the registry, if any; None once the process has ended."""
         if self.registry is not None:
             self.registry.record(self.name, pid)
 
--- a/maplestile/agent/process_output.py
+++ b/maplestile/agent/process_output.py
@@ -48,8 +48,7 @@
 
     def handle(self, line: bytes) -> None:
         """Handle one line: resolve an expected answer, or print the line with the instance's name."""
-        # The exit code of an adopted process is not known. This line distinguishes a complete drain from a
-        # kill.
+        # The exit code of an adopted process is not known; this line tells a complete drain from a kill.
         if line.rstrip().endswith(DRAINED_LINE):
             self.drained = True
         if self.answers.accept(line):
--- a/maplestile/agent/process_registry.py
+++ b/maplestile/agent/process_registry.py
@@ -1,4 +1,4 @@
-"""The record of an agent's running processes, by which the next agent adopts them.
+"""A record of an agent's running processes, from which the next agent adopts them.
 
 A router keeps running when its agent is killed, and keeps its ports, so an agent that did not know about it
 could not start another one. The agent therefore keeps a registry in its folder. Its instances log to files
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -1,4 +1,4 @@
-"""The interface by which an agent's controllers use the replicated log, and its clients."""
+"""The interface by which an agent's controllers use the replicated log, and helpers to submit commands."""
 
 import asyncio
 import logging
@@ -59,10 +59,8 @@
 ) -> EncodedReply:
     """Submit an operator's command on behalf of an agent, and return the reply.
 
-    `name` is the name of the command in the log.
-
-    The command is passed on without being decoded here, so that the log checks and rejects invalid commands
-    in one place. Raises CommandError if the command is refused or gets no reply.
+    `name` is the name of the command in the log. The command is not decoded here, because the log checks it
+    and rejects an invalid one. Raises CommandError if the command is refused or gets no reply.
     """
     try:
         reply = await replicated_log.submit({**command, "do": name, "agent": agent})
@@ -96,7 +94,7 @@
     async def submit_until_answered(self, command: Command) -> None:
         """Submit a command that reports progress of a step, and repeat it until the log replies.
 
-        Without the report, the instance would count as out of service for ever.
+        Without the report, the instance would count as out of service until an operator releases its lease.
         """
         while True:
             try:
@@ -109,8 +107,7 @@
                 )
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            if not reply[
-                "ok"
-            ]:  # an earlier submission was committed after all, or an operator released the lease
+            # Refused if an earlier submission was committed after all, or an operator released the lease.
+            if not reply["ok"]:
                 log.info("control: the log refused the command '%s': %s", name_of(command), reply["reason"])
             return
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -23,7 +23,7 @@
 from maplestile.control.rollout import ACTIVE
 from maplestile.control.settings import ControlSettings
 
-POLL_INTERVAL_S = 0.05  # between looks at the replicated state
+POLL_INTERVAL_S = 0.05  # between polls of the replicated state
 HEARTBEAT_ACTIVE_S = 0.5  # between heartbeats during a rollout
 HEARTBEAT_IDLE_S = 2.0  # between heartbeats while there is no rollout
 
@@ -80,7 +80,7 @@
         self.leader.run_once()
 
     async def _register(self) -> None:
-        """Register this agent's instances and runners if the replicated state does not have the same ones."""
+        """Register this agent's instances and runners unless the replicated state already has them."""
         control = self.replicated_log.control
         instances = sorted(self.routers)
         registered = sorted(name for name, agent in control.instances.items() if agent == self.settings.name)
@@ -93,7 +93,7 @@
         self.is_registered = await self.log_client.submit(command) is not None
 
     def _start_heartbeat(self) -> None:
-        """Start sending a heartbeat if one is due and the one before has been sent."""
+        """Start sending a heartbeat if one is due and the previous one has been sent."""
         rollout = self.replicated_log.control.rollout
         is_active = rollout is not None and rollout.phase in ACTIVE
         interval_s = HEARTBEAT_ACTIVE_S if is_active else HEARTBEAT_IDLE_S
--- a/maplestile/agent/rollout_leader.py
+++ b/maplestile/agent/rollout_leader.py
@@ -22,7 +22,7 @@
         self.rules = settings.rules
         self.log_client = log_client
         self.lost_members = lost_members
-        # By agent: the number of the last heartbeat that the planner has, or must not get.
+        # By agent: the number of the last heartbeat that is not to be passed to the planner any more.
         self.last_heartbeats: dict[str, int] = {}
 
     def _create_planner(self, now_us: int) -> RolloutPlanner:
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -26,8 +26,8 @@
     async def run(self, lease_number: int, runner: str) -> None:
         """Carry out this agent's part in the lease of a runner until the lease has ended.
 
-        While the runner is out, the routers are told so again and again, because a router that was restarted
-        does not know of it.
+        While the runner is out of use, the routers are checked repeatedly, because a router that was
+        restarted does not know that the runner is suspended.
         """
         while (lease := self._lease(runner)) is not None and lease.number == lease_number:
             if lease.stage is Stage.RETURNING:
@@ -55,8 +55,9 @@
             await self.log_client.submit_until_answered(self._part_report(lease, PART_IN))
 
     async def _suspend_runner(self, lease: Lease) -> bool:
-        """Make the routers here stop using the runner, report it, and replace the process if it is ours.
+        """Make the routers here stop using the runner, and report it once all of them have.
 
+        If this agent holds the lease, it replaces the runner's process once no router of any agent uses it.
         Returns False if the log does not confirm that this agent has begun its part.
         """
         assert lease.parts is not None
--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -40,7 +40,7 @@
     instances: tuple[InstanceSettings, ...]
     backoff_s: float  # wait before the first restart; doubled after each further early end
     max_backoff_s: float
-    steady_s: float  # a process that ran at least this long did not end early, which resets the backoff
+    steady_s: float  # a process that has run at least this long did not end early: the backoff is reset
     stop_s: float  # time from SIGTERM to SIGKILL
     control: ControlSettings | None = None  # None if the agent has no control plane
     folder: Path | None = None  # for the process registry and the instances' logs; None for neither
@@ -82,7 +82,7 @@
     if "control" in root.values:
         return control_from(root.table("control"), voters)
     if voters:
-        raise OperatorError("voter: is of no use without [control]")
+        raise OperatorError("voter: needs a [control] table")
     return None
 
 
@@ -97,9 +97,9 @@
     if file:
         command = [sys.executable, "-m", "maplestile", "serve", str(folder / file)]
     if not isinstance(command, list) or not all(isinstance(part, str) for part in command):
-        raise OperatorError(f"{table.path}.command: must be a list of texts")
+        raise OperatorError(f"{table.path}.command: must be a list of strings")
     if not isinstance(environment, dict) or not all(isinstance(v, str) for v in environment.values()):
-        raise OperatorError(f"{table.path}.env: must be a table of texts")
+        raise OperatorError(f"{table.path}.env: must be a table of strings")
     table.end()
     return InstanceSettings(
         name=name,
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("maplestile.agent")
 SIGNAL_ANSWER_TIMEOUT_S = 3.0
-BACKOFF_FACTOR = 2
+BACKOFF_FACTOR = 2  # by which the backoff grows with each early end
 
 
 class ProcessState(Enum):
@@ -65,9 +65,8 @@
         self.launcher = ProcessLauncher(settings.name, registry)
         self.output = ProcessOutput(settings.name)
         self.process: Process | None = None
-        self.orphan: Process | None = (
-            None  # left running by an earlier agent; adopted instead of a first start
-        )
+        # Left running by an earlier agent, and adopted instead of a first start; None if there is none.
+        self.orphan: Process | None = None
         self.is_adopted = False  # whether an earlier agent started the current process
         self.state = ProcessState.NEW
         self.starts = 0
@@ -149,7 +148,7 @@
     async def stop(self) -> None:
         """Stop the process, and do not restart it until `start` or `restart`.
 
-        Sends SIGTERM, then SIGKILL if the process has not ended after `stop_s`.
+        Sends SIGTERM, and then SIGKILL if the process has not ended within `stop_s`.
         """
         self._cancel_restart()
         await self._terminate()
@@ -236,13 +235,12 @@
                 await self.state_changed.wait_for(lambda: self.process is not process)
             return "" if self.output.drained else "it ended without its last word: how is not known"
         exit_code = process.returncode
-        # A router handles SIGTERM and exits with 0 after its drain. SIGTERM may kill other programs by
-        # default.
+        # A router handles SIGTERM and exits with 0 after its drain. Other programs may not handle it.
         is_clean = exit_code == 0 or (exit_code == -signal.SIGTERM and not self.settings.is_router)
         return "" if is_clean else f"it ended with {exit_code}"
 
     def start(self) -> None:
-        """Let the supervision start the process again after `stop` or `drain`."""
+        """Allow the process to run again after `stop` or `drain`; `run` then starts it."""
         self.should_run.set()
 
     def reload_settings(self) -> None:
--- a/maplestile/agent/supervisor.py
+++ b/maplestile/agent/supervisor.py
@@ -35,7 +35,7 @@
         """Create the agent; nothing is started yet.
 
         `read_settings` returns the current settings of an instance from the agent's file. Raises OSError if
-        the agent's folder cannot be used, or is in use by another agent.
+        the agent's folder cannot be used or belongs to another running agent.
         """
         self.settings = settings
         registry = None
@@ -105,4 +105,4 @@
             for name, instance in self.instances.items()
             if instance.process.settings.is_router and instance.process.send_signal(signal.SIGHUP)
         ]
-        log.info("agent: SIGHUP passed on to %s", ", ".join(reloaded) or "no router: none is running")
+        log.info("agent: SIGHUP passed on to %s", ", ".join(reloaded) or "no router, since none is running")
--- a/maplestile/common/errors.py
+++ b/maplestile/common/errors.py
@@ -2,4 +2,4 @@
 
 
 class CommandRejected(Exception):
-    """The replicated state does not accept a command; the message is the reason, for the command's issuer."""
+    """Raised when the replicated state rejects a command; the message is the reason, for its sender."""
--- a/maplestile/common/toml_table.py
+++ b/maplestile/common/toml_table.py
@@ -1,7 +1,7 @@
 """Reads the tables of TOML files field by field, with errors that name the field.
 
-Used for the operator's file, the agent's file, fault schedules and experiments. A field that nobody has read
-is unknown, which is an error: `end` raises it.
+Used for the operator's file, the agent's file, fault schedules and experiments. A field that no method has
+read is unknown, which is an error: `end` raises it.
 """
 
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class ConfigError(Exception):
-    """A configuration is invalid; the message names the field."""
+    """Raised when a configuration is invalid; the message names the field."""
 
 
 class TomlTable:
--- a/tests/agent_doubles.py
+++ b/tests/agent_doubles.py
@@ -43,7 +43,7 @@
         self.error = ""  # text of the LogError that `submit` raises; "" for none
 
     def ready(self) -> bool:
-        """Return that the log can be used."""
+        """Return True: the log can always be used."""
         return True
 
     def status(self) -> VoterStatus:
@@ -97,7 +97,7 @@
     body: str
 
 
-ROUTER_ANSWERS = {  # by method and path
+ROUTER_ANSWERS = {  # by HTTP method and path
     "GET /v1/readyz": RouterAnswer(200, ""),
     "GET /v1/metrics": RouterAnswer(200, 'svc_success_total{class="safe"} 5\n'),
     "GET /v1/members": RouterAnswer(501, '{"detail": "membership is off"}'),
@@ -195,7 +195,7 @@
         return HealthReport(True, 5, 1)
 
     async def fetch_lost_members(self) -> set[str]:
-        """Return that no member is lost."""
+        """Return an empty set: no member is lost."""
         return set()
 
     async def fetch_runners(self) -> dict[str, ListedRunner] | None:
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -21,7 +21,7 @@
 RUNNING_INSTANCE = {"state": "running", "pid": 17, "starts": 2, "for_s": 3.5, "last_exit": "ended with 1"}
 STOPPED_INSTANCE = {"state": "stopped", "pid": None, "starts": 0, "for_s": 0.1, "last_exit": ""}
 MEMBERS_VIEW = {"isolated": False, "members": [{"name": "n1", "status": "alive", "incarnation": 2}]}
-UNKNOWN_FIELD = {"foreign": [1]}  # as a later version may add to a reply
+UNKNOWN_FIELD = {"foreign": [1]}  # an example of a field that a later version may add to a reply
 REQUESTS = 2  # from an agent without a vote: a command, and a poll of the state
 
 
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -128,7 +128,7 @@
 
 
 def _fill_in_policy(message: object, rig: PolicyDriverRig) -> object:
-    """Return the message, with the rig's policy, under a changed attempt limit, in place of "policy"."""
+    """Replace the document "policy" of a message by the rig's policy with another attempt limit."""
     if isinstance(message, dict) and message.get("document") == "policy":
         return message | {"document": rig.policy(attempts=2)}
     return message
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -78,7 +78,7 @@
         calls = Calls(self.fleet, 10)
         self.start_rollout(0, "--action", "drain", "--budget", "3", "r1", "r2", "r4")
         eventually(lambda: len(self.rollout_status()["done"]) >= 1, "a router to be drained")
-        self.assertEqual(self.fleet.run(1, "rollout", "halt", "--reason", "a look").exit_code, 0)
+        self.assertEqual(self.fleet.run(1, "rollout", "halt", "--reason", "operator check").exit_code, 0)
         halted_us = time.monotonic_ns() // 1000
         eventually(
             lambda: all(lease["stage"] == "out" for lease in self.fleet.status(2)["leases"]),
@@ -122,7 +122,9 @@
                 ),
                 "the lease to be granted",
             )
-            self.assertEqual(self.fleet.run(peer, "rollout", "halt", "--reason", "a look").exit_code, 0)
+            self.assertEqual(
+                self.fleet.run(peer, "rollout", "halt", "--reason", "operator check").exit_code, 0
+            )
             self.wait_until_no_lease(peer)
         finally:
             holder.send_signal(signal.SIGCONT)
