--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -1,10 +1,11 @@
 """The agent's side of the fleet's policy: its routers check proposed changes and receive committed epochs.
 
-Each announcement to a router carries a fence, which comes from a read of the replicated log: the time at
-which the read was requested, by the machine's monotonic clock, which the routers share. The read was
-committed after that time. A read names the routers that are answering, and only those routers get its fence,
-so no router keeps using an old epoch once a change is committed. While this agent's voter is the leader,
-`PolicyLeader` decides whether a change is committed.
+Each announcement to a router carries a fence: a time at or after which the announced epoch was the committed
+one. It comes from a read of the replicated log, and is the time at which the read was requested, by the
+machine's monotonic clock, which the routers share. The read was committed after that time. A read names the
+routers that are answering, and only those routers get its fence, so no router keeps using an old epoch once a
+change is committed. While this agent's voter is the leader, `PolicyLeader` decides whether a change is
+committed.
 """
 
 import asyncio
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -26,10 +26,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Fence:
-    """The result of a read of the replicated log that named the router."""
+    """The result of a read of the replicated log that named the router.
 
-    epoch: int = 0  # the committed epoch at the time of the read
-    requested_us: int = 0  # when the read was requested, by the machine's monotonic clock
+    At `requested_us` or later, by the machine's monotonic clock, `epoch` was the committed epoch.
+    """
+
+    epoch: int = 0
+    requested_us: int = 0  # when the agent requested the read
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -40,8 +40,8 @@
     instances: tuple[InstanceSettings, ...]
     backoff_s: float  # wait before the first restart; doubled after each further early end
     max_backoff_s: float
-    steady_s: float  # a process that has run at least this long did not end early: the backoff is reset
-    stop_s: float  # time from SIGTERM to SIGKILL
+    min_uptime_s: float  # a process that has run at least this long did not end early: the backoff is reset
+    stop_timeout_s: float  # from SIGTERM to SIGKILL
     control: ControlSettings | None = None  # None if the agent has no control plane
     folder: Path | None = None  # for the process registry and the instances' logs; None for neither
 
@@ -55,8 +55,8 @@
         instances=tuple(_instance_settings(table, path.parent) for table in root.tables("instance")),
         backoff_s=agent.number("backoff_s", 0.5, minimum=0.01),
         max_backoff_s=agent.number("backoff_most_s", 30.0, minimum=0.01),
-        steady_s=agent.number("steady_s", 10.0),
-        stop_s=agent.number("stop_s", 8.0, minimum=0.1),
+        min_uptime_s=agent.number("steady_s", 10.0),
+        stop_timeout_s=agent.number("stop_s", 8.0, minimum=0.1),
         control=_control_settings(root),
         folder=Path(agent.text("folder")) if "folder" in agent.values else None,
     )
--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -118,7 +118,7 @@
         self.launcher.record(None)
 
     async def _back_off(self, ran_s: float) -> None:
-        if ran_s >= self.agent.steady_s:
+        if ran_s >= self.agent.min_uptime_s:
             self.backoff_s = self.agent.backoff_s
         log.warning("%s: %s; restarting in %.2f s", self.settings.name, self.last_exit, self.backoff_s)
         await self._set_state(ProcessState.WAITING)
@@ -148,7 +148,7 @@
     async def stop(self) -> None:
         """Stop the process, and do not restart it until `start` or `restart`.
 
-        Sends SIGTERM, and then SIGKILL if the process has not ended within `stop_s`.
+        Sends SIGTERM, and then SIGKILL if the process has not ended within `stop_timeout_s`.
         """
         self._cancel_restart()
         await self._terminate()
@@ -198,11 +198,13 @@
         if process is None or not self.send_signal(signal.SIGTERM):
             return
         try:
-            async with asyncio.timeout(self.agent.stop_s):
+            async with asyncio.timeout(self.agent.stop_timeout_s):
                 await process.wait()
         except TimeoutError:
             log.warning(
-                "%s: still running %.1f s after SIGTERM; killed", self.settings.name, self.agent.stop_s
+                "%s: still running %.1f s after SIGTERM; killed",
+                self.settings.name,
+                self.agent.stop_timeout_s,
             )
             self.send_signal(signal.SIGKILL)
             await process.wait()
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -30,9 +30,9 @@
     control = ControlState()
     for command in REGISTRATIONS + POLICY_CHANGES[:changes]:
         control.apply_encoded(command)
-    known = {"epoch": 0, "standing": "stale", "stale_s": 4.0, "reason": "old"}
+    router_report = {"epoch": 0, "standing": "stale", "stale_s": 4.0, "reason": "old"}
     instances = {
-        "r0": {"agent": "a0", "heard_s": 1.5, **known, **UNKNOWN_FIELD},
+        "r0": {"agent": "a0", "heard_s": 1.5, **router_report, **UNKNOWN_FIELD},
         "r1": {"agent": "a0", "heard_s": None, "stale_s": 0},
     }
     raft = {"voter": "a0", "leading": True, "leader": "a0", "term": 3, "index": 9}
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -106,7 +106,7 @@
         self.assertLessEqual(self.fleet.max_instances_out(), 3)
 
     def test_adopted_router_killed_during_drain_is_not_reported_as_drained(self) -> None:
-        """The exit code of an adopted process is not known, so the log must tell a kill from a drain."""
+        """The exit code of an adopted process is unknown: its agent tells a kill from a drain by the log."""
         pid = self.fleet.pid("r0")
         self.fleet.kill_agent(0)
         self.fleet.restart_agent(0)
--- a/tests/test_process_unrecorded.py
+++ b/tests/test_process_unrecorded.py
@@ -46,13 +46,13 @@
         program.kill()
 
     def end_orphan(self, pid: int) -> None:
-        """Kill the router if no agent has stopped it; its pid may belong to another process by now."""
+        """Kill the router if it still runs; another process that has reused its pid is left alone."""
         with contextlib.suppress(OSError):
             if str(self.folder) in Path(f"/proc/{pid}/cmdline").read_text():
                 os.kill(pid, signal.SIGKILL)
 
     def status(self) -> dict[str, Any]:
-        """Return the agent's status of the router; the pid is None while the agent cannot be reached."""
+        """Return the router's status as the agent reports it; the pid is None if no agent answers."""
         try:
             reply = asyncio.run(send_command(("127.0.0.1", self.agent_port), "status", []))
         except OSError:
--- a/tests/test_process_voters.py
+++ b/tests/test_process_voters.py
@@ -23,9 +23,9 @@
         file = self.fleet.folder / f"a{number}" / "journal"
         self.assertEqual(self.fleet.agents[number].stop(), 0)
         undamaged = file.read_bytes()
-        cut_short = undamaged[:2000]
+        truncated = undamaged[:2000]
         overwritten = undamaged[:40] + b"\xff" * 200 + undamaged[240:]
-        for content in (cut_short, os.urandom(5000), overwritten):
+        for content in (truncated, os.urandom(5000), overwritten):
             file.write_bytes(content)
             self.fleet.restart_agent(number)
             eventually(lambda: self.fleet.run(number, "ready").exit_code == 0, "its routers to be ready")
