--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an agent: its TOML file with the instances that it supervises."""
+"""The settings of an agent, read from its TOML file, with the instances that it supervises."""
 
 import sys
 import tomllib
@@ -13,41 +13,41 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceSettings:
-    """One `[[instance]]` of the agent's file: a router of this program, or any other command."""
+    """One `[[instance]]` of the agent's file: a router, or any other command."""
 
     name: str
-    command: tuple[str, ...]
-    environment: tuple[tuple[str, str], ...]
-    router_file: Path | None  # the configuration of a router; None of any other command
-    operator_address: str  # HOST:PORT of the operators' front, where no router file names it
+    command: tuple[str, ...]  # the program and its arguments
+    environment: tuple[tuple[str, str], ...]  # names and values, added to the agent's own environment
+    router_file: Path | None  # the operator's file of a router; None for any other command
+    operator_address: str  # `host:port` of the operators' front if there is no router file; "" for none
 
     @property
     def is_router(self) -> bool:
-        """Whether it is a router of this program; to any other command SIGHUP may mean its end."""
+        """Whether the instance is a router. SIGHUP is sent only to routers: it may end any other command."""
         return self.router_file is not None
 
     @property
     def has_operator_front(self) -> bool:
-        """Whether it gives its readiness, metrics and members."""
+        """Whether the instance has an operators' front, which serves readiness, metrics and members."""
         return self.is_router or bool(self.operator_address)
 
 
 @dataclass(slots=True, frozen=True)
 class AgentSettings:
-    """The agent's file."""
+    """The settings of the agent's file."""
 
-    listen: tuple[str, int]
+    listen: tuple[str, int]  # of the command server
     instances: tuple[InstanceSettings, ...]
-    backoff_s: float  # before the first restart of a process that has ended early
+    backoff_s: float  # wait before the first restart; doubled after each further early end
     max_backoff_s: float
-    steady_s: float  # after which a process that ends did not end early
-    stop_s: float  # from SIGTERM to SIGKILL
-    control: ControlSettings | None = None
-    folder: Path | None = None  # of the process registry, and of the instances' logs
+    min_uptime_s: float  # a process that has run at least this long did not end early: the backoff is reset
+    stop_timeout_s: float  # from SIGTERM to SIGKILL
+    control: ControlSettings | None = None  # None if the agent has no control plane
+    folder: Path | None = None  # for the process registry and the instances' logs; None for neither
 
 
 def load_settings(path: Path) -> AgentSettings:
-    """Read the agent's file. Raises OperatorError, which names the field, where it cannot be used."""
+    """Read the agent's file. Raises OperatorError, which names the invalid field."""
     root = _read_toml(path)
     agent = root.table("agent")
     settings = AgentSettings(
@@ -55,8 +55,8 @@
         instances=tuple(_instance_settings(table, path.parent) for table in root.tables("instance")),
         backoff_s=agent.number("backoff_s", 0.5, minimum=0.01),
         max_backoff_s=agent.number("backoff_most_s", 30.0, minimum=0.01),
-        steady_s=agent.number("steady_s", 10.0),
-        stop_s=agent.number("stop_s", 8.0, minimum=0.1),
+        min_uptime_s=agent.number("steady_s", 10.0),
+        stop_timeout_s=agent.number("stop_s", 8.0, minimum=0.1),
         control=_control_settings(root),
         folder=Path(agent.text("folder")) if "folder" in agent.values else None,
     )
@@ -71,10 +71,10 @@
 def _read_toml(path: Path) -> TomlTable:
     try:
         return TomlTable(tomllib.loads(path.read_text(encoding="utf-8")), "", OperatorError)
-    except OSError as fault:
-        raise OperatorError(f"{path}: {fault.strerror}") from None
-    except tomllib.TOMLDecodeError as fault:
-        raise OperatorError(f"{path}: no TOML: {fault}") from None
+    except OSError as error:
+        raise OperatorError(f"{path}: {error.strerror}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise OperatorError(f"{path}: no TOML: {error}") from None
 
 
 def _control_settings(root: TomlTable) -> ControlSettings | None:
@@ -82,7 +82,7 @@
     if "control" in root.values:
         return control_from(root.table("control"), voters)
     if voters:
-        raise OperatorError("voter: is of no use without [control]")
+        raise OperatorError("voter: needs a [control] table")
     return None
 
 
@@ -97,9 +97,9 @@
     if file:
         command = [sys.executable, "-m", "maplestile", "serve", str(folder / file)]
     if not isinstance(command, list) or not all(isinstance(part, str) for part in command):
-        raise OperatorError(f"{table.path}.command: must be a list of texts")
+        raise OperatorError(f"{table.path}.command: must be a list of strings")
     if not isinstance(environment, dict) or not all(isinstance(v, str) for v in environment.values()):
-        raise OperatorError(f"{table.path}.env: must be a table of texts")
+        raise OperatorError(f"{table.path}.env: must be a table of strings")
     table.end()
     return InstanceSettings(
         name=name,
