--- a/maplestile/net/answer_writer.py
+++ b/maplestile/net/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writes answers to clients, within limits on what they leave unread."""
+"""Writes answers to clients, and limits how many bytes of answers they may leave unread."""
 
 import logging
 
@@ -9,15 +9,15 @@
 
 
 class AnswerWriter:
-    """Bounds the memory of unread answers, for each client and for all of them together."""
+    """Limits the memory of unread answers, per client and for all clients together."""
 
     def __init__(self, table: ClientTable) -> None:
         self.table = table
 
     def write(self, client: Client, data: bytes) -> None:
-        """Write an answer; a client over a limit is disconnected."""
+        """Write an answer; disconnect a client if a limit on unread answers is exceeded."""
         transport = client.writer.transport
-        if transport.is_closing() or client.write_closed:  # nobody is left to be answered
+        if transport.is_closing() or client.write_closed:  # no answer can be sent any more
             client.all_answered.set()
             return
         table = self.table
@@ -32,12 +32,12 @@
             self._disconnect(self._longest_unread(now_us))
 
     def _longest_unread(self, now_us: int) -> Client:
-        """Return the client that has read nothing for the longest time, however much others leave unread."""
+        """Return the client that has read nothing for the longest time, regardless of its unread bytes."""
         blocked = (client for client in self.table.clients if client.unsent_bytes(now_us))
         return min(blocked, key=lambda client: client.unread_since_us)
 
     def _disconnect(self, client: Client) -> None:
         self.table.counters["clients.too_slow"] += 1
-        log.warning("client: reads too slowly; connection closed")
+        log.warning("platform client: reads its answers too slowly; closing the connection")
         client.writer.transport.abort()
         client.all_answered.set()
--- a/maplestile/net/client.py
+++ b/maplestile/net/client.py
@@ -1,4 +1,4 @@
-"""One client's connection at the platform's front."""
+"""The state of one client connection at the platform front."""
 
 import array
 import asyncio
@@ -12,40 +12,41 @@
 from maplestile.requests.core import Presence
 from maplestile.wire import jsonrpc
 
-# States of a TCP connection whose other side has ended it (include/net/tcp_states.h of Linux).
+# TCP states of a connection that the peer has closed (Linux, include/net/tcp_states.h).
 TCP_CLOSE = 7
 TCP_CLOSE_WAIT = 8
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """The state of one connection; times are Unix microseconds."""
+    """One client connection; times are Unix microseconds."""
 
     reader: ClientReader
     writer: asyncio.StreamWriter
     framer: jsonrpc.Framer
-    message_since_us: int  # of the connect, or of the first byte of the message that is not complete yet
-    message_reads: int = 0  # reads that brought complete messages
-    bad_messages: int = 0
-    calls: dict[int, int] = field(default_factory=dict)  # the open ids of this connection, to the core's
-    tags: dict[str, int] = field(default_factory=dict)  # tags of the open calls, to their ids
-    all_answered: asyncio.Event = field(default_factory=asyncio.Event)
-    last_active_us: int = 0  # when it last sent a message or was answered
-    written_bytes: int = 0  # of answers
-    sent_bytes: int = 0  # of which the system had taken so many at the last look
-    unread_since_us: int = 0  # since when the system has taken none of the answers that wait
-    write_closed: bool = False  # this side of the connection has ended
-    handling: bool = False  # messages that were read are still to be handled
+    # Start of the wait for the next complete message: time of the connect, or of the message's first byte.
+    message_wait_since_us: int
+    message_reads: int = 0  # reads that completed at least one message
+    bad_messages: int = 0  # invalid messages received
+    calls: dict[int, int] = field(default_factory=dict)  # JSON-RPC id of each open call -> number at the core
+    tags: dict[str, int] = field(default_factory=dict)  # tag of each open call -> JSON-RPC id
+    all_answered: asyncio.Event = field(default_factory=asyncio.Event)  # set when no call is open any more
+    last_active_us: int = 0  # when the client last sent a message or was sent an answer
+    written_bytes: int = 0  # answer bytes written to the transport
+    sent_bytes: int = 0  # answer bytes that the kernel had accepted at the last check
+    unread_since_us: int = 0  # since when the kernel has accepted no more of the buffered answers
+    write_closed: bool = False  # the router has closed its write side
+    is_handling: bool = False  # some messages of the last read are not handled yet
 
     def unread_input_bytes(self) -> int:
-        """Return how many bytes wait to be taken, here or in the system."""
+        """Return how many bytes of input are unread, in the stream reader and in the socket."""
         in_socket = array.array("i", [0])
-        with contextlib.suppress(OSError):  # it has just broken, or the system does not tell
+        with contextlib.suppress(OSError):  # connection lost, or FIONREAD not supported
             fcntl.ioctl(self.writer.get_extra_info("socket").fileno(), termios.FIONREAD, in_socket)
         return self.reader.buffered_bytes + in_socket[0]
 
     def unsent_bytes(self, now_us: int) -> int:
-        """Return how many bytes of answers the system has not taken; note whether it has taken any."""
+        """Return how many bytes of answers the kernel has not accepted, and update `unread_since_us`."""
         unsent = self.writer.transport.get_write_buffer_size()
         if self.written_bytes - unsent > self.sent_bytes or not unsent:
             self.sent_bytes = self.written_bytes - unsent
@@ -53,25 +54,25 @@
         return unsent
 
     def has_unhandled_input(self) -> bool:
-        """Return whether a request has come, complete or in part, that is not open yet."""
-        return self.handling or bool(self.framer.rest) or self.unread_input_bytes() > 0
+        """Return whether a request was received, complete or in part, that is not open at the core yet."""
+        return self.is_handling or bool(self.framer.rest) or self.unread_input_bytes() > 0
 
     def presence(self) -> Presence:
-        """Return whether the client still waits, for an attempt that starts after the loop was busy.
+        """Return whether the client still waits, for an attempt that starts after the event loop was busy.
 
-        A close or a cancel may have come, and not be read yet.
+        A close or a cancellation may have arrived that has not been read yet.
         """
         self.detect_close()
         if self.reader.ended:
             return Presence.GONE
-        return Presence.UNREAD if self.handling or self.unread_input_bytes() else Presence.WAITING
+        return Presence.UNREAD if self.is_handling or self.unread_input_bytes() else Presence.WAITING
 
     def detect_close(self) -> None:
-        """Ask the system whether the client has closed.
+        """Ask the kernel whether the client has closed the connection.
 
-        A close behind much unread input would be found late by reading.
+        Reading would find the close late if much unread input precedes it.
         """
-        with contextlib.suppress(OSError):  # where the system does not tell
-            link = self.writer.get_extra_info("socket")
-            if link.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in (TCP_CLOSE, TCP_CLOSE_WAIT):
+        with contextlib.suppress(OSError):  # TCP_INFO not supported
+            sock = self.writer.get_extra_info("socket")
+            if sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in (TCP_CLOSE, TCP_CLOSE_WAIT):
                 self.reader.end()
--- a/maplestile/net/client_reader.py
+++ b/maplestile/net/client_reader.py
@@ -1,4 +1,4 @@
-"""The input stream of a client's connection: it knows the age of its bytes, and notes the close at once."""
+"""The input stream of a client connection, with receive timestamps and immediate detection of a close."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,61 +6,61 @@
 
 
 class ReceiveTimestamps(Protocol):
-    """What the event loop's selector knows of the age of input."""
+    """The timestamps that the event loop's selector provides for received input."""
 
     @property
-    def since_us(self) -> int:
-        """The earliest Unix time in microseconds at which bytes found just now can have come."""
+    def earliest_event_us(self) -> int:
+        """The earliest Unix time in microseconds at which the bytes of the last select can have arrived."""
         ...
 
     @property
     def last_idle_us(self) -> int:
-        """When the loop last had nothing to do, in Unix microseconds."""
+        """When the event loop last waited for events, with all input read, in Unix microseconds."""
         ...
 
 
 class ClientReader(asyncio.StreamReader):
-    """A stream that reports the end of its peer's side even while earlier bytes are still to be taken."""
+    """A stream reader that reports end of stream at once, even while earlier bytes are still buffered."""
 
     def __init__(self, max_read_bytes: int, timestamps: ReceiveTimestamps) -> None:
         super().__init__(max_read_bytes)
         self.max_read_bytes = max_read_bytes
         self.timestamps = timestamps
-        self.received_us = 0  # the earliest time at which the bytes of the last read can have come
-        self.read_was_full = False  # the last read took all it could, so more may wait behind it
-        self.buffered_bytes = 0  # read from the socket and not taken yet
+        self.received_us = 0  # earliest Unix time at which the bytes of the last read can have arrived
+        self.read_was_full = False  # the last read filled the buffer, so the socket may hold more input
+        self.buffered_bytes = 0  # read from the socket, and not yet returned by `take`
         self.ended = False
         self.on_end: Callable[[], object] = lambda: None
-        self._last_idle_us = 0  # `last_idle_us` at the last read
+        self._last_idle_us = 0  # `timestamps.last_idle_us` at the last read
 
     def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # narrower than typeshed's buffers
-        """Take what the transport has read."""
-        # What a flood leaves in the socket is as old as its first bytes, until the loop has caught up.
+        """Buffer what the transport has read, and update the receive time."""
+        # Bytes left in the socket by a full read may be as old as that read, until the loop has been idle.
         if not self.read_was_full or self.timestamps.last_idle_us != self._last_idle_us:
-            self.received_us = self.timestamps.since_us
+            self.received_us = self.timestamps.earliest_event_us
         self.read_was_full = len(data) >= self.max_read_bytes
         self._last_idle_us = self.timestamps.last_idle_us
         self.buffered_bytes += len(data)
         super().feed_data(data)
 
     async def take(self, max_bytes: int) -> bytes:
-        """Read at most so many bytes; empty at the end of the stream."""
+        """Read at most `max_bytes`; return no bytes at the end of the stream."""
         data = await self.read(max_bytes)
         self.buffered_bytes -= len(data)
         return data
 
     def feed_eof(self) -> None:
-        """Note the end of the peer's side."""
+        """Record that the peer has closed its write side."""
         super().feed_eof()
         self.end()
 
     def set_exception(self, exc: Exception) -> None:
-        """Note that the connection is lost."""
+        """Record that the connection is lost."""
         super().set_exception(exc)
         self.end()
 
     def end(self) -> None:
-        """Call `on_end`, once."""
+        """Mark the stream as ended, and call `on_end` the first time."""
         if not self.ended:
             self.ended = True
             self.on_end()
--- a/maplestile/net/client_table.py
+++ b/maplestile/net/client_table.py
@@ -1,4 +1,4 @@
-"""The connections of the platform's front, and which of them is evicted for a newcomer at the cap."""
+"""The client connections of the platform front, and their eviction when the connection limit is reached."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -9,48 +9,49 @@
 
 
 class EvictionRank(IntEnum):
-    """In which order connections without an open request are evicted."""
+    """The eviction order of connections without an open request; the lowest rank is evicted first."""
 
-    WRITE_CLOSED = 0  # this side has ended it
-    SILENT = 1  # it never sent a request, for long
-    ONE_REQUEST = 2
-    WAITING = 3  # it never sent a request, and had a short time to
-    RETURNING = 4  # it sent requests more than once
-    NEW = 5
+    WRITE_CLOSED = 0  # the router has closed its write side
+    SILENT = 1  # has sent no request for longer than `ClientLimits.silent_us`
+    ONE_REQUEST = 2  # all of its requests came in one read
+    WAITING = 3  # has sent no request for longer than `ClientLimits.grace_us`
+    RETURNING = 4  # has sent requests more than once
+    NEW = 5  # connected too recently to expect a request
 
 
 class ClientTable:
-    """All connections at the cap, with the limits and counters that apply to them."""
+    """All connections that count towards the connection limit, with their limits and counters."""
 
     def __init__(self, limits: Limits, counters: Counter[str], clock: Callable[[], int]) -> None:
         self.limits = limits
         self.counters = counters
         self.clock = clock
-        self.clients: dict[Client, None] = {}  # the least recently active first
-        # Closed connections whose last answers are still to be read; the first to close first.
+        self.clients: dict[Client, None] = {}  # an ordered set, least recently active first
+        # Closed connections whose clients have not read their last answers yet, in the order of closing.
         self.flushing: dict[Client, None] = {}
 
     def is_full(self) -> bool:
-        """Return whether the cap of connections is reached."""
+        """Return whether the connection limit is reached."""
         return len(self.clients) + len(self.flushing) >= self.limits.clients.connections
 
     def mark_active(self, client: Client) -> None:
-        """Make the client the most recently active one."""
+        """Move the client to the end of the table, as the most recently active one."""
         client.last_active_us = self.clock()
         if client in self.clients:
             del self.clients[client]
             self.clients[client] = None
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes of answers the system has not taken yet, of all clients."""
+        """Return how many bytes of answers to all clients the kernel has not accepted yet."""
         now_us = self.clock()
         return sum(client.unsent_bytes(now_us) for client in self.clients)
 
     def evict_idle(self) -> bool:
         """Close one connection without a pending request or unread input; return whether there was one.
 
-        A request that was read, or is on its way in pieces, must not be dropped for a newcomer's. Where no
-        connection is idle, one whose client has not read or sent on for long is closed in its place.
+        A request that was read, or that is arriving in pieces, must not be dropped for a new connection. If
+        no connection is idle, one whose client has stalled while reading answers or sending a request is
+        closed instead.
         """
         candidates = self._eviction_candidates()
         return (
@@ -58,10 +59,10 @@
         )
 
     def _eviction_candidates(self) -> list[Client]:
-        """Return the connections without an open request, the first to be evicted first.
+        """Return the connections without an open request, in eviction order.
 
-        The order is that of a segmented LRU, so that a crowd of clients that come once does not evict those
-        in use: by rank, and within one rank by the last activity.
+        They are ordered by rank, and within a rank by their last activity. As in a segmented LRU cache, many
+        clients that send one request each do not evict those that return.
         """
         now_us = self.clock()
         candidates = (client for client in self.clients if not client.calls)
@@ -72,13 +73,13 @@
             return EvictionRank.WRITE_CLOSED
         if client.message_reads:
             return EvictionRank.ONE_REQUEST if client.message_reads == 1 else EvictionRank.RETURNING
-        silent_us = now_us - client.message_since_us
+        silent_us = now_us - client.message_wait_since_us
         if silent_us > self.limits.clients.silent_us:
             return EvictionRank.SILENT
         return EvictionRank.WAITING if silent_us > self.limits.clients.grace_us else EvictionRank.NEW
 
     def _evict_first_idle(self, candidates: list[Client]) -> bool:
-        """Close the first connection of which all input has been handled."""
+        """Close the first candidate whose input has all been handled; return whether there was one."""
         for client in candidates:
             if not client.has_unhandled_input():
                 self.counters["clients.idle_evicted"] += 1
@@ -87,7 +88,7 @@
         return False
 
     def _abort_unread(self) -> bool:
-        """Abort a closed connection whose client has not read its last answers for long."""
+        """Abort a closed connection whose client has stalled reading its last answers, if there is one."""
         now_us = self.clock()
         for client in self.flushing:
             unread_us = now_us - client.unread_since_us if client.unsent_bytes(now_us) else 0
@@ -99,11 +100,11 @@
         return False
 
     def _evict_unfinished(self, candidates: list[Client]) -> bool:
-        """Close a connection with a part of a request, of which the rest has not come for long."""
+        """Close a connection whose incomplete request has stalled, if there is one."""
         since_us = self.clock() - self.limits.clients.unfinished_us
         for client in candidates:
-            is_unfinished = client.framer.rest and client.message_since_us < since_us
-            if is_unfinished and not client.handling and not client.unread_input_bytes():
+            is_unfinished = client.framer.rest and client.message_wait_since_us < since_us
+            if is_unfinished and not client.is_handling and not client.unread_input_bytes():
                 self.counters["clients.unfinished_evicted"] += 1
                 self._evict(client)
                 return True
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -1,4 +1,4 @@
-"""The membership protocol on UDP: datagrams in and out of `membership.swim.Swim`, and its timer."""
+"""The membership protocol over UDP: the socket and the timer that drive `membership.swim.Swim`."""
 
 import asyncio
 import logging
@@ -26,18 +26,18 @@
 
 log = logging.getLogger("maplestile.peers")
 
-MAX_WAIT_S = 1.0  # between two looks at the timers
+MAX_WAIT_S = 1.0  # the longest time between two checks of the protocol's timers
 
 
 def monotonic_us() -> int:
-    """Return the clock of the protocol, in microseconds."""
+    """Return the monotonic time in microseconds, which is the protocol's clock."""
     return time.monotonic_ns() // 1000
 
 
 class GossipDriver(asyncio.DatagramProtocol):
-    """One member on one UDP socket.
+    """One member of the group, on one UDP socket.
 
-    `probe` sends one health check to a runner; the outcome comes back by `probed`.
+    `probe` sends one health check to a runner; its result is reported to `record_probe`.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.probe = probe
         interval_us = settings.health_check_interval_us
         self.health_checks = SharedHealthChecks(name, interval_us) if interval_us else None
-        self.swim = self._new_swim(settings.listen)  # replaced once the socket's address is known
+        self.swim = self._new_swim(settings.listen)  # replaced by `run`, when the socket's address is known
         self.events = logs.events("peers")
         self.transport: asyncio.DatagramTransport | None = None
         self.wake = asyncio.Event()
@@ -63,10 +63,10 @@
     # The socket and the timer.
 
     async def run(self) -> None:
-        """Take part in the group until cancelled. Raises OSError where the address cannot be bound."""
+        """Take part in the group until cancelled. Raises OSError if the address cannot be bound."""
         self.transport = await self._open_socket()
         host, port = self.transport.get_extra_info("sockname")[:2]
-        # With port 0 in the settings the system chose one, which the others need to know.
+        # If the settings have port 0, the other members need to know the port that the kernel chose.
         self.swim = self._new_swim(self.settings.advertise or (host, port))
         self.swim.join(self.settings.seeds)
         self._flush()
@@ -81,44 +81,44 @@
             self.transport.close()
 
     def leave(self) -> None:
-        """Announce that this member leaves; the gossip spreads while the process drains."""
+        """Announce that this member leaves the group; gossip spreads the news while the process drains."""
         if self.transport is None:
             return
         self.swim.leave()
         self._flush()
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Handle one datagram; one that cannot be decoded is counted and dropped."""
+        """Handle one datagram; count and drop it if it cannot be decoded."""
         try:
             message = decode(data)
         except DatagramError as error:
             self.counters["peers.bad_datagrams"] += 1
-            log.warning("peers: a bad datagram from %s:%s dropped: %s", addr[0], addr[1], error)
+            log.warning("peers: dropped a malformed datagram from %s:%s: %s", addr[0], addr[1], error)
             return
         self.counters[f"peers.in.{message.kind}"] += 1
         self.swim.receive(message, monotonic_us())
         self._flush()
-        self.wake.set()  # what came may have changed what is due
+        self.wake.set()  # the message may have changed when the next timer is due
 
     def error_received(self, exc: Exception) -> None:  # noqa: ARG002 - asyncio calls it with this argument
-        """Count a datagram that was refused, as by the host of a member that ended: the probes detect it."""
+        """Count a send error, such as a refused port of an ended member; probes detect such failures."""
         self.counters["peers.send_errors"] += 1
 
-    # The runners: their list, and the health checks of this router.
+    # Health checks of the runners.
 
-    def listed(self, runners: Iterable[str]) -> None:
-        """Take a new list of runners."""
+    def set_runners(self, runners: Iterable[str]) -> None:
+        """Set the list of runners whose health checks the members share."""
         if self.health_checks is not None:
             self.health_checks.set_runners(runners)
             self.wake.set()
 
     def may_probe(self, runner: str) -> bool:
-        """Return whether this router probes a runner for itself."""
+        """Return whether this router sends its own health checks to a runner."""
         return self.health_checks is None or self.health_checks.may_probe(runner)
 
-    def probed(self, runner: str, result: Result) -> None:
-        """Take the outcome of a health check, whoever had it sent."""
-        # A superseded check was never sent: the runner drains, and may well answer.
+    def record_probe(self, runner: str, result: Result) -> None:
+        """Record the result of a health check, whether it was sent for the group or for this router alone."""
+        # A superseded check was never sent, because the runner drains; the runner may still answer.
         if self.health_checks is None or result is Result.SUPERSEDED:
             return
         finding = self.health_checks.record_result(runner, result is Result.OK)
@@ -126,10 +126,10 @@
             self.counters["peers.health_checks.findings"] += 1
             self.events.info("finding", runner=runner, answers=finding.answers, version=finding.version)
 
-    # What operators see.
+    # Views for operators.
 
     def members(self) -> MembershipView:
-        """Return what this member knows of its group."""
+        """Return this member's view of the group."""
         swim = self.swim
         checks = self.health_checks
         return MembershipView(
@@ -138,12 +138,12 @@
             isolated=swim.isolated,
             local_health=swim.local_health,
             agreed=tuple(sorted(swim.agreed)),
-            members=tuple(_view_of(member) for member in swim.view()),
+            members=tuple(_member_view(member) for member in swim.view()),
             health_checks=None if checks is None else _health_checks_view(checks),
         )
 
     def metrics(self) -> MembershipMetrics:
-        """Return the numbers of this member's view."""
+        """Return the metrics of this member's view of the group."""
         by_status = Counter(member.status for member in self.swim.members.values())
         checks = self.health_checks
         return MembershipMetrics(
@@ -156,7 +156,7 @@
             health_checks=None if checks is None else _health_check_metrics(checks),
         )
 
-    # Steps of the loop.
+    # Steps of `run`.
 
     def _new_swim(self, address: Address) -> Swim:
         tuning = self.settings.tuning
@@ -202,7 +202,7 @@
         self.swim.outbox.clear()
 
 
-def _view_of(member: Member) -> MemberView:
+def _member_view(member: Member) -> MemberView:
     return MemberView(member.name, member.address, member.status, member.incarnation)
 
 
--- a/maplestile/net/graceful_close.py
+++ b/maplestile/net/graceful_close.py
@@ -1,6 +1,7 @@
-"""Closes the connections of the platform's front while its process drains.
+"""Closes the connections of the platform front while its process drains.
 
-A request that crosses the close finds a clean end of the connection, and its client sends it elsewhere.
+Only the write side is closed. A client whose request crosses the close sees a clean end of stream instead of
+a reset, and sends the request to another router.
 """
 
 from maplestile.net.client import Client
@@ -8,48 +9,49 @@
 
 
 class GracefulClose:
-    """Ends this side of each connection without losing a request or an answer."""
+    """Closes the write side of each connection without losing a request or an answer."""
 
     def __init__(self, table: ClientTable) -> None:
         self.table = table
-        self.closing_when_answered = False  # each connection ends once nothing is open or unread on it
-        self.ignoring_input = False  # and also with unread input
+        self.closing_when_answered = False  # close each connection after its last pending answer
+        self.ignoring_input = False  # close connections even if they have unread input
 
-    def close_quiet(self, quiet_us: int) -> None:
-        """Close each connection without open or unread requests or activity for so long.
+    def close_idle(self, idle_us: int) -> None:
+        """Close each connection that has no open or unread request and was inactive for `idle_us`.
 
-        With 0 each further connection is closed with its last pending answer: a client that calls again as
-        soon as it is answered would never be found quiet.
+        With 0, the other connections are closed later, each after its last pending answer. A client that
+        sends its next call as soon as it is answered would never be found idle.
         """
-        self.closing_when_answered = quiet_us == 0
+        self.closing_when_answered = idle_us == 0
         for client in list(self.table.clients):
-            self._close_if_quiet(client, quiet_us)
+            self._close_if_idle(client, idle_us)
 
     def close_all(self) -> None:
-        """Close each connection as soon as its open requests are answered, also with unread input.
+        """Close each connection as soon as its open requests are answered, even if it has unread input.
 
-        The exit of the process alone would reset the connections, and take the last answers along.
+        If the process exited without this, the kernel would reset the connections and discard the last
+        answers.
         """
         self.closing_when_answered = True
         self.ignoring_input = True
         for client in list(self.table.clients):
-            self._close_if_quiet(client, 0)
+            self._close_if_idle(client, 0)
 
     def note_activity(self, client: Client) -> None:
-        """Note that the client sent a message or was answered; close the connection if that was awaited."""
+        """Record that the client sent a message or got an answer; close its connection if that is now due."""
         self.table.mark_active(client)
         if self.closing_when_answered:
-            self._close_if_quiet(client, 0)
+            self._close_if_idle(client, 0)
 
-    def _close_if_quiet(self, client: Client, quiet_us: int) -> None:
-        """Close one connection, unless something is open or unread on it, or it was active just now."""
+    def _close_if_idle(self, client: Client, idle_us: int) -> None:
+        """Close one connection, unless it has open or unread requests or was active within `idle_us`."""
         if client.calls or client.write_closed or client.writer.is_closing():
             return
-        if self.ignoring_input or self._is_quiet(client, quiet_us):
+        if self.ignoring_input or self._is_idle(client, idle_us):
             client.write_closed = True
             client.writer.write_eof()
 
-    def _is_quiet(self, client: Client, quiet_us: int) -> bool:
+    def _is_idle(self, client: Client, idle_us: int) -> bool:
         if client.has_unhandled_input():
             return False
-        return client.last_active_us <= self.table.clock() - quiet_us
+        return client.last_active_us <= self.table.clock() - idle_us
--- a/maplestile/net/http.py
+++ b/maplestile/net/http.py
@@ -1,4 +1,4 @@
-"""The driver of the HTTP fronts: accepts connections within the bounds of each front, and drains them."""
+"""The HTTP fronts: accept connections within the limits of each front, and close them during a drain."""
 
 import asyncio
 import logging
@@ -9,7 +9,7 @@
 from maplestile.net.http_connection import (
     READ_BYTES,
     WRITE_TIMEOUT_S,
-    ClientLeft,
+    ClientDisconnected,
     FrontState,
     HttpConnection,
 )
@@ -17,10 +17,10 @@
 from maplestile.wire.http import Application
 
 log = logging.getLogger(__name__)
-ACCEPT_QUEUE = 512
+ACCEPT_QUEUE_SIZE = 512
 # At the end of a drain:
-INCOMPLETE_REQUEST_S = 0.5  # for a request that has started to be complete
-QUIET_S = 0.1  # for what crosses the close
+INCOMPLETE_REQUEST_WAIT_S = 0.5  # for the rest of incomplete requests
+CLOSE_GRACE_S = 0.1  # for connections and requests that cross the close
 POLL_S = 0.01
 
 
@@ -34,23 +34,23 @@
         self.connections = 0
 
     async def start(self, host: str, port: int) -> Listener:
-        """Accept connections. Raises OSError where the address is not free."""
-        burst = self.state.bounds.accept_burst
-        return await listen(host, port, self._serve, _new_reader, burst, ACCEPT_QUEUE)
+        """Listen on an address and accept connections. Raises OSError if the address cannot be bound."""
+        accept_burst = self.state.bounds.accept_burst
+        return await listen(host, port, self._serve, _new_reader, accept_burst, ACCEPT_QUEUE_SIZE)
 
-    def start_leaving(self) -> None:
-        """Ask each client with its next answer to connect elsewhere: the process drains."""
-        self.state.leaving = True
+    def start_draining(self) -> None:
+        """Close each connection after its next answer, so that its client connects to another router."""
+        self.state.is_draining = True
 
     async def close_gracefully(self, listener: Listener) -> None:
-        """Close the front at the end of a drain, when nothing is pending.
+        """Close the front at the end of a drain, when no request is pending.
 
-        Nobody is accepted any more; what the queue held and what comes meanwhile is still answered, and then
-        this side of each connection ends while it is idle. Closed at once, connections would lose the calls
-        that come just then.
+        Queued connections are accepted first, and requests that arrive in the meantime are still answered.
+        Then the write side of each idle connection is closed. Closing connections at once would lose the
+        requests that arrive at that moment.
         """
-        await listener.finish(QUIET_S)
-        await asyncio.sleep(QUIET_S)  # those just accepted have yet to be read
+        await listener.accept_queued_and_close(CLOSE_GRACE_S)
+        await asyncio.sleep(CLOSE_GRACE_S)  # so that the connections just accepted are read
         await self._wait_until_idle()
         for connection in (*self.state.idle, *self.state.receiving):
             connection.close_write()
@@ -59,7 +59,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = self.state
         if self.connections >= state.bounds.connections and not self._evict_idle():
-            state.count("rejected")  # the descriptors are budgeted
+            state.count("rejected")  # each front has a fixed share of the file descriptors
             writer.transport.abort()
             return
         reads.limit_read_size(writer.transport, READ_BYTES)
@@ -68,17 +68,17 @@
         connection = HttpConnection(state, reader, writer)
         try:
             await connection.run()
-        except (ClientLeft, OSError, TimeoutError) as fault:
-            log.debug("%s client: %r", state.name, fault)
+        except (ClientDisconnected, OSError, TimeoutError) as error:
+            log.debug("%s client: connection ended: %r", state.name, error)
         finally:
             self.connections -= 1
             state.receiving.pop(connection, None)
             writer.close()
 
     def _evict_idle(self) -> bool:
-        """Close the connection that has been silent longest, at the cap; return whether there was one.
+        """Close the connection that has been idle longest; return whether there was one.
 
-        On a front of one call a connection, that may also be one with an incomplete request.
+        On a front that serves one call per connection, it may also be one with an incomplete request.
         """
         state = self.state
         oldest = next(iter(state.idle), None)
@@ -93,7 +93,10 @@
         return True
 
     async def _wait_until_idle(self) -> None:
-        """Return once no request is read or handled; incomplete ones are awaited for a shorter time."""
+        """Wait for a limited time until no request is being read or handled.
+
+        The time limit for incomplete requests is shorter than that for requests that are being handled.
+        """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         while True:
@@ -101,13 +104,13 @@
             busy = self.connections - len(self.state.idle)
             if waited_s >= WRITE_TIMEOUT_S or busy <= 0:
                 return
-            if waited_s > INCOMPLETE_REQUEST_S and busy == len(self.state.receiving):
+            if waited_s > INCOMPLETE_REQUEST_WAIT_S and busy == len(self.state.receiving):
                 return
             await asyncio.sleep(POLL_S)
 
     async def _wait_until_closed(self) -> None:
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + QUIET_S
+        until_s = loop.time() + CLOSE_GRACE_S
         while True:
             if not self.connections or loop.time() >= until_s:
                 return
--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection by h11 over asyncio streams: each request is answered before the next is read."""
+"""HTTP/1.1 connections with h11 over asyncio streams; a request is answered before the next one is read."""
 
 import asyncio
 import logging
@@ -15,25 +15,25 @@
 READ_BYTES = 16_384
 MAX_HEAD_BYTES = 16_384
 MAX_PIPELINED_BYTES = 262_144
-MAX_LENGTH_DIGITS = 18  # of a Content-Length
+MAX_LENGTH_DIGITS = 18  # digits in a Content-Length header
 WRITE_TIMEOUT_S = 10.0
 NO_CONTENT = 204
 
 
 class TooLarge(Exception):
-    """A body over the limit; the rest of it is not read."""
+    """The body of a request is over the limit; the rest of it is not read."""
 
 
 class TooSlow(Exception):
-    """A request that has started and is not complete in its time."""
+    """A request has started but was not complete in time."""
 
 
-class ClientLeft(Exception):
+class ClientDisconnected(Exception):
     """The client has closed its connection."""
 
 
 class FrontState:
-    """What the connections of one front share: the application, the counters, and which connections wait."""
+    """The state shared by the connections of one front: application, counters, and waiting connections."""
 
     def __init__(
         self, name: str, app: Application, counters: Counter[str], received_us: Callable[[], int]
@@ -41,36 +41,37 @@
         self.name = name
         self.app = app
         self.counters = counters
-        self.received_us = received_us  # the Unix time at which input of this loop turn can have come
-        self.leaving = False  # the process drains: each answer asks its client to connect elsewhere
-        # Connections without a part of a request, and those whose request is not complete; oldest first.
-        self.idle: dict[HttpConnection, None] = {}
-        self.receiving: dict[HttpConnection, None] = {}
+        # Returns the earliest Unix time in microseconds at which the input read now can have arrived.
+        self.received_us = received_us
+        self.is_draining = False  # the process is draining: each connection closes after its next answer
+        # Ordered sets, oldest first.
+        self.idle: dict[HttpConnection, None] = {}  # connections that have received no part of a request
+        self.receiving: dict[HttpConnection, None] = {}  # connections with an incomplete request
 
     @property
     def bounds(self) -> Bounds:
-        """The limits in force."""
+        """The current limits of the front."""
         return self.app.bounds
 
     def count(self, event: str) -> None:
-        """Count an event under the front's name."""
+        """Count an event in the counter `<front>.<event>`."""
         self.counters[f"{self.name}.{event}"] += 1
 
 
 class HttpConnection:
-    """Reads requests, passes each to the application, and writes the answer."""
+    """Reads requests, passes each to the application, and writes the response."""
 
     def __init__(self, front: FrontState, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.front = front
         self.reader = reader
         self.writer = writer
         self.protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.write_closed = False  # this side of the connection has ended
-        self._pipelined_bytes = 0  # that came before the answer to the request at hand
-        self._due_s: float | None = None  # when the request that has started has to be complete
+        self.write_closed = False  # the router has closed its write side
+        self._pipelined_bytes = 0  # bytes received while the current request was being handled
+        self._deadline_s: float | None = None  # loop time by which the started request must be complete
 
     async def run(self) -> None:
-        """Serve until either side closes. Raises ClientLeft, OSError or TimeoutError."""
+        """Serve requests until either side closes. Raises ClientDisconnected, OSError or TimeoutError."""
         while True:
             try:
                 request = await self._read_request()
@@ -80,23 +81,25 @@
                 return
             except TooSlow:
                 self.front.count("too_slow")
-                log.warning("%s client: a request not whole in time; connection closed", self.front.name)
+                log.warning(
+                    "%s client: request not complete in time; closing the connection", self.front.name
+                )
                 await self._refuse(problem(408, "the request was not whole in time"))
                 return
-            except h11.RemoteProtocolError as fault:
-                await self._refuse_malformed(fault)
+            except h11.RemoteProtocolError as error:
+                await self._refuse_malformed(error)
                 return
-            if request is None or self.write_closed:  # what crossed the close is sent again elsewhere
+            if request is None or self.write_closed:  # the client resends a request that crosses the close
                 return
             answer = await self._answer(request)
-            await self._write(answer, self.front.bounds.one_call or self.front.leaving)
+            await self._write(answer, self.front.bounds.one_call or self.front.is_draining)
             states = (self.protocol.our_state, self.protocol.their_state)
-            if states != (h11.DONE, h11.DONE):  # either side ends the connection
+            if states != (h11.DONE, h11.DONE):  # not persistent: one side asked to close the connection
                 return
             self.protocol.start_next_cycle()
 
     def close_write(self) -> None:
-        """End this side of the connection; a request that crosses that is not handled."""
+        """Close the write side of the connection; a request that crosses the close is not handled."""
         self.write_closed = True
         self.writer.write_eof()
 
@@ -111,7 +114,7 @@
         max_body_bytes = self.front.bounds.body_bytes
         length = dict(head.headers).get(b"content-length", b"0")  # digits, as h11 has checked
         if len(length) > MAX_LENGTH_DIGITS or int(length) > max_body_bytes:
-            raise TooLarge  # before the client is asked to send it
+            raise TooLarge  # before a `100 Continue` would make the client send the body
         body = bytearray()
         while isinstance(event := await self._next_event(), h11.Data):
             body += event.data
@@ -119,31 +122,31 @@
                 raise TooLarge
         if not isinstance(event, h11.EndOfMessage):
             return None
-        self._due_s = None
+        self._deadline_s = None
         self.front.receiving.pop(self, None)
-        return _decoded(head, bytes(body), self.front.received_us())
+        return _to_http_request(head, bytes(body), self.front.received_us())
 
     async def _next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-        """Return the next part of a request, and read while none is complete.
+        """Return the next h11 event, reading input until there is one.
 
-        Raises TooSlow for a request that is not complete in time, TimeoutError where none starts, and h11's
-        RemoteProtocolError for input that is no HTTP.
+        Raises TooSlow if a started request is not complete in time, TimeoutError if no request starts, and
+        h11's RemoteProtocolError for input that is not valid HTTP.
         """
         while (event := self.protocol.next_event()) is h11.NEED_DATA:
             if self.protocol.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self.writer.write(self.protocol.send(go_on) or b"")
-            if self._due_s is None:
+                continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                self.writer.write(self.protocol.send(continue_response) or b"")
+            if self._deadline_s is None:
                 data = await self._read_first()
             else:
-                data = await self._read_more(self._due_s)
+                data = await self._read_more(self._deadline_s)
             self.protocol.receive_data(data)
         return event
 
     async def _read_first(self) -> bytes:
-        """Read the first bytes of a request: the client may take its time, and may be evicted meanwhile.
+        """Read the first bytes of a request; while it waits, the connection is idle and may be evicted.
 
-        Raises TimeoutError if it takes longer than an idle connection may.
+        Raises TimeoutError after the idle timeout.
         """
         bounds = self.front.bounds
         self.front.idle[self] = None
@@ -152,19 +155,26 @@
         finally:
             self.front.idle.pop(self, None)
         self.front.receiving[self] = None
-        self._due_s = asyncio.get_running_loop().time() + self.front.bounds.request_us / 1e6
+        self._deadline_s = asyncio.get_running_loop().time() + self.front.bounds.request_us / 1e6
         return data
 
-    async def _read_more(self, due_s: float) -> bytes:
-        """Read more of a request. Raises TooSlow: one a byte at a time must not keep its descriptor."""
-        left_s = due_s - asyncio.get_running_loop().time()
+    async def _read_more(self, deadline_s: float) -> bytes:
+        """Read more of a request, and raise TooSlow after its deadline.
+
+        The deadline is for the whole request, so that a client that sends a byte at a time cannot hold its
+        file descriptor.
+        """
+        left_s = deadline_s - asyncio.get_running_loop().time()
         try:
             return await reads.read_within(left_s, lambda: self.reader.read(READ_BYTES))
         except TimeoutError:
             raise TooSlow from None
 
     async def _answer(self, request: HttpRequest) -> Response:
-        """Wait for the answer. Raises ClientLeft where the client closes first, and cancels the request."""
+        """Wait for the response.
+
+        If the client closes first, the request is cancelled and ClientDisconnected raised.
+        """
         answer: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
         cancel = self.front.app.handle(request, partial(_set_result, answer))
         try:
@@ -177,7 +187,7 @@
                 cancel()
 
     async def _read_ahead(self, answer: asyncio.Future[Response]) -> None:
-        """Read once until the answer comes: that is how a close shows, and what is pipelined is kept."""
+        """Read once while waiting for the response, to detect a close; pipelined input is passed to h11."""
         reading = asyncio.ensure_future(self.reader.read(READ_BYTES))
         try:
             await asyncio.wait((reading, answer), return_when=asyncio.FIRST_COMPLETED)
@@ -186,22 +196,22 @@
             data = reading.result()
             self._pipelined_bytes += len(data)
             if not data or self._pipelined_bytes > MAX_PIPELINED_BYTES:
-                raise ClientLeft
+                raise ClientDisconnected
             self.protocol.receive_data(data)
         finally:
             if not reading.done():
-                # Its end is awaited: the next read of the stream would find it still there.
+                # Wait for the cancellation: a stream allows only one reader at a time.
                 reading.cancel()
                 await asyncio.wait((reading,))
 
-    async def _refuse_malformed(self, fault: h11.RemoteProtocolError) -> None:
+    async def _refuse_malformed(self, error: h11.RemoteProtocolError) -> None:
         self.front.count("malformed")
-        log.warning("%s client: %s; connection closed", self.front.name, fault)
+        log.warning("%s client: malformed request: %s; closing the connection", self.front.name, error)
         if self.protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await self._refuse(problem(fault.error_status_hint, str(fault)))
+            await self._refuse(problem(error.error_status_hint, str(error)))
 
     async def _refuse(self, response: Response) -> None:
-        """Answer and close; what still comes is read and dropped for a moment."""
+        """Write an error response, close the write side, and discard further input for a short time."""
         if self.write_closed:
             return
         await self._write(response, True)
@@ -209,15 +219,15 @@
         await reads.end_and_discard(self.writer, lambda: self.reader.read(READ_BYTES), linger_s)
 
     async def _write(self, response: Response, close: bool) -> None:
-        """Write an answer. Raises TimeoutError where the client does not read it."""
+        """Write a response. Raises TimeoutError if the client does not read it."""
         self.writer.write(self._encode(response, close))
         async with asyncio.timeout(WRITE_TIMEOUT_S):
             await self.writer.drain()
 
     def _encode(self, response: Response, close: bool) -> bytes:
-        """Return the bytes of an answer; with `close` it announces the end of the connection."""
+        """Return the bytes of a response, with a `Connection: close` header if `close` is set."""
         headers = [*response.headers]
-        if response.status != NO_CONTENT:  # which must not have the header
+        if response.status != NO_CONTENT:  # a 204 response must not have a Content-Length
             headers.append(("Content-Length", str(len(response.body))))
         if close:
             headers.append(("Connection", "close"))
@@ -227,13 +237,13 @@
         return data + (self.protocol.send(h11.EndOfMessage()) or b"")
 
 
-def _decoded(head: h11.Request, body: bytes, received_us: int) -> HttpRequest:
-    """Return a complete request in the types of the application."""
+def _to_http_request(head: h11.Request, body: bytes, received_us: int) -> HttpRequest:
+    """Return a complete request as the application's `HttpRequest`."""
     headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
     return HttpRequest(head.method.decode(), head.target.decode("latin-1"), headers, body, received_us)
 
 
 def _set_result(answer: asyncio.Future[Response], response: Response) -> None:
-    """Set the result of a future; a second one, or one after a cancellation, goes nowhere."""
+    """Set the result of a future, unless it is done or cancelled already."""
     if not answer.done():
         answer.set_result(response)
--- a/maplestile/net/listen.py
+++ b/maplestile/net/listen.py
@@ -1,60 +1,64 @@
-"""Listening sockets of the fronts, which lose nobody as they close."""
+"""Listening sockets of the fronts, which can be closed without losing queued connections."""
 
 import asyncio
 import socket
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-Reader = Callable[[], asyncio.StreamReader]
-Serve = Callable[[Any, asyncio.StreamWriter], Awaitable[None]]  # called with what `Reader` made
-RETRY_S = 0.01  # until a connection is accepted for which there was no file descriptor
+ReaderFactory = Callable[[], asyncio.StreamReader]
+# Serves one connection; the first argument is the reader that the `ReaderFactory` returned.
+ConnectionHandler = Callable[[Any, asyncio.StreamWriter], Awaitable[None]]
+ACCEPT_RETRY_S = 0.01  # after an accept that failed for lack of a file descriptor
 
 
 class Listener:
-    """One listening socket, and what serves the connections that it accepts."""
+    """One listening socket, and the handler of the connections that it accepts."""
 
-    def __init__(self, listener: socket.socket, serve: Serve, reader: Reader) -> None:
+    def __init__(self, listener: socket.socket, serve: ConnectionHandler, new_reader: ReaderFactory) -> None:
         self.socket = listener
         self.serve = serve
-        self.reader = reader
+        self.new_reader = new_reader
         self.server: asyncio.Server | None = None
 
     def protocol(self) -> asyncio.StreamReaderProtocol:
-        """Return a new protocol, for one connection."""
-        return asyncio.StreamReaderProtocol(self.reader(), self.serve)
+        """Return a new protocol for one connection."""
+        return asyncio.StreamReaderProtocol(self.new_reader(), self.serve)
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address at which it listens, with the port that the system chose for 0."""
+        """The address of the socket; a port of 0 is replaced by the one that the kernel chose."""
         host, port = self.socket.getsockname()[:2]
         return host, port
 
     def close(self) -> None:
-        """Stop accepting; connections that wait in the queue are reset."""
+        """Stop accepting; the kernel resets connections that wait in the accept queue."""
         if self.server is not None:
             self.server.close()
 
-    async def finish(self, patience_s: float, on_no_descriptor: Callable[[], object] = lambda: None) -> None:
-        """Accept all that waits, and close with the queue empty: what a closed queue holds is reset.
+    async def accept_queued_and_close(
+        self, timeout_s: float, on_no_descriptor: Callable[[], object] = lambda: None
+    ) -> None:
+        """Accept every connection in the accept queue, and close the socket once the queue is empty.
 
-        Where there is no file descriptor, `on_no_descriptor` is to free one; after `patience_s` the socket is
-        closed anyway, so that the process can end.
+        Closing a socket resets the connections that are still queued. If no file descriptor is free,
+        `on_no_descriptor` is called to free one; after `timeout_s` without success the socket is closed
+        anyway, so that the process can exit.
         """
         if self.socket.fileno() < 0:
             return
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
-        until_s = loop.time() + patience_s
+        until_s = loop.time() + timeout_s
         while True:
             try:
                 peer, _ = self.socket.accept()
             except BlockingIOError:
-                break  # nothing is awaited between this and the close
+                break  # the queue is empty, and stays so: nothing is awaited before the close
             except OSError:
                 if loop.time() >= until_s:
                     break
                 on_no_descriptor()
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(ACCEPT_RETRY_S)
             else:
                 await self._serve_accepted(peer)
         self.close()
@@ -65,28 +69,37 @@
 
 
 async def listen(
-    host: str, port: int, serve: Serve, reader: Reader, burst: int, queue: int, shared: bool = False
+    host: str,
+    port: int,
+    serve: ConnectionHandler,
+    new_reader: ReaderFactory,
+    accept_burst: int,
+    queue_size: int,
+    reuse_port: bool = False,
 ) -> Listener:
-    """Accept at most `burst` connections in one go, while `queue` may wait.
+    """Listen on an address, and serve each accepted connection with a new reader.
 
-    Another process may listen to a `shared` address, too. Raises OSError where the address is not free.
+    At most `accept_burst` connections are accepted per event loop iteration, and up to `queue_size` wait in
+    the accept queue. With `reuse_port`, another process may listen on the same address. Raises OSError if the
+    address cannot be bound.
     """
     found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
     family, kind, protocol, _, local = found[0]
-    # The protocol is named: without it asyncio leaves Nagle's algorithm on, and answers wait for 40 ms.
+    # Without an explicit protocol, asyncio leaves Nagle's algorithm on, which delays answers by 40 ms.
     raw = socket.socket(family, kind, protocol)
     raw.setblocking(False)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    if shared:
+    if reuse_port:
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    listener = Listener(raw, serve, reader)
+    listener = Listener(raw, serve, new_reader)
     try:
         raw.bind(local)
         loop = asyncio.get_running_loop()
-        listener.server = await loop.create_server(listener.protocol, sock=raw, backlog=burst)
+        listener.server = await loop.create_server(listener.protocol, sock=raw, backlog=accept_burst)
     except OSError:
         raw.close()
         raise
-    # asyncio accepts as many in one go as may wait; only what it accepts at once needs the small number.
-    raw.listen(queue)
+    # asyncio uses its backlog both as the queue size and as the number of accepts per loop iteration. Only
+    # the latter has to be small, so the queue is enlarged here.
+    raw.listen(queue_size)
     return listener
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: clients' JSON-RPC connections, each request passed to the core."""
+"""The platform front: serves JSON-RPC connections of clients and passes each request to the core."""
 
 import asyncio
 import contextlib
@@ -16,18 +16,18 @@
 from maplestile.net.client_table import ClientTable
 from maplestile.net.graceful_close import GracefulClose
 from maplestile.net.listen import Listener, listen
-from maplestile.net.rejection import Rejection
+from maplestile.net.rejection import ConnectionRejector
 from maplestile.net.request_handler import RequestHandler
 from maplestile.requests.core import Core
 from maplestile.wire import jsonrpc
 from maplestile.wire.limits import Limits
 
 log = logging.getLogger(__name__)
-CLOSE_POLL_S = 0.05  # between two looks whether the client of a connection that is not read any more has gone
+CLOSE_POLL_S = 0.05  # between checks for a closed client, on a connection that is no longer read
 
 
 class PlatformFront:
-    """Accepts clients, reads their messages, and writes the answers."""
+    """Accepts client connections, reads their messages, and writes the answers."""
 
     def __init__(
         self,
@@ -35,20 +35,20 @@
         limits: Limits,
         counters: Counter[str],
         timestamps: ReceiveTimestamps,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
     ) -> None:
         self.core = core
         self.counters = counters
         self.timestamps = timestamps
         self.table = ClientTable(limits, counters, core.clock)
-        self.answers = AnswerWriter(self.table)
-        self.closing = GracefulClose(self.table)
-        self.requests = RequestHandler(core, self.answers, self.closing, ready)
-        self.rejection = Rejection(self.table, self.requests.known, ready)
+        self.answer_writer = AnswerWriter(self.table)
+        self.graceful_close = GracefulClose(self.table)
+        self.request_handler = RequestHandler(core, self.answer_writer, self.graceful_close, is_ready)
+        self.rejector = ConnectionRejector(self.table, self.request_handler.known_names, is_ready)
 
     @property
     def limits(self) -> Limits:
-        """The limits in force; they can change while the front serves."""
+        """The current limits; they may change while the front is serving."""
         return self.table.limits
 
     @limits.setter
@@ -57,58 +57,61 @@
 
     @property
     def clients(self) -> dict[Client, None]:
-        """The open connections, the least recently active first."""
+        """The open connections, least recently active first."""
         return self.table.clients
 
-    async def start(self, host: str, port: int, shared: bool) -> Listener:
-        """Accept clients; another process may listen to a `shared` address, too. Raises OSError."""
+    async def start(self, host: str, port: int, reuse_port: bool) -> Listener:
+        """Listen on an address and accept clients. Raises OSError if the address cannot be bound.
+
+        With `reuse_port`, another process may listen on the same address.
+        """
         limits = self.limits.listeners
         new_reader = partial(ClientReader, self.limits.clients.read_bytes, self.timestamps)
         return await listen(
-            host, port, self._serve, new_reader, limits.accept_burst, limits.accept_queue, shared
+            host, port, self._serve, new_reader, limits.accept_burst, limits.accept_queue, reuse_port
         )
 
     def apply_settings(self, settings: Settings) -> None:
-        """Let the classes of these settings be called from now on."""
-        known = jsonrpc.KnownNames.from_settings(settings)
-        self.requests.known = known
-        self.rejection.known = known
+        """Accept calls to the classes and tenants of these settings from now on."""
+        known_names = jsonrpc.KnownNames.from_settings(settings)
+        self.request_handler.known_names = known_names
+        self.rejector.known_names = known_names
 
     def evict_idle(self) -> bool:
-        """Close one idle connection, for its file descriptor; return whether there was one."""
+        """Close one idle connection to free its file descriptor; return whether there was one."""
         return self.table.evict_idle()
 
     def has_unread_answers(self) -> bool:
-        """Return whether the system has not taken all answers yet."""
+        """Return whether the kernel has not accepted all answers yet."""
         return bool(self.table.flushing) or self.table.unsent_bytes() > 0
 
     def has_open_connections(self) -> bool:
-        """Return whether there are connections whose writing side is still open."""
+        """Return whether the write side of any connection is still open."""
         return any(not client.write_closed for client in self.clients)
 
-    def close_gracefully(self, quiet_us: int) -> None:
-        """Close each connection that has been quiet for so long; see `GracefulClose.close_quiet`."""
-        self.closing.close_quiet(quiet_us)
+    def close_gracefully(self, idle_us: int) -> None:
+        """Close each connection that has been idle for `idle_us`; see `GracefulClose.close_idle`."""
+        self.graceful_close.close_idle(idle_us)
 
     def close_all(self) -> None:
-        """Close each connection behind its answers: the process ends now."""
-        self.closing.close_all()
+        """Close each connection after its pending answers, just before the process exits."""
+        self.graceful_close.close_all()
 
     async def _serve(self, reader: ClientReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection to its end, whatever ends it; its open requests are cancelled then."""
+        """Serve one connection until it ends, and then cancel its open requests."""
         if self.table.is_full() and not self.table.evict_idle():
-            await self.rejection.reject(reader, writer)
+            await self.rejector.reject(reader, writer)
             return
         client = self._open(reader, writer)
         try:
             await self._read_all(client)
-            # A client that only ends its own side still waits for its answers.
+            # A client that closes only its write side still waits for its answers.
             await self._wait_for_answers(client)
-        except jsonrpc.FramingError as fault:
-            await self._reject_malformed(client, fault)
-        except OSError as fault:
-            log.debug("client: %r", fault)
-        except asyncio.CancelledError:  # the process ends now
+        except jsonrpc.FramingError as error:
+            await self._reject_malformed(client, error)
+        except OSError as error:
+            log.debug("platform client: connection lost: %r", error)
+        except asyncio.CancelledError:  # the process is exiting
             writer.transport.abort()
             raise
         finally:
@@ -117,26 +120,26 @@
                 await self._flush(client)
 
     def _open(self, reader: ClientReader, writer: asyncio.StreamWriter) -> Client:
-        """Add a connection to the table; the end of its client's side is reported from now on."""
+        """Add a connection to the table, and subscribe to the end of its input."""
         limits = self.limits
         reads.limit_read_size(writer.transport, limits.clients.read_bytes)
         now_us = self.core.clock()
         client = Client(reader, writer, jsonrpc.Framer(limits.messages), now_us, last_active_us=now_us)
         self.clients[client] = None
-        reader.on_end = lambda: self.requests.client_disconnected(client)
+        reader.on_end = lambda: self.request_handler.client_disconnected(client)
         self.counters["clients.connections"] += 1
         return client
 
     def _close(self, client: Client) -> None:
-        """Close the connection, and cancel what is open on it."""
+        """Close the connection and cancel its open requests."""
         self.clients.pop(client, None)
-        self.requests.cancel_all(client)
+        self.request_handler.cancel_all(client)
         client.writer.close()
 
     async def _flush(self, client: Client) -> None:
-        """Wait for the client to read its last answers, for a limited time.
+        """Wait for a limited time until the client has read its last answers.
 
-        One that never reads them must not keep its descriptor, or the process.
+        Without the limit, a client that never reads would hold a file descriptor and keep the process alive.
         """
         self.table.flushing[client] = None
         try:
@@ -147,82 +150,86 @@
             client.writer.transport.abort()
             self.table.flushing.pop(client, None)
 
-    async def _reject_malformed(self, client: Client, fault: jsonrpc.FramingError) -> None:
-        """Answer input whose end cannot be found, and end the connection behind the pending answers."""
+    async def _reject_malformed(self, client: Client, error: jsonrpc.FramingError) -> None:
+        """Answer a message that cannot be framed, and close the connection after its pending answers."""
         self.counters["clients.malformed"] += 1
-        log.warning("client: %s; connection closed", fault)
-        self.answers.write(client, jsonrpc.error(None, jsonrpc.PARSE_ERROR, str(fault)))
-        await self._wait_for_answers(client)  # of the requests before it
+        log.warning("platform client: malformed input: %s; closing the connection", error)
+        self.answer_writer.write(client, jsonrpc.error(None, jsonrpc.PARSE_ERROR, str(error)))
+        await self._wait_for_answers(client)  # to the requests before the malformed message
         if client.writer.is_closing() or client.reader.ended:
             return
-        # What still comes is read and dropped: unread, it would reset the connection under its answers.
+        # Discard further input: closing a socket with unread input sends a reset, which can lose the answers.
         client.write_closed = True
         max_bytes = self.limits.clients.read_bytes
         linger_s = self.limits.clients.linger_us / 1e6
         await reads.end_and_discard(client.writer, lambda: client.reader.take(max_bytes), linger_s)
 
     async def _read_all(self, client: Client) -> None:
-        """Handle messages until the client ends its side, or the connection is closed here.
+        """Handle messages until the client closes its write side or the router closes the connection.
 
-        Raises FramingError for input that cannot be used, and OSError where the connection is lost.
+        Raises FramingError for malformed input and OSError if the connection is lost.
         """
         while data := await self._read(client):
-            if client.writer.is_closing():  # evicted: its client sends what crossed that again
+            if client.writer.is_closing():  # evicted: the client resends what it sent before it saw the close
                 return
-            if client.write_closed:  # the same
+            if client.write_closed:  # closed by a drain: the client resends as well
                 self.counters["clients.crossed_close"] += 1
                 continue
             for _ in self._handle_messages(client, data):
-                await asyncio.sleep(0)  # a flood must not keep the others waiting
+                await asyncio.sleep(0)  # let other connections run while this one floods
                 if client.writer.is_closing():
                     return
 
     def _handle_messages(self, client: Client, data: bytes) -> Iterator[None]:
-        """Handle the messages that one read completes; yield after each batch, for others to be served.
+        """Handle the messages that one read completes, and yield after each batch.
 
-        What is left after a yield is not handled if the caller does not go on. Raises FramingError.
+        The caller can serve other connections at each yield. If it stops iterating, the remaining messages
+        are not handled. Raises FramingError.
         """
         received_us = client.reader.received_us
         if client.reader.read_was_full:
             client.detect_close()
-        client.handling = True
+        client.is_handling = True
         count = 0
         for count, message in enumerate(client.framer.feed(data), 1):
             if count == 1:
                 client.message_reads += 1
-            self.requests.handle(client, message, received_us)
+            self.request_handler.handle(client, message, received_us)
             self.core.catch_up()
             if count % self.limits.clients.batch_messages == 0:
                 yield
-            if client.write_closed:  # the process ends now
+            if client.write_closed:  # closed by a drain while this batch was handled
                 self.counters["clients.crossed_close"] += 1
                 break
-        client.handling = False
+        client.is_handling = False
         if count:
-            client.message_since_us = received_us
-            self.closing.note_activity(client)
+            client.message_wait_since_us = received_us
+            self.graceful_close.note_activity(client)
 
     async def _read(self, client: Client) -> bytes:
-        """Return the next input, empty at its end. Raises FramingError if no message is complete in time."""
+        """Return the next input, empty at the end of the stream.
+
+        Raises FramingError if the next message is not complete in time.
+        """
         max_bytes = self.limits.clients.read_bytes
         between_requests = client.message_reads > 0 and not client.framer.rest
-        if between_requests:  # it may be idle for as long as it likes
+        if between_requests:  # may stay idle without a time limit
             data = await client.reader.take(max_bytes)
-            client.message_since_us = self.core.clock()
+            client.message_wait_since_us = self.core.clock()
             return data
-        # Connections that send nothing, or half a message, must not keep their descriptors for ever. One with
-        # a pending answer stays open anyway, and what it sends meanwhile must not go unread.
+        # A connection that sends nothing, or an incomplete message, must not hold its file descriptor
+        # forever. One with a pending answer stays open anyway, and its input must still be read meanwhile.
         while True:
-            left_us = client.message_since_us + self.limits.clients.message_us - self.core.clock()
+            left_us = client.message_wait_since_us + self.limits.clients.message_us - self.core.clock()
             try:
                 return await reads.read_within(left_us / 1e6, lambda: client.reader.take(max_bytes))
             except TimeoutError:
                 if not client.calls:
                     raise jsonrpc.FramingError("no whole message in time") from None
-                client.message_since_us = self.core.clock()
+                client.message_wait_since_us = self.core.clock()
 
     async def _wait_for_answers(self, client: Client) -> None:
-        """Return once nothing is open on the connection, or it is closed."""
+        """Return once no request is open on the connection, or the connection is closed."""
         while client.calls and not client.writer.is_closing():
             client.all_answered.clear()
             await wait_until_set(client.all_answered, CLOSE_POLL_S)
--- a/maplestile/net/reads.py
+++ b/maplestile/net/reads.py
@@ -1,29 +1,29 @@
-"""Bounded reads of sockets."""
+"""Reads from sockets, limited in size and time."""
 
 import asyncio
 import contextlib
 import errno
 from collections.abc import Awaitable, Callable
 
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)  # of an OSError: no file descriptor is left
-LAST_READ_S = 0.01
+NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)  # OSError.errno values: no free file descriptor
+LAST_READ_S = 0.01  # time for one more read after a timeout
 
 
 def limit_read_size(transport: asyncio.BaseTransport, max_bytes: int) -> None:
-    """Let a transport read at most so many bytes at a time, in place of asyncio's 256 KB.
+    """Limit each read of a transport to `max_bytes`, instead of asyncio's default of 256 KB.
 
-    That bounds what one read of a flooding client brings, and keeps the heap from fragmenting: each read
-    allocates a buffer of its full size and shrinks it to what came. With large ones the heap grew by 22 KB a
-    second for as long as the process lived, though no more of it was in use.
+    This bounds how much one read of a flooding client returns, and it avoids heap fragmentation: each read
+    allocates a buffer of the full size and shrinks it to the bytes received. With large buffers, the heap
+    grew by 22 KB per second for as long as the process ran, although memory in use stayed the same.
     """
-    transport.max_size = max_bytes  # type: ignore[attr-defined]  # not in the public interface
+    transport.max_size = max_bytes  # type: ignore[attr-defined]  # not part of asyncio's public interface
 
 
 async def read_within(seconds: float, read: Callable[[], Awaitable[bytes]]) -> bytes:
-    """Read, or raise TimeoutError.
+    """Read, and raise TimeoutError if no bytes arrive within `seconds`.
 
-    A loop that was busy until the time was over finds the bytes that came in time and the end of the time in
-    one turn, so there is a last short read.
+    An event loop that was busy until the timeout sees the timeout and bytes that arrived in time in the same
+    iteration, so one more short read follows the timeout.
     """
     try:
         async with asyncio.timeout(seconds):
@@ -36,11 +36,12 @@
 async def end_and_discard(
     writer: asyncio.StreamWriter, read: Callable[[], Awaitable[bytes]], seconds: float
 ) -> None:
-    """End this side of a connection, and drop for so long what still comes.
+    """Close the write side of a connection, and discard further input for up to `seconds`.
 
-    The system answers bytes that nobody reads with a reset, which would drop the last answers.
+    If the connection were closed with unread input, the kernel would send a reset, and the peer could lose
+    the last answers.
     """
-    with contextlib.suppress(TimeoutError, OSError):  # the peer may reset it meanwhile: it wants no more
+    with contextlib.suppress(TimeoutError, OSError):  # a peer that resets the connection needs no answer
         writer.write_eof()
         async with asyncio.timeout(seconds):
             while await read():
--- a/maplestile/net/receive_timestamps.py
+++ b/maplestile/net/receive_timestamps.py
@@ -1,69 +1,75 @@
-"""The earliest time at which the input at hand can have come: a busy loop reads it later than that."""
+"""Timestamps for received input: the earliest time at which it can have arrived at a busy event loop."""
 
 import selectors
 import time
 from collections.abc import Callable
 
-WAITED_S = 0.00005  # a select that took longer did wait, so what it found had just come
-AWAY_S = 0.05  # so long between two selects: what has come meanwhile is not read yet
-STANDSTILL_S = 0.1  # so long between two selects, or after one was due: the process was busy or stopped
+MIN_WAIT_S = 0.00005  # a select that took longer has waited, so its events are new
+LONG_GAP_S = 0.05  # a longer gap between two selects leaves old input unread
+PAUSE_S = 0.1  # a longer gap between two selects, or after a select was due, counts as a pause of the process
 
 
 class TimestampingSelector(selectors.DefaultSelector):
-    """A selector that keeps the time from which on the events of the last select can have happened.
+    """A selector that records the earliest time at which the events of the last select can have happened.
 
-    Times are Unix microseconds by `clock`; durations are measured by the monotonic clock.
+    Times are Unix microseconds from `clock`; durations are measured with the monotonic clock.
     """
 
     def __init__(self, clock: Callable[[], int]) -> None:
         super().__init__()
         self.clock = clock
-        self.since_us = clock()  # from which on the events of the last select can have happened
-        self.read_us = self.since_us  # the same of the select before
-        self.last_idle_us = 0  # when it last waited: no input was left unread then
-        self.busiest_s = 0.0  # the longest time between two selects
-        self._returned_us = clock()
-        self._returned_s = time.perf_counter()
-        self._standstill_us = 0  # since when the process may have stood still, until it has caught up
-        self._was_away = False  # it has not waited since there was a long time between two selects
+        self.earliest_event_us = clock()  # earliest time of the events of the last select
+        self.earliest_read_us = self.earliest_event_us  # earliest time of the events of the select before it
+        self.last_idle_us = 0  # when a select last waited, with no input left unread; 0 if never
+        self.longest_busy_s = 0.0  # the longest time between two selects
+        self._returned_us = clock()  # when the last select returned, by `clock`
+        self._returned_s = time.perf_counter()  # the same by the monotonic clock
+        self._paused_since_us = 0  # start of a pause of the process; 0 once the loop has caught up
+        self._had_long_gap = False  # no select has waited since the last gap over `LONG_GAP_S`
 
     def input_is_old(self) -> bool:
-        """Return whether bytes may have come over `AWAY_S` ago that have not been read yet."""
-        return self._was_away or time.perf_counter() - self._returned_s > AWAY_S
+        """Return whether input may be unread that arrived more than `LONG_GAP_S` ago."""
+        return self._had_long_gap or time.perf_counter() - self._returned_s > LONG_GAP_S
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for events, and note how old they can be."""
+        """Wait for events, and record their earliest possible time."""
         started_s = time.perf_counter()
         busy_s = started_s - self._returned_s
-        self.read_us = self.since_us  # a stream's reader runs one turn after the select that found its bytes
-        self.busiest_s = max(self.busiest_s, busy_s)
-        # After a long time the first select is one without a wait: what it finds was there before.
-        found = super().select(0) if busy_s > STANDSTILL_S else []
+        # A stream returns bytes one loop iteration after the select that found them.
+        self.earliest_read_us = self.earliest_event_us
+        self.longest_busy_s = max(self.longest_busy_s, busy_s)
+        # After a pause, select without waiting first: events found that way happened during the pause.
+        found = super().select(0) if busy_s > PAUSE_S else []
         may_wait = not found and timeout != 0
         if not found:
             found = super().select(timeout)
         self._returned_s = time.perf_counter()
         took_s = self._returned_s - started_s
-        overslept_s = 0.0 if timeout is None else took_s - max(0.0, timeout)
-        waited = may_wait and took_s > WAITED_S  # all input was read before it
-        self._note(busy_s, overslept_s, may_wait, waited)
+        overrun_s = 0.0 if timeout is None else took_s - max(0.0, timeout)
+        waited = may_wait and took_s > MIN_WAIT_S  # then all earlier input had been read
+        self._record_select(busy_s, overrun_s, may_wait, waited)
         return found
 
-    def _note(self, busy_s: float, overslept_s: float, may_wait: bool, waited: bool) -> None:
-        """Note what the select that has just returned shows of the age of its events."""
+    def _record_select(self, busy_s: float, overrun_s: float, may_wait: bool, waited: bool) -> None:
+        """Update the timestamps after a select, from the time it took and the time since the one before.
+
+        `busy_s` is the time between the two selects, and `overrun_s` by how much the select exceeded its
+        timeout.
+        """
         now_us = self.clock()
-        was_away = busy_s > AWAY_S or overslept_s > AWAY_S
-        stood_still = overslept_s > STANDSTILL_S or (busy_s > STANDSTILL_S and not may_wait)
-        if was_away:
-            self._was_away = True
+        had_long_gap = busy_s > LONG_GAP_S or overrun_s > LONG_GAP_S
+        was_paused = overrun_s > PAUSE_S or (busy_s > PAUSE_S and not may_wait)
+        if had_long_gap:
+            self._had_long_gap = True
         elif waited:
-            self._was_away = False
-        if stood_still:
-            self._standstill_us = self._returned_us
+            self._had_long_gap = False
+        if was_paused:
+            self._paused_since_us = self._returned_us
         elif waited:
-            self._standstill_us = 0
+            self._paused_since_us = 0
             self.last_idle_us = now_us
-        # Without a wait the event may be as old as the select before, whose work has kept the loop busy; and
-        # until the loop has caught up, as old as a standstill: so may be what a new connection brings.
-        self.since_us = self._standstill_us or (now_us if waited else self._returned_us)
+        # Events found without a wait may be as old as the previous select, because its work kept the loop
+        # busy. Until the loop has caught up after a pause, events may be as old as the start of the pause.
+        # That applies to the input of new connections as well.
+        self.earliest_event_us = self._paused_since_us or (now_us if waited else self._returned_us)
         self._returned_us = now_us
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/rejection.py
@@ -1,6 +1,6 @@
-"""Rejects clients that connect while each connection at the cap waits for an answer.
+"""Rejects new clients while the connection limit is reached and no connection can be evicted.
 
-Their first requests are refused with an error, so that none is read and then closed without an answer.
+Their first requests are answered with an error, so that no request is read and then left unanswered.
 """
 
 import asyncio
@@ -16,36 +16,41 @@
 log = logging.getLogger("maplestile.net.platform")
 
 
-class Rejection:
-    """Serves connections over the cap, within a cap of their own."""
+class ConnectionRejector:
+    """Serves connections above the connection limit; they have a small limit of their own."""
 
-    def __init__(self, table: ClientTable, known: jsonrpc.KnownNames, ready: Callable[[], bool]) -> None:
+    def __init__(
+        self, table: ClientTable, known_names: jsonrpc.KnownNames, is_ready: Callable[[], bool]
+    ) -> None:
         self.table = table
-        self.known = known  # which classes may be called
-        self.ready = ready
-        self.connections = 0
+        self.known_names = known_names  # served classes and tenants
+        self.is_ready = is_ready
+        self.connections = 0  # being rejected now
 
     async def reject(self, reader: ClientReader, writer: asyncio.StreamWriter) -> None:
-        """Refuse the first requests of a connection, and close it; over its own cap, close it at once."""
+        """Refuse the first requests of a connection and close it.
+
+        When too many connections are being rejected already, close it without reading anything.
+        """
         table = self.table
         table.counters["clients.rejected"] += 1
-        log.warning("client: turned away, %d connections are owed an answer", len(table.clients))
+        log.warning("platform client: rejected, all %d connections are in use", len(table.clients))
         if self.connections >= table.limits.clients.surplus_connections:
-            writer.transport.abort()  # of which nothing has been read
+            writer.transport.abort()  # no request has been read, so none is lost
             return
         self.connections += 1
         try:
             await self._refuse_requests(reader, writer)
-        except (jsonrpc.FramingError, OSError, TimeoutError) as fault:
-            log.debug("client: turned away: %r", fault)
+        except (jsonrpc.FramingError, OSError, TimeoutError) as error:
+            log.debug("platform client: rejected connection ended: %r", error)
         finally:
             self.connections -= 1
             writer.close()
 
     async def _refuse_requests(self, reader: ClientReader, writer: asyncio.StreamWriter) -> None:
-        """Refuse all requests up to the first moment at which no part of another one waits.
+        """Refuse requests until at least one was refused and no incomplete request is left.
 
-        Raises FramingError, OSError, or TimeoutError where no complete request comes in time.
+        Raises FramingError, OSError, or TimeoutError if no complete request arrives in time.
         """
         limits = self.table.limits
         max_bytes = limits.clients.read_bytes
@@ -64,18 +69,18 @@
         await reads.end_and_discard(writer, lambda: reader.take(max_bytes), limits.clients.linger_us / 1e6)
 
     def _refusal(self, view: memoryview) -> bytes:
-        """Return the answer to one message; a cancellation has none."""
+        """Return the answer to one message; it is empty for a cancellation."""
         limits = self.table.limits
         try:
-            message = jsonrpc.parse(view, limits.messages, self.known)
-        except jsonrpc.RpcError as fault:
-            return jsonrpc.error(fault.id, fault.code, str(fault))
+            message = jsonrpc.parse(view, limits.messages, self.known_names)
+        except jsonrpc.RpcError as error:
+            return jsonrpc.error(error.id, error.code, str(error))
         match message:
             case jsonrpc.Call():
                 self.table.counters["clients.refused_at_cap"] += 1
                 outcome = Outcome(Verdict.REJECTED, retry_after_us=limits.requests.max_retry_after_us)
                 return jsonrpc.answer(message.id, outcome)
             case jsonrpc.Check():
-                return jsonrpc.result(message.id, {"ready": self.ready()})
+                return jsonrpc.result(message.id, {"ready": self.is_ready()})
             case jsonrpc.Interrupt():
                 return b""
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -1,7 +1,7 @@
-"""The runner pool on sockets: a task for each connection, which dials, reads lines, and reports to the pool.
+"""The runner pool on sockets: one task per connection connects, reads answer lines and reports to the pool.
 
-A line that cannot be read condemns its connection: where the next answer begins, and whose it is, cannot be
-known any more.
+A malformed line closes its connection: the start of the next answer, and the call that it belongs to, can no
+longer be determined.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 from maplestile.wire.limits import RunnerLimits
 
 log = logging.getLogger(__name__)
-FLUSH_AGAIN_S = 0.001  # until a line is looked at again that waits for its client's input to be read
+FLUSH_RETRY_S = 0.001  # until the next flush of lines that wait for their clients' input to be read
 
 
 class StreamSocket:
-    """A `pool.Socket` on a stream of asyncio's."""
+    """A `pool.Socket` on an asyncio stream writer."""
 
     def __init__(self, pool: Pool, connection: Connection, writer: asyncio.StreamWriter) -> None:
         self.pool = pool
@@ -28,7 +28,10 @@
         self.writer = writer
 
     def write(self, line: bytes) -> bool:
-        """Write a line; false if the system has not taken it all: then the pool is notified once it has."""
+        """Write a line, and return whether the kernel accepted all of it.
+
+        If not, the pool is notified once it has.
+        """
         self.writer.write(line)
         if not self.holds():
             return True
@@ -36,36 +39,36 @@
         return False
 
     def holds(self) -> bool:
-        """Return whether the transport holds some of what was written."""
+        """Return whether the transport still buffers some of what was written."""
         return bool(self.writer.transport.get_write_buffer_size())
 
     def abort(self) -> None:
-        """Close at once, whatever the transport holds."""
+        """Close the connection at once, and discard what the transport still buffers."""
         self.writer.transport.abort()
 
     async def _drain(self) -> None:
-        """Notify the pool once the system has taken all, or has taken too long."""
+        """Notify the pool once the kernel has accepted everything, or after the stall timeout."""
         try:
             async with asyncio.timeout(self.pool.limits.stall_us / 1e6):
                 await self.writer.drain()
         except TimeoutError:
             self.pool.write_stalled(self.connection)
         except OSError:
-            return  # the reader sees the same end and closes
+            return  # the reading task gets the same error and closes the connection
         else:
             self.pool.write_completed(self.connection)
 
 
 class RunnerPool(Pool):
-    """The core's pool on sockets."""
+    """A `Pool` that connects to runners over TCP."""
 
     def __init__(self, limits: RunnerLimits, clock: Callable[[], int], counters: Counter[str]) -> None:
         super().__init__(limits, clock, counters)
         self.tasks: dict[Connection, asyncio.Task[None]] = {}
-        self.on_no_descriptor: Callable[[], object] = lambda: None  # no descriptor is left
+        self.on_no_descriptor: Callable[[], object] = lambda: None  # called if no file descriptor is free
 
     def dial(self, connection: Connection) -> None:
-        """Start the task of a connection, which ends by closing it at the pool."""
+        """Start the task of a connection; when it ends, it closes the connection at the pool."""
         self.tasks[connection] = asyncio.get_running_loop().create_task(self._serve(connection))
 
     def disconnect(self, connection: Connection) -> None:
@@ -75,12 +78,12 @@
             task.cancel()
 
     def flush_soon(self, connection: Connection) -> None:
-        """Look again, in a millisecond, at lines that wait for their clients' input to be read."""
-        asyncio.get_running_loop().call_later(FLUSH_AGAIN_S, self.input_handled, connection)
+        """Flush again in a millisecond the lines that wait for their clients' input to be read."""
+        asyncio.get_running_loop().call_later(FLUSH_RETRY_S, self.input_handled, connection)
 
     async def _serve(self, connection: Connection) -> None:
-        """Connect, read answers until the connection ends, and report at the pool how it ended."""
-        result = Result.CONNECT_FAILED  # of the attempts on the connection, at its end
+        """Connect, read answers until the connection ends, and report to the pool how it ended."""
+        result = Result.CONNECT_FAILED  # of the attempts that are open when the connection ends
         try:
             reader, writer = await self._open_stream(connection)
             result = Result.RESET
@@ -88,14 +91,16 @@
             writer.transport.set_write_buffer_limits(high=0)
             self.connected(connection, StreamSocket(self, connection, writer))
             await self._read_answers(connection, reader)
-        except wire.LineError as fault:
+        except wire.LineError as error:
             self.counters["runners.malformed"] += 1
-            log.warning("runner %s: %s; connection condemned", connection.runner.uid, fault)
-        except (OSError, TimeoutError) as fault:
-            if isinstance(fault, OSError) and fault.errno in reads.NO_DESCRIPTOR:
-                result = Result.SUPERSEDED  # clients hold all descriptors: that says nothing of the runner
+            log.warning(
+                "runner %s: malformed answer: %s; closing the connection", connection.runner.uid, error
+            )
+        except (OSError, TimeoutError) as error:
+            if isinstance(error, OSError) and error.errno in reads.NO_DESCRIPTOR:
+                result = Result.SUPERSEDED  # not a failure of the runner: clients hold all file descriptors
                 self.on_no_descriptor()
-            log.debug("runner %s: %r", connection.runner.uid, fault)
+            log.debug("runner %s: connection failed: %r", connection.runner.uid, error)
         finally:
             self.close(connection, result)
 
@@ -106,7 +111,10 @@
             return await asyncio.open_connection(host, port, limit=self.limits.read_bytes)
 
     async def _read_answers(self, connection: Connection, reader: asyncio.StreamReader) -> None:
-        """Report answers until the runner closes. Raises LineError, or OSError if the connection breaks."""
+        """Report answers to the pool until the runner closes the connection.
+
+        Raises LineError for a malformed line, and OSError if the connection breaks.
+        """
         lines = wire.LineFramer(self.limits.line_bytes)
         while data := await self._read(reader, lines):
             self.input_received(connection)
@@ -116,12 +124,15 @@
             self.input_handled(connection)
 
     async def _read(self, reader: asyncio.StreamReader, lines: wire.LineFramer) -> bytes:
-        """Return the next input, empty at its end. Raises LineError if a line stops short, or OSError."""
+        """Return the next input, empty at the end of the stream.
+
+        Raises LineError if the rest of a line does not arrive in time, and OSError if the connection breaks.
+        """
         if not lines.rest:
             return await reader.read(self.limits.read_bytes)
-        # A line that has started comes soon, or never: its writer stopped short, and all behind it waits.
+        # The rest of a partial line arrives soon or never, and every later answer waits behind it.
         try:
             max_bytes = self.limits.read_bytes
             return await reads.read_within(self.limits.line_pause_us / 1e6, lambda: reader.read(max_bytes))
         except TimeoutError:
-            raise wire.LineError("a line that does not go on") from None
+            raise wire.LineError("the rest of a line did not arrive in time") from None
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -50,7 +50,7 @@
         self.runners.core = self.core
         self.started_us = clock()
         self.stopping = asyncio.Event()  # set when the process is to stop
-        self.listening = False
+        self.is_listening = False
         self.process_count = 1  # processes that share the budgets
         self.platform: PlatformFront | None = None
         self.platform_listener: Listener | None = None
@@ -62,7 +62,7 @@
         self._tick_timer: asyncio.TimerHandle | None = None
 
     @property
-    def handing_over(self) -> bool:
+    def is_successor_ready(self) -> bool:
         """Whether another process is ready to replace this one."""
         return self.handover is not None and self.handover.successor_ready
 
@@ -71,9 +71,9 @@
 
         A stream returns them one turn after the select that found them.
         """
-        return self.selector.read_us
+        return self.selector.earliest_read_us
 
-    def endpoints_changed(self, kind: ListKind = ListKind.FULL) -> None:
+    def publish_endpoints(self, kind: ListKind = ListKind.FULL) -> None:
         """Pass the endpoint list on to each component that depends on it."""
         if self.cordons is not None:
             self.cordons.remember_listed(self.endpoints.entries)
@@ -81,10 +81,10 @@
         # The pool first: a decision on the new list must find its addresses and drains.
         self.runners.update(self.endpoints)
         if self.peers is not None:
-            self.peers.listed(self.endpoints.entries)
+            self.peers.set_runners(self.endpoints.entries)
         self.core.list_changed(self.endpoints.event(kind))
 
-    def descriptors_exhausted(self) -> None:
+    def free_descriptor(self) -> None:
         """Close an idle client connection: the router itself found no file descriptor left."""
         self.counters["descriptors.none_left"] += 1
         if self.platform is not None:
@@ -112,7 +112,7 @@
 
     def _runner_pool(self) -> RunnerPool:
         runners = RunnerPool(self.limits.runners, clock, self.counters)
-        runners.on_no_descriptor = self.descriptors_exhausted
+        runners.on_no_descriptor = self.free_descriptor
         runners.writer.input_is_old = self.selector.input_is_old
         return runners
 
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -68,10 +68,10 @@
         return _config_from(payload, operator)
     except KeyError as missing:
         raise ConfigError(f"lacks {missing}") from None
-    except (SettingsError, EndpointListError) as fault:
-        raise ConfigError(f"settings or known: {fault}") from None
-    except (ValueError, TypeError, AttributeError) as fault:
-        raise ConfigError(f"is not as told: {fault}") from None
+    except (SettingsError, EndpointListError) as error:
+        raise ConfigError(f"settings or known: {error}") from None
+    except (ValueError, TypeError, AttributeError) as error:
+        raise ConfigError(f"is not as told: {error}") from None
 
 
 def config_from_environment() -> Config:
@@ -84,8 +84,8 @@
         raise ConfigError("NODE_CONFIG is not set")
     try:
         payload = json.loads(Path(file).read_bytes())
-    except (ValueError, RecursionError) as fault:  # deep nesting must not end the program
-        raise ConfigError(f"no JSON: {fault}") from None
+    except (ValueError, RecursionError) as error:  # deep nesting must not end the program
+        raise ConfigError(f"no JSON: {error}") from None
     if not isinstance(payload, dict):
         raise ConfigError("no JSON object")
     # The process that replaces another gets the same file, and another address for operators.
@@ -123,5 +123,5 @@
 
     try:
         return membership_settings_from(payload)
-    except MembershipSettingsError as fault:
-        raise ConfigError(str(fault)) from None
+    except MembershipSettingsError as error:
+        raise ConfigError(str(error)) from None
--- a/maplestile/router/discovery.py
+++ b/maplestile/router/discovery.py
@@ -36,8 +36,8 @@
             components.endpoints,
             components.limits.names,
             components.counters,
-            components.endpoints_changed,
-            components.descriptors_exhausted,
+            components.publish_endpoints,
+            components.free_descriptor,
             previous,
         )
         self.task = self.supervisor.start(self.driver.run)
@@ -50,8 +50,8 @@
     def _answering_task(self) -> asyncio.Task[None] | None:
         """Return the current task, or the one before it where the current server never answered."""
         driver = self.driver
-        if driver is None or driver.has_answered or driver.replaced is None:
+        if driver is None or driver.has_answered or driver.previous_task is None:
             return self.task
-        previous = driver.replaced
-        driver.replaced = None
+        previous = driver.previous_task
+        driver.previous_task = None
         return previous
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -28,9 +28,11 @@
         started_us = clock()
         longest_deadline_us = max(call_class.deadline_us for call_class in components.core.settings.classes)
         spare_us = limits.handover.spare_us
-        self.end_us = started_us + limits.kill_after_us(longest_deadline_us) - spare_us  # of the process
+        self.exit_deadline_us = (
+            started_us + limits.kill_after_us(longest_deadline_us) - spare_us
+        )  # of the process
         # Clients learn of the end late, so they go on calling here until then.
-        self.serve_until_us = min(started_us + limits.shutdown.min_drain_us, self.end_us)
+        self.serve_until_us = min(started_us + limits.shutdown.min_drain_us, self.exit_deadline_us)
         self.last_pending_us = started_us  # when a call was last open
 
     async def run(self) -> None:
@@ -56,11 +58,13 @@
         """Notify each component that the process drains."""
         components = self.components
         if components.platform is not None:
-            components.core.prepare_exit(self.end_us)  # what is pending then would never be answered
+            components.core.prepare_exit(
+                self.exit_deadline_us
+            )  # what is pending then would never be answered
         if components.peers is not None:  # the others learn of the leave, and suspect no failure
             components.peers.leave()
         if components.invoke is not None:
-            components.invoke.http.start_leaving()
+            components.invoke.http.start_draining()
         if self.handover is not None:
             self.handover.handover.announce_stopping()
 
@@ -72,7 +76,7 @@
                 self.last_pending_us = clock()
             if self.handover is not None:
                 self.handover.observe()
-                if components.handing_over and components.platform is not None:
+                if components.is_successor_ready and components.platform is not None:
                     count = len(components.platform.clients)
                     log.info("%s hands over; %d connections stand", components.name, count)
                     return True
@@ -87,7 +91,7 @@
         if not (self._has_unanswered() or self._has_uncollected_results()):
             return False
         # Only the platform kills a process at a given time; others may take as long as their calls.
-        return self.components.platform is None or clock() < self.end_us
+        return self.components.platform is None or clock() < self.exit_deadline_us
 
     async def _reject_new_requests(self) -> None:
         """Take nothing more, and close each connection with its last answer.
@@ -99,7 +103,7 @@
         components.core.close()
         if components.platform is not None and components.platform_listener is not None:
             patience_s = components.limits.shutdown.drain_patience_us / 1e6
-            await components.platform_listener.finish(patience_s, components.descriptors_exhausted)
+            await components.platform_listener.accept_queued_and_close(patience_s, components.free_descriptor)
             components.platform.close_gracefully(0)
 
     def _has_unanswered(self) -> bool:
@@ -131,9 +135,9 @@
         components = self.components
         limits = components.limits
         for listener in self.listeners:
-            patience_s = max(0.0, (self.end_us - clock()) / 1e6)
-            await listener.finish(patience_s, components.descriptors_exhausted)
-        while (self._has_unanswered() or platform.has_open_connections()) and clock() < self.end_us:
+            patience_s = max(0.0, (self.exit_deadline_us - clock()) / 1e6)
+            await listener.accept_queued_and_close(patience_s, components.free_descriptor)
+        while (self._has_unanswered() or platform.has_open_connections()) and clock() < self.exit_deadline_us:
             await asyncio.sleep(POLL_S)
             platform.close_gracefully(limits.handover.quiet_us if clock() < wait_for_quiet_until_us else 0)
         platform.close_all()
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -74,7 +74,7 @@
     config = components.config
     store = FileCordonStore(config.folder / "suspended") if config.folder is not None else None
     components.cordons = Cordons(
-        store, components.limits.operators, components.counters, components.endpoints_changed
+        store, components.limits.operators, components.counters, components.publish_endpoints
     )
     components.cordons.refresh()
     # A router with an invoke front has records of calls that another process would not know.
@@ -82,8 +82,8 @@
         return
     try:
         components.handover = Handover(ProcessLocks(config.folder))
-    except OSError as fault:
-        log.warning("%s cannot be replaced while it serves: %s", components.name, fault)
+    except OSError as error:
+        log.warning("%s cannot be replaced while it serves: %s", components.name, error)
 
 
 async def _open_platform_front(components: Components, readiness: Readiness) -> Listener:
--- a/maplestile/router/policy_attachment.py
+++ b/maplestile/router/policy_attachment.py
@@ -17,7 +17,7 @@
     """Let the policy's epochs decide the settings, and whether calls are admitted."""
     components.policy = policy
     policy.counters = components.counters
-    policy.put_in_force = components.adopt_policy
+    policy.apply_config = components.adopt_policy
     policy.calls_by_epoch = components.core.epochs
     components.core.intake.admits = policy.admits
     if policy.settings.trace:
@@ -26,8 +26,8 @@
 
 async def start_policy(components: Components, policy: "PolicyDriver", supervisor: TaskSupervisor) -> None:
     """Run the policy driver, and return once calls are admitted or the process was asked to stop."""
-    from maplestile.router.policy_jobs import in_thread
+    from maplestile.router.policy_jobs import run_in_thread
 
-    policy.run_job = in_thread
+    policy.run_job = run_in_thread
     supervisor.start(policy.run)
     await poll_until(lambda: policy.admits() or components.stopping.is_set())
--- a/maplestile/router/policy_configuration.py
+++ b/maplestile/router/policy_configuration.py
@@ -9,26 +9,28 @@
 from maplestile.control.policy.document import AdoptedPolicy, Document, Tables
 from maplestile.router.config import Config
 
-LIVE_TABLES = ("function", "tenant", "worker", "limits")  # tables of the file that a reload takes
+RELOADABLE_TABLES = ("function", "tenant", "worker", "limits")  # tables of the file that a reload takes
 
 # Builds a configuration from the tables, with the policy of an epoch if one is given. Raises ConfigError.
-Build = Callable[[Tables, AdoptedPolicy | None], Config]
+ConfigBuilder = Callable[[Tables, AdoptedPolicy | None], Config]
 
 
 class PolicyConfiguration:
     """The tables of the router's file as they were last taken, and what is built from them."""
 
-    def __init__(self, tables: Tables, build: Build) -> None:
+    def __init__(self, tables: Tables, build: ConfigBuilder) -> None:
         """Raises PolicyError where the file's own policy is invalid."""
         self.tables = tables
         self.build = build
         self.file_policy = Document.from_file(tables)  # in force until an epoch brings another
 
-    def build_own(self) -> Config:
+    def build_from_file(self) -> Config:
         """Return the configuration of the file alone. Raises ConfigError."""
         return self.build(self.tables, None)
 
-    def build_with(self, epoch: int, document: Document | None, tables: Tables | None = None) -> Config:
+    def build_with_policy(
+        self, epoch: int, document: Document | None, tables: Tables | None = None
+    ) -> Config:
         """Return the configuration with the policy of an epoch in the place of the file's own.
 
         Without a document it is the file's own policy. `tables` are those of a reload that is not taken yet,
@@ -39,4 +41,4 @@
 
     def apply_reload(self, tables: Tables) -> None:
         """Take those tables of the file that a reload may change."""
-        self.tables = self.tables | {name: tables[name] for name in LIVE_TABLES if name in tables}
+        self.tables = self.tables | {name: tables[name] for name in RELOADABLE_TABLES if name in tables}
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -21,8 +21,8 @@
 from maplestile.operation.policy import PolicyCheck, PolicyMetrics, PolicyReport
 from maplestile.requests.core import AttemptId
 from maplestile.router.config import Config
-from maplestile.router.policy_configuration import Build, PolicyConfiguration
-from maplestile.router.policy_jobs import RunJob, at_once
+from maplestile.router.policy_configuration import ConfigBuilder, PolicyConfiguration
+from maplestile.router.policy_jobs import RunJob, run_inline
 
 log = logging.getLogger("maplestile.policy")
 TICK_INTERVAL_S = 0.1
@@ -42,23 +42,23 @@
     The router sets `counters`, `calls_by_epoch`, `put_in_force` and `run_job` once it is composed.
     """
 
-    def __init__(self, settings: PolicySettings, tables: Tables, build: Build) -> None:
+    def __init__(self, settings: PolicySettings, tables: Tables, build: ConfigBuilder) -> None:
         """Raises PolicyError where the file's own policy is invalid."""
         self.settings = settings
         self.configuration = PolicyConfiguration(tables, build)
         self.events = logs.events("policy")
         self.counters: Counter[str] = Counter()
-        self.put_in_force: Callable[[Config], None] = lambda _config: None
+        self.apply_config: Callable[[Config], None] = lambda _config: None
         self.calls_by_epoch: dict[int, Counter[str]] = {}
-        self.run_job: RunJob = at_once
-        self.writing = False  # a record is being written
-        self.logged_refusal = (NO_EPOCH, "")
+        self.run_job: RunJob = run_inline
+        self.is_writing = False  # a record is being written
+        self.last_logged_refusal = (NO_EPOCH, "")
         record = store.read(settings.folder)
         self.document = None if record is None else record.document
         recorded_epoch = NO_EPOCH if record is None else record.epoch
         self.follower = Follower(settings.timeouts, recorded_epoch, monotonic_us())
-        self.logged_status = PolicyStatus.WAITING
-        self.configured = False
+        self.last_logged_status = PolicyStatus.WAITING
+        self.is_configured = False
 
     @property
     def epoch(self) -> int:
@@ -72,24 +72,24 @@
 
         Called at the start, and at each reload. Raises ConfigError, and then changes nothing.
         """
-        if not self.configured:
-            self.configured = True
+        if not self.is_configured:
+            self.is_configured = True
             return self._first_configuration()
         return self._reloaded_configuration(tables)
 
     def _first_configuration(self) -> Config:
         if self.follower.epoch == NO_EPOCH:
-            return self.configuration.build_own()
+            return self.configuration.build_from_file()
         try:
-            return self.configuration.build_with(self.epoch, self.document)
-        except ConfigError as fault:
-            reason = str(fault)
+            return self.configuration.build_with_policy(self.epoch, self.document)
+        except ConfigError as error:
+            reason = str(error)
         log.error("policy: epoch %d does not fit this build or file: %s", self.follower.epoch, reason)
         self.follower.refused(reason)
-        return self.configuration.build_own()
+        return self.configuration.build_from_file()
 
     def _reloaded_configuration(self, tables: Tables) -> Config:
-        config = self.configuration.build_with(self.epoch, self.document, tables)
+        config = self.configuration.build_with_policy(self.epoch, self.document, tables)
         self._check_prepared(tables)
         if Document.from_file(tables) != self.configuration.file_policy:
             self.counters["policy.reloads_refused"] += 1
@@ -110,17 +110,17 @@
         if prepared is None:
             return
         try:
-            self.configuration.build_with(self.follower.epoch + 1, prepared.document, tables)
-        except ConfigError as fault:
+            self.configuration.build_with_policy(self.follower.epoch + 1, prepared.document, tables)
+        except ConfigError as error:
             place = f"change {prepared.change}"
-            raise PolicyError(f"does not fit the policy that is being agreed on ({place}): {fault}") from None
+            raise PolicyError(f"does not fit the policy that is being agreed on ({place}): {error}") from None
 
     # What the agent sends to the operators' front.
 
     def take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
         """Take an announcement of what is committed, and reply once, now or later."""
         step = self.follower.take_announcement(announcement, monotonic_us())
-        if step is Step.ADOPT and not self.writing:
+        if step is Step.ADOPT and not self.is_writing:
             self._adopt(announcement, reply)
             return
         if step is Step.OLDER:
@@ -132,11 +132,11 @@
         """Write the record first, off the loop since a disk may be slow; then put it in force."""
         finish = partial(self._finish_adoption, announcement, reply)
         try:
-            self.configuration.build_with(announcement.epoch, announcement.document)
-        except ConfigError as fault:
-            finish(fault)
+            self.configuration.build_with_policy(announcement.epoch, announcement.document)
+        except ConfigError as error:
+            finish(error)
             return
-        self.writing = True
+        self.is_writing = True
         record = AdoptedPolicy(announcement.epoch, announcement.document)
         self.run_job(lambda: store.write(self.settings.folder, record), finish)
 
@@ -144,14 +144,14 @@
         self,
         announcement: PolicyAnnouncement,
         reply: Reply,
-        fault: BaseException | None,
+        error: BaseException | None,
     ) -> None:
-        self.writing = False
+        self.is_writing = False
         try:
-            if fault is not None:
-                raise fault
+            if error is not None:
+                raise error
             # Built again: a reload may have come meanwhile.
-            config = self.configuration.build_with(announcement.epoch, announcement.document)
+            config = self.configuration.build_with_policy(announcement.epoch, announcement.document)
         except (ConfigError, OSError) as cause:
             self._refuse(announcement.epoch, str(cause))
         else:
@@ -161,26 +161,26 @@
 
     def _complete_adoption(self, announcement: PolicyAnnouncement, config: Config) -> None:
         self.document = announcement.document
-        self.put_in_force(config)
+        self.apply_config(config)
         self.follower.adopted(announcement, monotonic_us())
         self.counters["policy.adopted"] += 1
         self.events.info("applied", epoch=announcement.epoch, digest=digest_of(announcement.document))
 
     def _refuse(self, epoch: int, reason: str) -> None:
         self.counters["policy.refused"] += 1
-        if (epoch, reason) != self.logged_refusal:  # it is tried again and again
-            self.logged_refusal = epoch, reason
+        if (epoch, reason) != self.last_logged_refusal:  # it is tried again and again
+            self.last_logged_refusal = epoch, reason
             log.error("policy: epoch %d is not taken, and so no new call: %s", epoch, reason)
         self.follower.refused(reason)
 
     def check(self, change: PolicyCheck) -> None:
         """Check that a change fits this build and file. Raises PolicyError, which names the field."""
         try:
-            self.configuration.build_with(self.epoch + 1, change.document)
+            self.configuration.build_with_policy(self.epoch + 1, change.document)
         except PolicyError:
             raise
-        except ConfigError as fault:
-            raise PolicyError(str(fault)) from None
+        except ConfigError as error:
+            raise PolicyError(str(error)) from None
         self.follower.prepare(change.change, change.document)
         self.events.info("checked", change=change.change, digest=digest_of(change.document))
 
@@ -241,9 +241,9 @@
     def _log_status(self) -> None:
         """Log each change of the status once."""
         status = self.follower.status
-        if status is self.logged_status:
+        if status is self.last_logged_status:
             return
-        before = self.logged_status
-        self.logged_status = status
+        before = self.last_logged_status
+        self.last_logged_status = status
         reason = self.follower.reason
         self.events.info(status.value, epoch=self.epoch, before=before.value, reason=reason)
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -58,10 +58,10 @@
 
     async def run(self) -> None:
         """Serve until asked to stop, and drain. Raises OSError where a front's address is not free."""
-        self._handle_signals()
+        self._install_signal_handlers()
         self.gc_scheduler.start()
         operator_listener = await open_operator_front(self.components, self.readiness)
-        self.components.endpoints_changed(ListKind.CACHED)
+        self.components.publish_endpoints(ListKind.CACHED)
         await self._start_background_tasks()
         client_listeners = await self._serve_clients()
         for listener in (*client_listeners, operator_listener):
@@ -74,14 +74,14 @@
     def print_counters(self) -> None:
         """Print all counters as one JSON line on standard error."""
         components = self.components
-        components.counters["loop.longest_us"] = int(components.selector.busiest_s * 1e6)
+        components.counters["loop.longest_us"] = int(components.selector.longest_busy_s * 1e6)
         answers = Counter[str]()
         for (_, verdict), count in components.core.answers.items():
             answers[f"answers.{verdict.value}"] += count
         output = dict(sorted({**components.counters, **answers}.items()))
         print(json.dumps({"counters": output}), file=sys.stderr, flush=True)
 
-    def _handle_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.components.stopping.set)
         loop.add_signal_handler(signal.SIGINT, self.components.stopping.set)
@@ -99,7 +99,7 @@
 
             self.handover = HandoverMonitor(components, self.readiness, components.handover)
             self.supervisor.start(self.handover.run)
-            await self.handover.wait_for_turn()
+            await self.handover.wait_until_may_serve()
         if components.policy is not None:
             await start_policy(components, components.policy, self.supervisor)
 
@@ -119,8 +119,8 @@
         )
         components.peers = peers
         components.core.control.may_check = peers.may_probe
-        components.core.control.on_checked = peers.probed
-        peers.listed(components.endpoints.entries)
+        components.core.control.on_checked = peers.record_probe
+        peers.set_runners(components.endpoints.entries)
         self.supervisor.start(peers.run)
 
     async def _serve_clients(self) -> list[Listener]:
@@ -130,7 +130,7 @@
             return []
         listeners = await open_client_fronts(components, self.readiness)
         if listeners:
-            components.listening = True
+            components.is_listening = True
             await components.stopping.wait()
             await Drain(components, listeners, self.handover).run()
         return listeners
@@ -148,8 +148,8 @@
 
     try:
         configuration = FileConfiguration(file)
-    except ConfigError as fault:
-        print(f"maplestile: {fault}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"maplestile: {error}", file=sys.stderr)
         return 1
     return _run(configuration.read, configuration.policy)
 
@@ -168,8 +168,8 @@
         loop: asyncio.AbstractEventLoop = asyncio.SelectorEventLoop(selector)
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
             runner.run(_run_process(configure, selector, policy))
-    except (ConfigError, OSError) as fault:
-        _log_failed_start(fault)
+    except (ConfigError, OSError) as error:
+        _log_failed_start(error)
         return 1
     return 0
 
@@ -181,5 +181,5 @@
     await RouterProcess(configure, selector, policy).run()
 
 
-def _log_failed_start(fault: Exception) -> None:
-    log.error("cannot start: %s: %s", type(fault).__name__, fault)
+def _log_failed_start(error: Exception) -> None:
+    log.error("cannot start: %s: %s", type(error).__name__, error)
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -16,8 +16,8 @@
     def is_ready(self) -> bool:
         """Return whether the router serves clients, if only through the process that takes over."""
         components = self.components
-        leaving = components.stopping.is_set() and not components.handing_over
-        return components.listening and bool(components.endpoints.entries) and not leaving
+        leaving = components.stopping.is_set() and not components.is_successor_ready
+        return components.is_listening and bool(components.endpoints.entries) and not leaving
 
     def not_ready_reason(self) -> str:
         """Return why this process cannot serve, as text for operators; empty if it can."""
@@ -28,7 +28,7 @@
             return "the name server has not answered yet"
         if components.policy is not None and (reason := components.policy.not_ready_reason()):
             return reason
-        if not components.listening:
+        if not components.is_listening:
             return "it does not listen yet"
         return "" if components.endpoints.entries else "no runner is listed"
 
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -22,15 +22,15 @@
 class ReloadResult:
     """How a reload ended, as it is printed."""
 
-    fault: str = ""  # empty if the configuration was taken
+    error: str = ""  # empty if the configuration was taken
     taken: list[str] = field(default_factory=list)  # the names of what has changed
     restarts: list[str] = field(default_factory=list)  # the names of what only a restart can change
 
     def print(self) -> None:
         """Print one JSON line on standard error, for the agent."""
         output = {
-            "ok": not self.fault,
-            "fault": self.fault,
+            "ok": not self.error,
+            "fault": self.error,
             "taken": self.taken,
             "restart": self.restarts,
         }
@@ -53,24 +53,24 @@
         result = ReloadResult()
         try:
             config = self._read(result)
-        except (ConfigError, OSError) as fault:
-            if reads_left > 1 and isinstance(fault, OSError) and fault.errno in reads.NO_DESCRIPTOR:
+        except (ConfigError, OSError) as error:
+            if reads_left > 1 and isinstance(error, OSError) and error.errno in reads.NO_DESCRIPTOR:
                 self._reload_later(reads_left - 1)
                 return
-            result.fault = f"{type(fault).__name__}: {fault}"
+            result.error = f"{type(error).__name__}: {error}"
             self._record_refusal(result)
         else:
             self._apply(config, result)
         result.print()
 
     def _reload_later(self, reads_left: int) -> None:
-        self.components.descriptors_exhausted()
+        self.components.free_descriptor()
         asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload, reads_left)
 
     def _record_refusal(self, result: ReloadResult) -> None:
         components = self.components
         components.counters["reloads.failed"] += 1
-        log.error("%s cannot reload; the old configuration stays: %s", components.name, result.fault)
+        log.error("%s cannot reload; the old configuration stays: %s", components.name, result.error)
 
     def _apply(self, config: Config, result: ReloadResult) -> None:
         components = self.components
@@ -98,7 +98,7 @@
             self.discovery.poll(config.dns)
         if self._has_newer_endpoints(config):
             components.endpoints.replace(config.fleet)
-            components.endpoints_changed()
+            components.publish_endpoints()
             taken.append("known")
         invoke = components.invoke
         if invoke is not None and config.operator is not None and invoke.api.reload(config.operator):
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -19,7 +19,7 @@
         self.readiness = readiness
         self.handover = handover
 
-    async def wait_for_turn(self) -> None:
+    async def wait_until_may_serve(self) -> None:
         """Return once this process may take clients, or was asked to stop.
 
         Where another process serves, clients are taken only when this one has a current endpoint list.
@@ -56,8 +56,8 @@
             if not self.readiness.not_ready_reason():
                 self.handover.announce_ready()
             self.handover.poll()
-        except OSError as fault:
-            log.warning("%s: the locks: %s", self.components.name, fault)
+        except OSError as error:
+            log.warning("%s: the locks: %s", self.components.name, error)
 
     def _may_take_clients(self) -> bool:
         if self.readiness.list_is_current() and self.handover.stage is not HandoverStage.WAITING:
--- a/tests/front_fixture.py
+++ b/tests/front_fixture.py
@@ -45,7 +45,7 @@
 class FakeTimestamps:
     """Receive timestamps that a test sets."""
 
-    since_us: int = 0
+    earliest_event_us: int = 0
     last_idle_us: int = 0
 
 
--- a/tests/policy_driver_rig.py
+++ b/tests/policy_driver_rig.py
@@ -29,7 +29,7 @@
         settings = policy_settings_of(tables)
         assert settings is not None
         self.driver = PolicyDriver(settings, tables, self.build)
-        self.driver.put_in_force = self.applied.append
+        self.driver.apply_config = self.applied.append
         self.config = self.driver.configure(tables)
 
     @staticmethod
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -73,14 +73,14 @@
     async def test_bytes_behind_a_flood_are_as_old_as_it_until_the_loop_has_rested(self) -> None:
         timestamps = FakeTimestamps(100, 7)
         reader = ClientReader(4, timestamps)
-        for since_us, last_idle_us, data, received_us in (
+        for earliest_event_us, last_idle_us, data, received_us in (
             (100, 7, b"xxxx", 100),
             (200, 7, b"xxxx", 100),
             (300, 8, b"xxxx", 300),
             (400, 8, b"x", 300),
             (500, 8, b"x", 500),
         ):
-            timestamps.since_us = since_us
+            timestamps.earliest_event_us = earliest_event_us
             timestamps.last_idle_us = last_idle_us
             reader.feed_data(data)
             self.assertEqual(reader.received_us, received_us)
@@ -99,7 +99,7 @@
             with self.assertRaises((asyncio.IncompleteReadError, ConnectionError)):
                 await third.reader.readexactly(1)
             clients[0].writer.transport.abort()
-            self.front.answers.write(next(iter(self.front.clients)), b"")
+            self.front.answer_writer.write(next(iter(self.front.clients)), b"")
             await wait_until(self.write_until_a_call_is_withdrawn)
         self.assertEqual(self.counters["clients.rejected"], 1)
 
@@ -108,7 +108,7 @@
         if len(self.harness.core.open) <= 1 or self.harness.core.counters["requests.withdrawn"]:
             return True
         for client in list(self.front.clients):
-            self.front.answers.write(client, framed(b"{}"))
+            self.front.answer_writer.write(client, framed(b"{}"))
         return False
 
     async def test_client_that_resets_its_connection_while_it_is_read_away_is_no_fault(self) -> None:
--- a/tests/test_front_closing.py
+++ b/tests/test_front_closing.py
@@ -66,7 +66,7 @@
             self.front.close_gracefully(0)
             return True
 
-        self.front.requests.ready = close_and_be_ready
+        self.front.request_handler.is_ready = close_and_be_ready
         client = await self.connect()
         check_ids = range(10, 50)
         client.send(b"".join(check_frame(id_) for id_ in check_ids) + call_frame(1))
--- a/tests/test_front_eviction.py
+++ b/tests/test_front_eviction.py
@@ -88,7 +88,7 @@
         await wait_until(lambda: sum(bool(accepted.framer.rest) for accepted in self.front.clients) >= 2)
         self.harness.now += self.front.limits.clients.grace_us + 1
         self.assertFalse(self.front.evict_idle())
-        self.timestamps.since_us = self.harness.now
+        self.timestamps.earliest_event_us = self.harness.now
         clients[0].send(CALL_FRAME[50:])
         await self.until_open()
         self.harness.now += self.front.limits.clients.unfinished_us
--- a/tests/test_front_unread.py
+++ b/tests/test_front_unread.py
@@ -31,12 +31,12 @@
         async with asyncio.timeout(PATIENCE_S):
             await self.until_connected(2)
             unreading, reading = self.front.clients
-            self.front.answers.write(unreading, bytes(13_000_000))
-            self.front.answers.write(reading, bytes(14_000_000))
+            self.front.answer_writer.write(unreading, bytes(13_000_000))
+            self.front.answer_writer.write(reading, bytes(14_000_000))
             self.harness.now += 1_000_000
             while reading.writer.transport.get_write_buffer_size():
                 await reading_client.reader.read(1 << 20)
-            self.front.answers.write(reading, bytes(25_000_000))  # the most that is unread
+            self.front.answer_writer.write(reading, bytes(25_000_000))  # the most that is unread
             await wait_until(lambda: unreading not in self.front.clients)
         self.assertIn(reading, self.front.clients)
         self.assertFalse(reading.writer.is_closing())
@@ -46,7 +46,7 @@
         client = await self.connect()
         client.send(CALL_FRAME)
         await self.until_open()
-        self.front.answers.write(next(iter(self.front.clients)), b"x" * 50_000_000)
+        self.front.answer_writer.write(next(iter(self.front.clients)), b"x" * 50_000_000)
         await self.until_disconnected()
         self.assertEqual((self.counters["clients.too_slow"], self.harness.core.open), (1, {}))
 
@@ -84,7 +84,7 @@
         unreading = socket.create_connection(self.server.address)
         self.addCleanup(unreading.close)
         await wait_until(self.open_for_writing, FLUSH_PATIENCE_S)
-        self.front.answers.write(self.open_for_writing()[-1], bytes(16 << 20))
+        self.front.answer_writer.write(self.open_for_writing()[-1], bytes(16 << 20))
         unreading.shutdown(socket.SHUT_WR)
         await wait_until(lambda: not self.front.clients, FLUSH_PATIENCE_S)
 
--- a/tests/test_listen.py
+++ b/tests/test_listen.py
@@ -46,7 +46,7 @@
             await writer.drain()
             writer.close()
 
-        listener = await listen("127.0.0.1", 0, serve, asyncio.StreamReader, burst=16, queue=64)
+        listener = await listen("127.0.0.1", 0, serve, asyncio.StreamReader, accept_burst=16, queue_size=64)
         waiting = [send_request(listener.address) for _ in range(20)]
         late = list[socket.socket]()
         close = listener.close
@@ -56,7 +56,7 @@
             close()
 
         with mock.patch.object(listener, "close", close_as_another_comes):
-            await listener.finish(PATIENCE_S)
+            await listener.accept_queued_and_close(PATIENCE_S)
         answers = [await asyncio.to_thread(read_answer, connection) for connection in waiting]
         assert answers == [b"!"] * 20 and requests == [b"?"] * 20
         with pytest.raises(ConnectionResetError):
--- a/tests/test_receive_timestamps.py
+++ b/tests/test_receive_timestamps.py
@@ -33,11 +33,11 @@
             [100, 100, 200, 900, 1_500], [0.0, 0.0, 0.01, 0.0107, 0.0107, 0.0113, 0.0113]
         )
         selector.select(0.001)  # waits, by that clock
-        self.assertEqual(selector.since_us, 200)
+        self.assertEqual(selector.earliest_event_us, 200)
         selector.select(-1)  # after 700 microseconds of work, does not wait
-        self.assertEqual(selector.since_us, 200)
+        self.assertEqual(selector.earliest_event_us, 200)
         selector.select(-1)  # the reader of what the last one found runs only now
-        self.assertEqual((selector.read_us, selector.since_us), (200, 900))
+        self.assertEqual((selector.earliest_read_us, selector.earliest_event_us), (200, 900))
 
     def test_what_came_while_the_process_stood_still_is_old_until_the_loop_has_waited(self) -> None:
         selector = self.start_selector(
@@ -45,15 +45,15 @@
             [0.0, 0.0, 1.5, 1.5, 1.5002, 1.501, 1.52, 1.521, 1.9, 1.91, 1.9101],
         )
         selector.select(0.001)  # came back 1.5 s late
-        self.assertEqual(selector.since_us, 100)
+        self.assertEqual(selector.earliest_event_us, 100)
         selector.select(0)  # that it took longer than a reading shows no wait
-        self.assertEqual(selector.since_us, 100)
+        self.assertEqual(selector.earliest_event_us, 100)
         selector.select(0.02)
-        self.assertEqual((selector.since_us, selector.last_idle_us), (1_520_000, 1_520_000))
+        self.assertEqual((selector.earliest_event_us, selector.last_idle_us), (1_520_000, 1_520_000))
         reader, writer = socket.socketpair()
         self.addCleanup(reader.close)
         self.addCleanup(writer.close)
         selector.register(reader, selectors.EVENT_READ)
         writer.send(b"x")
         selector.select(0.02)  # 0.4 s after the last one, and then another 10 ms: it was there before
-        self.assertEqual((selector.since_us, selector.last_idle_us), (1_520_000, 1_520_000))
+        self.assertEqual((selector.earliest_event_us, selector.last_idle_us), (1_520_000, 1_520_000))
