--- a/maplestile/router/__init__.py
+++ b/maplestile/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router process: configuration, start, reload, drain and handover."""
+"""The router process: configuration, start, reload, drain, handover and the agreed policy."""
--- a/maplestile/router/clock.py
+++ b/maplestile/router/clock.py
@@ -1,10 +1,10 @@
-"""Time in a router process: its clock, and waits for conditions that have no event."""
+"""The clock of a router process, and polling for conditions that no event signals."""
 
 import asyncio
 import time
 from collections.abc import Callable
 
-POLL_S = 0.02
+POLL_S = 0.02  # between two checks of a condition
 
 
 def clock() -> int:
@@ -13,7 +13,7 @@
 
 
 async def poll_until(condition: Callable[[], bool]) -> None:
-    """Return once the condition holds; it is checked every `POLL_S`."""
+    """Return once the condition holds; check it every `POLL_S`."""
     while True:
         if condition():
             return
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -1,6 +1,6 @@
 """The components of one router process, built from its configuration.
 
-The other modules of this package work on them: readiness, fronts, reload, handover and drain.
+The other modules of this package (readiness, fronts, reload, handover and drain) operate on them.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from maplestile.router.clock import clock
 from maplestile.router.config import Config
 
-if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
+if TYPE_CHECKING:  # imported at run time only if the configuration needs them, to save start time and memory
     from maplestile.invoke.api import InvokeApi
     from maplestile.net.gossip import GossipDriver
     from maplestile.net.http import HttpFront
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class InvokeFront:
-    """The HTTP front for callers: its API, the driver of its connections, and its listening socket."""
+    """The HTTP front for callers: its API, its connections and its listening socket."""
 
     api: "InvokeApi"
     http: "HttpFront"
@@ -36,12 +36,12 @@
 
 
 class Components:
-    """What one router process consists of; optional components are None until they are started."""
+    """The components of one router process; optional ones are None until they are started."""
 
     def __init__(self, config: Config, selector: TimestampingSelector) -> None:
         self.config = config
         self.name = config.name
-        self.limits = config.limits  # the share of this process among those that serve side by side
+        self.limits = config.limits  # this process's share, while several processes share the budgets
         self.endpoints = config.fleet
         self.selector = selector
         self.counters: Counter[str] = Counter()
@@ -51,7 +51,7 @@
         self.started_us = clock()
         self.stopping = asyncio.Event()  # set when the process is to stop
         self.is_listening = False
-        self.process_count = 1  # processes that share the budgets
+        self.process_count = 1  # number of processes that share the budgets
         self.platform: PlatformFront | None = None
         self.platform_listener: Listener | None = None
         self.invoke: InvokeFront | None = None
@@ -63,40 +63,40 @@
 
     @property
     def is_successor_ready(self) -> bool:
-        """Whether another process is ready to replace this one."""
+        """Whether a successor process is ready to replace this one."""
         return self.handover is not None and self.handover.successor_ready
 
     def received_us(self) -> int:
-        """Return the earliest Unix time in microseconds of bytes that a stream returns in this loop turn.
+        """Return the earliest Unix time, in microseconds, at which input read now can have arrived.
 
-        A stream returns them one turn after the select that found them.
+        Streams return bytes one loop iteration after the select that found them.
         """
         return self.selector.earliest_read_us
 
     def publish_endpoints(self, kind: ListKind = ListKind.FULL) -> None:
-        """Pass the endpoint list on to each component that depends on it."""
+        """Pass the current endpoint list to each component that depends on it."""
         if self.cordons is not None:
             self.cordons.remember_listed(self.endpoints.entries)
             self.endpoints.suspended = self.cordons.cordoned
-        # The pool first: a decision on the new list must find its addresses and drains.
+        # The pool comes first: decisions on the new list need its addresses and drains.
         self.runners.update(self.endpoints)
         if self.peers is not None:
             self.peers.set_runners(self.endpoints.entries)
         self.core.list_changed(self.endpoints.event(kind))
 
     def free_descriptor(self) -> None:
-        """Close an idle client connection: the router itself found no file descriptor left."""
+        """Close an idle client connection, because the router needs a file descriptor and none is free."""
         self.counters["descriptors.none_left"] += 1
         if self.platform is not None:
             self.platform.evict_idle()
 
     def share_budgets(self, process_count: int) -> None:
-        """Divide the budgets of the configuration among so many processes."""
+        """Divide the configured budgets among `process_count` processes."""
         self.process_count = process_count
         self._apply_limits()
 
     def adopt_policy(self, config: Config) -> None:
-        """Apply the policy of a new epoch to the calls that come from now on."""
+        """Apply the policy of a new epoch to calls that arrive from now on."""
         self.config = replace(
             self.config,
             settings=config.settings,
@@ -129,7 +129,7 @@
         )
 
     def _apply_limits(self) -> None:
-        """Give each component this process's share of the limits in force."""
+        """Pass this process's share of the configured limits to each component."""
         self.limits = self.config.limits.shared(self.process_count)
         self.core.limits = self.limits
         self.runners.limits = self.limits.runners
@@ -137,7 +137,7 @@
             self.platform.limits = self.limits
 
     def _schedule_tick(self, due_us: int) -> None:
-        """Set the one alarm of the core's timers to a Unix time in microseconds."""
+        """Schedule the next tick of the core at a Unix time in microseconds, instead of the pending one."""
         if self._tick_timer is not None:
             self._tick_timer.cancel()
         delay_s = max(0.0, (due_us - clock()) / 1e6)
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one function router, read and checked as a whole before any of it is used."""
+"""The configuration of a router, which is read and checked completely before any of it is used."""
 
 import json
 import os
@@ -14,38 +14,38 @@
 from maplestile.wire.limits import Limits
 from maplestile.wire.settings import SettingsError, settings_from
 
-if TYPE_CHECKING:  # the platform's nodes load neither the second front nor peers: start time and memory
+if TYPE_CHECKING:  # not needed by the platform's nodes, which saves them start time and memory
     from maplestile.invoke.operator_file import OperatorSettings
     from maplestile.membership.settings import MembershipSettings
 
-# Settings that only the invoke front reads, so that its own reload takes them.
+# Settings that only the invoke front reads; its own reload applies them.
 INVOKE_SETTINGS = ("tenants",)
-# Fields of Config that components are built on, or a listener is bound to.
+# Fields of `Config` that need a restart, because components are built from them or listeners bound to them.
 RESTART_FIELDS = ("name", "listen", "operation", "folder", "limits", "peers")
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
-SEED_MASK = (1 << 63) - 1
+SEED_MASK = (1 << 63) - 1  # limits the seed to 63 bits
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The checked configuration of one router process; addresses that are None belong to what is off."""
+    """The checked configuration of one router process; a component whose address is None is switched off."""
 
     name: str
     settings: Settings
     limits: Limits
-    listen: Address | None  # the platform's front
-    dns: Address | None  # the name server
-    fleet: EndpointList  # the endpoints that are known before the name server answers
-    seed: int
-    operator: "OperatorSettings | None" = None  # the operator's file, with the invoke front
-    operation: Address | None = None  # the operators' front; `folder` has no effect without it
-    folder: Path | None = None  # that outlives this process, and is shared with the one that replaces it
-    # Membership among instances; never on the platform, where routers cannot reach each other.
+    listen: Address | None  # address of the platform front
+    dns: Address | None  # address of the name server
+    fleet: EndpointList  # the endpoints known before the name server answers
+    seed: int  # of the random numbers
+    operator: "OperatorSettings | None" = None  # settings of an operator's file, with the invoke front
+    operation: Address | None = None  # address of the operators' front; `folder` has no effect without it
+    folder: Path | None = None  # outlives this process, and is shared with its successor
+    # Membership among instances; None on the platform, where routers cannot reach each other.
     peers: "MembershipSettings | None" = None
 
     def restart_only_changes(self, new: "Config") -> list[str]:
-        """Return the names of the differences that only a restart can apply."""
+        """Return the names of the changes in `new` that require a restart."""
         names = [each.name for each in fields(Settings) if each.name not in INVOKE_SETTINGS]
         changed = [f"settings.{name}" for name in _differing(names, self.settings, new.settings)]
         changed += _differing(RESTART_FIELDS, self, new)
@@ -58,12 +58,12 @@
 
 
 def _differing(names: Iterable[str], old: object, new: object) -> list[str]:
-    """Return the attributes, of these, in which two objects differ."""
+    """Return those of the named attributes in which two objects differ."""
     return [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
 def config_from(payload: Mapping[str, Any], operator: "OperatorSettings | None" = None) -> Config:
-    """Check a decoded configuration. Raises ConfigError with the first fault."""
+    """Check a decoded configuration and return it. Raises ConfigError for the first error found."""
     try:
         return _config_from(payload, operator)
     except KeyError as missing:
@@ -75,20 +75,20 @@
 
 
 def config_from_environment() -> Config:
-    """Read the configuration of a node of the platform: the JSON file that `NODE_CONFIG` names.
+    """Read the configuration of a platform node from the JSON file named by `NODE_CONFIG`.
 
-    Raises ConfigError, or OSError where the file cannot be read.
+    Raises ConfigError if it is invalid, and OSError if the file cannot be read.
     """
     file = os.environ.get("NODE_CONFIG")
     if file is None:
         raise ConfigError("NODE_CONFIG is not set")
     try:
         payload = json.loads(Path(file).read_bytes())
-    except (ValueError, RecursionError) as error:  # deep nesting must not end the program
+    except (ValueError, RecursionError) as error:  # RecursionError: the JSON is nested too deeply
         raise ConfigError(f"no JSON: {error}") from None
     if not isinstance(payload, dict):
         raise ConfigError("no JSON object")
-    # The process that replaces another gets the same file, and another address for operators.
+    # A successor process reads the same file, but needs another address for its operators' front.
     payload["operator"] = os.environ.get("NODE_OPERATOR") or payload.get("operator")
     payload["folder"] = os.environ.get("TMPDIR")
     return config_from(payload)
--- a/maplestile/router/discovery.py
+++ b/maplestile/router/discovery.py
@@ -1,4 +1,4 @@
-"""Which name server is polled for the endpoint list, also while a reload replaces it by another."""
+"""Polling of the configured name server for the endpoint list, and its replacement by a reload."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class Discovery:
-    """Polls the name server of the configuration, if it has one."""
+    """Polls the configured name server, if there is one."""
 
     def __init__(self, components: Components, supervisor: TaskSupervisor) -> None:
         self.components = components
@@ -18,10 +18,10 @@
         self.task: asyncio.Task[None] | None = None
 
     def poll(self, server: Address | None) -> None:
-        """Poll this name server from now on.
+        """Poll this name server from now on; None stops the polling.
 
-        The server before it is polled until this one has answered: otherwise the router would learn of no
-        drain while the new one does not answer.
+        The previous server is still polled until the new one has answered, since otherwise the router would
+        learn of no drains in the meantime.
         """
         previous = self._answering_task()
         if self.task is not None and (self.task is not previous or server is None):
@@ -44,11 +44,11 @@
 
     @property
     def has_answered(self) -> bool:
-        """Whether a usable answer was received, or none is awaited."""
+        """Whether the name server has sent a usable reply, or no name server is polled."""
         return self.driver is None or self.driver.has_answered
 
     def _answering_task(self) -> asyncio.Task[None] | None:
-        """Return the current task, or the one before it where the current server never answered."""
+        """Return the task of the last server that has answered: the current one, or else the previous one."""
         driver = self.driver
         if driver is None or driver.has_answered or driver.previous_task is None:
             return self.task
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -1,6 +1,6 @@
-"""The configuration of an instance by an operator's file, read again at each reload.
+"""The configuration of an instance from an operator's file, which is read again at each reload.
 
-The platform's nodes do not load this module: they have no operator's file and no policy of their own.
+Platform nodes do not import this module: they have no operator's file and no policy of their own.
 """
 
 import os
@@ -13,20 +13,20 @@
 from maplestile.invoke.operator_file import from_tables, read
 from maplestile.router.config import Config, config_from
 
-if TYPE_CHECKING:  # loaded only where the file has a policy: start time and memory
+if TYPE_CHECKING:  # imported at run time only if the file has a policy, to save start time and memory
     from maplestile.router.policy_driver import PolicyDriver
 
-SEED_BYTES = 8
+SEED_BYTES = 8  # of the random seed
 
 
 class FileConfiguration:
-    """Reads the file, and joins it with the agreed policy where the file takes part in one."""
+    """Reads the file, and combines it with the agreed policy if the file has a `[policy]` table."""
 
     def __init__(self, file: Path) -> None:
-        """Read the file for the first time. Raises ConfigError where it is invalid."""
+        """Read the file for the first time. Raises ConfigError if it is invalid."""
         self.file = file
         self.policy: PolicyDriver | None = None
-        self._seed = os.urandom(SEED_BYTES).hex()  # one for all reloads
+        self._seed = os.urandom(SEED_BYTES).hex()  # stays the same over reloads
         tables = read(file)
         if (settings := policy_settings_of(tables)) is not None:
             from maplestile.router import policy_driver
@@ -34,11 +34,11 @@
             self.policy = policy_driver.PolicyDriver(settings, tables, self._build)
 
     def read(self) -> Config:
-        """Read the file again, and check it. Raises ConfigError."""
+        """Read and check the file again, and return its configuration. Raises ConfigError."""
         tables = read(self.file)
         return self._build(tables) if self.policy is None else self.policy.configure(tables)
 
     def _build(self, tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> Config:
-        """Check the tables of the file, with the adopted policy in place of the file's own part of it."""
+        """Check the tables of the file; an adopted policy, if there is one, replaces the file's own."""
         operator = from_tables(tables, adopted)
         return config_from({**operator.node, "seed": self._seed}, operator)
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -1,7 +1,7 @@
-"""The fronts of a router process: the platform's, the invoke front, and the operators'.
+"""The fronts of a router process: the platform front, the invoke front and the operators' front.
 
-The invoke and operators' fronts, and what processes share, are imported where they are used: a platform's
-node without them would start later and take more memory.
+The invoke front, the operators' front and the state shared between processes are imported inside functions,
+which saves start time and memory in platform nodes that do not use them.
 """
 
 import logging
@@ -13,14 +13,14 @@
 from maplestile.router.components import Components, InvokeFront
 from maplestile.router.readiness import Readiness
 
-if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
+if TYPE_CHECKING:  # imported at run time only if the configuration needs it, to save start time and memory
     from maplestile.operation.service import OperatorService
 
 log = logging.getLogger("maplestile")
 
 
 async def open_client_fronts(components: Components, readiness: Readiness) -> list[Listener]:
-    """Accept clients on each front of the configuration. Raises OSError where an address is not free."""
+    """Open each configured client front. Raises OSError if an address cannot be bound."""
     listeners = list[Listener]()
     if components.config.listen is not None:
         listeners.append(await _open_platform_front(components, readiness))
@@ -30,10 +30,10 @@
 
 
 async def open_operator_front(components: Components, readiness: Readiness) -> Listener | None:
-    """Answer operators, and load what is shared with the process before this one.
+    """Load the state shared with the predecessor process, and open the operators' front.
 
-    Without an operators' address in the configuration there is neither. Raises OSError where the address is
-    not free.
+    Do neither, and return None, if the configuration has no address for operators. Raises OSError if the
+    address cannot be bound.
     """
     config = components.config
     if config.operation is None:
@@ -66,7 +66,7 @@
 
 
 def _load_shared_state(components: Components) -> None:
-    """Load the cordons from the folder of the configuration, and take part in its handover."""
+    """Load the cordons from the configured folder, and join the handover between processes that share it."""
     from maplestile.operation.cordons import Cordons
     from maplestile.operation.handover import Handover
     from maplestile.operation.state_folder import FileCordonStore, ProcessLocks
@@ -77,7 +77,7 @@
         store, components.limits.operators, components.counters, components.publish_endpoints
     )
     components.cordons.refresh()
-    # A router with an invoke front has records of calls that another process would not know.
+    # No handover with an invoke front, because a successor would not have this process's records of calls.
     if config.folder is None or config.operator is not None:
         return
     try:
@@ -93,7 +93,7 @@
         components.core, components.limits, components.counters, components.selector, readiness.is_ready
     )
     components.platform = front
-    # Also where the folder cannot be used: two processes that cannot hand over may still serve in turn.
+    # Even if the folder is unusable: two processes that cannot hand over may still serve one after the other.
     shared = config.operation is not None and config.operator is None
     listener = await front.start(*config.listen, shared)
     components.platform_listener = listener
--- a/maplestile/router/policy_attachment.py
+++ b/maplestile/router/policy_attachment.py
@@ -1,6 +1,6 @@
-"""The agreed policy of a fleet, attached to the components of a router process.
+"""Connects the policy driver to the components of a router process.
 
-`policy_driver` is imported only where a policy is agreed on: the platform's nodes don't load it.
+`policy_driver` is imported only if the router takes part in an agreed policy; platform nodes do not load it.
 """
 
 from typing import TYPE_CHECKING
@@ -14,7 +14,7 @@
 
 
 def attach_policy(components: Components, policy: "PolicyDriver") -> None:
-    """Let the policy's epochs decide the settings, and whether calls are admitted."""
+    """Let the policy driver set the settings of the components, and decide whether calls are admitted."""
     components.policy = policy
     policy.counters = components.counters
     policy.apply_config = components.adopt_policy
@@ -25,7 +25,7 @@
 
 
 async def start_policy(components: Components, policy: "PolicyDriver", supervisor: TaskSupervisor) -> None:
-    """Run the policy driver, and return once calls are admitted or the process was asked to stop."""
+    """Start the policy driver; return once calls are admitted or the process is asked to stop."""
     from maplestile.router.policy_jobs import run_in_thread
 
     policy.run_job = run_in_thread
--- a/maplestile/router/policy_configuration.py
+++ b/maplestile/router/policy_configuration.py
@@ -1,7 +1,7 @@
-"""Builds a router's configuration from its file's tables, with the fleet's policy in place of the file's own.
+"""Builds a router's configuration from its file, with the fleet's policy in place of the file's own.
 
-It is built from the tables as they were last taken, so that an epoch changes the policy alone, and brings in
-nothing of a file that was not taken.
+The configuration is built from the tables that were last applied. So a new epoch changes only the policy, and
+brings in no other changes of a file that was edited and not reloaded, or whose reload was refused.
 """
 
 from collections.abc import Callable
@@ -9,36 +9,37 @@
 from maplestile.control.policy.document import AdoptedPolicy, Document, Tables
 from maplestile.router.config import Config
 
-RELOADABLE_TABLES = ("function", "tenant", "worker", "limits")  # tables of the file that a reload takes
+RELOADABLE_TABLES = ("function", "tenant", "worker", "limits")  # tables of the file that a reload may change
 
-# Builds a configuration from the tables, with the policy of an epoch if one is given. Raises ConfigError.
+# Builds a configuration from tables, in which an adopted policy, if given, replaces the file's own.
+# Raises ConfigError.
 ConfigBuilder = Callable[[Tables, AdoptedPolicy | None], Config]
 
 
 class PolicyConfiguration:
-    """The tables of the router's file as they were last taken, and what is built from them."""
+    """The last applied tables of the router's file, and the configurations that are built from them."""
 
     def __init__(self, tables: Tables, build: ConfigBuilder) -> None:
-        """Raises PolicyError where the file's own policy is invalid."""
+        """Keep the tables of the file. Raises PolicyError if the file's own policy is invalid."""
         self.tables = tables
         self.build = build
-        self.file_policy = Document.from_file(tables)  # in force until an epoch brings another
+        self.file_policy = Document.from_file(tables)  # applies until an epoch with a document is adopted
 
     def build_from_file(self) -> Config:
-        """Return the configuration of the file alone. Raises ConfigError."""
+        """Return the configuration of the file with its own policy. Raises ConfigError."""
         return self.build(self.tables, None)
 
     def build_with_policy(
         self, epoch: int, document: Document | None, tables: Tables | None = None
     ) -> Config:
-        """Return the configuration with the policy of an epoch in the place of the file's own.
+        """Return the configuration with the policy of an epoch in place of the file's own.
 
-        Without a document it is the file's own policy. `tables` are those of a reload that is not taken yet,
-        in place of those last taken. Raises ConfigError.
+        If `document` is None, the epoch has the file's own policy. `tables`, if given, are those of a reload
+        that is not applied yet, and replace the last applied ones. Raises ConfigError.
         """
         adopted = AdoptedPolicy(epoch, document or self.file_policy)
         return self.build(self.tables if tables is None else tables, adopted)
 
     def apply_reload(self, tables: Tables) -> None:
-        """Take those tables of the file that a reload may change."""
+        """Keep those tables of a reloaded file that a reload may change."""
         self.tables = self.tables | {name: tables[name] for name in RELOADABLE_TABLES if name in tables}
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -1,7 +1,7 @@
-"""The driver of a router's part in the fleet's policy: its record on disk, its configuration, its events.
+"""Lets a router follow the fleet's agreed policy: stores the adopted epoch, applies it, and logs events.
 
-The decisions are made by `control.policy.follower.Follower`. What the agent sends comes by the operators'
-front (`operation.policy.PolicyOperations`), which decodes it.
+`control.policy.follower.Follower` makes the decisions. The agent's messages arrive at the operators' front,
+where `operation.policy.PolicyOperations` decodes them.
 """
 
 import asyncio
@@ -25,25 +25,26 @@
 from maplestile.router.policy_jobs import RunJob, run_inline
 
 log = logging.getLogger("maplestile.policy")
-TICK_INTERVAL_S = 0.1
+TICK_INTERVAL_S = 0.1  # between two updates of the status
 US_PER_S = 1e6
 
-Reply = Callable[[PolicyReport], None]
+Reply = Callable[[PolicyReport], None]  # sends the report as the reply to an announcement
 
 
 def monotonic_us() -> int:
-    """Return the machine's monotonic clock, which a router shares with its agent, in microseconds."""
+    """Return the monotonic time of the machine, which the router and its agent share, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class PolicyDriver:
-    """Follows the fleet's policy on behalf of one router.
+    """Follows the fleet's policy for one router.
 
-    The router sets `counters`, `calls_by_epoch`, `put_in_force` and `run_job` once it is composed.
+    `attach_policy` and `start_policy` set `counters`, `calls_by_epoch`, `apply_config` and `run_job` once the
+    router's components exist.
     """
 
     def __init__(self, settings: PolicySettings, tables: Tables, build: ConfigBuilder) -> None:
-        """Raises PolicyError where the file's own policy is invalid."""
+        """Read the adopted policy from disk. Raises PolicyError if the file's own policy is invalid."""
         self.settings = settings
         self.configuration = PolicyConfiguration(tables, build)
         self.events = logs.events("policy")
@@ -51,26 +52,26 @@
         self.apply_config: Callable[[Config], None] = lambda _config: None
         self.calls_by_epoch: dict[int, Counter[str]] = {}
         self.run_job: RunJob = run_inline
-        self.is_writing = False  # a record is being written
-        self.last_logged_refusal = (NO_EPOCH, "")
+        self.is_writing = False  # an adopted policy is being written to disk
+        self.last_logged_refusal = (NO_EPOCH, "")  # epoch and reason
         record = store.read(settings.folder)
         self.document = None if record is None else record.document
         recorded_epoch = NO_EPOCH if record is None else record.epoch
         self.follower = Follower(settings.timeouts, recorded_epoch, monotonic_us())
         self.last_logged_status = PolicyStatus.WAITING
-        self.is_configured = False
+        self.is_configured = False  # `configure` has been called
 
     @property
     def epoch(self) -> int:
-        """The epoch in force; 0 where none is on record."""
+        """The adopted epoch; 0 if none is stored."""
         return max(0, self.follower.epoch)
 
     # The configuration.
 
     def configure(self, tables: Tables) -> Config:
-        """Return the file's configuration with the policy in force in place of its own.
+        """Return the configuration of the file, with the adopted policy in place of the file's own.
 
-        Called at the start, and at each reload. Raises ConfigError, and then changes nothing.
+        Called at the start and at each reload. If it raises ConfigError, nothing has changed.
         """
         if not self.is_configured:
             self.is_configured = True
@@ -84,7 +85,11 @@
             return self.configuration.build_with_policy(self.epoch, self.document)
         except ConfigError as error:
             reason = str(error)
-        log.error("policy: epoch %d does not fit this build or file: %s", self.follower.epoch, reason)
+        log.error(
+            "policy: the stored epoch %d does not fit this build or file, so no new calls are taken: %s",
+            self.follower.epoch,
+            reason,
+        )
         self.follower.refused(reason)
         return self.configuration.build_from_file()
 
@@ -94,17 +99,18 @@
         if Document.from_file(tables) != self.configuration.file_policy:
             self.counters["policy.reloads_refused"] += 1
             log.warning(
-                "policy: the file's policy has changed and is not taken: the fleet decides, "
-                "and its epoch is %d; `maplestile policy propose`",
+                "policy: the file's policy has changed and is ignored: the fleet's epoch %d applies; "
+                "use `maplestile policy propose` to change it",
                 self.follower.epoch,
             )
         self.configuration.apply_reload(tables)
         return config
 
     def _check_prepared(self, tables: Tables) -> None:
-        """Check that the change being agreed on still fits: this router has reported that it does.
+        """Check that a policy change this router has accepted still fits the reloaded file.
 
-        Raises PolicyError.
+        The change may be committed any time, because the router has reported that it fits. Raises PolicyError
+        if it no longer does.
         """
         prepared = self.follower.prepared
         if prepared is None:
@@ -115,10 +121,10 @@
             place = f"change {prepared.change}"
             raise PolicyError(f"does not fit the policy that is being agreed on ({place}): {error}") from None
 
-    # What the agent sends to the operators' front.
+    # Messages of the agent, received at the operators' front.
 
     def take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
-        """Take an announcement of what is committed, and reply once, now or later."""
+        """Handle an announcement of the committed epoch, and reply once, either now or later."""
         step = self.follower.take_announcement(announcement, monotonic_us())
         if step is Step.ADOPT and not self.is_writing:
             self._adopt(announcement, reply)
@@ -129,7 +135,7 @@
         reply(self.report(lacks_document=step is Step.FETCH))
 
     def _adopt(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
-        """Write the record first, off the loop since a disk may be slow; then put it in force."""
+        """Store the announced policy with `run_job`, since a disk may be slow, and then apply it."""
         finish = partial(self._finish_adoption, announcement, reply)
         try:
             self.configuration.build_with_policy(announcement.epoch, announcement.document)
@@ -150,7 +156,7 @@
         try:
             if error is not None:
                 raise error
-            # Built again: a reload may have come meanwhile.
+            # Build it again, since a reload may have changed the file's tables in the meantime.
             config = self.configuration.build_with_policy(announcement.epoch, announcement.document)
         except (ConfigError, OSError) as cause:
             self._refuse(announcement.epoch, str(cause))
@@ -168,13 +174,13 @@
 
     def _refuse(self, epoch: int, reason: str) -> None:
         self.counters["policy.refused"] += 1
-        if (epoch, reason) != self.last_logged_refusal:  # it is tried again and again
+        if (epoch, reason) != self.last_logged_refusal:  # log once: the agent keeps announcing the epoch
             self.last_logged_refusal = epoch, reason
-            log.error("policy: epoch %d is not taken, and so no new call: %s", epoch, reason)
+            log.error("policy: epoch %d is refused, so no new calls are taken: %s", epoch, reason)
         self.follower.refused(reason)
 
     def check(self, change: PolicyCheck) -> None:
-        """Check that a change fits this build and file. Raises PolicyError, which names the field."""
+        """Check that a policy change fits this build and file. Raises PolicyError, which names the field."""
         try:
             self.configuration.build_with_policy(self.epoch + 1, change.document)
         except PolicyError:
@@ -184,14 +190,14 @@
         self.follower.prepare(change.change, change.document)
         self.events.info("checked", change=change.change, digest=digest_of(change.document))
 
-    # What the router and its operators see.
+    # Queries by the router and its operators.
 
     def admits(self) -> bool:
-        """Return whether new calls are taken."""
+        """Return whether new calls are admitted."""
         return self.follower.admits(monotonic_us())
 
     def not_ready_reason(self) -> str:
-        """Return why no new calls are taken; empty if they are."""
+        """Return the reason why no new calls are admitted; empty if they are."""
         if self.admits():
             return ""
         if self.follower.status is PolicyStatus.REFUSED:
@@ -199,7 +205,10 @@
         return "the fleet has not told its policy yet"
 
     def report(self, lacks_document: bool = False) -> PolicyReport:
-        """Return the router's report of its policy."""
+        """Return the router's report on its policy.
+
+        `lacks_document` asks the agent to send the document of the announced epoch.
+        """
         now_us = monotonic_us()
         self.follower.tick(now_us)
         return PolicyReport(
@@ -214,7 +223,7 @@
         )
 
     def metrics(self) -> PolicyMetrics:
-        """Return the metrics at this moment."""
+        """Return the current policy metrics."""
         return PolicyMetrics(
             epoch=self.epoch,
             stale=int(self.follower.status is PolicyStatus.STALE),
@@ -228,18 +237,18 @@
         return round(self.follower.stale_us(now_us) / US_PER_S, 1)
 
     def log_attempt(self, attempt: AttemptId, epoch: int) -> None:
-        """Log an attempt and the epoch that it was sent by, where the settings ask for that trace."""
+        """Log an attempt with the policy epoch under which it was sent; called if `trace` is set."""
         self.events.info("attempt", call=attempt[0], attempt=attempt[1], epoch=epoch)
 
     async def run(self) -> None:
-        """Let the status follow the clock until cancelled."""
+        """Update and log the status at regular intervals until cancelled."""
         while True:
             self.follower.tick(monotonic_us())
             self._log_status()
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _log_status(self) -> None:
-        """Log each change of the status once."""
+        """Log the status if it has changed since it was last logged."""
         status = self.follower.status
         if status is self.last_logged_status:
             return
--- a/maplestile/router/policy_jobs.py
+++ b/maplestile/router/policy_jobs.py
@@ -1,4 +1,4 @@
-"""Where the policy driver's blocking work runs: at once, or in a thread away from the event loop."""
+"""Runs the blocking jobs of the policy driver, either inline or in a thread."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,12 +6,12 @@
 Job = Callable[[], None]
 OnDone = Callable[[BaseException | None], None]
 
-# Runs the job, away from the loop or not, and then on the loop `OnEnd` with its failure, if it has failed.
+# Runs a job, and then calls `OnDone` on the event loop with the job's exception, or None if it succeeded.
 RunJob = Callable[[Job, OnDone], None]
 
 
 def run_inline(job: Job, on_done: OnDone) -> None:
-    """Run a job here and now."""
+    """Run a job in the calling thread, which blocks the event loop."""
     try:
         job()
     except OSError as error:
@@ -21,6 +21,6 @@
 
 
 def run_in_thread(job: Job, on_done: OnDone) -> None:
-    """Run a job in a thread, and its end on the running loop."""
+    """Run a job in a thread, and call `on_done` on the running event loop."""
     done = asyncio.get_running_loop().run_in_executor(None, job)
     done.add_done_callback(lambda ended: on_done(ended.exception()))
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -1,4 +1,4 @@
-"""One function router: start, reload at SIGHUP, drain at SIGTERM, counters at SIGUSR1 and at the end."""
+"""The main program of a router: reload at SIGHUP, drain at SIGTERM, counters at SIGUSR1 and at the exit."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 from maplestile.dispatch.api import ListKind
 from maplestile.net.listen import Listener
 from maplestile.net.receive_timestamps import TimestampingSelector
-from maplestile.router.clock import clock as clock  # kept here for its users outside this package
+from maplestile.router.clock import clock as clock  # re-exported for users outside this package
 from maplestile.router.components import Components
 from maplestile.router.config import Config, config_from_environment
 from maplestile.router.discovery import Discovery
@@ -28,16 +28,16 @@
 from maplestile.router.reload import Reloader
 from maplestile.router.supervisor import TaskSupervisor
 
-if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
+if TYPE_CHECKING:  # imported at run time only if the configuration needs them, to save start time and memory
     from maplestile.router.policy_driver import PolicyDriver
     from maplestile.router.takeover import HandoverMonitor
 
 log = logging.getLogger("maplestile")
-SWEEP_S = 1.0
+SWEEP_S = 1.0  # between two closings of idle connections to runners
 
 
 class RouterProcess:
-    """One function router from its start to its end."""
+    """One router process, from its start to its exit."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         selector: TimestampingSelector,
         policy: "PolicyDriver | None" = None,
     ) -> None:
-        """Build the components. Raises ConfigError or OSError where the configuration cannot be used."""
+        """Build the components. Raises ConfigError or OSError if the configuration cannot be used."""
         self.components = Components(configure(), selector)
         self.supervisor = TaskSupervisor(self.components.counters)
         self.discovery = Discovery(self.components, self.supervisor)
@@ -57,7 +57,7 @@
             attach_policy(self.components, policy)
 
     async def run(self) -> None:
-        """Serve until asked to stop, and drain. Raises OSError where a front's address is not free."""
+        """Serve until asked to stop, and then drain. Raises OSError if a front cannot bind its address."""
         self._install_signal_handlers()
         self.gc_scheduler.start()
         operator_listener = await open_operator_front(self.components, self.readiness)
@@ -72,7 +72,7 @@
         self.print_counters()
 
     def print_counters(self) -> None:
-        """Print all counters as one JSON line on standard error."""
+        """Print all counters as one line of JSON on standard error."""
         components = self.components
         components.counters["loop.longest_us"] = int(components.selector.longest_busy_s * 1e6)
         answers = Counter[str]()
@@ -89,13 +89,13 @@
         loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
 
     async def _start_background_tasks(self) -> None:
-        """Start what runs beside the fronts; return once clients may be taken, or at a request to stop."""
+        """Start the background tasks; return once clients may be accepted, or at a request to stop."""
         components = self.components
         self.supervisor.start(self._sweep)
         self._start_peers()
         self.discovery.poll(components.config.dns)
         if components.handover is not None:
-            from maplestile.router.takeover import HandoverMonitor  # only where processes hand over
+            from maplestile.router.takeover import HandoverMonitor  # imported only if it is used
 
             self.handover = HandoverMonitor(components, self.readiness, components.handover)
             self.supervisor.start(self.handover.run)
@@ -104,11 +104,11 @@
             await start_policy(components, components.policy, self.supervisor)
 
     def _start_peers(self) -> None:
-        """Join the other routers, where the configuration names any."""
+        """Join the membership group, if the configuration has peers."""
         components = self.components
         if (settings := components.config.peers) is None:
             return
-        from maplestile.net.gossip import GossipDriver  # not loaded by the platform's nodes: start and memory
+        from maplestile.net.gossip import GossipDriver  # imported only if it is used
 
         peers = GossipDriver(
             components.name,
@@ -124,9 +124,9 @@
         self.supervisor.start(peers.run)
 
     async def _serve_clients(self) -> list[Listener]:
-        """Serve until asked to stop, drain, and return the listeners, still to be closed."""
+        """Serve until asked to stop, and drain; return the listeners for the caller to close."""
         components = self.components
-        if components.stopping.is_set():  # before it could serve: it accepts no clients
+        if components.stopping.is_set():  # asked to stop during the start: accept no clients
             return []
         listeners = await open_client_fronts(components, self.readiness)
         if listeners:
@@ -143,8 +143,8 @@
 
 
 def serve(file: Path) -> int:
-    """Run one instance by an operator's file, with the invoke front; return its exit code."""
-    from maplestile.router.file_configuration import FileConfiguration  # not loaded by the platform's nodes
+    """Run a router with the invoke front, configured by an operator's file; return its exit code."""
+    from maplestile.router.file_configuration import FileConfiguration  # not needed by platform nodes
 
     try:
         configuration = FileConfiguration(file)
@@ -155,13 +155,13 @@
 
 
 def platform() -> int:
-    """Run a node of the platform by its environment; return its exit code."""
+    """Run a node of the platform, configured by its environment; return its exit code."""
     return _run(config_from_environment)
 
 
 def _run(configure: Callable[[], Config], policy: "PolicyDriver | None" = None) -> int:
-    """Run one router process to its end; return its exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until its handler is set; the default ends the program
+    """Run one router process until it exits; return its exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the handler is installed; the default would exit
     logs.start()
     try:
         selector = TimestampingSelector(clock)
@@ -177,9 +177,9 @@
 async def _run_process(
     configure: Callable[[], Config], selector: TimestampingSelector, policy: "PolicyDriver | None"
 ) -> None:
-    """Build the process in its running loop, and run it. Raises ConfigError or OSError."""
+    """Build the process in the running event loop, and run it. Raises ConfigError or OSError."""
     await RouterProcess(configure, selector, policy).run()
 
 
 def _log_failed_start(error: Exception) -> None:
-    log.error("cannot start: %s: %s", type(error).__name__, error)
+    log.error("the router cannot start and exits: %s: %s", type(error).__name__, error)
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a router process can serve, as clients and as operators see it."""
+"""The readiness of a router process, as reported to clients and to operators."""
 
 from maplestile.router.clock import clock
 from maplestile.router.components import Components
@@ -14,13 +14,13 @@
         self._list_was_current = False
 
     def is_ready(self) -> bool:
-        """Return whether the router serves clients, if only through the process that takes over."""
+        """Return whether the router serves clients, either in this process or in its successor."""
         components = self.components
         leaving = components.stopping.is_set() and not components.is_successor_ready
         return components.is_listening and bool(components.endpoints.entries) and not leaving
 
     def not_ready_reason(self) -> str:
-        """Return why this process cannot serve, as text for operators; empty if it can."""
+        """Return the reason why this process cannot serve, as a text for operators; empty if it can."""
         components = self.components
         if components.stopping.is_set():
             return "it was asked to stop"
@@ -33,10 +33,10 @@
         return "" if components.endpoints.entries else "no runner is listed"
 
     def list_is_current(self) -> bool:
-        """Return whether the name server has answered, or has had its time to.
+        """Return whether the name server has answered, or the time limit for its first answer is over.
 
-        The runners of the configuration may be out of date, so the name server's answer is awaited; one that
-        never answers must not keep the process from serving forever.
+        The configured runners may be out of date, so the process waits for the name server. The wait is
+        limited, since a name server that never answers must not keep the process from serving forever.
         """
         if not self._list_was_current:
             waited_us = clock() - self.components.started_us
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration at SIGHUP: all differences are applied, or none."""
+"""Reload of the configuration at SIGHUP; either all changes are applied or none."""
 
 import asyncio
 import json
@@ -14,25 +14,25 @@
 from maplestile.router.discovery import Discovery
 
 log = logging.getLogger("maplestile")
-MAX_READS = 10  # tries to read a configuration while there is no file descriptor for it
+MAX_READS = 10  # attempts to read the configuration while no file descriptor is free
 RETRY_DELAY_S = 0.02
 
 
 @dataclass(slots=True)
 class ReloadResult:
-    """How a reload ended, as it is printed."""
+    """The result of a reload, as it is printed."""
 
-    error: str = ""  # empty if the configuration was taken
-    taken: list[str] = field(default_factory=list)  # the names of what has changed
-    restarts: list[str] = field(default_factory=list)  # the names of what only a restart can change
+    error: str = ""  # empty if the configuration was applied
+    applied: list[str] = field(default_factory=list)  # names of the applied changes
+    restart_required: list[str] = field(default_factory=list)  # names of changes that require a restart
 
     def print(self) -> None:
-        """Print one JSON line on standard error, for the agent."""
+        """Print the result as one line of JSON on standard error, for the agent."""
         output = {
             "ok": not self.error,
             "fault": self.error,
-            "taken": self.taken,
-            "restart": self.restarts,
+            "taken": self.applied,
+            "restart": self.restart_required,
         }
         print(json.dumps({"reload": output}), file=sys.stderr, flush=True)
 
@@ -46,9 +46,10 @@
         self.configure = configure
 
     def reload(self, reads_left: int = MAX_READS) -> None:
-        """Read and check the whole configuration before applying any of it, and print the result.
+        """Read and check the whole configuration, apply it, and print the result.
 
-        Where no file descriptor is free to read it, one is freed, and the read is retried a little later.
+        If no file descriptor is free to read it, free one and retry later. `reads_left` is the number of
+        attempts left, including this one.
         """
         result = ReloadResult()
         try:
@@ -58,7 +59,7 @@
                 self._reload_later(reads_left - 1)
                 return
             result.error = f"{type(error).__name__}: {error}"
-            self._record_refusal(result)
+            self._record_failure(result)
         else:
             self._apply(config, result)
         result.print()
@@ -67,49 +68,49 @@
         self.components.free_descriptor()
         asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload, reads_left)
 
-    def _record_refusal(self, result: ReloadResult) -> None:
+    def _record_failure(self, result: ReloadResult) -> None:
         components = self.components
         components.counters["reloads.failed"] += 1
-        log.error("%s cannot reload; the old configuration stays: %s", components.name, result.error)
+        log.error("%s: reload failed; keeping the old configuration: %s", components.name, result.error)
 
     def _apply(self, config: Config, result: ReloadResult) -> None:
         components = self.components
         components.counters["reloads.taken"] += 1
-        result.taken = self._apply_differences(config)
-        log.info("%s reloaded; taken: %s", components.name, ", ".join(result.taken) or "nothing")
+        result.applied = self._apply_changes(config)
+        log.info("%s: reloaded; applied changes: %s", components.name, ", ".join(result.applied) or "none")
 
     def _read(self, result: ReloadResult) -> Config:
-        """Return the new configuration. Raises ConfigError or OSError where it cannot be applied."""
+        """Return the new configuration. Raises ConfigError or OSError if it cannot be applied."""
         config = self.configure()
-        result.restarts = self.components.config.restart_only_changes(config)
-        # Applied in part, it would mix two configurations, perhaps of two customers.
-        if result.restarts:
-            raise ConfigError(f"only a restart takes {', '.join(result.restarts)}")
+        result.restart_required = self.components.config.restart_only_changes(config)
+        # Applying only a part would mix two configurations, perhaps even those of two customers.
+        if result.restart_required:
+            raise ConfigError(f"only a restart takes {', '.join(result.restart_required)}")
         return config
 
-    def _apply_differences(self, config: Config) -> list[str]:
-        """Apply what differs, which can all change live, and return the names of it."""
+    def _apply_changes(self, config: Config) -> list[str]:
+        """Apply the changes, none of which requires a restart, and return their names."""
         components = self.components
-        taken = list[str]()
+        applied = list[str]()
         old = components.config
         components.config = replace(old, dns=config.dns)
         if config.dns != old.dns:
-            taken.append("dns")
+            applied.append("dns")
             self.discovery.poll(config.dns)
         if self._has_newer_endpoints(config):
             components.endpoints.replace(config.fleet)
             components.publish_endpoints()
-            taken.append("known")
+            applied.append("known")
         invoke = components.invoke
         if invoke is not None and config.operator is not None and invoke.api.reload(config.operator):
-            taken.append("invoke")
-        return taken
+            applied.append("invoke")
+        return applied
 
     def _has_newer_endpoints(self, config: Config) -> bool:
-        """Return whether the file's endpoint list replaces the current one.
+        """Return whether the endpoint list of the file replaces the current one.
 
-        Serials go on over a reload: a file older than the name server's last list must not bring back a dead
-        worker. Where no name server is polled, the file is the only source.
+        Serials are compared across reloads: a file older than the name server's last list must not bring back
+        a worker that has gone. Without a name server, the file is the only source, and any change counts.
         """
         endpoints = self.components.endpoints
         version = config.fleet.version
--- a/maplestile/router/supervisor.py
+++ b/maplestile/router/supervisor.py
@@ -1,4 +1,4 @@
-"""Background tasks that start again after a failure."""
+"""Background tasks that are restarted after a failure."""
 
 import asyncio
 import logging
@@ -10,21 +10,21 @@
 
 
 class TaskSupervisor:
-    """Runs the background tasks of one process; counts failures in `parts.failed`."""
+    """Runs the background tasks of one process, and counts their failures in `parts.failed`."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.counters = counters
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self, run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
-        """Start a task that runs until it returns or is cancelled."""
+        """Start a background task, which is restarted after a failure until it returns or is cancelled."""
         task = asyncio.get_running_loop().create_task(self._run(run))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     def cancel_all(self) -> None:
-        """Cancel each task that still runs, without awaiting its end."""
+        """Cancel all running tasks, without waiting for them to end."""
         for task in self.tasks:
             task.cancel()
 
@@ -32,7 +32,7 @@
         while True:
             try:
                 return await run()
-            except Exception:  # one failure must not end a background task for good
+            except Exception:  # a single failure must not stop a background task permanently
                 self.counters["parts.failed"] += 1
-                log.exception("a part has failed, and begins anew: %s", run.__qualname__)
+                log.exception("background task %s failed; restarting it", run.__qualname__)
                 await asyncio.sleep(RESTART_DELAY_S)
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -1,4 +1,4 @@
-"""Handover between the two processes of an upgrade, as one of them observes it."""
+"""Handover between the two processes of an upgrade, from the viewpoint of one of them."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
 
 
 class HandoverMonitor:
-    """Follows the other process of an upgrade, and notifies it when this one can serve."""
+    """Observes the other process of an upgrade, and notifies it when this one can serve."""
 
     def __init__(self, components: Components, readiness: Readiness, handover: Handover) -> None:
         self.components = components
@@ -20,26 +20,30 @@
         self.handover = handover
 
     async def wait_until_may_serve(self) -> None:
-        """Return once this process may take clients, or was asked to stop.
+        """Return once this process may accept clients, or is asked to stop.
 
-        Where another process serves, clients are taken only when this one has a current endpoint list.
+        While another process serves, this one accepts clients only once its endpoint list is current.
         """
         handover = self.handover
         if handover.stage is HandoverStage.ALONE:
             return
-        log.info("%s: another process serves; it is %s", self.components.name, handover.stage.value)
+        log.info(
+            "%s: another process is serving; the handover stage of this one: %s",
+            self.components.name,
+            handover.stage.value,
+        )
         await poll_until(self._may_take_clients)
 
     async def run(self) -> None:
-        """Observe the other process again and again, until cancelled."""
+        """Observe the other process at regular intervals until cancelled."""
         while True:
             self.observe()
             await asyncio.sleep(self.components.limits.handover.poll_us / 1e6)
 
     def observe(self) -> None:
-        """Poll the other process and the cordons that it stored, once."""
+        """Check once what the other process does, and which cordons it has stored."""
         components = self.components
-        assert components.cordons is not None  # built together with the handover
+        assert components.cordons is not None  # created together with the handover
         components.cordons.refresh()
         stage_before = self.handover.stage
         self._poll_locks()
@@ -47,17 +51,17 @@
             log.info("%s: %s", components.name, self.handover.stage.value)
         process_count = self.handover.process_count
         if process_count != components.process_count:
-            log.info("%s: budgets for %d processes side by side", components.name, process_count)
+            log.info("%s: splitting the limits into budgets for %d processes", components.name, process_count)
             components.share_budgets(process_count)
 
     def _poll_locks(self) -> None:
-        """Notify the other process once this one can serve, and learn what it does."""
+        """Announce through the locks that this process can serve, if it can, and check the other's locks."""
         try:
             if not self.readiness.not_ready_reason():
                 self.handover.announce_ready()
             self.handover.poll()
         except OSError as error:
-            log.warning("%s: the locks: %s", self.components.name, error)
+            log.warning("%s: handover locks cannot be used; retrying: %s", self.components.name, error)
 
     def _may_take_clients(self) -> bool:
         if self.readiness.list_is_current() and self.handover.stage is not HandoverStage.WAITING:
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -92,7 +92,7 @@
 
     def tenant_limit_reloaded(self) -> bool:
         """Whether a router has logged that it reloaded the settings of its invoke front."""
-        return any("reloaded; taken: " in line and "invoke" in line for line in self.fleet.agents[0].log)
+        return any("reloaded; applied changes: " in line and "invoke" in line for line in self.fleet.agents[0].log)
 
     def test_a_router_that_was_down_and_one_that_was_paused_learn_it_before_they_take_calls(self) -> None:
         calls = Calls(self.fleet, 16)
