--- a/maplestile/net/__init__.py
+++ b/maplestile/net/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers that read and write sockets and hand bytes to the machines in `maplestile.wire`."""
+"""Reads and writes sockets, and passes the bytes to the protocol code in `maplestile.wire`."""
--- a/maplestile/net/answer_writer.py
+++ b/maplestile/net/answer_writer.py
@@ -9,7 +9,7 @@
 
 
 class AnswerWriter:
-    """Limits the memory of unread answers, per client and for all clients together."""
+    """The writer of answers to all clients; it limits unread answers, per client and for all together."""
 
     def __init__(self, table: ClientTable) -> None:
         self.table = table
--- a/maplestile/net/client.py
+++ b/maplestile/net/client.py
@@ -1,4 +1,4 @@
-"""The state of one client connection at the platform front."""
+"""Keeps the state of a client connection at the platform front, and checks its socket."""
 
 import array
 import asyncio
@@ -28,13 +28,13 @@
     message_wait_since_us: int
     message_reads: int = 0  # reads that completed at least one message
     bad_messages: int = 0  # invalid messages received
-    calls: dict[int, int] = field(default_factory=dict)  # JSON-RPC id of each open call -> number at the core
+    calls: dict[int, int] = field(default_factory=dict)  # JSON-RPC id of each open call -> number in the core
     tags: dict[str, int] = field(default_factory=dict)  # tag of each open call -> JSON-RPC id
     all_answered: asyncio.Event = field(default_factory=asyncio.Event)  # set when no call is open any more
     last_active_us: int = 0  # when the client last sent a message or was sent an answer
     written_bytes: int = 0  # answer bytes written to the transport
     sent_bytes: int = 0  # answer bytes that the kernel had accepted at the last check
-    unread_since_us: int = 0  # since when the kernel has accepted no more of the buffered answers
+    unread_since_us: int = 0  # since when the kernel has accepted none of the buffered answers
     write_closed: bool = False  # the router has closed its write side
     is_handling: bool = False  # some messages of the last read are not handled yet
 
@@ -54,7 +54,7 @@
         return unsent
 
     def has_unhandled_input(self) -> bool:
-        """Return whether a request was received, complete or in part, that is not open at the core yet."""
+        """Return whether a request was received, completely or in part, that is not open in the core yet."""
         return self.is_handling or bool(self.framer.rest) or self.unread_input_bytes() > 0
 
     def presence(self) -> Presence:
--- a/maplestile/net/client_reader.py
+++ b/maplestile/net/client_reader.py
@@ -1,4 +1,4 @@
-"""The input stream of a client connection, with receive timestamps and immediate detection of a close."""
+"""Reads the input of a client connection, with receive timestamps and immediate detection of a close."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
     @property
     def last_idle_us(self) -> int:
-        """When the event loop last waited for events, with all input read, in Unix microseconds."""
+        """The Unix time in microseconds at which the event loop last waited with all input read."""
         ...
 
 
--- a/maplestile/net/client_table.py
+++ b/maplestile/net/client_table.py
@@ -1,4 +1,4 @@
-"""The client connections of the platform front, and their eviction when the connection limit is reached."""
+"""Keeps the client connections of the platform front, and evicts idle ones at the connection limit."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,15 +12,15 @@
     """The eviction order of connections without an open request; the lowest rank is evicted first."""
 
     WRITE_CLOSED = 0  # the router has closed its write side
-    SILENT = 1  # has sent no request for longer than `ClientLimits.silent_us`
-    ONE_REQUEST = 2  # all of its requests came in one read
-    WAITING = 3  # has sent no request for longer than `ClientLimits.grace_us`
-    RETURNING = 4  # has sent requests more than once
-    NEW = 5  # connected too recently to expect a request
+    SILENT = 1  # never sent a request, for longer than `ClientLimits.silent_us`
+    ONE_REQUEST = 2  # sent requests in a single read only
+    WAITING = 3  # never sent a request, for longer than `ClientLimits.grace_us`
+    RETURNING = 4  # sent requests in several reads
+    NEW = 5  # never sent a request, but had little time to
 
 
 class ClientTable:
-    """All connections that count towards the connection limit, with their limits and counters."""
+    """The connections that count towards the connection limit, with their limits and counters."""
 
     def __init__(self, limits: Limits, counters: Counter[str], clock: Callable[[], int]) -> None:
         self.limits = limits
--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -1,4 +1,4 @@
-"""A DNS client on one UDP socket, with timeouts and retries."""
+"""Queries a DNS server over one UDP socket, with timeouts and retries."""
 
 import asyncio
 import itertools
@@ -11,13 +11,13 @@
 from maplestile.wire import dns
 from maplestile.wire.limits import NameServerLimits
 
-HOST_TRIES = 4  # queries for one record type of a host, the first included
+HOST_TRIES = 4  # queries for one record type of a host, including the first
 MAX_HOST_QUERIES = 16  # concurrent queries
 ID_VALUES = 1 << 16  # number of DNS message ids
 
 
 class QuerySocket(asyncio.DatagramProtocol):
-    """Passes each reply to the pending query with its id, and drops replies that no query waits for."""
+    """The UDP protocol that passes each reply to the pending query with its id, and drops other replies."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.pending: dict[int, asyncio.Future[dns.Reply]] = {}
--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery over DNS: polls a name server for the complete list of endpoints."""
+"""Discovers workers over DNS: polls a name server for the complete list of endpoints."""
 
 import asyncio
 import logging
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 LIST_NAME = "_app._tcp.cluster.lan"
-LOGGED_FAILURES = (4, 40, 400)  # counts of consecutive failed polls at which one is logged
+LOGGED_FAILURES = (4, 40, 400)  # numbers of consecutive failed polls at which a warning is logged
 # A poll whose reply was lost or truncated is retried soon, since a drain counts as announced after 1.5 s.
 FAST_RETRIES = 3
 FAST_RETRY_S = 0.02
@@ -26,7 +26,7 @@
 
 
 class DnsDiscovery:
-    """Polls one name server and applies its lists to the endpoint list.
+    """The poller of one name server, which applies the server's lists to the endpoint list.
 
     `previous_task` polls the name server that this one replaces; it is cancelled once this one has answered.
     """
@@ -48,8 +48,8 @@
         self.on_change = on_change  # called after each change of the endpoint list
         self.previous_task = previous_task
         self.has_answered = False  # the name server has sent a usable reply
-        self.is_complete = True  # the endpoint list has all that the server lists under the same serial
-        self.serial_restart = SerialRestart(limits, counters)
+        self.is_complete = True  # False if the endpoint list lacks some of the list with its serial
+        self.serial_restart = SerialRestartDetector(limits, counters)
 
     async def run(self) -> None:
         """Poll until cancelled, and then close the query socket."""
@@ -84,7 +84,7 @@
             await asyncio.sleep(max(MIN_POLL_S, next_s - loop.time()))
 
     def _record_failure(self, failures: int, error: Exception) -> None:
-        """Count a failed poll, and log some of them; `failures` is the number of failures in a row."""
+        """Count a failed poll, and log it if `failures`, the number in a row, is in `LOGGED_FAILURES`."""
         self.counters["names.failed"] += 1
         if failures in LOGGED_FAILURES:
             log.warning(
@@ -108,10 +108,10 @@
             self.counters["names.serial_restarts"] += 1
             version = self.endpoints.version
             log.warning(
-                "name server: its serials have restarted: applying list %d after %d", reply.serial, version
+                "name server: serials have restarted; applying list %d after list %d", reply.serial, version
             )
         await self.client.add_missing_hosts(reply, reply.targets)
-        # The endpoint list may have got another serial while the hosts were queried.
+        # The serial of the endpoint list may have changed while the hosts were queried.
         replaces = is_older or reply.serial == self.endpoints.version
         self._apply(reply, reply.serial, replaces)
 
@@ -127,12 +127,12 @@
         drained = [_worker_uid(target) for target in draining if self._is_known_process(reply, target)]
         if drained:
             self.endpoints.drain(drained)
-            self.is_complete = False  # so that the next list that is not older is applied, even if unchanged
+            self.is_complete = False  # apply the next list that is not older, even if its serial is the same
             self.counters["names.outdated_drains"] += len(drained)
             self.on_change()
 
     def _is_known_process(self, reply: dns.Reply, target: dns.Target) -> bool:
-        """Return whether a target is the same process as in the endpoint list, by its start time."""
+        """Return whether a target has the same start time, so is the same process, as its current entry."""
         try:
             listed, _ = dns.worker_entry(reply, target)
         except dns.DnsError:
@@ -146,7 +146,7 @@
         if errors:
             self.counters["names.incomplete"] += 1
             log.warning(
-                "name server: list %d has no usable records for %d hosts; keeping their old entries: %s",
+                "name server: list %d lacks usable records of %d hosts; keeping their old entries: %s",
                 serial,
                 len(errors),
                 errors[0],
@@ -187,10 +187,11 @@
         return replace(known, state=state), self.endpoints.addresses[worker]
 
 
-class SerialRestart:
-    """Detects that a name server has restarted its serials, so that its lists would never be applied again.
+class SerialRestartDetector:
+    """A detector of a name server that has restarted its serials.
 
-    A stale server, or a delayed reply, has older serials only for a few seconds.
+    Without it, the lists of such a server would never be applied again. A stale server, or a delayed reply,
+    has older serials only for a few seconds.
     """
 
     def __init__(self, limits: NameServerLimits, counters: Counter[str]) -> None:
@@ -213,7 +214,7 @@
         return often and now_s - self._since_s >= self.limits.restart_us / 1e6
 
     def reset(self) -> None:
-        """Start counting anew, after a reply whose serial is not older or a restart that was applied."""
+        """Reset the count, after a reply whose serial is not older or after an applied restart."""
         self._replies = 0
 
 
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -1,4 +1,4 @@
-"""The membership protocol over UDP: the socket and the timer that drive `membership.swim.Swim`."""
+"""Runs the membership protocol over UDP: drives `membership.swim.Swim` with a socket and a timer."""
 
 import asyncio
 import logging
@@ -81,7 +81,7 @@
             self.transport.close()
 
     def leave(self) -> None:
-        """Announce that this member leaves the group; gossip spreads the news while the process drains."""
+        """Announce that this member leaves the group; gossip spreads this while the process drains."""
         if self.transport is None:
             return
         self.swim.leave()
--- a/maplestile/net/graceful_close.py
+++ b/maplestile/net/graceful_close.py
@@ -9,7 +9,7 @@
 
 
 class GracefulClose:
-    """Closes the write side of each connection without losing a request or an answer."""
+    """The graceful close of client connections, which loses no request and no answer."""
 
     def __init__(self, table: ClientTable) -> None:
         self.table = table
--- a/maplestile/net/http.py
+++ b/maplestile/net/http.py
@@ -1,4 +1,4 @@
-"""The HTTP fronts: accept connections within the limits of each front, and close them during a drain."""
+"""Serves HTTP fronts: accepts connections within the limits of each front, and closes them at a drain."""
 
 import asyncio
 import logging
@@ -25,7 +25,7 @@
 
 
 class HttpFront:
-    """Serves one application over HTTP."""
+    """A front that serves one application over HTTP."""
 
     def __init__(
         self, name: str, app: Application, counters: Counter[str], received_us: Callable[[], int]
@@ -39,7 +39,7 @@
         return await listen(host, port, self._serve, _new_reader, accept_burst, ACCEPT_QUEUE_SIZE)
 
     def start_draining(self) -> None:
-        """Close each connection after its next answer, so that its client connects to another router."""
+        """Close each connection after its next response, so that its client connects to another router."""
         self.state.is_draining = True
 
     async def close_gracefully(self, listener: Listener) -> None:
--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections with h11 over asyncio streams; a request is answered before the next one is read."""
+"""Serves HTTP/1.1 connections with h11 over asyncio streams, one request at a time per connection."""
 
 import asyncio
 import logging
@@ -43,7 +43,7 @@
         self.counters = counters
         # Returns the earliest Unix time in microseconds at which the input read now can have arrived.
         self.received_us = received_us
-        self.is_draining = False  # the process is draining: each connection closes after its next answer
+        self.is_draining = False  # the process is draining: each connection closes after its next response
         # Ordered sets, oldest first.
         self.idle: dict[HttpConnection, None] = {}  # connections that have received no part of a request
         self.receiving: dict[HttpConnection, None] = {}  # connections with an incomplete request
@@ -59,7 +59,7 @@
 
 
 class HttpConnection:
-    """Reads requests, passes each to the application, and writes the response."""
+    """One connection: it reads requests, passes each to the application, and writes the response."""
 
     def __init__(self, front: FrontState, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.front = front
@@ -104,7 +104,7 @@
         self.writer.write_eof()
 
     async def _read_request(self) -> HttpRequest | None:
-        """Return the next request, or None at the end of the connection.
+        """Return the next request, or None if the client has closed the connection.
 
         Raises TooLarge, and what `_next_event` raises.
         """
--- a/maplestile/net/listen.py
+++ b/maplestile/net/listen.py
@@ -1,4 +1,4 @@
-"""Listening sockets of the fronts, which can be closed without losing queued connections."""
+"""Opens the listening sockets of the fronts, and closes them without losing queued connections."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 
 
 class Listener:
-    """One listening socket, and the handler of the connections that it accepts."""
+    """A listening socket, with the handler of the connections that it accepts."""
 
     def __init__(self, listener: socket.socket, serve: ConnectionHandler, new_reader: ReaderFactory) -> None:
         self.socket = listener
@@ -53,7 +53,7 @@
             try:
                 peer, _ = self.socket.accept()
             except BlockingIOError:
-                break  # the queue is empty, and stays so: nothing is awaited before the close
+                break  # the queue is empty; there is no await before the close
             except OSError:
                 if loop.time() >= until_s:
                     break
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform front: serves JSON-RPC connections of clients and passes each request to the core."""
+"""Serves the platform front: JSON-RPC connections of clients, whose requests are passed to the core."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class PlatformFront:
-    """Accepts client connections, reads their messages, and writes the answers."""
+    """The front for clients of the platform, which speak JSON-RPC."""
 
     def __init__(
         self,
--- a/maplestile/net/reads.py
+++ b/maplestile/net/reads.py
@@ -1,4 +1,4 @@
-"""Reads from sockets, limited in size and time."""
+"""Limits reads from sockets in size and time."""
 
 import asyncio
 import contextlib
--- a/maplestile/net/receive_timestamps.py
+++ b/maplestile/net/receive_timestamps.py
@@ -1,4 +1,4 @@
-"""Timestamps for received input: the earliest time at which it can have arrived at a busy event loop."""
+"""Records the earliest time at which input can have arrived, since a busy event loop reads it later."""
 
 import selectors
 import time
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/rejection.py
@@ -17,7 +17,7 @@
 
 
 class ConnectionRejector:
-    """Serves connections above the connection limit; they have a small limit of their own."""
+    """The handler of connections above the connection limit, which have a small limit of their own."""
 
     def __init__(
         self, table: ClientTable, known_names: jsonrpc.KnownNames, is_ready: Callable[[], bool]
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -15,7 +15,7 @@
 
 
 class RequestHandler:
-    """Passes each call to the core, and each answer to the client that sent the call."""
+    """The handler that passes each call to the core, and each answer to the client that sent the call."""
 
     def __init__(
         self,
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -1,4 +1,4 @@
-"""The runner pool on sockets: one task per connection connects, reads answer lines and reports to the pool.
+"""Connects the runner pool to sockets: a task per connection reads answers and reports them to the pool.
 
 A malformed line closes its connection: the start of the next answer, and the call that it belongs to, can no
 longer be determined.
--- a/maplestile/router/__init__.py
+++ b/maplestile/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router process: configuration, start, reload, drain, handover and the agreed policy."""
+"""Runs a router process: configuration, start, reload, drain, handover and the agreed policy."""
--- a/maplestile/router/clock.py
+++ b/maplestile/router/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a router process, and polling for conditions that no event signals."""
+"""Reads the clock of a router process, and polls for conditions that no event signals."""
 
 import asyncio
 import time
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -1,4 +1,4 @@
-"""The components of one router process, built from its configuration.
+"""Builds the components of a router process from its configuration.
 
 The other modules of this package (readiness, fronts, reload, handover and drain) operate on them.
 """
@@ -49,7 +49,7 @@
         self.core = self._core()
         self.runners.core = self.core
         self.started_us = clock()
-        self.stopping = asyncio.Event()  # set when the process is to stop
+        self.stopping = asyncio.Event()  # set once the process is asked to stop
         self.is_listening = False
         self.process_count = 1  # number of processes that share the budgets
         self.platform: PlatformFront | None = None
@@ -101,14 +101,14 @@
             self.config,
             settings=config.settings,
             limits=config.limits,
-            operator=config.operator,
+            operator_settings=config.operator_settings,
         )
         self._apply_limits()
         self.core.apply_policy(config.settings, self.limits)
         if self.platform is not None:
             self.platform.apply_settings(config.settings)
-        if self.invoke is not None and config.operator is not None:
-            self.invoke.api.apply_settings(config.operator)
+        if self.invoke is not None and config.operator_settings is not None:
+            self.invoke.api.apply_settings(config.operator_settings)
 
     def _runner_pool(self) -> RunnerPool:
         runners = RunnerPool(self.limits.runners, clock, self.counters)
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a router, which is read and checked completely before any of it is used."""
+"""Reads the configuration of a router, and checks it completely before any of it is used."""
 
 import json
 import os
@@ -37,8 +37,10 @@
     listen: Address | None  # address of the platform front
     dns: Address | None  # address of the name server
     fleet: EndpointList  # the endpoints known before the name server answers
-    seed: int  # of the random numbers
-    operator: "OperatorSettings | None" = None  # settings of an operator's file, with the invoke front
+    seed: int  # of the random number generator
+    operator_settings: "OperatorSettings | None" = (
+        None  # settings of an operator's file, with the invoke front
+    )
     operation: Address | None = None  # address of the operators' front; `folder` has no effect without it
     folder: Path | None = None  # outlives this process, and is shared with its successor
     # Membership among instances; None on the platform, where routers cannot reach each other.
@@ -49,10 +51,10 @@
         names = [each.name for each in fields(Settings) if each.name not in INVOKE_SETTINGS]
         changed = [f"settings.{name}" for name in _differing(names, self.settings, new.settings)]
         changed += _differing(RESTART_FIELDS, self, new)
-        if self.operator is not None and new.operator is not None:
-            if self.operator.listen != new.operator.listen:
+        if self.operator_settings is not None and new.operator_settings is not None:
+            if self.operator_settings.listen != new.operator_settings.listen:
                 changed.append("invoke.listen")
-            if self.operator.policy != new.operator.policy:
+            if self.operator_settings.policy != new.operator_settings.policy:
                 changed.append("policy")
         return changed
 
@@ -111,7 +113,7 @@
         dns=parse_address(payload["dns"]) if "dns" in payload else None,
         fleet=endpoints,
         seed=int(str(payload.get("seed", "0")), 16) & SEED_MASK,
-        operator=operator,
+        operator_settings=operator,
         operation=parse_address(payload["operator"]) if payload.get("operator") else None,
         folder=Path(payload["folder"]) if payload.get("folder") else None,
         peers=_peers_from(payload["peers"]) if payload.get("peers") else None,
--- a/maplestile/router/discovery.py
+++ b/maplestile/router/discovery.py
@@ -1,4 +1,4 @@
-"""Polling of the configured name server for the endpoint list, and its replacement by a reload."""
+"""Polls the configured name server for the endpoint list; a reload may replace the server."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class Discovery:
-    """Polls the configured name server, if there is one."""
+    """The polling of the configured name server, if there is one."""
 
     def __init__(self, components: Components, supervisor: TaskSupervisor) -> None:
         self.components = components
@@ -48,7 +48,7 @@
         return self.driver is None or self.driver.has_answered
 
     def _answering_task(self) -> asyncio.Task[None] | None:
-        """Return the task of the last server that has answered: the current one, or else the previous one."""
+        """Return the current task, or the previous one while the current server has not answered."""
         driver = self.driver
         if driver is None or driver.has_answered or driver.previous_task is None:
             return self.task
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: keep serving for a while, then close the connections or hand over to a successor."""
+"""Shuts a router down gracefully: it keeps serving for a while, then closes connections or hands over."""
 
 import asyncio
 import logging
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of an instance from an operator's file, which is read again at each reload.
+"""Reads the configuration of an instance from an operator's file, at the start and at each reload.
 
 Platform nodes do not import this module: they have no operator's file and no policy of their own.
 """
@@ -20,7 +20,7 @@
 
 
 class FileConfiguration:
-    """Reads the file, and combines it with the agreed policy if the file has a `[policy]` table."""
+    """The operator's file, combined with the agreed policy if the file has a `[policy]` table."""
 
     def __init__(self, file: Path) -> None:
         """Read the file for the first time. Raises ConfigError if it is invalid."""
@@ -36,7 +36,7 @@
     def read(self) -> Config:
         """Read and check the file again, and return its configuration. Raises ConfigError."""
         tables = read(self.file)
-        return self._build(tables) if self.policy is None else self.policy.configure(tables)
+        return self._build(tables) if self.policy is None else self.policy.build_config(tables)
 
     def _build(self, tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> Config:
         """Check the tables of the file; an adopted policy, if there is one, replaces the file's own."""
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -1,4 +1,4 @@
-"""The fronts of a router process: the platform front, the invoke front and the operators' front.
+"""Opens the fronts of a router process: the platform front, the invoke front and the operators' front.
 
 The invoke front, the operators' front and the state shared between processes are imported inside functions,
 which saves start time and memory in platform nodes that do not use them.
@@ -24,7 +24,7 @@
     listeners = list[Listener]()
     if components.config.listen is not None:
         listeners.append(await _open_platform_front(components, readiness))
-    if components.config.operator is not None:
+    if components.config.operator_settings is not None:
         listeners.append(await _open_invoke_front(components))
     return listeners
 
@@ -78,7 +78,7 @@
     )
     components.cordons.refresh()
     # No handover with an invoke front, because a successor would not have this process's records of calls.
-    if config.folder is None or config.operator is not None:
+    if config.folder is None or config.operator_settings is not None:
         return
     try:
         components.handover = Handover(ProcessLocks(config.folder))
@@ -94,7 +94,7 @@
     )
     components.platform = front
     # Even if the folder is unusable: two processes that cannot hand over may still serve one after the other.
-    shared = config.operation is not None and config.operator is None
+    shared = config.operation is not None and config.operator_settings is None
     listener = await front.start(*config.listen, shared)
     components.platform_listener = listener
     _log_listener(components, "platform", listener)
@@ -105,7 +105,7 @@
     from maplestile.invoke.api import InvokeApi
     from maplestile.net.http import HttpFront
 
-    operator = components.config.operator
+    operator = components.config.operator_settings
     assert operator is not None
     api = InvokeApi(components.core, operator, components.counters)
     http = HttpFront("invoke", api, components.counters, components.received_us)
--- a/maplestile/router/gc_scheduler.py
+++ b/maplestile/router/gc_scheduler.py
@@ -24,7 +24,7 @@
 
 
 class GcScheduler:
-    """Runs full collections when they are worth the pause, and keeps the longest pause in `gc.longest_us`."""
+    """A scheduler of full collections; it keeps the longest pause of a collection in `gc.longest_us`."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.counters = counters
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -37,7 +37,7 @@
 
 
 class PolicyDriver:
-    """Follows the fleet's policy for one router.
+    """The driver that follows the fleet's policy for one router.
 
     `attach_policy` and `start_policy` set `counters`, `calls_by_epoch`, `apply_config` and `run_job` once the
     router's components exist.
@@ -59,7 +59,7 @@
         recorded_epoch = NO_EPOCH if record is None else record.epoch
         self.follower = Follower(settings.timeouts, recorded_epoch, monotonic_us())
         self.last_logged_status = PolicyStatus.WAITING
-        self.is_configured = False  # `configure` has been called
+        self.has_built_config = False  # `build_config` has been called
 
     @property
     def epoch(self) -> int:
@@ -68,13 +68,13 @@
 
     # The configuration.
 
-    def configure(self, tables: Tables) -> Config:
+    def build_config(self, tables: Tables) -> Config:
         """Return the configuration of the file, with the adopted policy in place of the file's own.
 
         Called at the start and at each reload. If it raises ConfigError, nothing has changed.
         """
-        if not self.is_configured:
-            self.is_configured = True
+        if not self.has_built_config:
+            self.has_built_config = True
             return self._first_configuration()
         return self._reloaded_configuration(tables)
 
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -1,4 +1,4 @@
-"""The main program of a router: reload at SIGHUP, drain at SIGTERM, counters at SIGUSR1 and at the exit."""
+"""Runs the main program of a router: reload at SIGHUP, drain at SIGTERM, counters at SIGUSR1 and on exit."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
     from maplestile.router.takeover import HandoverMonitor
 
 log = logging.getLogger("maplestile")
-SWEEP_S = 1.0  # between two closings of idle connections to runners
+SWEEP_S = 1.0  # between two sweeps of idle runner connections and garbage
 
 
 class RouterProcess:
@@ -41,16 +41,16 @@
 
     def __init__(
         self,
-        configure: Callable[[], Config],
+        load_config: Callable[[], Config],
         selector: TimestampingSelector,
         policy: "PolicyDriver | None" = None,
     ) -> None:
         """Build the components. Raises ConfigError or OSError if the configuration cannot be used."""
-        self.components = Components(configure(), selector)
+        self.components = Components(load_config(), selector)
         self.supervisor = TaskSupervisor(self.components.counters)
         self.discovery = Discovery(self.components, self.supervisor)
         self.readiness = Readiness(self.components, self.discovery)
-        self.reloader = Reloader(self.components, self.discovery, configure)
+        self.reloader = Reloader(self.components, self.discovery, load_config)
         self.gc_scheduler = GcScheduler(self.components.counters)
         self.handover: HandoverMonitor | None = None
         if policy is not None:
@@ -159,7 +159,7 @@
     return _run(config_from_environment)
 
 
-def _run(configure: Callable[[], Config], policy: "PolicyDriver | None" = None) -> int:
+def _run(load_config: Callable[[], Config], policy: "PolicyDriver | None" = None) -> int:
     """Run one router process until it exits; return its exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the handler is installed; the default would exit
     logs.start()
@@ -167,7 +167,7 @@
         selector = TimestampingSelector(clock)
         loop: asyncio.AbstractEventLoop = asyncio.SelectorEventLoop(selector)
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
-            runner.run(_run_process(configure, selector, policy))
+            runner.run(_run_process(load_config, selector, policy))
     except (ConfigError, OSError) as error:
         _log_failed_start(error)
         return 1
@@ -175,11 +175,11 @@
 
 
 async def _run_process(
-    configure: Callable[[], Config], selector: TimestampingSelector, policy: "PolicyDriver | None"
+    load_config: Callable[[], Config], selector: TimestampingSelector, policy: "PolicyDriver | None"
 ) -> None:
     """Build the process in the running event loop, and run it. Raises ConfigError or OSError."""
-    await RouterProcess(configure, selector, policy).run()
+    await RouterProcess(load_config, selector, policy).run()
 
 
 def _log_failed_start(error: Exception) -> None:
-    log.error("the router cannot start and exits: %s: %s", type(error).__name__, error)
+    log.error("the router cannot start: %s: %s", type(error).__name__, error)
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness of a router process, as reported to clients and to operators."""
+"""Determines whether a router process is ready, for clients and for operators."""
 
 from maplestile.router.clock import clock
 from maplestile.router.components import Components
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration at SIGHUP; either all changes are applied or none."""
+"""Reloads the configuration at SIGHUP; either all changes are applied or none."""
 
 import asyncio
 import json
@@ -38,12 +38,14 @@
 
 
 class Reloader:
-    """Replaces the configuration of a running process."""
+    """The reload of the configuration of a running process."""
 
-    def __init__(self, components: Components, discovery: Discovery, configure: Callable[[], Config]) -> None:
+    def __init__(
+        self, components: Components, discovery: Discovery, load_config: Callable[[], Config]
+    ) -> None:
         self.components = components
         self.discovery = discovery
-        self.configure = configure
+        self.load_config = load_config
 
     def reload(self, reads_left: int = MAX_READS) -> None:
         """Read and check the whole configuration, apply it, and print the result.
@@ -81,7 +83,7 @@
 
     def _read(self, result: ReloadResult) -> Config:
         """Return the new configuration. Raises ConfigError or OSError if it cannot be applied."""
-        config = self.configure()
+        config = self.load_config()
         result.restart_required = self.components.config.restart_only_changes(config)
         # Applying only a part would mix two configurations, perhaps even those of two customers.
         if result.restart_required:
@@ -102,7 +104,11 @@
             components.publish_endpoints()
             applied.append("known")
         invoke = components.invoke
-        if invoke is not None and config.operator is not None and invoke.api.reload(config.operator):
+        if (
+            invoke is not None
+            and config.operator_settings is not None
+            and invoke.api.reload(config.operator_settings)
+        ):
             applied.append("invoke")
         return applied
 
--- a/maplestile/router/supervisor.py
+++ b/maplestile/router/supervisor.py
@@ -1,4 +1,4 @@
-"""Background tasks that are restarted after a failure."""
+"""Runs background tasks, and restarts them after a failure."""
 
 import asyncio
 import logging
@@ -10,7 +10,7 @@
 
 
 class TaskSupervisor:
-    """Runs the background tasks of one process, and counts their failures in `parts.failed`."""
+    """The supervisor of a process's background tasks; it counts their failures in `parts.failed`."""
 
     def __init__(self, counters: Counter[str]) -> None:
         self.counters = counters
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -1,4 +1,4 @@
-"""Handover between the two processes of an upgrade, from the viewpoint of one of them."""
+"""Follows the handover between the two processes of an upgrade, in one of them."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
 
 
 class HandoverMonitor:
-    """Observes the other process of an upgrade, and notifies it when this one can serve."""
+    """The observer of the other process of an upgrade, which is notified when this one can serve."""
 
     def __init__(self, components: Components, readiness: Readiness, handover: Handover) -> None:
         self.components = components
@@ -41,7 +41,7 @@
             await asyncio.sleep(self.components.limits.handover.poll_us / 1e6)
 
     def observe(self) -> None:
-        """Check once what the other process does, and which cordons it has stored."""
+        """Check the stored cordons and the handover locks once, and adjust this process's budgets."""
         components = self.components
         assert components.cordons is not None  # created together with the handover
         components.cordons.refresh()
@@ -55,7 +55,7 @@
             components.share_budgets(process_count)
 
     def _poll_locks(self) -> None:
-        """Announce through the locks that this process can serve, if it can, and check the other's locks."""
+        """Announce that this process can serve, once it can, and poll the handover locks."""
         try:
             if not self.readiness.not_ready_reason():
                 self.handover.announce_ready()
--- a/tests/policy_driver_rig.py
+++ b/tests/policy_driver_rig.py
@@ -30,7 +30,7 @@
         assert settings is not None
         self.driver = PolicyDriver(settings, tables, self.build)
         self.driver.apply_config = self.applied.append
-        self.config = self.driver.configure(tables)
+        self.config = self.driver.build_config(tables)
 
     @staticmethod
     def build(tables: dict[str, Any], adopted: AdoptedPolicy | None) -> Config:
@@ -40,7 +40,7 @@
 
     def reload(self, old: str = "", new: str = "") -> Config:
         """Reload the file with `old` replaced by `new`, and return the configuration."""
-        return self.driver.configure(operator.tables_of(self.text.replace(old, new)))
+        return self.driver.build_config(operator.tables_of(self.text.replace(old, new)))
 
     def announce(self, epoch: int, **more: Any) -> dict[str, Any]:
         """Announce a committed epoch that was read just now, and return the driver's report."""
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -114,8 +114,8 @@
 
     async def test_reset_while_input_is_discarded_raises_no_exception(self) -> None:
         """Guards against a traceback in the log for each such reset; a busy day had 6,672 of them."""
-        faults = list[dict[str, Any]]()
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
+        errors = list[dict[str, Any]]()
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
         self.front.limits = changed_limits(linger_us=5_000_000)
         client = await self.connect()
         client.send(b"Content-")
@@ -125,7 +125,7 @@
         client.writer.transport.abort()
         await self.wait_until_disconnected()
         await asyncio.sleep(0)
-        self.assertEqual(faults, [])
+        self.assertEqual(errors, [])
 
     async def test_starts_no_attempt_for_client_that_closed_after_a_flood(self) -> None:
         """The whole flood and the close are in the socket before the front reads the first byte."""
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -70,13 +70,13 @@
     prepared["class"] = prepared["class"][:3]
     rig.check({"change": 6, "document": prepared})
     more = '[[function]]\nname = "g"\nclass = "review"\nmemory_mb = 1\n\n[[kind]]'
-    assert rig.reload("[[kind]]", more).operator is not None
+    assert rig.reload("[[kind]]", more).operator_settings is not None
     rig.announce(1, document=document | {"class": [*prepared["class"], exam]})
     rig.check({"change": 7, "document": prepared})
     with pytest.raises(PolicyError, match=r"change 7\): function\[3\].class: must be one of"):
         rig.reload("[[kind]]", more.replace("review", "exam"))
     rig.announce(1)  # the change was aborted
-    assert rig.reload("[[kind]]", more.replace("review", "exam")).operator is not None
+    assert rig.reload("[[kind]]", more.replace("review", "exam")).operator_settings is not None
 
 
 @pytest.mark.parametrize(
@@ -118,7 +118,10 @@
     rig.reload('name = "keep-result"', 'name = "kept"')  # during the write; the reload must stay applied
     then(None)
     assert answers[-1]["epoch"] == 1
-    assert rig.applied[-1].operator is not None and "kept" in rig.applied[-1].operator.functions
+    assert (
+        rig.applied[-1].operator_settings is not None
+        and "kept" in rig.applied[-1].operator_settings.functions
+    )
 
 
 def test_checks_policy_table_of_file(tmp_path: Path) -> None:
