--- a/maplestile/net/answer_writer.py
+++ b/maplestile/net/answer_writer.py
@@ -29,9 +29,9 @@
         if unsent > table.limits.clients.unread_bytes:
             self._disconnect(client)
         elif unsent and table.unsent_bytes() > table.limits.clients.all_unread_bytes:
-            self._disconnect(self._longest_unread(now_us))
+            self._disconnect(self._longest_blocked_client(now_us))
 
-    def _longest_unread(self, now_us: int) -> Client:
+    def _longest_blocked_client(self, now_us: int) -> Client:
         """Return the client that has read nothing for the longest time, regardless of its unread bytes."""
         blocked = (client for client in self.table.clients if client.unsent_bytes(now_us))
         return min(blocked, key=lambda client: client.unread_since_us)
--- a/maplestile/net/client_table.py
+++ b/maplestile/net/client_table.py
@@ -12,11 +12,11 @@
     """The eviction order of connections without an open request; the lowest rank is evicted first."""
 
     WRITE_CLOSED = 0  # the router has closed its write side
-    SILENT = 1  # never sent a request, for longer than `ClientLimits.silent_us`
-    ONE_REQUEST = 2  # sent requests in a single read only
-    WAITING = 3  # never sent a request, for longer than `ClientLimits.grace_us`
-    RETURNING = 4  # sent requests in several reads
-    NEW = 5  # never sent a request, but had little time to
+    SILENT = 1  # has sent no request within `ClientLimits.silent_us`
+    ONE_REQUEST = 2  # has sent one request, or several that came in one read
+    WAITING = 3  # has sent no request within `ClientLimits.grace_us`
+    RETURNING = 4  # has sent further requests later
+    NEW = 5  # has sent no request, but `ClientLimits.grace_us` is not over
 
 
 class ClientTable:
--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -48,7 +48,7 @@
         self.on_change = on_change  # called after each change of the endpoint list
         self.previous_task = previous_task
         self.has_answered = False  # the name server has sent a usable reply
-        self.is_complete = True  # False if the endpoint list lacks some of the list with its serial
+        self.is_complete = True  # False if the list with the current serial has to be applied again
         self.serial_restart = SerialRestartDetector(limits, counters)
 
     async def run(self) -> None:
@@ -132,7 +132,7 @@
             self.on_change()
 
     def _is_known_process(self, reply: dns.Reply, target: dns.Target) -> bool:
-        """Return whether a target has the same start time, so is the same process, as its current entry."""
+        """Return whether a target is the same process as its current entry, judged by the start time."""
         try:
             listed, _ = dns.worker_entry(reply, target)
         except dns.DnsError:
--- a/maplestile/net/graceful_close.py
+++ b/maplestile/net/graceful_close.py
@@ -37,7 +37,7 @@
         for client in list(self.table.clients):
             self._close_if_idle(client, 0)
 
-    def note_activity(self, client: Client) -> None:
+    def record_activity(self, client: Client) -> None:
         """Record that the client sent a message or got an answer; close its connection if that is now due."""
         self.table.mark_active(client)
         if self.closing_when_answered:
--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -29,7 +29,7 @@
 
 
 class ClientDisconnected(Exception):
-    """The client has closed its connection."""
+    """The client has closed its connection, or sent too much input ahead of a response."""
 
 
 class FrontState:
@@ -91,8 +91,8 @@
                 return
             if request is None or self.write_closed:  # the client resends a request that crosses the close
                 return
-            answer = await self._answer(request)
-            await self._write(answer, self.front.bounds.one_call or self.front.is_draining)
+            response = await self._handle_request(request)
+            await self._write(response, self.front.bounds.one_call or self.front.is_draining)
             states = (self.protocol.our_state, self.protocol.their_state)
             if states != (h11.DONE, h11.DONE):  # not persistent: one side asked to close the connection
                 return
@@ -170,27 +170,30 @@
         except TimeoutError:
             raise TooSlow from None
 
-    async def _answer(self, request: HttpRequest) -> Response:
-        """Wait for the response.
+    async def _handle_request(self, request: HttpRequest) -> Response:
+        """Pass the request to the application, and wait for its response.
 
-        If the client closes first, the request is cancelled and ClientDisconnected raised.
+        If ClientDisconnected is raised first, the request is cancelled.
         """
-        answer: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
-        cancel = self.front.app.handle(request, partial(_set_result, answer))
+        response_future: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
+        cancel = self.front.app.handle(request, partial(_set_result, response_future))
         try:
-            while not answer.done():
-                await self._read_ahead(answer)
+            while not response_future.done():
+                await self._read_ahead(response_future)
             self._pipelined_bytes = 0
-            return answer.result()
+            return response_future.result()
         finally:
-            if not answer.done():
+            if not response_future.done():
                 cancel()
 
-    async def _read_ahead(self, answer: asyncio.Future[Response]) -> None:
-        """Read once while waiting for the response, to detect a close; pipelined input is passed to h11."""
+    async def _read_ahead(self, response_future: asyncio.Future[Response]) -> None:
+        """Read once while waiting for the response, to detect a close; pass pipelined input to h11.
+
+        Raises ClientDisconnected.
+        """
         reading = asyncio.ensure_future(self.reader.read(READ_BYTES))
         try:
-            await asyncio.wait((reading, answer), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((reading, response_future), return_when=asyncio.FIRST_COMPLETED)
             if not reading.done():
                 return
             data = reading.result()
@@ -243,7 +246,7 @@
     return HttpRequest(head.method.decode(), head.target.decode("latin-1"), headers, body, received_us)
 
 
-def _set_result(answer: asyncio.Future[Response], response: Response) -> None:
+def _set_result(future: asyncio.Future[Response], response: Response) -> None:
     """Set the result of a future, unless it is done or cancelled already."""
-    if not answer.done():
-        answer.set_result(response)
+    if not future.done():
+        future.set_result(response)
--- a/maplestile/net/listen.py
+++ b/maplestile/net/listen.py
@@ -20,7 +20,7 @@
         self.new_reader = new_reader
         self.server: asyncio.Server | None = None
 
-    def protocol(self) -> asyncio.StreamReaderProtocol:
+    def new_protocol(self) -> asyncio.StreamReaderProtocol:
         """Return a new protocol for one connection."""
         return asyncio.StreamReaderProtocol(self.new_reader(), self.serve)
 
@@ -65,7 +65,7 @@
 
     async def _serve_accepted(self, peer: socket.socket) -> None:
         peer.setblocking(False)
-        await asyncio.get_running_loop().connect_accepted_socket(self.protocol, peer)
+        await asyncio.get_running_loop().connect_accepted_socket(self.new_protocol, peer)
 
 
 async def listen(
@@ -83,23 +83,25 @@
     the accept queue. With `reuse_port`, another process may listen on the same address. Raises OSError if the
     address cannot be bound.
     """
-    found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
-    family, kind, protocol, _, local = found[0]
+    candidates = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
+    family, kind, protocol, _, bind_address = candidates[0]
     # Without an explicit protocol, asyncio leaves Nagle's algorithm on, which delays answers by 40 ms.
-    raw = socket.socket(family, kind, protocol)
-    raw.setblocking(False)
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket = socket.socket(family, kind, protocol)
+    listening_socket.setblocking(False)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if reuse_port:
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    listener = Listener(raw, serve, new_reader)
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    listener = Listener(listening_socket, serve, new_reader)
     try:
-        raw.bind(local)
+        listening_socket.bind(bind_address)
         loop = asyncio.get_running_loop()
-        listener.server = await loop.create_server(listener.protocol, sock=raw, backlog=accept_burst)
+        listener.server = await loop.create_server(
+            listener.new_protocol, sock=listening_socket, backlog=accept_burst
+        )
     except OSError:
-        raw.close()
+        listening_socket.close()
         raise
     # asyncio uses its backlog both as the queue size and as the number of accepts per loop iteration. Only
     # the latter has to be small, so the queue is enlarged here.
-    raw.listen(queue_size)
+    listening_socket.listen(queue_size)
     return listener
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -82,7 +82,7 @@
         return self.table.evict_idle()
 
     def has_unread_answers(self) -> bool:
-        """Return whether the kernel has not accepted all answers yet."""
+        """Return whether any answer has not been accepted by the kernel yet."""
         return bool(self.table.flushing) or self.table.unsent_bytes() > 0
 
     def has_open_connections(self) -> bool:
@@ -204,7 +204,7 @@
         client.is_handling = False
         if count:
             client.message_wait_since_us = received_us
-            self.graceful_close.note_activity(client)
+            self.graceful_close.record_activity(client)
 
     async def _read(self, client: Client) -> bytes:
         """Return the next input, empty at the end of the stream.
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/rejection.py
@@ -34,7 +34,7 @@
         """
         table = self.table
         table.counters["clients.rejected"] += 1
-        log.warning("platform client: rejected, all %d connections are in use", len(table.clients))
+        log.warning("platform client: all %d connections are in use; rejecting a new one", len(table.clients))
         if self.connections >= table.limits.clients.surplus_connections:
             writer.transport.abort()  # no request has been read, so none is lost
             return
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -89,7 +89,7 @@
         self.answer_writer.write(client, jsonrpc.answer(call.id, outcome))
         if not client.calls:
             client.all_answered.set()
-        self.graceful_close.note_activity(client)
+        self.graceful_close.record_activity(client)
 
     def _cancel(self, client: Client, message: jsonrpc.Interrupt) -> None:
         """Cancel one call by its id or its tag; a cancelled call gets no answer."""
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -20,7 +20,7 @@
 
 
 class StreamSocket:
-    """A `pool.Socket` on an asyncio stream writer."""
+    """An implementation of `pool.Socket` with an asyncio stream writer."""
 
     def __init__(self, pool: Pool, connection: Connection, writer: asyncio.StreamWriter) -> None:
         self.pool = pool
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -45,8 +45,8 @@
         self.endpoints = config.fleet
         self.selector = selector
         self.counters: Counter[str] = Counter()
-        self.runners = self._runner_pool()
-        self.core = self._core()
+        self.runners = self._build_runner_pool()
+        self.core = self._build_core()
         self.runners.core = self.core
         self.started_us = clock()
         self.stopping = asyncio.Event()  # set once the process is asked to stop
@@ -85,7 +85,7 @@
         self.core.list_changed(self.endpoints.event(kind))
 
     def free_descriptor(self) -> None:
-        """Close an idle client connection, because the router needs a file descriptor and none is free."""
+        """Free a file descriptor by closing an idle client connection, when the router needs one."""
         self.counters["descriptors.none_left"] += 1
         if self.platform is not None:
             self.platform.evict_idle()
@@ -110,13 +110,13 @@
         if self.invoke is not None and config.operator_settings is not None:
             self.invoke.api.apply_settings(config.operator_settings)
 
-    def _runner_pool(self) -> RunnerPool:
+    def _build_runner_pool(self) -> RunnerPool:
         runners = RunnerPool(self.limits.runners, clock, self.counters)
         runners.on_no_descriptor = self.free_descriptor
         runners.writer.input_is_old = self.selector.input_is_old
         return runners
 
-    def _core(self) -> Core:
+    def _build_core(self) -> Core:
         config = self.config
         return Core(
             config.settings,
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -38,9 +38,7 @@
     dns: Address | None  # address of the name server
     fleet: EndpointList  # the endpoints known before the name server answers
     seed: int  # of the random number generator
-    operator_settings: "OperatorSettings | None" = (
-        None  # settings of an operator's file, with the invoke front
-    )
+    operator_settings: "OperatorSettings | None" = None  # from an operator's file, with the invoke front
     operation: Address | None = None  # address of the operators' front; `folder` has no effect without it
     folder: Path | None = None  # outlives this process, and is shared with its successor
     # Membership among instances; None on the platform, where routers cannot reach each other.
@@ -48,7 +46,7 @@
 
     def restart_only_changes(self, new: "Config") -> list[str]:
         """Return the names of the changes in `new` that require a restart."""
-        names = [each.name for each in fields(Settings) if each.name not in INVOKE_SETTINGS]
+        names = [setting.name for setting in fields(Settings) if setting.name not in INVOKE_SETTINGS]
         changed = [f"settings.{name}" for name in _differing(names, self.settings, new.settings)]
         changed += _differing(RESTART_FIELDS, self, new)
         if self.operator_settings is not None and new.operator_settings is not None:
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -28,7 +28,7 @@
         started_us = clock()
         longest_deadline_us = max(call_class.deadline_us for call_class in components.core.settings.classes)
         spare_us = limits.handover.spare_us
-        # When the process has to exit, before the platform kills it.
+        # When the process must exit, a little before the platform kills it.
         self.exit_deadline_us = started_us + limits.kill_after_us(longest_deadline_us) - spare_us
         # Clients learn of the drain late, and keep calling this router until then.
         self.serve_until_us = min(started_us + limits.shutdown.min_drain_us, self.exit_deadline_us)
@@ -50,16 +50,15 @@
             if components.platform is not None:
                 await self._close_platform(components.platform, clock())
         pending = len(components.core.open)
-        rest = f"an answer to {pending} requests" if pending else "nothing"
-        log.info("%s stops; %s is owed", components.name, rest)
+        unanswered = f"an answer to {pending} requests" if pending else "nothing"
+        log.info("%s stops; %s is owed", components.name, unanswered)
 
     def _announce(self) -> None:
         """Notify each component that the process is draining."""
         components = self.components
         if components.platform is not None:
-            components.core.prepare_exit(
-                self.exit_deadline_us
-            )  # what is pending then would never be answered
+            # Requests that are still pending at that time would get no answer.
+            components.core.prepare_exit(self.exit_deadline_us)
         if components.peers is not None:  # so that the other members do not suspect a failure
             components.peers.leave()
         if components.invoke is not None:
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -54,10 +54,10 @@
         self.run_job: RunJob = run_inline
         self.is_writing = False  # an adopted policy is being written to disk
         self.last_logged_refusal = (NO_EPOCH, "")  # epoch and reason
-        record = store.read(settings.folder)
-        self.document = None if record is None else record.document
-        recorded_epoch = NO_EPOCH if record is None else record.epoch
-        self.follower = Follower(settings.timeouts, recorded_epoch, monotonic_us())
+        stored = store.read(settings.folder)
+        self.document = None if stored is None else stored.document  # None for the file's own policy
+        stored_epoch = NO_EPOCH if stored is None else stored.epoch
+        self.follower = Follower(settings.timeouts, stored_epoch, monotonic_us())
         self.last_logged_status = PolicyStatus.WAITING
         self.has_built_config = False  # `build_config` has been called
 
@@ -75,10 +75,10 @@
         """
         if not self.has_built_config:
             self.has_built_config = True
-            return self._first_configuration()
-        return self._reloaded_configuration(tables)
+            return self._build_first_config()
+        return self._build_reloaded_config(tables)
 
-    def _first_configuration(self) -> Config:
+    def _build_first_config(self) -> Config:
         if self.follower.epoch == NO_EPOCH:
             return self.configuration.build_from_file()
         try:
@@ -93,7 +93,7 @@
         self.follower.refused(reason)
         return self.configuration.build_from_file()
 
-    def _reloaded_configuration(self, tables: Tables) -> Config:
+    def _build_reloaded_config(self, tables: Tables) -> Config:
         config = self.configuration.build_with_policy(self.epoch, self.document, tables)
         self._check_prepared(tables)
         if Document.from_file(tables) != self.configuration.file_policy:
@@ -107,10 +107,10 @@
         return config
 
     def _check_prepared(self, tables: Tables) -> None:
-        """Check that a policy change this router has accepted still fits the reloaded file.
+        """Check that the policy change being agreed on still fits the reloaded file.
 
-        The change may be committed any time, because the router has reported that it fits. Raises PolicyError
-        if it no longer does.
+        The change may be committed at any time, because this router has reported that it fits. Raises
+        PolicyError if it no longer does.
         """
         prepared = self.follower.prepared
         if prepared is None:
@@ -118,8 +118,10 @@
         try:
             self.configuration.build_with_policy(self.follower.epoch + 1, prepared.document, tables)
         except ConfigError as error:
-            place = f"change {prepared.change}"
-            raise PolicyError(f"does not fit the policy that is being agreed on ({place}): {error}") from None
+            change = f"change {prepared.change}"
+            raise PolicyError(
+                f"does not fit the policy that is being agreed on ({change}): {error}"
+            ) from None
 
     # Messages of the agent, received at the operators' front.
 
--- a/maplestile/router/takeover.py
+++ b/maplestile/router/takeover.py
@@ -12,7 +12,7 @@
 
 
 class HandoverMonitor:
-    """The observer of the other process of an upgrade, which is notified when this one can serve."""
+    """The observer of the other process of an upgrade; it announces to it when this process can serve."""
 
     def __init__(self, components: Components, readiness: Readiness, handover: Handover) -> None:
         self.components = components
@@ -28,7 +28,7 @@
         if handover.stage is HandoverStage.ALONE:
             return
         log.info(
-            "%s: another process is serving; the handover stage of this one: %s",
+            "%s: another process is serving; handover stage of this process: %s",
             self.components.name,
             handover.stage.value,
         )
--- a/tests/test_front_closing.py
+++ b/tests/test_front_closing.py
@@ -12,7 +12,7 @@
 
 
 class MessageTimeTest(FrontTestCase):
-    """A message must be complete within `CLIENT_LIMITS.message_us` of its first byte."""
+    """A message must be complete within `message_us` of its first byte, or of the connect."""
 
     async def test_closes_connection_without_complete_message_in_time_but_not_idle_one(self) -> None:
         idle = await self.connect()
--- a/tests/test_front_eviction.py
+++ b/tests/test_front_eviction.py
@@ -25,9 +25,7 @@
             client.send(CALL_FRAME)
         await self.wait_until_calls_are_open(CLIENT_LIMITS.connections)
 
-    async def test_refuses_requests_of_new_connections_over_limit(
-        self,
-    ) -> None:
+    async def test_refuses_requests_of_new_connections_over_limit(self) -> None:
         # Time limits that are long enough for the new clients to write, even on a busy machine.
         self.front.limits = changed_limits(grace_us=20_000_000, message_us=20_000_000)
         await self.fill_to_connection_limit()
@@ -75,7 +73,7 @@
     async def test_evicts_clients_with_one_request_before_returning_client(self) -> None:
         """Guards against a crowd of one-time clients evicting every client in use.
 
-        Requests of the evicted clients then crossed the close of their connections.
+        The evicted clients' next requests then crossed the close of their connections.
         """
         returning_client = await self.connect()
         for id_ in (1, 2):
@@ -101,9 +99,7 @@
         self.assertTrue(self.front.evict_idle())  # the one whose request stays incomplete
         self.assertEqual((self.counters["clients.unfinished_evicted"], len(self.harness.core.open)), (1, 1))
 
-    async def test_evicts_longest_idle_connection_and_none_with_pending_answer(
-        self,
-    ) -> None:
+    async def test_evicts_longest_idle_connection_and_none_with_pending_answer(self) -> None:
         first = await self.connect()
         await first.check()
         second = await self.connect()
--- a/tests/test_listen.py
+++ b/tests/test_listen.py
@@ -37,6 +37,8 @@
 
 
 def test_serves_all_queued_connections_before_close() -> None:
+    """Only a connection that arrives between the last accept and the close is reset."""
+
     async def scenario() -> None:
         requests = list[bytes]()
 
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -35,9 +35,7 @@
     assert rig.driver.follower.epoch == NO_EPOCH
 
 
-def test_refused_policy_or_failed_write_stops_admission_and_reports_reason(
-    tmp_path: Path,
-) -> None:
+def test_refused_policy_or_failed_write_stops_admission_and_reports_reason(tmp_path: Path) -> None:
     rig = PolicyDriverRig(tmp_path)
     rig.announce(0, document=None)
     report = rig.announce(1, document=rig.policy(newer=1))
@@ -63,7 +61,10 @@
     document = rig.policy()
     document["class"] = [*document["class"], exam]
     assert rig.check({"change": 4, "document": document})["build"]
-    document = {**document, "class": [one for one in document["class"] if one["name"] != "review"]}
+    document = {
+        **document,
+        "class": [call_class for call_class in document["class"] if call_class["name"] != "review"],
+    }
     with pytest.raises(PolicyError, match=r"function\[0\].class"):
         rig.check({"change": 5, "document": document})
     prepared = rig.policy()
@@ -103,7 +104,7 @@
     jobs = list[Any]()
     answers = list[Any]()
     rig.announce(0, document=None)
-    rig.driver.run_job = lambda job, then: jobs.append((job, then))
+    rig.driver.run_job = lambda job, on_done: jobs.append((job, on_done))
     announcement = {
         "epoch": 1,
         "fenced_us": monotonic_us(),
@@ -113,10 +114,10 @@
     rig.take_announcement(announcement, answers.append)
     rig.take_announcement(announcement, answers.append)
     assert [answer["epoch"] for answer in answers] == [0] and len(jobs) == 1
-    ((job, then),) = jobs
+    ((job, on_done),) = jobs
     job()
     rig.reload('name = "keep-result"', 'name = "kept"')  # during the write; the reload must stay applied
-    then(None)
+    on_done(None)
     assert answers[-1]["epoch"] == 1
     assert (
         rig.applied[-1].operator_settings is not None
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -112,9 +112,8 @@
         )
         waiting = self.connect()
         waiting.call_until_served("review", b"abc")
-        pending_id = waiting.call(
-            "test-submit", b"hang:", limit_ms=4_000
-        )  # its answer is pending all the while
+        # This call stays pending until the end of the test.
+        pending_id = waiting.call("test-submit", b"hang:", limit_ms=4_000)
         silent = [self.connect() for _ in range(300)]
         other = self.connect()
         other.call_until_served("review", b"abc")
@@ -180,9 +179,8 @@
         for n in range(8):
             self.client.call("review", b"x", item=f"f{n}")
         answers = [self.client.read() or {} for _ in range(9)]
-        self.assertEqual(
-            [answer["id"] for answer in answers if "error" in answer], [pending_id]
-        )  # what was open goes on
+        # Only the call that was pending during the reloads fails, at its deadline.
+        self.assertEqual([answer["id"] for answer in answers if "error" in answer], [pending_id])
         self.assertEqual(len([call for call in self.workers[0].ran if call["bytes"] == in_base64(b"x")]), 0)
 
     def check_malformed_files(self, text: str) -> None:
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -19,7 +19,7 @@
 from tests.rollout_fleet import Calls
 from tests.standins import PATIENCE_S, ROOT, eventually
 
-SERVED_SHARE_WITH_A_FRONT_STOPPED = 0.6  # the least share of calls served while one of five routers is paused
+MIN_SERVED_SHARE_WITH_PAUSED_ROUTER = 0.6  # one of five routers is paused
 
 
 class ChangeTest(PolicyTest):
@@ -66,7 +66,7 @@
         warned = [line for line in self.fleet.agents[0].log if "the file's policy has changed" in line]
         self.assertTrue(warned)
         self.assertEqual(self.stored_attempt_limit("r0"), 4)
-        self.assertEqual(self.tenant_limit_reloaded(), True)
+        self.assertEqual(self.has_reloaded_tenant_limit(), True)
         self.assert_applied_in_time(self.fleet.names)
         self.check_logs(calls)
 
@@ -90,7 +90,7 @@
         record = json.loads((self.fleet.folder / f"policy{name[1:]}" / "policy.json").read_bytes())
         return int(record["body"]["document"]["rules"]["attempts"])
 
-    def tenant_limit_reloaded(self) -> bool:
+    def has_reloaded_tenant_limit(self) -> bool:
         """Return whether a router has logged that it reloaded the settings of its invoke front."""
         return any(
             "reloaded; applied changes: " in line and "invoke" in line for line in self.fleet.agents[0].log
@@ -116,7 +116,7 @@
         eventually(lambda: self.fleet.run(0, "ready", down).exit_code == 0, "r1 ready")
         self.assert_applied_in_time(["r0", "r2", "r3"])
         result = calls.result()
-        self.assertGreater(result["served_share"], SERVED_SHARE_WITH_A_FRONT_STOPPED, result)
+        self.assertGreater(result["served_share"], MIN_SERVED_SHARE_WITH_PAUSED_ROUTER, result)
         self.check_logs()
         self.assertEqual(self.epochs_of_new_calls(down, paused, resumed_us), {1})
 
@@ -153,7 +153,9 @@
         )
         self.assertEqual(self.fleet.events_of("commit"), [])
         self.assertEqual({event["epoch"] for _, event in self.fleet.events_of("applied")}, {0})
-        self.assertEqual(self.propose_at_once(0, 2), [False, True])  # one of two concurrent ones is accepted
+        self.assertEqual(
+            self.propose_concurrently(0, 2), [False, True]
+        )  # one of two concurrent ones is accepted
         self.fleet.wait_for_epoch(1, 1)
         _, port = self.fleet.start_non_voter()  # an agent that is no voter; its router joins late
         eventually(lambda: self.fleet.epochs(NON_VOTER).get(NON_VOTER_ROUTER) == 1, "the epoch at r6")
@@ -163,7 +165,7 @@
         self.assert_applied_in_time(self.fleet.names)
         self.check_logs(calls)
 
-    def propose_at_once(self, *numbers: int) -> list[bool]:
+    def propose_concurrently(self, *numbers: int) -> list[bool]:
         """Propose a policy at each of these agents concurrently; return, sorted, which were accepted."""
         accepted = list[bool]()
 
--- a/tests/test_process_policy_faults.py
+++ b/tests/test_process_policy_faults.py
@@ -69,6 +69,7 @@
         return change if change is not None and change["phase"] != "checking" else None
 
     def test_change_commits_despite_message_loss(self) -> None:
+        """A fifth of all messages is lost, which may delay the change but must not break anything."""
         calls = Calls(self.fleet, 12)
         self.fleet.relay.start_faults(net={"loss": 0.2})
         eventually(lambda: self.fleet.propose(1, attempts=3).exit_code == 0, "a commit", COMMIT_S)
