--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -37,7 +37,7 @@
 class GossipDriver(asyncio.DatagramProtocol):
     """One member of the group, on one UDP socket.
 
-    `probe` sends one health check to a runner; its result is reported to `record_probe`.
+    `send_health_check` sends one health check to a runner; `record_health_check` is called with its result.
     """
 
     def __init__(
@@ -46,19 +46,19 @@
         settings: MembershipSettings,
         seed: int,
         counters: Counter[str],
-        probe: Callable[[str], None],
+        send_health_check: Callable[[str], None],
     ) -> None:
         self.name = name
         self.settings = settings
         self.seed = seed
         self.counters = counters
-        self.probe = probe
+        self.send_health_check = send_health_check
         interval_us = settings.health_check_interval_us
         self.health_checks = SharedHealthChecks(name, interval_us) if interval_us else None
         self.swim = self._new_swim(settings.listen)  # replaced by `run`, when the socket's address is known
         self.events = logs.events("peers")
         self.transport: asyncio.DatagramTransport | None = None
-        self.wake = asyncio.Event()
+        self.wake = asyncio.Event()  # set when the time of the next timer may have changed
 
     # The socket and the timer.
 
@@ -101,7 +101,7 @@
         self.wake.set()  # the message may have changed when the next timer is due
 
     def error_received(self, exc: Exception) -> None:  # noqa: ARG002 - asyncio calls it with this argument
-        """Count a send error, such as a refused port of an ended member; probes detect such failures."""
+        """Count a send error, such as a refused port of an ended member; pings detect such failures."""
         self.counters["peers.send_errors"] += 1
 
     # Health checks of the runners.
@@ -112,11 +112,11 @@
             self.health_checks.set_runners(runners)
             self.wake.set()
 
-    def may_probe(self, runner: str) -> bool:
+    def may_check_health(self, runner: str) -> bool:
         """Return whether this router sends its own health checks to a runner."""
         return self.health_checks is None or self.health_checks.may_probe(runner)
 
-    def record_probe(self, runner: str, result: Result) -> None:
+    def record_health_check(self, runner: str, result: Result) -> None:
         """Record the result of a health check, whether it was sent for the group or for this router alone."""
         # A superseded check was never sent, because the runner drains; the runner may still answer.
         if self.health_checks is None or result is Result.SUPERSEDED:
@@ -182,9 +182,10 @@
             return
         for runner in self.health_checks.due(monotonic_us()):
             self.counters["peers.health_checks.sent"] += 1
-            self.probe(runner)
+            self.send_health_check(runner)
 
     def _flush(self) -> None:
+        """Send the outgoing messages, log the events and count the faults of the protocol."""
         self._send_outbox()
         for event in self.swim.events:
             self.counters[f"peers.events.{event.kind}"] += 1
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -153,7 +153,7 @@
     async def _reject_malformed(self, client: Client, error: jsonrpc.FramingError) -> None:
         """Answer a message that cannot be framed, and close the connection after its pending answers."""
         self.counters["clients.malformed"] += 1
-        log.warning("platform client: malformed input: %s; closing the connection", error)
+        log.warning("platform client: malformed or incomplete input: %s; closing the connection", error)
         self.answer_writer.write(client, jsonrpc.error(None, jsonrpc.PARSE_ERROR, str(error)))
         await self._wait_for_answers(client)  # to the requests before the malformed message
         if client.writer.is_closing() or client.reader.ended:
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -46,7 +46,7 @@
                     self.answer_writer.write(client, jsonrpc.result(message.id, {"ready": self.is_ready()}))
         except jsonrpc.RpcError as error:
             self.counters["clients.malformed"] += 1
-            log.warning("platform client: invalid message: %s; sending an error answer", error)
+            log.warning("platform client: message rejected: %s; sending an error answer", error)
             self.answer_writer.write(client, jsonrpc.error(error.id, error.code, str(error)))
             client.bad_messages += 1
             if client.bad_messages > limits.clients.bad_messages:
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -94,7 +94,7 @@
         except wire.LineError as error:
             self.counters["runners.malformed"] += 1
             log.warning(
-                "runner %s: malformed answer: %s; closing the connection", connection.runner.uid, error
+                "runner %s: unusable answer: %s; closing the connection", connection.runner.uid, error
             )
         except (OSError, TimeoutError) as error:
             if isinstance(error, OSError) and error.errno in reads.NO_DESCRIPTOR:
--- a/maplestile/router/fronts.py
+++ b/maplestile/router/fronts.py
@@ -94,8 +94,8 @@
     )
     components.platform = front
     # Even if the folder is unusable: two processes that cannot hand over may still serve one after the other.
-    shared = config.operation is not None and config.operator_settings is None
-    listener = await front.start(*config.listen, shared)
+    reuse_port = config.operation is not None and config.operator_settings is None
+    listener = await front.start(*config.listen, reuse_port)
     components.platform_listener = listener
     _log_listener(components, "platform", listener)
     return listener
@@ -105,11 +105,11 @@
     from maplestile.invoke.api import InvokeApi
     from maplestile.net.http import HttpFront
 
-    operator = components.config.operator_settings
-    assert operator is not None
-    api = InvokeApi(components.core, operator, components.counters)
+    settings = components.config.operator_settings
+    assert settings is not None
+    api = InvokeApi(components.core, settings, components.counters)
     http = HttpFront("invoke", api, components.counters, components.received_us)
-    listener = await http.start(*parse_address(operator.listen))
+    listener = await http.start(*parse_address(settings.listen))
     components.invoke = InvokeFront(api, http, listener)
     _log_listener(components, "invoke", listener)
     return listener
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -118,8 +118,8 @@
             components.core.control.check_health,
         )
         components.peers = peers
-        components.core.control.may_check = peers.may_probe
-        components.core.control.on_checked = peers.record_probe
+        components.core.control.may_check = peers.may_check_health
+        components.core.control.on_checked = peers.record_health_check
         peers.set_runners(components.endpoints.entries)
         self.supervisor.start(peers.run)
 
--- a/maplestile/router/readiness.py
+++ b/maplestile/router/readiness.py
@@ -16,8 +16,8 @@
     def is_ready(self) -> bool:
         """Return whether the router serves clients, either in this process or in its successor."""
         components = self.components
-        leaving = components.stopping.is_set() and not components.is_successor_ready
-        return components.is_listening and bool(components.endpoints.entries) and not leaving
+        is_leaving = components.stopping.is_set() and not components.is_successor_ready
+        return components.is_listening and bool(components.endpoints.entries) and not is_leaving
 
     def not_ready_reason(self) -> str:
         """Return the reason why this process cannot serve, as a text for operators; empty if it can."""
--- a/tests/record_router_fronts.py
+++ b/tests/record_router_fronts.py
@@ -106,7 +106,7 @@
         worker.listener.close()
 
 
-def with_router(more: str, record: Callable[[Program], str]) -> str:
+def record_at_router(more: str, record: Callable[[Program], str]) -> str:
     """Run `record` at a router with two runners, with `more` appended to its file; return the result."""
     with tempfile.TemporaryDirectory() as folder:
         workers = [Worker(), Worker()]
@@ -132,7 +132,7 @@
         port = program.port("operator")
         return "\n".join(transcript(port, request) for request in OPERATOR_REQUESTS)
 
-    return with_router("", record)
+    return record_at_router("", record)
 
 
 def _announcement(epoch: int, **more: object) -> str:
@@ -173,7 +173,7 @@
         port = program.port("operator")
         return "\n".join(transcript(port, request) for request in _policy_requests())
 
-    return with_router('\n[policy]\nfolder = "FOLDER/policy"\nstale_s = 600\n', record)
+    return record_at_router('\n[policy]\nfolder = "FOLDER/policy"\nstale_s = 600\n', record)
 
 
 def invoke_front() -> str:
@@ -193,7 +193,7 @@
             transcripts.append(masked(f"{sent}\n{exchange(port, request).rstrip()}\n"))
         return "\n".join(transcripts)
 
-    return with_router("", record)
+    return record_at_router("", record)
 
 
 RECORDERS: dict[str, Recorder] = {
