--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -67,7 +67,7 @@
             self.handover.handover.announce_stopping()
 
     async def _serve_until_done(self) -> bool:
-        """Serve until nothing is pending or time is up; return early, and True, if a successor is ready."""
+        """Serve until nothing is pending, time is up or a successor is ready; return whether one is."""
         components = self.components
         while self._has_to_serve():
             if components.core.open:
