--- a/maplestile/router/__init__.py
+++ b/maplestile/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router process: configuration, start, reload, drain and handover."""
+"""Runs a router process: configuration, start, reload, drain, handover and the agreed policy."""
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -1,4 +1,4 @@
-"""One function router: start, reload at SIGHUP, drain at SIGTERM, counters at SIGUSR1 and at the end."""
+"""Runs the main program of a router: reload at SIGHUP, drain at SIGTERM, counters at SIGUSR1 and on exit."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 from maplestile.dispatch.api import ListKind
 from maplestile.net.listen import Listener
 from maplestile.net.receive_timestamps import TimestampingSelector
-from maplestile.router.clock import clock as clock  # kept here for its users outside this package
+from maplestile.router.clock import clock as clock  # re-exported for users outside this package
 from maplestile.router.components import Components
 from maplestile.router.config import Config, config_from_environment
 from maplestile.router.discovery import Discovery
@@ -28,40 +28,40 @@
 from maplestile.router.reload import Reloader
 from maplestile.router.supervisor import TaskSupervisor
 
-if TYPE_CHECKING:  # a process loads only what its configuration uses: start time and memory
+if TYPE_CHECKING:  # imported at run time only if the configuration needs them, to save start time and memory
     from maplestile.router.policy_driver import PolicyDriver
     from maplestile.router.takeover import HandoverMonitor
 
 log = logging.getLogger("maplestile")
-SWEEP_S = 1.0
+SWEEP_S = 1.0  # between two sweeps, which close idle runner connections and collect garbage
 
 
 class RouterProcess:
-    """One function router from its start to its end."""
+    """One router process, from its start to its exit."""
 
     def __init__(
         self,
-        configure: Callable[[], Config],
+        load_config: Callable[[], Config],
         selector: TimestampingSelector,
         policy: "PolicyDriver | None" = None,
     ) -> None:
-        """Build the components. Raises ConfigError or OSError where the configuration cannot be used."""
-        self.components = Components(configure(), selector)
+        """Build the components. Raises ConfigError or OSError if the configuration cannot be used."""
+        self.components = Components(load_config(), selector)
         self.supervisor = TaskSupervisor(self.components.counters)
         self.discovery = Discovery(self.components, self.supervisor)
         self.readiness = Readiness(self.components, self.discovery)
-        self.reloader = Reloader(self.components, self.discovery, configure)
+        self.reloader = Reloader(self.components, self.discovery, load_config)
         self.gc_scheduler = GcScheduler(self.components.counters)
         self.handover: HandoverMonitor | None = None
         if policy is not None:
             attach_policy(self.components, policy)
 
     async def run(self) -> None:
-        """Serve until asked to stop, and drain. Raises OSError where a front's address is not free."""
-        self._handle_signals()
+        """Serve until asked to stop, and then drain. Raises OSError if a front cannot bind its address."""
+        self._install_signal_handlers()
         self.gc_scheduler.start()
         operator_listener = await open_operator_front(self.components, self.readiness)
-        self.components.endpoints_changed(ListKind.CACHED)
+        self.components.publish_endpoints(ListKind.CACHED)
         await self._start_background_tasks()
         client_listeners = await self._serve_clients()
         for listener in (*client_listeners, operator_listener):
@@ -72,16 +72,16 @@
         self.print_counters()
 
     def print_counters(self) -> None:
-        """Print all counters as one JSON line on standard error."""
+        """Print all counters as one line of JSON on standard error."""
         components = self.components
-        components.counters["loop.longest_us"] = int(components.selector.busiest_s * 1e6)
+        components.counters["loop.longest_us"] = int(components.selector.longest_busy_s * 1e6)
         answers = Counter[str]()
         for (_, verdict), count in components.core.answers.items():
             answers[f"answers.{verdict.value}"] += count
         output = dict(sorted({**components.counters, **answers}.items()))
         print(json.dumps({"counters": output}), file=sys.stderr, flush=True)
 
-    def _handle_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.components.stopping.set)
         loop.add_signal_handler(signal.SIGINT, self.components.stopping.set)
@@ -89,26 +89,26 @@
         loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
 
     async def _start_background_tasks(self) -> None:
-        """Start what runs beside the fronts; return once clients may be taken, or at a request to stop."""
+        """Start the background tasks; return once clients may be accepted, or at a request to stop."""
         components = self.components
         self.supervisor.start(self._sweep)
         self._start_peers()
         self.discovery.poll(components.config.dns)
         if components.handover is not None:
-            from maplestile.router.takeover import HandoverMonitor  # only where processes hand over
+            from maplestile.router.takeover import HandoverMonitor  # imported only if it is used
 
             self.handover = HandoverMonitor(components, self.readiness, components.handover)
             self.supervisor.start(self.handover.run)
-            await self.handover.wait_for_turn()
+            await self.handover.wait_until_may_serve()
         if components.policy is not None:
             await start_policy(components, components.policy, self.supervisor)
 
     def _start_peers(self) -> None:
-        """Join the other routers, where the configuration names any."""
+        """Join the membership group, if the configuration has peers."""
         components = self.components
         if (settings := components.config.peers) is None:
             return
-        from maplestile.net.gossip import GossipDriver  # not loaded by the platform's nodes: start and memory
+        from maplestile.net.gossip import GossipDriver  # imported only if it is used
 
         peers = GossipDriver(
             components.name,
@@ -118,19 +118,19 @@
             components.core.control.check_health,
         )
         components.peers = peers
-        components.core.control.may_check = peers.may_probe
-        components.core.control.on_checked = peers.probed
-        peers.listed(components.endpoints.entries)
+        components.core.control.may_check = peers.may_check_health
+        components.core.control.on_checked = peers.record_health_check
+        peers.set_runners(components.endpoints.entries)
         self.supervisor.start(peers.run)
 
     async def _serve_clients(self) -> list[Listener]:
-        """Serve until asked to stop, drain, and return the listeners, still to be closed."""
+        """Serve until asked to stop, and drain; return the listeners for the caller to close."""
         components = self.components
-        if components.stopping.is_set():  # before it could serve: it accepts no clients
+        if components.stopping.is_set():  # asked to stop during the start: accept no clients
             return []
         listeners = await open_client_fronts(components, self.readiness)
         if listeners:
-            components.listening = True
+            components.is_listening = True
             await components.stopping.wait()
             await Drain(components, listeners, self.handover).run()
         return listeners
@@ -143,43 +143,43 @@
 
 
 def serve(file: Path) -> int:
-    """Run one instance by an operator's file, with the invoke front; return its exit code."""
-    from maplestile.router.file_configuration import FileConfiguration  # not loaded by the platform's nodes
+    """Run a router with the invoke front, configured by an operator's file; return its exit code."""
+    from maplestile.router.file_configuration import FileConfiguration  # not needed by platform nodes
 
     try:
         configuration = FileConfiguration(file)
-    except ConfigError as fault:
-        print(f"maplestile: {fault}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"maplestile: {error}", file=sys.stderr)
         return 1
     return _run(configuration.read, configuration.policy)
 
 
 def platform() -> int:
-    """Run a node of the platform by its environment; return its exit code."""
+    """Run a node of the platform, configured by its environment; return its exit code."""
     return _run(config_from_environment)
 
 
-def _run(configure: Callable[[], Config], policy: "PolicyDriver | None" = None) -> int:
-    """Run one router process to its end; return its exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until its handler is set; the default ends the program
+def _run(load_config: Callable[[], Config], policy: "PolicyDriver | None" = None) -> int:
+    """Run one router process until it exits; return its exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the handler is installed; the default would exit
     logs.start()
     try:
         selector = TimestampingSelector(clock)
         loop: asyncio.AbstractEventLoop = asyncio.SelectorEventLoop(selector)
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
-            runner.run(_run_process(configure, selector, policy))
-    except (ConfigError, OSError) as fault:
-        _log_failed_start(fault)
+            runner.run(_run_process(load_config, selector, policy))
+    except (ConfigError, OSError) as error:
+        _log_failed_start(error)
         return 1
     return 0
 
 
 async def _run_process(
-    configure: Callable[[], Config], selector: TimestampingSelector, policy: "PolicyDriver | None"
+    load_config: Callable[[], Config], selector: TimestampingSelector, policy: "PolicyDriver | None"
 ) -> None:
-    """Build the process in its running loop, and run it. Raises ConfigError or OSError."""
-    await RouterProcess(configure, selector, policy).run()
+    """Build the process in the running event loop, and run it. Raises ConfigError or OSError."""
+    await RouterProcess(load_config, selector, policy).run()
 
 
-def _log_failed_start(fault: Exception) -> None:
-    log.error("cannot start: %s: %s", type(fault).__name__, fault)
+def _log_failed_start(error: Exception) -> None:
+    log.error("the router cannot start: %s: %s", type(error).__name__, error)
