--- a/maplestile/invoke/__init__.py
+++ b/maplestile/invoke/__init__.py
@@ -1,1 +1,1 @@
-"""The invoke API over HTTP, with synchronous and deferred calls, and the operator's file."""
+"""The HTTP invoke API, with synchronous and deferred calls, and the operator's file."""
--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -1,4 +1,4 @@
-"""The invoke API without its sockets: a request in, one response out, now or later."""
+"""The invoke API without its sockets: answers each request with one response, now or later."""
 
 import re
 import secrets
@@ -9,7 +9,7 @@
 
 from maplestile.invoke import problems
 from maplestile.invoke.invocation_request import (
-    KEY,
+    KEY_HEADER,
     RESPOND_ASYNC,
     InvocationRequest,
     core_request,
@@ -30,35 +30,35 @@
 )
 from maplestile.wire.messages import Outcome, Request
 
-INVOCATIONS = re.compile(r"/v1/functions/([^/?]+)/invocations")
-INVOCATION = re.compile(r"/v1/invocations/([0-9a-f]+)")
+INVOCATIONS_PATH = re.compile(r"/v1/functions/([^/?]+)/invocations")
+INVOCATION_PATH = re.compile(r"/v1/invocations/([0-9a-f]+)")
 RECORD_ID_BYTES = 16
-POLL_US = 1_000_000  # after which a client may poll a pending deferred call again
-CANCELLED_STATUS = 410  # Gone: the answer of a call that its client has cancelled
+RETRY_AFTER_US = 1_000_000  # the `Retry-After` of pending deferred calls, and of calls rejected over a limit
+CANCELLED_STATUS = 410  # Gone: the answer to a call that its client has cancelled
 
 Respond = Callable[[Response], None]
-CancelCall = Callable[[], None]  # called if the caller leaves before its response came
+CancelCall = Callable[[], None]  # called if the caller disconnects before its response
 
 
 class InvokeApi:
-    """The application behind the invoke API's HTTP front."""
+    """The application behind the invoke front."""
 
     def __init__(self, core: Core, operator: OperatorSettings, counters: Counter[str]) -> None:
         self.core = core
         self.operator = operator
         self.counters = counters
         self.store = InvocationStore(operator.records, operator.record_us, core.at, counters)
-        self.in_flight: Counter[str] = Counter()  # calls by tenant
+        self.in_flight: Counter[str] = Counter()  # open calls by tenant
         self.bounds = self._bounds()
 
     # Configuration.
 
     def reload(self, new: OperatorSettings) -> bool:
-        """Take what a new file says about this front, and return whether anything changed.
+        """Apply the settings of this front from a reloaded file, and return whether any changed.
 
-        Classes belong to the dispatcher and the listener is open: both stay. The functions stay too where
-        the new file has other classes, since a function of a class that only a restart brings would run
-        under no known rule.
+        The classes belong to the dispatcher and the listener is already open, so both stay until a restart.
+        If the new file has other classes, the functions stay too: a function of a class that takes effect
+        only after a restart would have no rules for its calls.
         """
         old = self.operator
         same_classes = (old.deadlines_us, old.keyed) == (new.deadlines_us, new.keyed)
@@ -75,13 +75,13 @@
         return self.operator != old
 
     def apply_settings(self, new: OperatorSettings) -> None:
-        """Take another policy's classes and limits, at the moment at which the dispatcher takes them."""
+        """Apply the classes and limits of another policy, at the same time as the dispatcher does."""
         self._apply(replace(new, listen=self.operator.listen))
 
     def _apply(self, operator: OperatorSettings) -> None:
         self.operator = operator
         self.store.max_records = operator.records
-        self.store.keep_us = operator.record_us
+        self.store.retention_us = operator.record_us
         self.bounds = self._bounds()
 
     def _bounds(self) -> Bounds:
@@ -98,7 +98,7 @@
     # Requests.
 
     def handle(self, request: HttpRequest, respond: Respond) -> CancelCall:
-        """Answer one request by `respond`, once, now or later."""
+        """Answer a request by calling `respond` once, now or later."""
         self.counters["invoke.requests"] += 1
         respond_counted = partial(self._respond_counted, respond)
         try:
@@ -113,10 +113,10 @@
 
     def _route(self, request: HttpRequest, respond: Respond) -> CancelCall:
         path = request.path.partition("?")[0]
-        if match := INVOCATIONS.fullmatch(path):
+        if match := INVOCATIONS_PATH.fullmatch(path):
             require_method(request, "POST")
             return self._invoke(read_invocation(match[1], request, self.operator), respond)
-        if match := INVOCATION.fullmatch(path):
+        if match := INVOCATION_PATH.fullmatch(path):
             require_method(request, "GET", "DELETE")
             answer = self._cancel if request.method == "DELETE" else self._poll
             respond(answer(match[1]))
@@ -129,12 +129,12 @@
         scope = invocation.scope
         known = self.store.by_scope.get(scope) if scope is not None else None
         if known is not None and known.fingerprint != invocation.fingerprint():
-            raise RequestRejected(problem(422, f"{KEY}: used before for another call"))
+            raise RequestRejected(problem(422, f"{KEY_HEADER}: used before for another call"))
         if known is None:
-            self._admit(invocation.tenant)
+            self._check_tenant_quota(invocation.tenant)
             if scope is None and not invocation.deferred:
                 return self._invoke_unrecorded(invocation, respond)
-        record = known or self._start(invocation)
+        record = known or self._start_recorded(invocation)
         if invocation.deferred:
             record.deferred = True
             respond(_accepted(record))
@@ -142,11 +142,11 @@
         if record.answer is not None:
             respond(self.store.deliver(record))
             return nothing
-        record.waiting.append(respond)
-        return lambda: self._stop_waiting(record, respond)
+        record.waiters.append(respond)
+        return lambda: self._remove_waiter(record, respond)
 
     def _invoke_unrecorded(self, invocation: InvocationRequest, respond: Respond) -> CancelCall:
-        """Run a call whose answer cannot be collected later: without a key, and not deferred."""
+        """Run a call that needs no record: it is not deferred and has no idempotency key."""
         tenant = invocation.tenant
         self.in_flight[tenant] += 1
         request = core_request(invocation, self.operator)
@@ -159,16 +159,18 @@
         respond(problems.response_to(outcome))
 
     def _withdraw_unrecorded(self, tenant: str, call: int) -> None:
-        """Cancel the call of a caller that has left, unless it has ended already."""
+        """Cancel the call of a caller that has disconnected, unless it has already ended."""
         if call in self.core.open:
             self.in_flight[tenant] -= 1
             self.core.withdraw(call)
 
-    def _start(self, invocation: InvocationRequest) -> InvocationRecord:
-        """Run a call under a new record."""
-        if self.store.full():
+    def _start_recorded(self, invocation: InvocationRequest) -> InvocationRecord:
+        """Create a record and start its call. Raises RequestRejected if the store is full."""
+        if self.store.is_full():
             self.counters["invoke.store_full"] += 1
-            raise RequestRejected(problem(503, "the store of invocations is full", retry_after(POLL_US)))
+            raise RequestRejected(
+                problem(503, "the store of invocations is full", retry_after(RETRY_AFTER_US))
+            )
         record = InvocationRecord(
             id=secrets.token_hex(RECORD_ID_BYTES),
             scope=invocation.scope,
@@ -186,45 +188,46 @@
 
     def _finish_recorded(self, tenant: str, record: InvocationRecord, outcome: Outcome) -> None:
         self.in_flight[tenant] -= 1
-        if record.abandoned and not record.waiting and not outcome.ran:
-            self.store.drop(record)  # nothing ran, and no caller got an answer: the key may be used again
+        if record.abandoned and not record.waiters and not outcome.ran:
+            self.store.drop(record)  # nothing ran and no caller got an answer, so the key may be used again
         else:
             self.store.finish(record, problems.response_to(outcome))
 
-    def _stop_waiting(self, record: InvocationRecord, respond: Respond) -> None:
-        """Stop waiting for a caller with a key that has left.
+    def _remove_waiter(self, record: InvocationRecord, respond: Respond) -> None:
+        """Remove a caller that has disconnected from those that wait for a record's answer.
 
-        Another request with the key may come for the answer, so attempts in flight go on; no new one begins.
+        Another request with the same key may still collect the answer. So if no caller is left, attempts in
+        flight continue, but no new attempt starts.
         """
-        if respond in record.waiting:
-            record.waiting.remove(respond)
-        if not record.waiting and not record.deferred and record.answer is None:
+        if respond in record.waiters:
+            record.waiters.remove(respond)
+        if not record.waiters and not record.deferred and record.answer is None:
             record.abandoned = True
             self.core.client_disconnected(record.call)
 
-    def _admit(self, tenant: str) -> None:
+    def _check_tenant_quota(self, tenant: str) -> None:
         settings = self.operator.tenants.get(tenant)
         if settings is not None and settings.max_open and self.in_flight[tenant] >= settings.max_open:
             self.counters["invoke.over_limit"] += 1
             detail = f"tenant '{tenant}' has {settings.max_open} calls in hand"
-            raise RequestRejected(problem(429, detail, retry_after(POLL_US)))
+            raise RequestRejected(problem(429, detail, retry_after(RETRY_AFTER_US)))
 
     # Records.
 
-    def _record(self, record_id: str) -> InvocationRecord:
+    def _find_record(self, record_id: str) -> InvocationRecord:
         record = self.store.records.get(record_id)
         if record is None:
             raise RequestRejected(problem(404, "no such invocation"))
         return record
 
     def _poll(self, record_id: str) -> Response:
-        record = self._record(record_id)
+        record = self._find_record(record_id)
         if record.answer is None:
-            return Response(202, b"", retry_after(POLL_US))
+            return Response(202, b"", retry_after(RETRY_AFTER_US))
         return self.store.deliver(record)
 
     def _cancel(self, record_id: str) -> Response:
-        record = self._record(record_id)
+        record = self._find_record(record_id)
         if record.answer is None:
             call = self.core.open.get(record.call)
             self.core.withdraw(record.call)
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -1,7 +1,7 @@
 """The operator's file: functions, tenants, classes, workers and limits, in TOML.
 
-What the rest of the router needs of it is converted to the form of the platform's settings, so that one
-parser serves both fronts.
+The settings of the rest of the router are converted to the form of the platform's settings, so that both
+kinds of configuration share one parser.
 """
 
 import tomllib
@@ -30,7 +30,7 @@
 ANSWER_WITHIN_US = 10_000_000
 STREAMS_PER_CONNECTION = 32
 CONNECTION_IDLE_US = 15_000_000
-# What the file's routers guarantee; an installation has no say in these.
+# The guarantees of every router with an operator's file; the file cannot change them.
 GUARANTEES = {
     "answerSlackUs": 16_000,
     "drainGraceUs": 2_000_000,
@@ -43,27 +43,27 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorSettings:
-    """The settings of the invoke front; `node` holds those of the rest of the router."""
+    """The settings in an operator's file: of the invoke front and, in `node`, of the rest of the router."""
 
-    listen: str
+    listen: str  # `host:port` of the invoke front
     functions: Mapping[str, FunctionSettings]
     tenants: Mapping[str, TenantSettings]
-    deadlines_us: Mapping[str, int]  # by class
-    keyed: frozenset[str]  # classes whose calls are idempotent with a key
-    records: int
-    record_us: int
-    body_bytes: int
-    max_deadline_us: int
-    connections: int
-    idle_s: float
-    node: Mapping[str, Any] = field(hash=False)
-    policy: PolicySettings | None = None  # where the fleet decides on it
-    epoch: int = 0
+    deadlines_us: Mapping[str, int]  # default deadlines by class
+    keyed: frozenset[str]  # classes whose calls are idempotent by their key
+    records: int  # most invocation records at a time
+    record_us: int  # how long a record is kept after its deadline
+    body_bytes: int  # longest request body
+    max_deadline_us: int  # longest deadline that a caller may set
+    connections: int  # most connections of the invoke front at a time
+    idle_s: float  # silence after which a connection without a request is closed
+    node: Mapping[str, Any] = field(hash=False)  # in the form of the platform's settings
+    policy: PolicySettings | None = None  # None if the policy is that of this file
+    epoch: int = 0  # of the adopted policy; 0 for the policy of this file
 
 
 @dataclass(slots=True, frozen=True)
 class SingleTables:
-    """The tables that a file has once."""
+    """The tables that occur at most once in a file."""
 
     invoke: TomlTable
     limits: TomlTable
@@ -74,23 +74,23 @@
     peers: TomlTable
 
     def end(self) -> None:
-        """Raise OperatorError where a field is not known."""
+        """Check that no unknown field is left in any table. Raises OperatorError."""
         for single in fields(self):
             getattr(self, single.name).end()
 
 
 def load(path: Path) -> OperatorSettings:
-    """Return the settings of a file. Raises ConfigError."""
+    """Return the settings in a file. Raises ConfigError."""
     return from_tables(read(path))
 
 
 def parse(text: str) -> OperatorSettings:
-    """Return the settings of a file's text. Raises ConfigError."""
+    """Return the settings in the text of a file. Raises ConfigError."""
     return from_tables(tables_of(text))
 
 
 def read(path: Path) -> Tables:
-    """Return the tables of a file, unchecked. Raises OperatorError."""
+    """Return the tables of a file without checking their fields. Raises OperatorError."""
     try:
         return tables_of(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -98,7 +98,7 @@
 
 
 def tables_of(text: str) -> Tables:
-    """Return the tables of a file's text, unchecked. Raises OperatorError."""
+    """Return the tables in the text of a file without checking their fields. Raises OperatorError."""
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -106,9 +106,9 @@
 
 
 def from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> OperatorSettings:
-    """Return the settings of a file's tables. Raises ConfigError.
+    """Return the settings in the tables of a file. Raises ConfigError.
 
-    With an adopted policy, the policy of that epoch replaces the file's own.
+    An adopted policy replaces the policy of the file.
     """
     if adopted is not None and adopted.document is not None:
         tables = adopted.document.applied_to(tables)
@@ -164,7 +164,7 @@
     )
 
 
-# The router's configuration, in the form of the platform's settings.
+# The configuration of the rest of the router, in the form of the platform's settings.
 
 
 def _router_config(name: str, single: SingleTables, arrays: ArrayTables) -> dict[str, Any]:
@@ -184,8 +184,8 @@
         config["folder"] = single.operation.text("folder", "")
     if single.peers.values:
         config["peers"] = _membership_table(single.peers)
-    # The server was taken out of its table above, so that a file with a name server and no worker is refused,
-    # against what the text says.
+    # `address()` above removed `server` from its table. So a file with a name server and no worker is
+    # rejected too, although the error text says otherwise.
     if not arrays.workers and not single.names.values:
         raise OperatorError("worker: at least one [[worker]] or [names] server is needed")
     return config
@@ -229,7 +229,7 @@
 
 
 def _membership_table(table: TomlTable) -> dict[str, Any]:
-    """Return the `[peers]` table in the router's form; `membership.settings` checks it as a whole."""
+    """Return the `[peers]` table in the form of the platform's settings, checked by `membership.settings`."""
     config = {
         "listen": table.loopback("listen"),
         "seeds": table.values.pop("seeds", []),
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -6,14 +6,14 @@
 
 from maplestile.common.toml_table import ConfigError, TomlTable
 
-# The names of a class's `semantics` in the router's settings.
+# The `semantics` of a class: its name in the operator's file, and in the platform's settings.
 SEMANTICS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 KEYED_SEMANTICS = SEMANTICS["keyed"]
 KEY_SCOPES = ("all", "zone", "cell")
 
 
 class OperatorError(ConfigError):
-    """A file that cannot be used; the text names the field."""
+    """An operator's file is invalid. The message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,8 +22,8 @@
 
     name: str
     class_name: str
-    memory_mb: float
-    lanes: int
+    memory_mb: float  # of one copy
+    lanes: int  # calls that one copy may run at a time
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,23 +31,23 @@
     """A tenant and its quota."""
 
     name: str
-    max_open: int  # calls in flight at a time; 0 for no limit
+    max_open: int  # most open calls at a time; 0 for no limit
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceClass:
-    """A class of calls."""
+    """A class of calls, with its latency objective, deadline and rules for repeats."""
 
     name: str
     latency_objective_us: int
     deadline_us: int
-    semantics: str  # as in the router's settings
-    key_scope: str
-    key_window_us: int
-    late_value: float
+    semantics: str  # a value of `SEMANTICS`
+    key_scope: str  # deduplication scope: one of `KEY_SCOPES`
+    key_window_us: int  # deduplication window
+    late_value: float  # weight of an answer after the latency objective; one in time has 1
 
     def router_settings(self) -> dict[str, Any]:
-        """Return the class in the form of the router's settings."""
+        """Return the class in the form of the platform's settings."""
         return {
             "name": self.name,
             "aimUs": self.latency_objective_us,
@@ -64,22 +64,22 @@
     """A kind of machine that workers run on."""
 
     name: str
-    memory_mb: float
+    memory_mb: float  # for copies of functions
 
 
 @dataclass(slots=True, frozen=True)
 class ArrayTables:
-    """The array tables of a file; workers in the form of the endpoint list."""
+    """The array tables of a file."""
 
     classes: tuple[ServiceClass, ...]
     functions: Mapping[str, FunctionSettings]
     tenants: Mapping[str, TenantSettings]
     kinds: tuple[MachineKind, ...]
-    workers: tuple[dict[str, Any], ...]
+    workers: tuple[dict[str, Any], ...]  # in the form of the endpoint list
 
 
 def read_array_tables(root: TomlTable) -> ArrayTables:
-    """Take the array tables out of a file. Raises OperatorError."""
+    """Read the array tables of a file and remove them from `root`. Raises OperatorError."""
     classes = tuple(_service_class(table) for table in _unique(root.tables("class")))
     class_names = tuple(service_class.name for service_class in classes)
     functions = [_function(table, class_names) for table in _unique(root.tables("function"))]
@@ -99,7 +99,7 @@
 
 
 def _unique(tables: list[TomlTable], field: str = "name") -> list[TomlTable]:
-    """Return the tables. Raises OperatorError where two have the same text in the field."""
+    """Return the tables unchanged. Raises OperatorError if two have the same text in `field`."""
     seen = set[str]()
     for table in tables:
         value = table.values.get(field)
--- a/maplestile/invoke/problems.py
+++ b/maplestile/invoke/problems.py
@@ -1,4 +1,4 @@
-"""The response of the invoke API to each outcome of a call."""
+"""Converts the outcome of a call to the HTTP response of the invoke API."""
 
 from maplestile.wire.http import Response, problem, retry_after
 from maplestile.wire.messages import Outcome, Verdict
@@ -7,7 +7,7 @@
 
 
 def response_to(outcome: Outcome) -> Response:
-    """Return the result, or the problem details of a call that was not served."""
+    """Return the result of a served call, or the problem details of any other."""
     match outcome.verdict:
         case Verdict.SERVED:
             return Response(200, outcome.body, RESULT_HEADERS)
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -1,8 +1,8 @@
-"""Invocations that are known by an id: deferred ones, and those with an idempotency key.
+"""The store of invocation records: of deferred calls and of calls with an idempotency key.
 
-A record is pending until its one final answer; an answer that was delivered never changes. What was not
-collected by its deadline is reported as failed, and its result dropped. Records are kept for a bounded time,
-and their number is bounded: a full store refuses.
+A record is pending until it gets its one answer; an answer that was delivered never changes. If a result was
+not collected by its deadline, it is dropped and the call is reported as failed. Records are kept for a
+limited time and their number is limited: while the store is full, new calls that need a record are rejected.
 """
 
 from collections import Counter
@@ -12,11 +12,11 @@
 
 from maplestile.wire.http import Response, problem
 
-Timer = Callable[[int, Callable[[], object]], None]  # calls back at a time in microseconds
+Timer = Callable[[int, Callable[[], object]], None]  # calls a function at a Unix time in microseconds
 
 
 class KeyScope(NamedTuple):
-    """Within what a repeat of an idempotency key is the same invocation."""
+    """The scope in which a repeat of an idempotency key is the same invocation."""
 
     function: str
     tenant: str
@@ -25,50 +25,50 @@
 
 @dataclass(slots=True, eq=False)
 class InvocationRecord:
-    """One invocation and its answer."""
+    """The state of one invocation, and its answer."""
 
     id: str
     scope: KeyScope | None  # None without an idempotency key
-    fingerprint: bytes  # of the request, to tell a repeat from another call under the same key
-    deadline_us: int
-    call: int = 0  # the core's number of the call
-    answer: Response | None = None
-    delivered: bool = False
-    deferred: bool = False  # its answer is collected later, by whoever knows the id
-    abandoned: bool = False  # every caller that waited for it has left
-    waiting: list[Callable[[Response], None]] = field(default_factory=list)
+    fingerprint: bytes  # of the request: distinguishes a repeat from another call with the same key
+    deadline_us: int  # Unix time
+    call: int = 0  # the core's number of the call; 0 before it was submitted
+    answer: Response | None = None  # None while the call is pending
+    delivered: bool = False  # the answer was sent to at least one caller
+    deferred: bool = False  # the answer is collected later, by any caller that knows the id
+    abandoned: bool = False  # every caller that waited for the answer has disconnected
+    waiters: list[Callable[[Response], None]] = field(default_factory=list)  # callbacks of waiting callers
 
 
 class InvocationStore:
-    """The records by id and by the scope of their keys."""
+    """The invocation records, by id and by the scope of their idempotency keys."""
 
-    def __init__(self, max_records: int, keep_us: int, call_at: Timer, counters: Counter[str]) -> None:
+    def __init__(self, max_records: int, retention_us: int, call_at: Timer, counters: Counter[str]) -> None:
         self.max_records = max_records
-        self.keep_us = keep_us  # after a record's deadline
+        self.retention_us = retention_us  # how long a record is kept after its deadline
         self.records: dict[str, InvocationRecord] = {}
         self.by_scope: dict[KeyScope, InvocationRecord] = {}
         self._call_at = call_at
         self._counters = counters
 
-    def full(self) -> bool:
-        """Return whether no further record fits."""
+    def is_full(self) -> bool:
+        """Return whether no further record can be added."""
         return len(self.records) >= self.max_records
 
     def add(self, record: InvocationRecord) -> None:
-        """Keep a record until a while after its deadline."""
+        """Add a record. It is failed at its deadline if not delivered, and dropped `retention_us` later."""
         self.records[record.id] = record
         if record.scope is not None:
             self.by_scope[record.scope] = record
         self._call_at(record.deadline_us, lambda: self._expire(record))
 
     def drop(self, record: InvocationRecord) -> None:
-        """Forget a record; its idempotency key is free again."""
+        """Remove a record, so that its idempotency key may be used again."""
         self.records.pop(record.id, None)
         if record.scope is not None and self.by_scope.get(record.scope) is record:
             del self.by_scope[record.scope]
 
     def uncollected(self, now_us: int) -> bool:
-        """Return whether a deferred invocation has an answer that was not collected yet."""
+        """Return whether any deferred invocation has an answer that may still be collected."""
         return any(
             record.deferred
             and record.answer is not None
@@ -78,36 +78,36 @@
         )
 
     def finish(self, record: InvocationRecord, answer: Response) -> None:
-        """Take the answer of a record and deliver it to those who wait; the first answer is final."""
+        """Set the answer of a record and deliver it to the waiting callers; later answers are ignored."""
         if record.answer is not None:
             return
         record.answer = answer
-        self._deliver_to_waiting(record)
+        self._deliver_to_waiters(record)
 
     def deliver(self, record: InvocationRecord) -> Response:
-        """Return the answer of a finished record, which does not change from here on."""
+        """Return the answer of a finished record and mark it as delivered, so that it never changes."""
         assert record.answer is not None
         record.delivered = True
         return record.answer
 
-    def _deliver_to_waiting(self, record: InvocationRecord) -> None:
-        waiting = record.waiting
-        record.waiting = []
-        for respond in waiting:
+    def _deliver_to_waiters(self, record: InvocationRecord) -> None:
+        waiters = record.waiters
+        record.waiters = []
+        for respond in waiters:
             respond(self.deliver(record))
 
     def _expire(self, record: InvocationRecord) -> None:
-        """Fail a record whose answer was not delivered by its deadline.
+        """Replace an undelivered result with a failure at the deadline, and schedule the record's removal.
 
-        This guards against results that are kept unnoticed, and against answers that change once delivered.
+        So no result is kept that nobody collects. An answer that was delivered stays, as it must not change.
         """
         if record.id not in self.records:
-            return  # dropped
+            return  # already dropped
         if not record.delivered:
             self._counters["invoke.lapsed"] += 1
             record.answer = _expired_answer(record)
-            self._deliver_to_waiting(record)
-        self._call_at(record.deadline_us + self.keep_us, lambda: self.drop(record))
+            self._deliver_to_waiters(record)
+        self._call_at(record.deadline_us + self.retention_us, lambda: self.drop(record))
 
 
 def _expired_answer(record: InvocationRecord) -> Response:
--- a/maplestile/operation/__init__.py
+++ b/maplestile/operation/__init__.py
@@ -1,1 +1,1 @@
-"""Operating a router day by day: the operators' front, metrics, cordoned runners, replacing the process."""
+"""Operation of a router: the operators' front, metrics, cordons and the handover between processes."""
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -1,4 +1,4 @@
-"""What operators may call: readiness, metrics, cordoned runners and the policy. It knows no socket."""
+"""The operators' front without its sockets: readiness, metrics, members, runners and policy."""
 
 import json
 import re
@@ -22,7 +22,7 @@
 )
 from maplestile.wire.limits import Limits
 
-if TYPE_CHECKING:  # a router without membership loads none of it: start time and memory
+if TYPE_CHECKING:  # not loaded by a router without membership, to save start time and memory
     from maplestile.membership.view import MembershipView
 
 READY = "/v1/readyz"
@@ -31,7 +31,7 @@
 RUNNERS = "/v1/runners"
 POLICY = "/v1/policy"
 POLICY_CHECK = "/v1/policy/check"
-RUNNER_ACTION = re.compile(r"/v1/runners/([^/]+)/(suspend|resume)")
+RUNNER_ACTION_PATH = re.compile(r"/v1/runners/([^/]+)/(suspend|resume)")
 TEXT_HEADERS = (("Content-Type", "text/plain; charset=utf-8"),)
 METRICS_HEADERS = (("Content-Type", exposition.CONTENT_TYPE),)
 JSON_HEADERS = (("Content-Type", "application/json"),)
@@ -39,43 +39,43 @@
 Respond = Callable[[Response], None]
 
 
-class OperatedRouter(Protocol):
-    """The router as its operators see it."""
+class RouterOperations(Protocol):
+    """The operations of a router that the operators' front offers."""
 
-    def ready(self) -> str:
-        """Return why it cannot serve yet; empty if it can."""
+    def not_ready_reason(self) -> str:
+        """Return why the router cannot serve yet; empty if it can."""
         ...
 
     def metrics(self) -> exposition.MetricsReport:
-        """Return the metrics at this moment."""
+        """Return the current values of the metrics."""
         ...
 
     @property
     def policy(self) -> PolicyOperations | None:
-        """Its part in the fleet's policy; None where the file decides."""
+        """The router's policy driver; None if the policy is that of the router's own file."""
         ...
 
     def members(self) -> "MembershipView | None":
-        """Return this instance's view of membership; None where membership is off."""
+        """Return this instance's view of the membership; None if membership is off."""
         ...
 
     def runners(self) -> list[RunnerView]:
-        """Return the runners listed."""
+        """Return the listed runners."""
         ...
 
     def suspend(self, runner: str) -> bool:
-        """Cordon a runner; false for one that was never listed."""
+        """Cordon a runner, and return whether it was ever listed; one that never was is not cordoned."""
         ...
 
     def resume(self, runner: str) -> bool:
-        """Uncordon a runner; false for one that was never listed."""
+        """Uncordon a runner, and return whether it was ever listed."""
         ...
 
 
 class OperatorApi:
     """The application behind the operators' HTTP front."""
 
-    def __init__(self, router: OperatedRouter, limits: Limits) -> None:
+    def __init__(self, router: RouterOperations, limits: Limits) -> None:
         self.router = router
         self.bounds = Bounds(
             limits.operators.connections,
@@ -94,7 +94,10 @@
         }
 
     def handle(self, request: HttpRequest, respond: Respond) -> Callable[[], None]:
-        """Answer one request by `respond`, once; nothing has to be cancelled if the caller leaves first."""
+        """Answer a request by calling `respond` once.
+
+        The returned function, for a caller that disconnects first, does nothing: there is no call to cancel.
+        """
         try:
             self._route(request, respond)
         except RequestRejected as rejection:
@@ -114,11 +117,11 @@
         respond(view())
 
     def _ready(self) -> Response:
-        reason = self.router.ready()
+        reason = self.router.not_ready_reason()
         return problem(503, reason) if reason else Response(200, b"ready\n", TEXT_HEADERS)
 
     def _metrics(self) -> Response:
-        return Response(200, exposition.text(self.router.metrics()).encode(), METRICS_HEADERS)
+        return Response(200, exposition.encode_report(self.router.metrics()).encode(), METRICS_HEADERS)
 
     def _members(self) -> Response:
         view = self.router.members()
@@ -130,7 +133,7 @@
         return _json_response({"runners": [runner.as_json() for runner in self.router.runners()]})
 
     def _runner_action(self, path: str, request: HttpRequest) -> Response:
-        match = RUNNER_ACTION.fullmatch(path)
+        match = RUNNER_ACTION_PATH.fullmatch(path)
         if match is None:
             raise RequestRejected(problem(404, "no such resource"))
         require_method(request, "PUT")
@@ -144,7 +147,7 @@
         return Response(204)
 
     def _policy(self, path: str, request: HttpRequest, respond: Respond) -> None:
-        """Answer the agent: what is committed, and whether a proposed policy would fit here."""
+        """Answer the agent's policy requests: a status report, an announcement, or the check of a change."""
         policy = self.router.policy
         if policy is None:
             raise RequestRejected(problem(404, "the policy is this router's own: no [policy] in its file"))
@@ -158,7 +161,8 @@
 
 def _answer_policy(policy: PolicyOperations, path: str, request: HttpRequest, respond: Respond) -> None:
     """Answer a request about the policy. Raises ConfigError, RequestRejected or ValueError."""
-    from maplestile.operation import policy_json  # only where the fleet decides: start time and memory
+    # Imported only where the fleet decides on the policy, to save start time and memory.
+    from maplestile.operation import policy_json
 
     def respond_with(report: PolicyReport) -> None:
         respond(_json_response(policy_json.encode_report(report)))
--- a/maplestile/operation/client.py
+++ b/maplestile/operation/client.py
@@ -1,4 +1,4 @@
-"""One call to an operators' front, as the agent makes it for the command line."""
+"""An HTTP client for single requests to an operators' front."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,16 +8,16 @@
 from maplestile.common.address import Address
 
 READ_BYTES = 16_384
-MAX_BODY_BYTES = 1 << 20
+MAX_BODY_BYTES = 1 << 20  # of a response
 
 
 class CallError(Exception):
-    """The front could not be reached, or gave no complete answer."""
+    """The front could not be reached, or its response was incomplete or too long."""
 
 
 @dataclass(slots=True, frozen=True)
 class FrontResponse:
-    """The answer of an operators' front."""
+    """The response of an operators' front."""
 
     status: int
     body: str
@@ -26,7 +26,7 @@
 async def call(
     address: Address, method: str, path: str, wait_s: float, content: bytes = b""
 ) -> FrontResponse:
-    """Make a call, and return its answer. Raises CallError."""
+    """Send a request and return the response. Raises CallError, also if it takes longer than `wait_s`."""
     try:
         async with asyncio.timeout(wait_s):
             return await _exchange(address, method, path, content)
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -1,7 +1,7 @@
-"""Cordoned runners: those that operators have taken out of service until further notice.
+"""Cordoned runners: those that operators have taken out of service until they resume them.
 
-The decisions and the pool see a cordon as a drain (`EndpointList.suspended`). Cordons are stored where both
-processes of an upgrade see them, so that either may be called.
+The dispatcher and the pool treat a cordoned runner as a draining one (`EndpointList.suspended`). Cordons are
+stored in a folder that both processes of a handover read, so that operators may send a change to either.
 """
 
 import logging
@@ -15,23 +15,23 @@
 
 
 class CordonStore(Protocol):
-    """Names that outlive the process; each call may raise OSError."""
+    """A store of runner names that outlives the process. Every method may raise OSError."""
 
     def names(self) -> set[str]:
-        """Return the names stored."""
+        """Return the stored names."""
         ...
 
     def put(self, name: str) -> None:
-        """Store a name; one that is stored already stays."""
+        """Store a name. Does nothing if it is already stored."""
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a name, if it is stored."""
+        """Remove a name. Does nothing if it is not stored."""
         ...
 
 
 class Cordons:
-    """The cordons in force here; `on_change` is called after each change of `cordoned`."""
+    """The cordons in force in this process; `on_change` is called after each change of `cordoned`."""
 
     def __init__(
         self,
@@ -45,60 +45,62 @@
         self._limits = limits
         self._counters = counters
         self._on_change = on_change
-        self._unsaved = set[str]()  # cordons that the store did not take yet
-        self._known: dict[str, None] = {}  # every runner listed so far, the latest last
+        self._unsaved = set[str]()  # cordons that could not be stored yet
+        self._listed_runners: dict[
+            str, None
+        ] = {}  # every runner listed so far, the most recently listed last
 
     def remember_listed(self, runners: Iterable[str]) -> None:
-        """Remember the runners listed: only such runners can be cordoned."""
+        """Remember the listed runners: only runners that were listed can be cordoned."""
         for runner in runners:
-            self._known.pop(runner, None)
-            self._known[runner] = None
-        # Bounds memory, since runners come and go for good.
-        while len(self._known) > self._limits.known_runners:
-            oldest = next(iter(self._known))
-            del self._known[oldest]
+            self._listed_runners.pop(runner, None)
+            self._listed_runners[runner] = None
+        # Bounds the memory used: over time, runners that never return would add up.
+        while len(self._listed_runners) > self._limits.known_runners:
+            oldest = next(iter(self._listed_runners))
+            del self._listed_runners[oldest]
 
     def suspend(self, runner: str) -> bool:
-        """Cordon a runner, and return false for one that was never listed.
+        """Cordon a runner, and return whether it was ever listed; one that never was is not cordoned.
 
-        A cordon that cannot be stored holds in this process.
+        A cordon that cannot be stored is in force in this process only.
         """
         if not self._was_listed(runner):
             return False
         self._counters["operation.suspends"] += 1
-        log.info("runner %s is suspended", runner)
+        log.info("runner %s is suspended: it gets no new calls", runner)
         self._save(runner)
-        self._replace(self.cordoned | {runner})
+        self._set_cordoned(self.cordoned | {runner})
         return True
 
     def resume(self, runner: str) -> bool:
-        """Lift the cordon of a runner, and return false for one that was never listed."""
+        """Lift the cordon of a runner, and return whether the runner was ever listed."""
         if not self._was_listed(runner):
             return False
         self._counters["operation.resumes"] += 1
-        log.info("runner %s is put back", runner)
+        log.info("runner %s is resumed: it gets calls again", runner)
         self._unsaved.discard(runner)
         self._remove(runner)
-        self._replace(self.cordoned - {runner})
+        self._set_cordoned(self.cordoned - {runner})
         return True
 
     def refresh(self) -> None:
-        """Take over the changes of the other process. A store that cannot be read lifts no cordon."""
+        """Apply the changes that the other process stored. If the store cannot be read, all cordons stay."""
         if self._store is None:
             return
         try:
             stored = self._store.names()
         except OSError as error:
-            self._count_fault(error)
-            # The store was lost, or is unavailable for a while: it gets every cordon in force again.
+            self._report_store_error(error)
+            # The store may be lost or only unavailable for a while: store every cordon in force again.
             self._unsaved |= self.cordoned
             stored = set()
         for runner in list(self._unsaved):
             self._save(runner)
-        self._replace(frozenset(stored | self._unsaved))
+        self._set_cordoned(frozenset(stored | self._unsaved))
 
     def _was_listed(self, runner: str) -> bool:
-        return runner in self._known or runner in self.cordoned
+        return runner in self._listed_runners or runner in self.cordoned
 
     def _save(self, runner: str) -> None:
         self._unsaved.add(runner)
@@ -107,7 +109,7 @@
         try:
             self._store.put(runner)
         except OSError as error:
-            self._count_fault(error)
+            self._report_store_error(error)
         else:
             self._unsaved.discard(runner)
 
@@ -117,13 +119,16 @@
         try:
             self._store.remove(runner)
         except OSError as error:
-            self._count_fault(error)
+            self._report_store_error(error)
 
-    def _replace(self, cordoned: frozenset[str]) -> None:
+    def _set_cordoned(self, cordoned: frozenset[str]) -> None:
         if cordoned != self.cordoned:
             self.cordoned = cordoned
             self._on_change()
 
-    def _count_fault(self, error: OSError) -> None:
+    def _report_store_error(self, error: OSError) -> None:
         self._counters["operation.cordon_store_faults"] += 1
-        log.warning("the folder of suspended runners: %s; bans known here hold", error)
+        log.warning(
+            "cannot access the folder of suspended runners: %s; suspensions known here stay in force",
+            error,
+        )
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -1,34 +1,34 @@
-"""Which process serves while one is replaced: a state machine over two locks, polled at intervals.
+"""Handover between an old and a new process: a state machine over two locks, polled at intervals.
 
     WAITING --next is free--> TAKING --serving is free--> ALONE
        |                                                    ^
        +------------------ serving is free -----------------+
 
-A process that is ALONE holds `serving`; another that holds `next` then is its successor.
+A process that is ALONE holds the lock `serving`; the process that holds `next` meanwhile is its successor.
 """
 
 from enum import Enum
 from typing import Protocol
 
-SERVING = "serving"
-NEXT = "next"
-READY = b"ready"
-NOT_READY = b""
+SERVING_LOCK = "serving"
+NEXT_LOCK = "next"
+READY_MARKER = b"ready"  # on the lock `next`: the successor can serve
+NOT_READY_MARKER = b""
 
 
 class HandoverStage(Enum):
-    """How far a process has got in taking over from its predecessor."""
+    """The stage of a process in taking over from its predecessor."""
 
-    WAITING = "waiting"  # another process takes over already
-    TAKING = "taking over"  # the predecessor lives
-    ALONE = "alone"  # no predecessor
+    WAITING = "waiting"  # another process is already taking over from the predecessor
+    TAKING = "taking over"  # this process is the successor; its predecessor still runs
+    ALONE = "alone"  # no predecessor is left
 
 
 class Locking(Protocol):
-    """Locks that end with their process; each call may raise OSError."""
+    """Locks that are released when their process ends. Every method may raise OSError."""
 
     def acquire(self, name: str) -> bool:
-        """Acquire a lock, and return whether it was free."""
+        """Try to acquire a lock, and return whether it was free."""
         ...
 
     def release(self, name: str) -> None:
@@ -39,51 +39,51 @@
         """Return whether another process holds a lock."""
         ...
 
-    def mark(self, name: str, mark: bytes) -> None:
-        """Write something for others to read while this process holds the lock."""
+    def write_marker(self, name: str, marker: bytes) -> None:
+        """Write a marker, which other processes can read, to a lock held by this process."""
         ...
 
-    def has_mark(self, name: str, mark: bytes) -> bool:
-        """Return whether the lock carries this mark."""
+    def has_marker(self, name: str, marker: bytes) -> bool:
+        """Return whether a lock has this marker."""
         ...
 
 
 class Handover:
-    """One process's part in a replacement."""
+    """The handover as one process takes part in it, as predecessor or successor."""
 
     def __init__(self, locks: Locking) -> None:
         self.stage = HandoverStage.WAITING
-        self.successor = False
+        self.has_successor = False
         self.successor_ready = False
         self._locks = locks
         self.poll()
 
     @property
     def process_count(self) -> int:
-        """How many processes there are to share descriptors and memory."""
-        return 2 if self.successor or self.stage is not HandoverStage.ALONE else 1
+        """The number of processes that share the budgets of descriptors and memory: 1 or 2."""
+        return 2 if self.has_successor or self.stage is not HandoverStage.ALONE else 1
 
     def poll(self) -> None:
-        """Check what the other processes have acquired, released and marked."""
+        """Update the stage and the successor's state from the locks and their markers."""
         self._advance()
         if self.stage is HandoverStage.ALONE:
-            self.successor = self._locks.is_held(NEXT)
-            self.successor_ready = self.successor and self._locks.has_mark(NEXT, READY)
+            self.has_successor = self._locks.is_held(NEXT_LOCK)
+            self.successor_ready = self.has_successor and self._locks.has_marker(NEXT_LOCK, READY_MARKER)
 
     def announce_ready(self) -> None:
-        """Announce that this process can serve: its predecessor may go."""
+        """Announce that this process can serve, so that its predecessor may hand over and exit."""
         if self.stage is HandoverStage.TAKING:
-            self._locks.mark(NEXT, READY)
+            self._locks.write_marker(NEXT_LOCK, READY_MARKER)
 
     def announce_stopping(self) -> None:
         """Announce that this process was asked to stop: its predecessor must not hand over to it."""
         if self.stage is HandoverStage.TAKING:
-            self._locks.mark(NEXT, NOT_READY)
+            self._locks.write_marker(NEXT_LOCK, NOT_READY_MARKER)
 
     def _advance(self) -> None:
-        if self.stage is not HandoverStage.ALONE and self._locks.acquire(SERVING):
+        if self.stage is not HandoverStage.ALONE and self._locks.acquire(SERVING_LOCK):
             if self.stage is HandoverStage.TAKING:
-                self._locks.release(NEXT)
+                self._locks.release(NEXT_LOCK)
             self.stage = HandoverStage.ALONE
-        elif self.stage is HandoverStage.WAITING and self._locks.acquire(NEXT):
+        elif self.stage is HandoverStage.WAITING and self._locks.acquire(NEXT_LOCK):
             self.stage = HandoverStage.TAKING
--- a/maplestile/operation/membership_json.py
+++ b/maplestile/operation/membership_json.py
@@ -1,4 +1,6 @@
-"""The form of a view of membership on the operators' front: keys in the order of the answer.
+"""Encodes a membership view for the operators' front.
+
+The keys are in the order of the response:
 
 {"member", "incarnation", "isolated", "health", "agreed": [name, ...],
  "members": [{"name", "address", "status", "incarnation"}, ...],
@@ -8,12 +10,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-if TYPE_CHECKING:  # a router without membership loads none of it: start time and memory
+if TYPE_CHECKING:  # not loaded by a router without membership, to save start time and memory
     from maplestile.membership.view import HealthChecksView, MembershipView, MemberView
 
 
 def encode_membership(view: "MembershipView") -> dict[str, Any]:
-    """Return a view in JSON's types."""
+    """Return a view as a dictionary of JSON values."""
     checks = view.health_checks
     return {
         "member": view.own_name,
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -1,50 +1,50 @@
-"""A router's part in the fleet's policy, as the operators' front sees it."""
+"""The interface of a router's policy driver to the operators' front, and the messages of both."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-if TYPE_CHECKING:  # a router whose file decides on the policy loads none of it: start time and memory
+if TYPE_CHECKING:  # not loaded by a router whose own file has the policy, to save start time and memory
     from maplestile.control.policy.document import Document
     from maplestile.control.policy.follower import PolicyAnnouncement, PolicyStatus
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyCheck:
-    """A change that the router is to check; without a document it goes back to the policy of its own file."""
+    """A proposed change of the policy that the router must check."""
 
-    change: int
-    document: "Document | None"
+    change: int  # its number
+    document: "Document | None"  # None: a return to the policy of the router's own file
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyReport:
-    """What a router reports of its policy."""
+    """A router's report on its policy."""
 
-    epoch: int
-    digest: str  # of the document in force; empty for the file's own policy
+    epoch: int  # in force
+    digest: str  # of the document in force; empty for the policy of the router's own file
     status: "PolicyStatus"
-    stale_s: float  # for how long its epoch has not been known to be the committed one
-    reason: str  # of a refusal
-    build: str
-    calls_by_epoch: Mapping[int, Mapping[str, int]]
-    lacks_document: bool  # of the announced epoch: a request to the agent to send it
+    stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
+    reason: str  # why the router refuses the committed epoch; empty if it does not
+    build: str  # version of the program
+    calls_by_epoch: Mapping[int, Mapping[str, int]]  # counts by epoch and name of the counter
+    lacks_document: bool  # the agent must send the document of the announced epoch
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyMetrics:
-    """The values of the metrics of a router's policy; a state is 1 where it holds, else 0."""
+    """The values of a router's policy metrics; a state is 1 if it holds, else 0."""
 
-    epoch: float  # in force; 0 where none is on record
-    stale: float
-    stale_s: float  # for how long its epoch has not been known to be the committed one
-    refused: float
-    reloads_refused: float
-    mixed_calls: float
+    epoch: float  # in force; 0 if none is on disk
+    stale: float  # state: the router is cut off, and its epoch may not be the committed one
+    stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
+    refused: float  # state: the router cannot apply the committed epoch
+    reloads_refused: float  # reloads rejected because the file had another policy than at the start
+    mixed_calls: float  # attempts that were decided under another epoch than their call
 
 
 class PolicyOperations(Protocol):
-    """The router's policy driver."""
+    """The router's policy driver, as the operators' front uses it."""
 
     def check(self, change: PolicyCheck, /) -> None:
         """Check that a proposed policy fits this router. Raises ConfigError."""
@@ -53,13 +53,13 @@
     def take_announcement(
         self, announcement: "PolicyAnnouncement", reply: Callable[[PolicyReport], None], /
     ) -> None:
-        """Take the agent's announcement of the committed epoch, and reply once, now or later."""
+        """Process the agent's announcement of the committed epoch, and call `reply` once, now or later."""
         ...
 
     def report(self) -> PolicyReport:
-        """Return the epoch in force and its status."""
+        """Return a report on the policy in force."""
         ...
 
     def metrics(self) -> PolicyMetrics:
-        """Return the metrics at this moment."""
+        """Return the current values of the metrics."""
         ...
--- a/maplestile/operation/policy_json.py
+++ b/maplestile/operation/policy_json.py
@@ -1,7 +1,7 @@
-"""The form of the policy's messages on the operators' front, between an agent and its router.
+"""Encodes and decodes the policy messages between an agent and its router, in JSON.
 
-An announcement is `{"epoch", "fenced_us", "checking"}`, with `"document"` if it is sent along; a check is
-`{"change", "document"}`. Both are answered by JSON objects, too: an announcement by a `PolicyReport`.
+An announcement is `{"epoch", "fenced_us", "checking"}`, and `"document"` if the agent sends that too. A check
+is `{"change", "document"}`. The response to an announcement is a `PolicyReport`, that to a check `{"build"}`.
 """
 
 from typing import Any
@@ -13,24 +13,24 @@
 
 
 def decode_announcement(message: object) -> PolicyAnnouncement:
-    """Return what the agent announces. Raises PolicyError, which names the field."""
+    """Return the announcement in a message. Raises PolicyError, which names the field."""
     epoch = _whole_number(message, "epoch")
     fenced_us = _whole_number(message, "fenced_us")
     checking = _whole_number(message, "checking")
-    assert isinstance(message, dict)  # it had its numbers
+    assert isinstance(message, dict)  # since its numbers were found
     document = document_of(message.get("document"))
     return PolicyAnnouncement(epoch, fenced_us, checking, "document" in message, document)
 
 
 def decode_check(message: object) -> PolicyCheck:
-    """Return what the router is to check. Raises PolicyError, which names the field."""
+    """Return the check in a message. Raises PolicyError, which names the field."""
     change = _whole_number(message, "change")
-    assert isinstance(message, dict)  # it had its number
+    assert isinstance(message, dict)  # since its number was found
     return PolicyCheck(change, document_of(message.get("document")))
 
 
 def encode_report(report: PolicyReport) -> dict[str, Any]:
-    """Return a report in JSON's types; it has `"fetch"` only where the router lacks the document."""
+    """Return a report as JSON values, with `"fetch"` only if the router lacks the document."""
     encoded: dict[str, Any] = {
         "epoch": report.epoch,
         "digest": report.digest,
@@ -46,7 +46,7 @@
 
 
 def encode_check_passed() -> dict[str, Any]:
-    """Return the answer to a check of a change that fits this build and file."""
+    """Return the response to a check of a change that fits this build and file."""
     return {"build": __version__}
 
 
--- a/maplestile/operation/runner_view.py
+++ b/maplestile/operation/runner_view.py
@@ -1,19 +1,19 @@
-"""A listed runner as operators see it, and its form on the operators' front."""
+"""The state of a listed runner as the operators' front shows it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class RunnerView:
-    """One listed runner at the moment of the call."""
+    """The state of one listed runner at the time of the request."""
 
-    id: str
+    id: str  # of the runner
     suspended: bool  # cordoned by an operator
-    avoided: bool  # left out by the decisions' own choice
-    inflight: int  # attempts in flight there
+    avoided: bool  # the dispatcher sends it no calls, for example after failures
+    inflight: int  # attempts in flight at the runner
 
     def as_json(self) -> dict[str, str | bool | int]:
-        """Return it in JSON's types, in the order of the answer."""
+        """Return a dictionary of JSON values, with the keys in the order of the response."""
         return {
             "id": self.id,
             "suspended": self.suspended,
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -1,4 +1,4 @@
-"""The router as its operators see it: what its parts know at the moment of the call."""
+"""The operations that the operators' front offers, carried out by the components of a router process."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,29 +12,29 @@
 from maplestile.requests.core import Core
 from maplestile.requests.endpoint_list import EndpointList
 
-if TYPE_CHECKING:  # a router without membership loads none of it: start time and memory
+if TYPE_CHECKING:  # not loaded by a router without membership, to save start time and memory
     from maplestile.membership.view import MembershipMetrics, MembershipView
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorService:
-    """Implements `operation.api.OperatedRouter` over the parts of a router process."""
+    """Implements `operation.api.RouterOperations` with the components of a router process."""
 
     core: Core
     endpoints: EndpointList
     cordons: Cordons
-    count_backend_calls: Callable[[], int]
-    not_ready_reason: Callable[[], str]  # empty where the router can serve
-    membership_view: "Callable[[], MembershipView | None]"  # None where membership is off
-    membership_metrics: "Callable[[], MembershipMetrics | None]"  # None where membership is off
-    policy: PolicyOperations | None = None  # where the fleet decides on it
+    count_backend_calls: Callable[[], int]  # attempts that were written completely to runners
+    check_readiness: Callable[[], str]  # returns why the router cannot serve yet; empty if it can
+    membership_view: "Callable[[], MembershipView | None]"  # None if membership is off
+    membership_metrics: "Callable[[], MembershipMetrics | None]"  # None if membership is off
+    policy: PolicyOperations | None = None  # None if the policy is that of the router's own file
 
-    def ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why the router cannot serve yet; empty if it can."""
-        return self.not_ready_reason()
+        return self.check_readiness()
 
     def metrics(self) -> MetricsReport:
-        """Return the metrics at this moment."""
+        """Return the current values of the metrics."""
         listed = self.endpoints.entries.keys()
         return MetricsReport(
             classes=self._class_names(),
@@ -49,11 +49,11 @@
         )
 
     def members(self) -> "MembershipView | None":
-        """Return this instance's view of membership; None where membership is off."""
+        """Return this instance's view of the membership; None if membership is off."""
         return self.membership_view()
 
     def runners(self) -> list[RunnerView]:
-        """Return the runners listed, sorted by id."""
+        """Return the listed runners, sorted by id."""
         in_flight = Counter(attempt.worker for attempt in self.core.in_flight.values())
         avoided = self.core.avoided()
         return [
@@ -67,15 +67,15 @@
         ]
 
     def suspend(self, runner: str) -> bool:
-        """Cordon a runner; false for one that was never listed."""
+        """Cordon a runner, and return whether it was ever listed; one that never was is not cordoned."""
         return self.cordons.suspend(runner)
 
     def resume(self, runner: str) -> bool:
-        """Uncordon a runner; false for one that was never listed."""
+        """Uncordon a runner, and return whether it was ever listed."""
         return self.cordons.resume(runner)
 
     def _class_names(self) -> tuple[str, ...]:
-        """Return the classes in force, and those answered before that a policy has removed since."""
+        """Return the classes in force, then those that have answers but were since removed by a policy."""
         in_force = [service_class.name for service_class in self.core.settings.classes]
         answered = sorted({name for name, _ in self.core.answers})
         return tuple(dict.fromkeys((*in_force, *answered)))
--- a/maplestile/operation/state_folder.py
+++ b/maplestile/operation/state_folder.py
@@ -1,4 +1,4 @@
-"""What the two processes of an upgrade share: names in a folder, and locks that end with their owner."""
+"""The state that the two processes of a handover share: cordons in a folder, and locks on files."""
 
 import contextlib
 import fcntl
@@ -6,36 +6,36 @@
 from pathlib import Path
 from urllib.parse import quote, unquote
 
-FILE_PREFIX = "r-"  # so that no name is hidden, or means a folder
+FILE_PREFIX = "r-"  # without it, a name such as `..` would be a folder, and `.a` a hidden file
 LOCK_FILE_MODE = 0o600
 
 
 class FileCordonStore:
-    """Names as empty files: each is created and removed by one atomic system call, with no lock.
+    """Stores each name as an empty file, created and removed by one atomic system call, so without a lock.
 
-    Every call may raise OSError.
+    Every method may raise OSError.
     """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        # Each call that uses the folder raises the failure again.
+        # The failure is not lost: each method that uses the folder raises it again.
         with contextlib.suppress(OSError):
             folder.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> set[str]:
-        """Return the names stored."""
+        """Return the stored names."""
         file_names = [path.name for path in self.folder.iterdir()]
         return {
             unquote(name.removeprefix(FILE_PREFIX)) for name in file_names if name.startswith(FILE_PREFIX)
         }
 
     def put(self, name: str) -> None:
-        """Store a name."""
+        """Store a name. Does nothing if it is already stored."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self._file(name).touch()
 
     def remove(self, name: str) -> None:
-        """Remove a name, if it is stored."""
+        """Remove a name. Does nothing if it is not stored."""
         self._file(name).unlink(missing_ok=True)
 
     def _file(self, name: str) -> Path:
@@ -43,23 +43,23 @@
 
 
 class ProcessLocks:
-    """Advisory locks on files; the kernel releases them when their process ends, however it ends."""
+    """Advisory locks on files. The kernel releases them when their process ends, also if it is killed."""
 
     def __init__(self, folder: Path) -> None:
-        """Create the folder if need be. Raises OSError."""
+        """Create the folder if it does not exist. Raises OSError."""
         folder.mkdir(parents=True, exist_ok=True)
         self.folder = folder
-        self.descriptors: dict[str, int] = {}  # of the locks held by this process, by name
+        self.descriptors: dict[str, int] = {}  # file descriptors of the locks held by this process, by name
 
     def acquire(self, name: str) -> bool:
-        """Acquire a lock, and return whether it was free."""
+        """Try to acquire a lock, and return whether it was free."""
         descriptor = self._open(name)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(descriptor)
             return False
-        os.truncate(descriptor, 0)  # the mark of a holder that died
+        os.truncate(descriptor, 0)  # removes the marker of a holder that has ended
         self.descriptors[name] = descriptor
         return True
 
@@ -68,7 +68,7 @@
         os.close(self.descriptors.pop(name))
 
     def is_held(self, name: str) -> bool:
-        """Return whether another process holds a lock; not for a lock held by this process."""
+        """Return whether a lock is held. Call it only for locks that this process does not hold."""
         descriptor = self._open(name)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
@@ -78,15 +78,15 @@
             os.close(descriptor)
         return False
 
-    def mark(self, name: str, mark: bytes) -> None:
-        """Write something for others to read while this process holds the lock."""
-        os.pwrite(self.descriptors[name], mark, 0)
-        os.truncate(self.descriptors[name], len(mark))
+    def write_marker(self, name: str, marker: bytes) -> None:
+        """Write a marker, which other processes can read, to a lock held by this process."""
+        os.pwrite(self.descriptors[name], marker, 0)
+        os.truncate(self.descriptors[name], len(marker))
 
-    def has_mark(self, name: str, mark: bytes) -> bool:
-        """Return whether the lock carries this mark."""
+    def has_marker(self, name: str, marker: bytes) -> bool:
+        """Return whether a lock has this marker."""
         try:
-            return (self.folder / name).read_bytes() == mark
+            return (self.folder / name).read_bytes() == marker
         except OSError:
             return False
 
--- a/tests/invoke_fixture.py
+++ b/tests/invoke_fixture.py
@@ -1,4 +1,4 @@
-"""One real process with the platform's front and the invoke API, from the operator's file."""
+"""A fixture that runs a real router process with an operator's file: platform front and invoke front."""
 
 import http.client
 import socket
@@ -10,31 +10,31 @@
 
 Answer = tuple[int, bytes, dict[str, str]]  # status, body, headers in lower case
 
-# Functions of the operator's file, by whether their calls may be repeated.
+# Functions of the operator's file, named by whether an attempt may be repeated.
 REPEATABLE = "score-bangla"
-WITH_KEY = "make-cards"
+REPEATABLE_WITH_KEY = "make-cards"
 NEVER_REPEATED = "keep-result"
 
 TENANT = "shapla-tutors"
-DEFERRED = "respond-async"  # the `Prefer` of a deferred call
+DEFERRED = "respond-async"  # the `Prefer` header of a deferred call
 
 
 def invocations_path(function: str) -> str:
-    """Return the path to which a call of a function is posted."""
+    """Return the path that invokes a function."""
     return f"/v1/functions/{function}/invocations"
 
 
 def post_head(*lines: str) -> bytes:
-    """Encode the head of a call of `REPEATABLE`, with further header lines, up to its empty line."""
-    start = (f"POST {invocations_path(REPEATABLE)} HTTP/1.1", "Host: h")
-    return "\r\n".join((*start, *lines, "", "")).encode()
+    """Return the head of a request that invokes `REPEATABLE`, with these header lines and the empty line."""
+    first_lines = (f"POST {invocations_path(REPEATABLE)} HTTP/1.1", "Host: h")
+    return "\r\n".join((*first_lines, *lines, "", "")).encode()
 
 
-PARTIAL_HEAD = post_head("Content-Le").rstrip()  # cut off within the name of its last header
+PARTIAL_HEAD = post_head("Content-Le").rstrip()  # ends within the name of its last header
 
 
 class InvokeTestCase(unittest.TestCase):
-    """Starts a process by the operator's file, with two workers and free ports."""
+    """Starts a router with the operator's file of `deploy/`, two workers and free ports."""
 
     def setUp(self) -> None:
         self.workers = [Worker(), Worker()]
@@ -46,17 +46,17 @@
         ):
             text = text.replace(old, new)
         file = Path(tempfile.mkdtemp()) / "operator.toml"
-        file.write_text(self.changed(text))
+        file.write_text(self.edit_file(text))
         self.program = Program("serve", str(file))
         self.addCleanup(self.program.kill)
         self.port = self.program.port("invoke")
 
-    def changed(self, text: str) -> str:
-        """Return the configuration file with the changes of a test case."""
+    def edit_file(self, text: str) -> str:
+        """Return the text of the operator's file with the changes of a test case."""
         return text
 
     def request(self, method: str, path: str, body: bytes = b"", **headers: str) -> Answer:
-        """Send a request on a connection of its own; underscores in the names of headers are hyphens."""
+        """Send a request on a new connection; underscores in the names of headers become hyphens."""
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=PATIENCE_S)
         sent = {"Maplestile-Tenant": TENANT}
         sent |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -68,11 +68,11 @@
         return answer
 
     def post(self, function: str, body: bytes, **headers: str) -> Answer:
-        """Call a function."""
+        """Invoke a function."""
         return self.request("POST", invocations_path(function), body, **headers)
 
     def final_answer(self, location: str) -> Answer:
-        """Poll a deferred call until it has ended, and return its answer."""
+        """Poll a deferred call until it has ended, and return the answer."""
 
         def answer_if_ended() -> Answer | None:
             answer = self.request("GET", location)
@@ -82,27 +82,27 @@
         return answer
 
     def connect_and_send(self, data: bytes) -> socket.socket:
-        """Open a connection and write these bytes to it."""
+        """Open a connection, send these bytes, and return its socket."""
         connection = socket.create_connection(("127.0.0.1", self.port), timeout=PATIENCE_S)
         self.addCleanup(connection.close)
         connection.sendall(data)
         return connection
 
     def run_count(self, body: bytes) -> int:
-        """Return how often a call with this body ran, at all workers."""
+        """Return how many times a call with this body ran, over all workers."""
         text = in_base64(body)
         return sum(call["bytes"] == text for worker in self.workers for call in worker.ran)
 
     def pause_workers(self) -> None:
-        """Have the workers read nothing: an attempt is out, and not answered."""
+        """Make the workers read nothing, so that attempts are sent but not answered."""
         for worker in self.workers:
             worker.pause()
 
     def resume_workers(self) -> None:
-        """Let the workers read on."""
+        """Let the workers read again."""
         for worker in self.workers:
             worker.resume()
 
-    def until_sent(self, attempts: int) -> None:
-        """Wait until the program has sent so many attempts."""
+    def wait_until_sent(self, attempts: int) -> None:
+        """Wait until the router has sent this number of attempts."""
         eventually(lambda: self.program.counters().get("attempts.sent") == attempts, "the attempt")
--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -1,4 +1,4 @@
-"""Operators' requests to the real program, clients that keep calling it, and a fixture for both."""
+"""A fixture that runs real router processes, with requests to their operators' fronts and steady callers."""
 
 import http.client
 import tempfile
@@ -20,11 +20,11 @@
 )
 
 NEVER_REPEATED = "test-submit"  # the class whose calls may not be repeated
-CALLS_AT_A_TIME = 3
+CALLS_PER_ROUND = 3
 
 
 def request_operator(program: Program, path: str, method: str = "GET") -> tuple[int, str]:
-    """Send a request to the operators' front, and return its status and body."""
+    """Send a request to the operators' front, and return the status and body of the response."""
     connection = http.client.HTTPConnection("127.0.0.1", program.port("operator"), timeout=PATIENCE_S)
     try:
         connection.request(method, path)
@@ -35,26 +35,27 @@
 
 
 def change_runner(program: Program, runner: str, command: str) -> int:
-    """Have the operators' front `suspend` or `resume` a runner, and return the status."""
+    """Send the command `suspend` or `resume` for a runner, and return the status of the response."""
     return request_operator(program, f"/v1/runners/{runner}/{command}", "PUT")[0]
 
 
 def scrape_metrics(program: Program) -> dict[str, int]:
-    """Return the metrics of the operators' front, by name and labels."""
+    """Return the values of the metrics, by name with labels."""
     lines = request_operator(program, "/v1/metrics")[1].splitlines()
     samples = (line.split() for line in lines if not line.startswith("#"))
     return {name: int(value) for name, value in samples}
 
 
 def until_ready(program: Program) -> None:
-    """Wait until the program is ready for calls."""
+    """Wait until the router is ready for calls."""
     eventually(lambda: request_operator(program, "/v1/readyz")[0] == 200, "readiness")
 
 
 class RepeatingCaller(threading.Thread):
-    """A client that keeps calling on one connection, some at a time, until `done` is set.
+    """A client that sends rounds of calls on one connection, until `done` is set.
 
-    A connection that ends with nothing open on it is replaced; requests that crossed that end are counted.
+    If the router closes the connection, it is replaced. The close may cross a round that was just sent: then
+    no call of that round is answered, which `crossed` counts. A partly answered round is a fault.
     """
 
     def __init__(self, port: int, class_name: str) -> None:
@@ -62,10 +63,10 @@
         self.port = port
         self.class_name = class_name
         self.done = threading.Event()
-        self.rounds = 0
-        self.served = 0
-        self.crossed = 0
-        self.faults = list[str]()
+        self.rounds = 0  # completed rounds
+        self.served = 0  # calls with a result
+        self.crossed = 0  # calls without an answer, since the connection closed
+        self.faults = list[str]()  # unexpected answers and errors
 
     def idempotency_key(self, round_number: int, n: int) -> str:
         """Return the key of the n-th call of a round."""
@@ -74,32 +75,32 @@
     def run(self) -> None:
         client = Client(self.port)
         while not self.done.is_set():
-            bodies = dict[int, bytes]()  # of the calls that are open, by their ids
+            bodies = dict[int, bytes]()  # of the open calls, by id
             try:
                 self._send_round(client, bodies)
                 self._read_answers(client, bodies)
-            except OSError as fault:
-                self.faults.append(repr(fault))
+            except OSError as error:
+                self.faults.append(repr(error))
                 return
             self.rounds += 1
             if bodies:
                 self.crossed += len(bodies)
-                if len(bodies) < CALLS_AT_A_TIME:
-                    self.faults.append("a connection ended with requests open on it")
+                if len(bodies) < CALLS_PER_ROUND:
+                    self.faults.append("the connection closed after only some calls of a round were answered")
                 client = Client(self.port)
             time.sleep(0.002)
 
     def _send_round(self, client: Client, bodies: dict[int, bytes]) -> None:
-        # In one piece: with a pause of this thread between them, as on a busy machine, the program
-        # may answer the first, find the connection quiet and rightly end it before the others come.
+        # In one write: if this thread were paused between two calls, as on a busy machine, the router could
+        # answer the first, find the connection quiet and correctly close it before the others arrive.
         with client.in_one_write():
-            for n in range(CALLS_AT_A_TIME):
+            for n in range(CALLS_PER_ROUND):
                 body = b"%d %d" % (self.rounds, n)
                 key = self.idempotency_key(self.rounds, n)
                 bodies[client.call(self.class_name, body, unique=key)] = body
 
     def _read_answers(self, client: Client, bodies: dict[int, bytes]) -> None:
-        """Read until all are answered, or the connection ends; what is answered is taken from `bodies`."""
+        """Read until all calls are answered or the connection closes; remove answered calls from `bodies`."""
         while bodies:
             answer = client.read()
             if answer is None:
@@ -107,13 +108,13 @@
             body = bodies.pop(answer["id"])
             self.served += "result" in answer
             expected = in_base64(body[::-1])
-            refused = answer.get("error", {}).get("code") == REFUSED
-            if not refused and answer.get("result", {}).get("blob") != expected:
+            is_rejected = answer.get("error", {}).get("code") == REFUSED
+            if not is_rejected and answer.get("result", {}).get("blob") != expected:
                 self.faults.append(str(answer))
 
 
 def start_callers(port: int) -> list[RepeatingCaller]:
-    """Start two callers of each class: one whose calls may be repeated, one that may not, one with a key."""
+    """Start two callers of each class: repeatable, never repeated, and repeatable with a key."""
     classes = ("review", NEVER_REPEATED, "deck-make")
     callers = [RepeatingCaller(port, name) for name in classes for _ in range(2)]
     for caller in callers:
@@ -122,7 +123,7 @@
 
 
 def stop_callers(callers: list[RepeatingCaller]) -> list[str]:
-    """Stop them, and return what was wrong with the answers of all."""
+    """Stop the callers, and return the faults of all."""
     for caller in callers:
         caller.done.set()
         caller.join(PATIENCE_S)
@@ -130,7 +131,7 @@
 
 
 class OperationTestCase(unittest.TestCase):
-    """Starts a router with an operators' front, two workers and a folder for its cordons and locks."""
+    """Starts a router with an operators' front, two workers and a folder for cordons and locks."""
 
     def setUp(self) -> None:
         self.workers = [Worker(), Worker()]
@@ -140,7 +141,7 @@
         self.program = self.start_router()
 
     def start_router(self, port: int = 0) -> Program:
-        """Start one more process with the same folder."""
+        """Start one more router process with the same folder."""
         program = start_router(self.workers, self.names, self.folder, port)
         self.addCleanup(program.kill)
         return program
@@ -152,17 +153,17 @@
         return client
 
     def run_counts(self) -> Counter[str]:
-        """Return how often each call ran, by its idempotency key."""
+        """Return how many times each call ran, by its idempotency key."""
         return Counter(call["head"]["once"] for worker in self.workers for call in worker.ran)
 
-    def assert_repeats_are_allowed(self) -> None:
-        """Check that no call that may not be repeated ran twice, and no other one twice at the same worker.
+    def assert_no_forbidden_repeats(self) -> None:
+        """Check that no never-repeated call ran twice, and no other call ran twice at the same worker.
 
-        A call that may be repeated is hedged at another worker where its own does not answer, for example
-        since a thread of this test was paused.
+        A repeatable call may run at two workers: it is hedged if the first does not answer, for example
+        because a thread of this test was paused.
         """
-        twice = [key for key, count in self.run_counts().items() if count > 1]
-        self.assertEqual([key for key in twice if key.startswith(NEVER_REPEATED)], [])
+        repeated = [key for key, count in self.run_counts().items() if count > 1]
+        self.assertEqual([key for key in repeated if key.startswith(NEVER_REPEATED)], [])
         for worker in self.workers:
             at_worker = Counter(call["head"]["once"] for call in worker.ran)
             self.assertEqual([key for key, count in at_worker.items() if count > 1], [])
--- a/tests/record_metrics.py
+++ b/tests/record_metrics.py
@@ -1,4 +1,4 @@
-"""Records the text of the metrics and the names of the counters."""
+"""Recorders of the metrics in the exposition format, and of the names of all counters."""
 
 import ast
 
@@ -11,7 +11,7 @@
 
 
 def metrics_text() -> str:
-    """The text of known metrics, with everything that a router may report."""
+    """Return the exposition of a fixed report that has every metric family."""
     answers = {
         ("review", Verdict.SERVED): 3,
         ("review", Verdict.REJECTED): 4,
@@ -23,11 +23,11 @@
     policy = PolicyMetrics(0.5, 1.5, 2.5, 3.5, 4.5, 5.5)
     epochs = {3: {"calls": 7, "attempts": 8}, 4: {"calls": 1}}
     report = metrics.MetricsReport(("review", 'a"b'), answers, 7, 2, 5, 1, membership, policy, epochs)
-    return metrics.text(report)
+    return metrics.encode_report(report)
 
 
 def counter_names() -> str:
-    """The names of the project's own counters, wherever one is added to; what is put in is shown as `{}`."""
+    """Return the names of all counters that the project's code increments; inserted values appear as `{}`."""
     names = set[str]()
     for file in (ROOT / "maplestile").rglob("*.py"):
         for node in ast.walk(ast.parse(file.read_text())):
@@ -37,7 +37,7 @@
 
 
 def _texts(node: ast.expr) -> set[str]:
-    """The texts that an expression may be."""
+    """Return the strings to which an expression may evaluate."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return {node.value}
     if isinstance(node, ast.IfExp):
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -1,4 +1,4 @@
-"""Cordons by their folder alone: where they are stored, and what they do to the endpoint list."""
+"""Tests of cordons without processes: their storage, and their effect on the endpoint list and dispatcher."""
 
 import tempfile
 import unittest
@@ -15,71 +15,71 @@
 
 
 class CordonsTest(unittest.TestCase):
-    """Two processes with one folder; a third starts later."""
+    """Cordons of two processes that share a folder, and of one that starts later."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp()) / "deep" / "suspended"
-        self.one = self.cordons()
-        self.other = self.cordons()
+        self.first = self.create_cordons()
+        self.second = self.create_cordons()
 
-    def cordons(self) -> Cordons:
-        """Return the cordons of one more process, to which `a` and `../b` were listed."""
+    def create_cordons(self) -> Cordons:
+        """Return the cordons of one more process, for which `a` and `../b` were listed."""
         cordons = Cordons(
             FileCordonStore(self.folder), OperatorLimits(known_runners=3), Counter(), lambda: None
         )
         cordons.remember_listed(["a", "../b"])
         return cordons
 
-    def test_a_cordon_set_at_one_process_holds_at_the_other_and_after_a_start(self) -> None:
-        for _ in range(2):  # calls may repeat
-            self.assertTrue(self.one.suspend("../b"))
-        self.other.refresh()
-        late = self.cordons()
-        late.refresh()
-        self.assertEqual([cordons.cordoned for cordons in (self.one, self.other, late)], 3 * [{"../b"}])
-        self.assertTrue(self.other.resume("../b"))
-        self.one.refresh()
-        self.assertEqual((self.one.cordoned, self.other.cordoned), (frozenset(), frozenset()))
-
-    def test_a_runner_never_listed_is_refused_and_one_that_is_no_longer_listed_is_not(self) -> None:
-        self.assertFalse(self.one.suspend("c"))
-        self.assertFalse(self.one.resume("c"))
-        self.one.remember_listed(["c"])
-        self.assertTrue(self.one.suspend("a"))
-        self.one.remember_listed(["d", "e", "f", "g"])  # the memory of ids is bounded, that of cordons is not
-        self.assertFalse(self.one.suspend("c"))
-        self.assertTrue(self.one.resume("a"))
-
-    def test_a_lost_or_foreign_folder_lifts_no_cordon_and_stops_no_start(self) -> None:
-        self.one.suspend("a")
+    def test_cordon_applies_to_running_and_later_processes(self) -> None:
+        for _ in range(2):  # a repeated request is allowed
+            self.assertTrue(self.first.suspend("../b"))
+        self.second.refresh()
+        later = self.create_cordons()
+        later.refresh()
+        self.assertEqual([cordons.cordoned for cordons in (self.first, self.second, later)], 3 * [{"../b"}])
+        self.assertTrue(self.second.resume("../b"))
+        self.first.refresh()
+        self.assertEqual((self.first.cordoned, self.second.cordoned), (frozenset(), frozenset()))
+
+    def test_rejects_runner_never_listed_but_accepts_one_no_longer_listed(self) -> None:
+        self.assertFalse(self.first.suspend("c"))
+        self.assertFalse(self.first.resume("c"))
+        self.first.remember_listed(["c"])
+        self.assertTrue(self.first.suspend("a"))
+        self.first.remember_listed(["d", "e", "f", "g"])  # remembered ids are limited to 3, cordons are not
+        self.assertFalse(self.first.suspend("c"))
+        self.assertTrue(self.first.resume("a"))
+
+    def test_unusable_or_lost_folder_keeps_cordons_and_allows_start(self) -> None:
+        self.first.suspend("a")
         (self.folder / "r-a").unlink()
         self.folder.rmdir()
         self.folder.write_bytes(b"\0 damaged")
-        self.one.refresh()
-        self.cordons().refresh()
-        self.assertEqual(self.one.cordoned, {"a"})
+        self.first.refresh()
+        self.create_cordons().refresh()
+        self.assertEqual(self.first.cordoned, {"a"})
         self.folder.unlink()
-        self.one.refresh()
-        late = self.cordons()
-        late.refresh()
-        self.assertEqual(late.cordoned, {"a"})
+        self.first.refresh()
+        later = self.create_cordons()
+        later.refresh()
+        self.assertEqual(later.cordoned, {"a"})
 
-    def test_a_cordon_that_cannot_be_stored_holds_in_this_process_until_it_does(self) -> None:
+    def test_cordon_that_cannot_be_stored_applies_here_and_is_stored_later(self) -> None:
         self.folder.rmdir()
         self.folder.write_bytes(b"")
-        self.assertTrue(self.one.suspend("a"))
-        self.one.refresh()
-        self.assertEqual(self.one.cordoned, {"a"})
+        self.assertTrue(self.first.suspend("a"))
+        self.first.refresh()
+        self.assertEqual(self.first.cordoned, {"a"})
         self.folder.unlink()
-        self.one.refresh()
-        self.other.refresh()
-        self.assertEqual(self.other.cordoned, {"a"})
+        self.first.refresh()
+        self.second.refresh()
+        self.assertEqual(self.second.cordoned, {"a"})
 
 
 class SuspendedRunnerTest(unittest.TestCase):
-    """What the endpoint list and the decisions make of a suspended runner."""
+    """The effect of a suspended runner on the endpoint list and the dispatcher."""
 
-    def test_a_suspended_runner_is_shown_as_draining_whatever_the_list_says(self) -> None:
+    def test_suspended_runner_appears_as_draining(self) -> None:
         endpoints = EndpointList()
         targets = [target("a", 1), target("b", 2)]
         endpoints.apply_known({"updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]})
@@ -88,19 +88,19 @@
         self.assertEqual(states, {"a": api.WorkerState.DRAINING, "b": api.WorkerState.RUNNING})
         self.assertEqual(endpoints.entries["a"].state, api.WorkerState.RUNNING)
 
-    def test_with_every_runner_out_calls_are_refused_at_once(self) -> None:
+    def test_rejects_call_at_once_if_every_runner_drains(self) -> None:
         driver = Driver(settings(), [entry("a", api.WorkerState.DRAINING)])
         actions = driver.give(arrival(1))
         self.assertIn(api.RejectCall, [type(action) for action in actions])
 
-    def test_a_runner_put_back_is_used_again(self) -> None:
+    def test_resumed_runner_gets_calls_again(self) -> None:
         driver = Driver(settings(), [entry("a")])
         driver.give(worker_list(entry("a", api.WorkerState.DRAINING), kind=api.ListKind.FULL))
         self.assertEqual(sends(driver.give(arrival(1))), [])
         driver.give(worker_list(entry("a"), kind=api.ListKind.FULL))
         self.assertEqual(sends(driver.give(arrival(2)))[0].worker, "a")
 
-    def test_a_worker_that_the_decisions_leave_out_is_shown_as_avoided(self) -> None:
+    def test_worker_that_refused_a_connection_is_avoided(self) -> None:
         driver = Driver(settings(), [entry("a"), entry("b")])
         dispatcher = driver.dispatcher
         (send,) = sends(driver.give(arrival(1)))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""The handover between two processes, by their locks alone: stages, and the budgets of both."""
+"""Tests of the handover without processes: the stages by the locks, and the budgets of two processes."""
 
 import tempfile
 import unittest
@@ -11,13 +11,13 @@
 
 
 def release_all(locks: ProcessLocks) -> None:
-    """Do what the kernel does with the locks of a process that ends."""
+    """Release all locks, as the kernel does when a process ends."""
     for name in list(locks.descriptors):
         locks.release(name)
 
 
 class HandoverTest(unittest.TestCase):
-    """Processes with one folder, each of which is to follow the one before."""
+    """Processes with one folder, each of which takes over from the one before."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -27,7 +27,7 @@
         locks = ProcessLocks(self.folder)
         return Handover(locks), locks
 
-    def test_two_upgrades_in_a_row(self) -> None:
+    def test_two_handovers_in_a_row(self) -> None:
         first, first_locks = self.start_process()
         self.assertEqual((first.stage, first.process_count), (HandoverStage.ALONE, 1))
         for _ in range(2):
@@ -47,7 +47,7 @@
             self.assertEqual((second.stage, second.process_count), (HandoverStage.ALONE, 1))
             first, first_locks = second, second_locks
 
-    def test_a_successor_that_dies_leaves_nothing_behind(self) -> None:
+    def test_successor_that_dies_leaves_no_ready_marker(self) -> None:
         first, _ = self.start_process()
         second, locks = self.start_process()
         second.announce_ready()
@@ -58,7 +58,7 @@
         first.poll()
         self.assertEqual((second.stage, first.successor_ready), (HandoverStage.TAKING, False))
 
-    def test_no_process_yields_to_a_successor_that_was_asked_to_stop_itself(self) -> None:
+    def test_successor_that_is_stopping_is_not_ready(self) -> None:
         first, _ = self.start_process()
         second, _ = self.start_process()
         second.announce_ready()
@@ -66,9 +66,9 @@
         self.assertTrue(first.successor_ready)
         second.announce_stopping()
         first.poll()
-        self.assertEqual((first.successor, first.successor_ready), (True, False))
+        self.assertEqual((first.has_successor, first.successor_ready), (True, False))
 
-    def test_budgets_are_divided_while_two_live(self) -> None:
+    def test_budgets_are_divided_between_two_processes(self) -> None:
         chosen = settings()
         for descriptors in (256, 384, 1024):
             alone = Limits.from_settings(chosen, descriptors, 80)
--- a/tests/test_invocation_store.py
+++ b/tests/test_invocation_store.py
@@ -1,4 +1,4 @@
-"""The store of invocations and their results."""
+"""Tests of the store of invocation records."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -9,51 +9,54 @@
 
 
 class Timer(NamedTuple):
-    """What the store has to run, and when."""
+    """A callback that the store has scheduled, and its time in microseconds."""
 
-    due: int
-    then: Callable[[], object]
+    due_us: int
+    callback: Callable[[], object]
 
 
 class StoreOnManualClock:
-    """A store of invocations whose timers the test runs."""
+    """A store of invocation records whose timers run only in `advance_to`."""
 
     def __init__(self) -> None:
         self.timers: list[Timer] = []
-        self.store = InvocationStore(2, 50, lambda due, then: self.timers.append(Timer(due, then)), Counter())
+        self.store = InvocationStore(
+            2, 50, lambda due_us, callback: self.timers.append(Timer(due_us, callback)), Counter()
+        )
 
-    def advance_to(self, now: int) -> None:
-        """Run the timers that are due by then, in their order."""
-        while due := [timer for timer in self.timers if timer.due <= now]:
+    def advance_to(self, now_us: int) -> None:
+        """Run the timers that are due at this time, in the order in which they were set."""
+        while due := [timer for timer in self.timers if timer.due_us <= now_us]:
             self.timers.remove(due[0])
-            due[0].then()
+            due[0].callback()
 
 
-def test_delivered_answer_never_changes_and_an_uncollected_one_is_failed_and_dropped() -> None:
-    clock = StoreOnManualClock()
+def test_delivered_answer_stays_and_uncollected_result_is_failed() -> None:
+    fixture = StoreOnManualClock()
     delivered = InvocationRecord("a", None, b"", 100)
     uncollected = InvocationRecord("b", KeyScope("f", "t", "k"), b"", 100)
     for record in (delivered, uncollected):
-        clock.store.add(record)
-        clock.store.finish(record, Response(200, b"result"))
-        clock.store.finish(record, Response(502))
-    assert clock.store.full()
-    first = clock.store.deliver(delivered)
-    clock.advance_to(100)
-    assert clock.store.deliver(delivered) is first and first.status == 200
+        fixture.store.add(record)
+        fixture.store.finish(record, Response(200, b"result"))
+        fixture.store.finish(record, Response(502))
+    assert fixture.store.is_full()
+    first = fixture.store.deliver(delivered)
+    fixture.advance_to(100)
+    assert fixture.store.deliver(delivered) is first and first.status == 200
     assert (
-        clock.store.deliver(uncollected).status == 504 and clock.store.deliver(uncollected).body != b"result"
+        fixture.store.deliver(uncollected).status == 504
+        and fixture.store.deliver(uncollected).body != b"result"
     )
-    clock.advance_to(150)
-    assert not clock.store.records and not clock.store.by_scope
+    fixture.advance_to(150)
+    assert not fixture.store.records and not fixture.store.by_scope
 
 
-def test_pending_call_is_answered_to_its_waiters_once_at_its_deadline() -> None:
-    clock = StoreOnManualClock()
+def test_waiters_of_pending_call_get_one_answer_at_its_deadline() -> None:
+    fixture = StoreOnManualClock()
     statuses: list[int] = []
     record = InvocationRecord("a", None, b"", 100)
-    clock.store.add(record)
-    record.waiting.append(lambda response: statuses.append(response.status))
-    clock.advance_to(100)
-    clock.store.finish(record, Response(200))
-    assert statuses == [504] and clock.store.deliver(record).status == 504
+    fixture.store.add(record)
+    record.waiters.append(lambda response: statuses.append(response.status))
+    fixture.advance_to(100)
+    fixture.store.finish(record, Response(200))
+    assert statuses == [504] and fixture.store.deliver(record).status == 504
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""The operators' front without processes: routes, metrics, and the bounds on its connections."""
+"""Tests of the operators' front in this process: routes, metrics, and limits on connections."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 from tests.helpers import settings
 from tests.standins import PATIENCE_S, wait_until
 
-CONNECTIONS = 2  # the cap of the operators' front
+MAX_CONNECTIONS = 2  # of the operators' front
 MEMBERSHIP = MembershipView(
     own_name="a",
     incarnation=2,
@@ -48,16 +48,16 @@
 
 
 class FakeRouter:
-    """The router behind the operators' front: it knows one runner, `s 1`, and records its commands."""
+    """A router that accepts commands for the runner `s 1` only, and records all commands."""
 
     def __init__(self) -> None:
-        self.not_ready_reason = ""
-        self.calls: list[str] = []
+        self.missing = ""  # why the router is not ready; empty if it is
+        self.commands: list[str] = []
         self.policy: PolicyOperations | None = None
         self.membership: MembershipView | None = None
 
-    def ready(self) -> str:
-        return self.not_ready_reason
+    def not_ready_reason(self) -> str:
+        return self.missing
 
     def metrics(self) -> exposition.MetricsReport:
         return REPORT
@@ -69,54 +69,54 @@
         return [RunnerView(id="s-0", suspended=False, avoided=False, inflight=2)]
 
     def suspend(self, runner: str) -> bool:
-        self.calls.append(f"out {runner}")
+        self.commands.append(f"suspend {runner}")
         return runner == "s 1"
 
     def resume(self, runner: str) -> bool:
-        self.calls.append(f"back {runner}")
+        self.commands.append(f"resume {runner}")
         return runner == "s 1"
 
 
 class RoutesTest(unittest.TestCase):
-    """Requests to the operators' front, and its answers."""
+    """The response of the operators' front to each kind of request."""
 
     def setUp(self) -> None:
         self.router = FakeRouter()
         self.api = OperatorApi(self.router, Limits())
 
     def request(self, method: str, path: str) -> Response:
-        """Handle one request, and return its one answer."""
+        """Handle a request, and return its response; there must be exactly one."""
         answers = list[Response]()
         self.api.handle(HttpRequest(method, path), answers.append)
         (answer,) = answers
         return answer
 
-    def test_readiness_says_what_is_missing(self) -> None:
+    def test_readiness_response_states_the_reason(self) -> None:
         self.assertEqual(self.request("GET", "/v1/readyz").status, 200)
-        self.router.not_ready_reason = "no runner is listed"
+        self.router.missing = "no runner is listed"
         answer = self.request("GET", "/v1/readyz")
         self.assertEqual((answer.status, b"no runner is listed" in answer.body), (503, True))
 
-    def test_runners_are_shown_as_json_in_a_fixed_order(self) -> None:
+    def test_runners_are_json_with_keys_in_fixed_order(self) -> None:
         answer = self.request("GET", "/v1/runners")
-        shown = b'{"runners": [{"id": "s-0", "suspended": false, "avoided": false, "inflight": 2}]}'
-        self.assertEqual((answer.status, answer.body), (200, shown))
+        expected = b'{"runners": [{"id": "s-0", "suspended": false, "avoided": false, "inflight": 2}]}'
+        self.assertEqual((answer.status, answer.body), (200, expected))
 
-    def test_membership_is_shown_as_json_in_a_fixed_order(self) -> None:
+    def test_membership_is_json_with_keys_in_fixed_order(self) -> None:
         self.assertEqual(self.request("GET", "/v1/members").status, 404)
         self.router.membership = MEMBERSHIP
         answer = self.request("GET", "/v1/members")
         self.assertEqual((answer.status, answer.body.decode()), (200, MEMBERSHIP_JSON))
 
-    def test_membership_without_shared_health_checks_shows_null(self) -> None:
+    def test_membership_has_null_without_shared_health_checks(self) -> None:
         self.router.membership = replace(MEMBERSHIP, health_checks=None)
         answer = self.request("GET", "/v1/members")
         self.assertTrue(answer.body.endswith(b', "watch": null}'), answer.body)
 
-    def test_runners_are_named_percent_decoded_and_unknown_ones_are_rejected(self) -> None:
+    def test_runner_ids_are_percent_decoded_and_unknown_ones_rejected(self) -> None:
         statuses = [
-            self.request("PUT", f"/v1/runners/{name}/{do}").status
-            for name, do in (
+            self.request("PUT", f"/v1/runners/{runner}/{command}").status
+            for runner, command in (
                 ("s%201", "suspend"),
                 ("s%201", "resume"),
                 ("s-2", "suspend"),
@@ -125,9 +125,9 @@
             )
         ]
         self.assertEqual(statuses, [204, 204, 404, 404, 400])
-        self.assertEqual(self.router.calls, ["out s 1", "back s 1", "out s-2", "back s-2"])
+        self.assertEqual(self.router.commands, ["suspend s 1", "resume s 1", "suspend s-2", "resume s-2"])
 
-    def test_wrong_methods_and_paths(self) -> None:
+    def test_rejects_wrong_methods_and_paths(self) -> None:
         for method, path, allowed in (
             ("POST", "/v1/readyz", "GET"),
             ("PUT", "/v1/metrics", "GET"),
@@ -139,7 +139,7 @@
         for path in ("/", "/v1/ready", "/v1/runners//suspend", "/v1/runners/a/b/suspend", "/v1/runners/s"):
             self.assertEqual(self.request("GET", path).status, 404)
 
-    def test_metrics_have_every_class_from_the_start_and_quoted_labels(self) -> None:
+    def test_metrics_list_classes_without_calls_and_escape_labels(self) -> None:
         answer = self.request("GET", "/v1/metrics")
         self.assertEqual(dict(answer.headers)["Content-Type"].split(";")[0], "text/plain")
         lines = [line for line in answer.body.decode().splitlines() if not line.startswith("#")]
@@ -161,25 +161,25 @@
 
 
 class HttpFrontTest(unittest.IsolatedAsyncioTestCase):
-    """The operators' bounds on the HTTP driver."""
+    """The limits of the operators' front, over real connections."""
 
     async def asyncSetUp(self) -> None:
         self.counters = Counter[str]()
-        limits = Limits(operators=OperatorLimits(connections=CONNECTIONS, request_us=60_000_000))
+        limits = Limits(operators=OperatorLimits(connections=MAX_CONNECTIONS, request_us=60_000_000))
         http = HttpFront("operator", OperatorApi(FakeRouter(), limits), self.counters, lambda: 0)
         self.listener = await http.start("127.0.0.1", 0)
         self.addCleanup(self.listener.close)
 
     async def status_line(self, text: bytes) -> bytes:
-        """Send this text on a connection of its own, and return the first line of the answer."""
+        """Send a text on a new connection, and return the first line of the response."""
         async with asyncio.timeout(PATIENCE_S):
             reader, writer = await asyncio.open_connection(*self.listener.address)
             writer.write(text)
-            answer = await reader.read()  # to the end: one call a connection
+            answer = await reader.read()  # to the end: the front closes after one response
             writer.close()
             return answer.split(b"\r\n")[0]
 
-    async def test_one_call_a_connection_and_its_faults(self) -> None:
+    async def test_closes_after_one_response_and_rejects_malformed_requests(self) -> None:
         for text, status in (
             (b"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", b"200"),
             (b"hello\r\n\r\n", b"400"),
@@ -188,11 +188,11 @@
         ):
             self.assertEqual((await self.status_line(text)).split()[1], status)
 
-    async def test_callers_that_finish_no_call_lock_out_nobody(self) -> None:
+    async def test_unfinished_requests_do_not_block_other_callers(self) -> None:
         unfinished = [await asyncio.open_connection(*self.listener.address) for _ in range(6)]
         for _, writer in unfinished[::2]:
             writer.write(b"GET /v1")
-        await wait_until(lambda: self.counters["operator.idle_evicted"] >= 6 - CONNECTIONS)
+        await wait_until(lambda: self.counters["operator.idle_evicted"] >= 6 - MAX_CONNECTIONS)
         answer = await self.status_line(b"GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(answer.split()[1], b"200")
         self.assertEqual(self.counters["operator.rejected"], 0)
@@ -201,9 +201,9 @@
 
 
 class LongAnswerTest(unittest.TestCase):
-    """The bounds of a process, and the longest answer."""
+    """The limits of a process compared with the longest result."""
 
-    def test_the_longest_answer_passes_the_bounds(self) -> None:
+    def test_longest_result_is_within_the_limits(self) -> None:
         limits = Limits.from_settings(settings(), 256, 80)
         self.assertGreater(limits.runners.line_bytes, 4 * ANSWER_BYTES / 3 + 1000)
         self.assertGreater(limits.clients.unread_bytes, 2 * 4 * ANSWER_BYTES / 3)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""Mistakes in the operator's file, and errors of the command line."""
+"""Tests of the error messages for a wrong operator's file or command line."""
 
 import subprocess
 import sys
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "named"),
+    ("old", "new", "message"),
     [
         ('class = "review"', 'class = "x"', r"function\[0\].class: must be one of review"),
         ("memory_mb = 2400", 'memory_mb = "a"', r"function\[0\].memory_mb: must be a number"),
@@ -24,9 +24,9 @@
         ("records = 1000", "records = true", "limits.records: must be a whole number"),
     ],
 )
-def test_mistake_in_the_operators_file_is_reported_with_its_field(old: str, new: str, named: str) -> None:
+def test_wrong_value_in_operators_file_is_reported_with_its_field(old: str, new: str, message: str) -> None:
     assert parse(OPERATOR_FILE).functions["make-cards"].lanes == 2
-    with pytest.raises(OperatorError, match=named):
+    with pytest.raises(OperatorError, match=message):
         parse(OPERATOR_FILE.replace(old, new, 1))
 
 
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -1,10 +1,10 @@
-"""One process of the real program after the other, under load, and cordons that hold at both."""
+"""Tests of the handover between real router processes, under load and with cordons."""
 
 import tempfile
 import time
 
 from tests.operation_fixture import (
-    CALLS_AT_A_TIME,
+    CALLS_PER_ROUND,
     OperationTestCase,
     RepeatingCaller,
     change_runner,
@@ -15,32 +15,34 @@
 )
 from tests.standins import PATIENCE_S, Client, Program, eventually
 
-PAUSE_S = 0.1  # of a worker: long enough for a call at it to be hedged
+PAUSE_S = 0.1  # of a worker: long enough for its calls to be hedged
 
 
 class ReplacedProcessTest(OperationTestCase):
-    """Calls that may be repeated may be hedged; the others never run twice."""
+    """Calls during handovers and pauses: repeatable ones may be hedged, the others never run twice."""
 
-    def test_a_process_is_replaced_twice_under_load_with_no_request_lost_or_run_twice(self) -> None:
+    def test_two_handovers_under_load_lose_and_repeat_no_call(self) -> None:
         until_ready(self.program)
         port = self.program.port("platform")
         callers = start_callers(port)
         program = self.program
         self.assertEqual(change_runner(program, "s-0", "suspend"), 204)
-        # From here on one worker is left: no call may be hedged.
+        # From here on only one worker is left, so no call can be hedged.
         first_rounds = [caller.rounds + 1 for caller in callers]
         for _ in range(2):
             program = self.replace(program, port)
-            self.assertEqual(scrape_metrics(program)["svc_hosts_down"], 1)  # the cordon holds
+            self.assertEqual(scrape_metrics(program)["svc_hosts_down"], 1)  # the cordon is still in force
         served = sum(caller.served for caller in callers)
-        eventually(lambda: sum(caller.served for caller in callers) > served + 50, "service by the last one")
+        eventually(
+            lambda: sum(caller.served for caller in callers) > served + 50, "calls served by the last process"
+        )
         self.assertEqual(stop_callers(callers), [])
-        self.assert_repeats_are_allowed()
+        self.assert_no_forbidden_repeats()
         for caller, first in zip(callers, first_rounds, strict=True):
             self.assert_ran_once(caller, first)
 
     def replace(self, program: Program, port: int) -> Program:
-        """Start a process on the same port, have it take over from this one, and return it."""
+        """Start a process on the same port, let it take over from `program`, and return it."""
         successor = self.start_router(port)
         successor.find("(taking over)")
         until_ready(successor)
@@ -51,26 +53,26 @@
         return successor
 
     def assert_ran_once(self, caller: RepeatingCaller, first_round: int) -> None:
-        """Check that no call of a caller ran twice from this round on."""
+        """Check that no call of a caller ran twice since its round `first_round`."""
         counts = self.run_counts()
         rounds = range(first_round, caller.rounds)
-        keys = [caller.idempotency_key(number, n) for number in rounds for n in range(CALLS_AT_A_TIME)]
-        self.assertGreater(len(keys), CALLS_AT_A_TIME)
+        keys = [caller.idempotency_key(number, n) for number in rounds for n in range(CALLS_PER_ROUND)]
+        self.assertGreater(len(keys), CALLS_PER_ROUND)
         self.assertEqual([key for key in keys if counts[key] > 1], [])
 
-    def test_calls_at_a_worker_that_stands_still_are_hedged_where_a_repeat_is_allowed(self) -> None:
+    def test_only_repeatable_calls_at_paused_worker_are_hedged(self) -> None:
         until_ready(self.program)
         callers = start_callers(self.program.port("platform"))
         eventually(self.pause_workers_in_turn, "a hedged call")
         self.assertEqual(stop_callers(callers), [])
         eventually(lambda: scrape_metrics(self.program)["svc_inflight"] == 0, "the end of all attempts")
-        self.assert_repeats_are_allowed()
+        self.assert_no_forbidden_repeats()
         sent = scrape_metrics(self.program)["svc_backend_calls_total"]
         eventually(lambda: sum(self.run_counts().values()) >= sent, "the runs of all attempts")
         self.assertEqual(sum(self.run_counts().values()), sent)
 
     def pause_workers_in_turn(self) -> list[str]:
-        """Pause one worker after the other, and return the keys of calls that ran twice."""
+        """Pause each worker in turn, and return the keys of the calls that ran more than once."""
         for worker in self.workers:
             worker.pause()
             time.sleep(PAUSE_S)
@@ -80,26 +82,28 @@
 
 
 class SuccessorTest(OperationTestCase):
-    """Two processes at a time, of which one is to follow the other."""
+    """A process and its successor, side by side."""
 
-    def test_a_cordon_set_at_either_process_holds_at_both(self) -> None:
+    def test_cordon_set_at_either_process_applies_to_both(self) -> None:
         until_ready(self.program)
         successor = self.start_router(self.program.port("platform"))
         until_ready(successor)
         self.assertEqual(change_runner(successor, "s-0", "suspend"), 204)
         eventually(lambda: scrape_metrics(self.program)["svc_hosts_down"] == 1, "the cordon at the first")
         self.assertEqual(change_runner(self.program, "s-0", "resume"), 204)
-        eventually(lambda: scrape_metrics(successor)["svc_hosts_down"] == 0, "its end at the second")
+        eventually(
+            lambda: scrape_metrics(successor)["svc_hosts_down"] == 0, "the end of the cordon at the second"
+        )
 
-    def test_without_a_folder_of_use_two_processes_still_serve_side_by_side(self) -> None:
+    def test_two_processes_serve_side_by_side_without_a_usable_folder(self) -> None:
         with tempfile.NamedTemporaryFile() as file:
-            self.folder = file.name  # a file, where a folder is due
+            self.folder = file.name  # a file instead of a folder
             first = self.start_router()
             first.find("(cannot be replaced while it serves)")
             successor = self.start_router(first.port("platform"))
             for program in (first, successor):
                 until_ready(program)
-                self.assertEqual(change_runner(program, "s-0", "suspend"), 204)  # it holds in this process
+                self.assertEqual(change_runner(program, "s-0", "suspend"), 204)  # in force in this process
                 self.assertEqual(scrape_metrics(program)["svc_hosts_down"], 1)
             first.process.terminate()
             self.assertEqual(first.process.wait(PATIENCE_S), 0)
@@ -107,7 +111,7 @@
             client.call_until_served("review", b"abc")
             client.close()
 
-    def test_a_successor_killed_before_it_is_ready_changes_nothing(self) -> None:
+    def test_successor_killed_before_it_is_ready_has_no_effect(self) -> None:
         until_ready(self.program)
         client = self.connect()
         client.call_until_served("review", b"abc")  # a new connection has a time limit for its first message
@@ -119,14 +123,14 @@
         self.program.find("(budgets for 1 processes)")
         self.names.answer_queries()
         client.call_until_served("review", b"abc")
-        self.program.process.terminate()  # and a stop without a successor drains as ever
+        self.program.process.terminate()  # without a successor, a stop is an ordinary drain
         self.program.find("(asked to stop)")
         other = self.connect()
         other.call_until_served("review", b"abc")
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assertFalse([line for line in self.program.log if "hands over" in line])
 
-    def test_stopped_before_its_successor_is_ready_a_process_drains_until_it_is(self) -> None:
+    def test_stopped_process_serves_until_its_successor_is_ready(self) -> None:
         until_ready(self.program)
         port = self.program.port("platform")
         client = self.connect()
--- a/tests/test_process_invoke.py
+++ b/tests/test_process_invoke.py
@@ -1,4 +1,4 @@
-"""Both fronts of one real process: the same calls end the same way, also when a worker dies mid-call."""
+"""Tests of the invoke API of a real process: call outcomes, deferred calls and reloads."""
 
 import json
 import threading
@@ -8,51 +8,51 @@
     DEFERRED,
     NEVER_REPEATED,
     REPEATABLE,
+    REPEATABLE_WITH_KEY,
     TENANT,
-    WITH_KEY,
     InvokeTestCase,
     invocations_path,
 )
 from tests.standins import Client, eventually
 
-POLLED_S = 1.5  # well over the deadline of the call
+POLLING_S = 1.5  # well over the deadline of the call
 
 
 class CallsTest(InvokeTestCase):
-    """What calls of each kind end with."""
+    """The outcomes of calls."""
 
-    def test_both_fronts_and_both_paths_agree_call_by_call(self) -> None:
+    def test_calls_end_the_same_way_at_both_fronts_and_deferred(self) -> None:
         client = Client(self.program.port("platform"))
         self.addCleanup(client.close)
         for function, class_name, body, status in (
             (REPEATABLE, "review", b"abc", 200),
-            (WITH_KEY, "deck-make", b"chapter", 200),
+            (REPEATABLE_WITH_KEY, "deck-make", b"chapter", 200),
             (NEVER_REPEATED, "test-submit", b"marks", 200),
             (NEVER_REPEATED, "test-submit", b"error:1", 502),
         ):
             self.check_agreement(client, function, class_name, body, status)
-        self.check_call_whose_worker_dies(NEVER_REPEATED, b"die:1", 502)
+        self.check_call_of_killed_worker(NEVER_REPEATED, b"die:1", 502)
         self.check_agreement(client, NEVER_REPEATED, "test-submit", b"after", 200)
 
     def check_agreement(
         self, client: Client, function: str, class_name: str, body: bytes, status: int
     ) -> None:
-        """Check that a call ends the same way on the platform's front, at once and deferred."""
+        """Check that a call ends the same way at both fronts, and also as a deferred call."""
         client.call(class_name, body, item=function, team=TENANT, unique="u")
         platform_answer = client.read() or {}
-        plain = self.post(function, body)
+        synchronous = self.post(function, body)
         deferred = self.post(function, body, Prefer=DEFERRED)
         self.assertEqual(deferred[0], 202)
-        later = self.final_answer(deferred[2]["location"])
-        served = "result" in platform_answer
-        self.assertEqual((plain[0], later[0], served), (status, status, status == 200), body)
-        self.assertEqual(plain[1], later[1])
+        collected = self.final_answer(deferred[2]["location"])
+        was_served = "result" in platform_answer
+        self.assertEqual((synchronous[0], collected[0], was_served), (status, status, status == 200), body)
+        self.assertEqual(synchronous[1], collected[1])
         if status == 200:
-            self.assertEqual(plain[1], body[::-1])
+            self.assertEqual(synchronous[1], body[::-1])
         self.assertEqual(self.run_count(body), 3)
 
-    def check_call_whose_worker_dies(self, function: str, body: bytes, status: int) -> None:
-        """Check that, with one worker killed mid-call, the client polls and the call never runs again."""
+    def check_call_of_killed_worker(self, function: str, body: bytes, status: int) -> None:
+        """Check that a call whose worker dies has one final answer, and never runs again under its key."""
         code, _, headers = self.post(function, body, Prefer=DEFERRED, Idempotency_Key="once")
         self.assertEqual(code, 202)
         answer = self.final_answer(headers["location"])
@@ -61,7 +61,7 @@
         self.assertEqual((again[0], again[1], self.run_count(body)), (status, answer[1], 1))
         self.assertEqual(self.final_answer(headers["location"]), answer)
 
-    def test_mistakes_are_answered_with_problem_details(self) -> None:
+    def test_errors_have_problem_details(self) -> None:
         for answer, status in (
             (self.post("nobody", b""), 404),
             (self.post(REPEATABLE, b"", Maplestile_Tenant="x"), 400),
@@ -77,34 +77,36 @@
 
 
 class DeferredCallsTest(InvokeTestCase):
-    """Calls whose answers are polled."""
+    """Deferred calls, whose answers clients poll."""
 
-    def test_deferred_call_whose_deadline_ends_while_it_is_polled_has_one_final_answer(self) -> None:
+    def test_deferred_call_past_its_deadline_has_one_final_answer(self) -> None:
         code, _, headers = self.post(NEVER_REPEATED, b"hang:1", Prefer=DEFERRED, Maplestile_Deadline_Ms="600")
         self.assertEqual(code, 202)
-        seen = self.poll_from_threads(headers["location"], 4)
-        finals = {answer for answer in seen if answer[0] != 202}
-        self.assertEqual([status for status, _ in finals], [504])  # one, to all of them
+        answers = self.poll_from_threads(headers["location"], 4)
+        final_answers = {answer for answer in answers if answer[0] != 202}
+        self.assertEqual(
+            [status for status, _ in final_answers], [504]
+        )  # one answer, the same for all pollers
         self.assertEqual(self.request("DELETE", headers["location"])[0], 409)
         self.assertEqual((self.final_answer(headers["location"])[0], self.run_count(b"hang:1")), (504, 1))
 
     def poll_from_threads(self, location: str, count: int) -> list[tuple[int, bytes]]:
-        """Poll a deferred call by as many clients for a while, and return every status and body."""
-        seen = list[tuple[int, bytes]]()
+        """Poll a deferred call from `count` threads, and return every status and body."""
+        answers = list[tuple[int, bytes]]()
 
         def poll() -> None:
-            end_s = time.monotonic() + POLLED_S
+            end_s = time.monotonic() + POLLING_S
             while time.monotonic() < end_s:
-                seen.append(self.request("GET", location)[:2])
+                answers.append(self.request("GET", location)[:2])
 
         pollers = [threading.Thread(target=poll) for _ in range(count)]
         for poller in pollers:
             poller.start()
         for poller in pollers:
             poller.join()
-        return seen
+        return answers
 
-    def test_deferred_result_not_collected_by_its_deadline_is_reported_as_failed(self) -> None:
+    def test_deferred_result_not_collected_by_its_deadline_fails(self) -> None:
         headers = {"Prefer": DEFERRED, "Maplestile_Deadline_Ms": "300"}
         code, _, accepted = self.post(REPEATABLE, b"abc", **headers)
         self.assertEqual(code, 202)
@@ -114,7 +116,7 @@
         self.assertEqual((code, json.loads(body)["status"]), (504, 504))
         self.assertEqual(self.request("GET", accepted["location"])[1], body)
 
-    def test_cancel_ends_a_pending_call_and_its_answer_stays(self) -> None:
+    def test_cancelled_call_stays_cancelled(self) -> None:
         accepted = self.post(NEVER_REPEATED, b"hang:2", Prefer=DEFERRED)[2]
         eventually(lambda: self.run_count(b"hang:2"), "the call")
         code, _, headers = self.request("GET", accepted["location"])
@@ -126,15 +128,15 @@
 
 
 class ReloadTest(InvokeTestCase):
-    """A changed file, by SIGHUP."""
+    """Reloads of a changed operator's file by SIGHUP."""
 
-    def test_reload_takes_functions_workers_and_limits_and_names_what_needs_a_restart(self) -> None:
+    def test_reload_applies_changes_or_reports_what_needs_a_restart(self) -> None:
         self.assertEqual(self.post("new-cards", b"abc")[0], 404)
         function = '[[function]]\nname = "new-cards"\nclass = "review"\nmemory_mb = 100\n'
         worker = f'[[worker]]\nid = "w3"\naddress = "127.0.0.1:{self.workers[0].port}"\nkind = "quad-std"\n'
         added = f"{function}{worker}[[kind]]"
         report = self.program.reload(lambda text: text.replace("[[kind]]", added).replace("9.7", "9.6"))
-        # Nothing is taken: half a file would be a mixture of two.
+        # Nothing is applied: a file is applied completely or not at all, so that two files are never mixed.
         self.assertEqual((report["ok"], report["taken"]), (False, []))
         self.assertEqual(report["restart"], ["settings.keep_alive_us"])
         self.assertEqual(self.post("new-cards", b"abc")[0], 404)
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -1,4 +1,4 @@
-"""The real program as its operators run it: readiness, metrics, suspended runners, the agent's commands."""
+"""Tests of the operators' front of a real process: readiness, metrics, cordons and agent commands."""
 
 import base64
 import contextlib
@@ -33,17 +33,17 @@
 )
 
 LONG_CALLS = 8
-REFUSED_WITHIN_S = 3.0  # the latency objective, until which a call may be held, is four seconds
+REJECTED_WITHIN_S = 3.0  # less than the latency objective of 4 s, until which a call may be held
 
 
 def serve_calls(client: Client, count: int) -> None:
-    """Have calls of as many functions served."""
+    """Call `count` functions, each until it is served."""
     for n in range(count):
         client.call_until_served("review", b"x", item=f"f{n}")
 
 
 def long_call_frame(id_: int) -> bytes:
-    """Encode a call with a long answer."""
+    """Encode a call whose result is long."""
     blob = in_base64(b"long:")
     params = {"txn": f"{id_ - 1:016x}", "limit": 10_000, "item": ITEM, "blob": blob}
     text = json.dumps({"jsonrpc": "2.0", "id": id_, "method": "review", "params": params}).encode()
@@ -51,7 +51,7 @@
 
 
 def read_long_answers(connection: socket.socket, count: int) -> list[int]:
-    """Read as many answers, and return the sizes of the results; a call refused, as for lag, has none."""
+    """Read `count` answers, and return the sizes of the results; a rejected call has none."""
     file = connection.makefile("rb")
     sizes = list[int]()
     for _ in range(count):
@@ -64,53 +64,57 @@
 
 
 class MetricsTest(OperationTestCase):
-    """Readiness, and what the metrics count."""
+    """Readiness and metrics."""
 
-    def test_ready_waits_for_the_name_server(self) -> None:
+    def test_not_ready_before_name_server_answers(self) -> None:
         self.names.lose_queries()
-        late = self.start_router()
-        self.assertEqual(request_operator(late, "/v1/readyz")[0], 503)
+        router = self.start_router()
+        self.assertEqual(request_operator(router, "/v1/readyz")[0], 503)
         self.names.answer_queries()
-        until_ready(late)
+        until_ready(router)
 
-    def test_metrics_are_what_client_and_runners_saw(self) -> None:
+    def test_metrics_agree_with_client_and_runners(self) -> None:
         self.assertEqual(scrape_metrics(self.program)['svc_success_total{tier="deck-make"}'], 0)
-        seen = self.call_and_count_outcomes()
-        self.reset_with_a_call_in_flight()
-        shown = scrape_metrics(self.program)
-        self.assertGreaterEqual(seen["busy", "review"], 1)
+        outcomes = self.call_and_count_outcomes()
+        self.reset_connection_during_call()
+        reported = scrape_metrics(self.program)
+        self.assertGreaterEqual(outcomes["busy", "review"], 1)
         for name in ("success", "busy", "failure"):
             for class_name in ("review", "deck-make", "test-submit"):
-                self.assertEqual(shown[f'svc_{name}_total{{tier="{class_name}"}}'], seen[name, class_name])
-        self.assertEqual(shown["svc_backend_calls_total"], len(call_lines(*self.workers)))
-        self.assertEqual((shown["svc_hosts_listed"], shown["svc_hosts_down"]), (2, 0))
+                self.assertEqual(
+                    reported[f'svc_{name}_total{{tier="{class_name}"}}'], outcomes[name, class_name]
+                )
+        self.assertEqual(reported["svc_backend_calls_total"], len(call_lines(*self.workers)))
+        self.assertEqual((reported["svc_hosts_listed"], reported["svc_hosts_down"]), (2, 0))
 
     def call_and_count_outcomes(self) -> Counter[tuple[str, str]]:
-        """Call with every outcome, and count the outcomes by class as the metrics name them."""
+        """Make calls with each outcome, and count the outcomes by metric name and class."""
         client = self.connect()
-        seen = Counter[tuple[str, str]]()
+        outcomes = Counter[tuple[str, str]]()
         calls = [("review", b"ok")] * 5 + [("test-submit", b"error:")] * 2 + [("test-submit", b"ok")]
         for class_name, body in [*calls, ("review", b"full:")]:
             client.call(class_name, body, limit_ms=700 if body == b"full:" else 10_000)
             answer = client.read() or {}
-            refused = answer.get("error", {}).get("code") == REFUSED
-            seen["success" if "result" in answer else "busy" if refused else "failure", class_name] += 1
-        return seen
-
-    def reset_with_a_call_in_flight(self) -> None:
-        """Reset a client's connection while its call is out, and wait for the end of that."""
+            is_rejected = answer.get("error", {}).get("code") == REFUSED
+            outcomes[
+                "success" if "result" in answer else "busy" if is_rejected else "failure", class_name
+            ] += 1
+        return outcomes
+
+    def reset_connection_during_call(self) -> None:
+        """Reset a client's connection during a call, and wait until the call has ended."""
         client = Client(self.program.port("platform"))
         client.call("test-submit", b"hang:")
         eventually(lambda: scrape_metrics(self.program)["svc_inflight"] == 1, "the call in flight")
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        client.close()  # with a reset: one that ends its own side alone may still wait for its answer
-        eventually(lambda: scrape_metrics(self.program)["svc_inflight"] == 0, "its end")
+        client.close()  # by a reset: after a half-close the client may still wait for its answer
+        eventually(lambda: scrape_metrics(self.program)["svc_inflight"] == 0, "the end of the call")
 
 
 class SuspendTest(OperationTestCase):
-    """Runners that operators suspend."""
+    """Runners suspended by operators."""
 
-    def test_suspended_runner_gets_nothing_until_it_is_put_back_and_all_out_is_refused(self) -> None:
+    def test_suspended_runner_gets_no_calls_until_resumed(self) -> None:
         until_ready(self.program)
         client = self.connect()
         serve_calls(client, 12)
@@ -119,30 +123,30 @@
             self.assertEqual(change_runner(self.program, "s-0", "suspend"), 204)
         self.assertEqual(change_runner(self.program, "s-9", "suspend"), 404)
         before = len(self.workers[0].lines)
-        self.names.serial += 1  # a new list, on which it is ready
+        self.names.serial += 1  # a new list, in which the runner is ready
         eventually(lambda: self.program.counters().get("names.lists"), "the list")
         serve_calls(client, 24)
         self.assertEqual(len(self.workers[0].lines), before)
         self.assertEqual(scrape_metrics(self.program)["svc_hosts_down"], 1)
         change_runner(self.program, "s-1", "suspend")
-        self.assert_refused_at_once(client, 5)
+        self.assert_rejected_at_once(client, 5)
         self.assertEqual(change_runner(self.program, "s-0", "resume"), 204)
         serve_calls(client, 5)
         self.assertGreater(len(self.workers[0].lines), before)
 
-    def assert_refused_at_once(self, client: Client, count: int) -> None:
-        """Check that each call is refused with the time to retry after, and none held until its objective."""
+    def assert_rejected_at_once(self, client: Client, count: int) -> None:
+        """Check that each call is rejected with a retry delay, and not held until its latency objective."""
         started_s = time.monotonic()
         for _ in range(count):
             client.call("review", b"x")
             self.assertGreater((client.read() or {})["error"]["data"]["later"], 0)
-        self.assertLess(time.monotonic() - started_s, REFUSED_WITHIN_S)
+        self.assertLess(time.monotonic() - started_s, REJECTED_WITHIN_S)
 
 
 class SlowReaderTest(OperationTestCase):
-    """A client that reads long answers slowly."""
+    """A client that reads long results slowly."""
 
-    def test_a_slow_reader_of_long_answers_gets_them_whole_and_holds_up_nobody(self) -> None:
+    def test_slow_reader_gets_complete_answers_and_delays_no_other_client(self) -> None:
         until_ready(self.program)
         slow = self.connect_slow_reader()
         for id_ in range(1, LONG_CALLS + 1):
@@ -150,28 +154,28 @@
         eventually(self.all_reviews_are_answered, "the answers")
         client = self.connect()
         client.call_until_served("review", b"abc")
-        self.program.process.terminate()  # what is pending goes out before the end
+        self.program.process.terminate()  # pending answers are sent before the exit
         self.assertEqual(set(read_long_answers(slow, LONG_CALLS)), {LONG_ANSWER_BYTES})
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
 
     def connect_slow_reader(self) -> socket.socket:
-        """Connect a client whose system buffers little that it does not read."""
+        """Connect a client with a small receive buffer."""
         slow = socket.create_connection(("127.0.0.1", self.program.port("platform")), timeout=PATIENCE_S)
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
         self.addCleanup(slow.close)
         return slow
 
     def all_reviews_are_answered(self) -> bool:
-        """Return whether the metrics count as many answers as there were long calls."""
+        """Return whether the metrics count an answer to each long call."""
         counts = scrape_metrics(self.program)
         answered = sum(counts[f'svc_{name}_total{{tier="review"}}'] for name in ("success", "busy"))
         return answered == LONG_CALLS
 
 
 class AgentTest(OperationTestCase):
-    """The agent and the command line."""
+    """Commands of the command line, through an agent."""
 
-    def test_agent_and_command_line_use_the_same_front(self) -> None:
+    def test_commands_reach_the_operators_front_through_the_agent(self) -> None:
         until_ready(self.program)
         agent = self.start_agent()
         address = ["--agent", "127.0.0.1:" + agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")]
@@ -192,7 +196,7 @@
         self.assertEqual(scrape_metrics(self.program)["svc_hosts_down"], 0)
 
     def start_agent(self) -> Program:
-        """Start an agent of two idle instances, one of them with the operators' front of the router."""
+        """Start an agent with two idle instances, one of which has the operators' front of the router."""
         file = Path(tempfile.mkdtemp()) / "agent.toml"
         idle = f'command = ["{sys.executable}", "-c", "import signal; signal.pause()"]'
         file.write_text(
@@ -201,5 +205,5 @@
         )
         agent = Program("agent", str(file))
         self.addCleanup(agent.kill)
-        self.addCleanup(agent.stop)  # before that: it ends its instances, which a kill would leave behind
+        self.addCleanup(agent.stop)  # runs before the kill, which would leave the instances running
         return agent
