--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -12,7 +12,7 @@
     KEY_HEADER,
     RESPOND_ASYNC,
     InvocationRequest,
-    core_request,
+    build_core_request,
     read_invocation,
 )
 from maplestile.invoke.operator_file import OperatorSettings
@@ -34,10 +34,10 @@
 INVOCATION_PATH = re.compile(r"/v1/invocations/([0-9a-f]+)")
 RECORD_ID_BYTES = 16
 RETRY_AFTER_US = 1_000_000  # the `Retry-After` of pending deferred calls, and of calls rejected over a limit
-CANCELLED_STATUS = 410  # Gone: the answer to a call that its client has cancelled
+CANCELLED_STATUS = 410  # Gone: the answer to a poll of a cancelled call
 
 Respond = Callable[[Response], None]
-CancelCall = Callable[[], None]  # called if the caller disconnects before its response
+CancelCall = Callable[[], None]  # called if the caller disconnects before it gets the response
 
 
 class InvokeApi:
@@ -127,14 +127,14 @@
 
     def _invoke(self, invocation: InvocationRequest, respond: Respond) -> CancelCall:
         scope = invocation.scope
-        known = self.store.by_scope.get(scope) if scope is not None else None
-        if known is not None and known.fingerprint != invocation.fingerprint():
+        existing = self.store.by_scope.get(scope) if scope is not None else None
+        if existing is not None and existing.fingerprint != invocation.fingerprint():
             raise RequestRejected(problem(422, f"{KEY_HEADER}: used before for another call"))
-        if known is None:
+        if existing is None:
             self._check_tenant_quota(invocation.tenant)
             if scope is None and not invocation.deferred:
                 return self._invoke_unrecorded(invocation, respond)
-        record = known or self._start_recorded(invocation)
+        record = existing or self._start_recorded(invocation)
         if invocation.deferred:
             record.deferred = True
             respond(_accepted(record))
@@ -149,7 +149,7 @@
         """Run a call that needs no record: it is not deferred and has no idempotency key."""
         tenant = invocation.tenant
         self.in_flight[tenant] += 1
-        request = core_request(invocation, self.operator)
+        request = build_core_request(invocation, self.operator)
         finish = partial(self._finish_unrecorded, tenant, respond)
         call = self.core.submit(request, invocation.received_us, finish)
         return partial(self._withdraw_unrecorded, tenant, call)
@@ -178,7 +178,7 @@
             deadline_us=invocation.received_us + invocation.budget_us,
         )
         self.store.add(record)
-        self._submit(core_request(invocation, self.operator), record, invocation.received_us)
+        self._submit(build_core_request(invocation, self.operator), record, invocation.received_us)
         return record
 
     def _submit(self, request: Request, record: InvocationRecord, received_us: int) -> None:
--- a/maplestile/invoke/invocation_request.py
+++ b/maplestile/invoke/invocation_request.py
@@ -72,8 +72,8 @@
     )
 
 
-def core_request(invocation: InvocationRequest, operator: OperatorSettings) -> Request:
-    """Return the request for the core. A call of a keyed class that has no key gets a random one."""
+def build_core_request(invocation: InvocationRequest, operator: OperatorSettings) -> Request:
+    """Return the request for the core. A call of a keyed class gets a random key if it has none."""
     key = invocation.key
     if not key and invocation.class_name in operator.keyed:
         key = secrets.token_hex(GENERATED_KEY_BYTES)
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -26,10 +26,10 @@
 __all__ = ["OperatorSettings", "OperatorError", "from_tables", "load", "parse", "read", "tables_of"]
 
 DEFAULT_NAME = "maplestile"
-GRANULARITY_US = 4_000
-ANSWER_WITHIN_US = 10_000_000
-STREAMS_PER_CONNECTION = 32
-CONNECTION_IDLE_US = 15_000_000
+TIMER_TICK_US = 4_000
+LOAD_TIMEOUT_US = 10_000_000
+STREAMS_PER_CONNECTION = 32  # attempts in flight on one connection to a worker
+CONNECTION_IDLE_US = 15_000_000  # after this idle time a worker closes a connection
 # The guarantees of every router with an operator's file; the file cannot change them.
 GUARANTEES = {
     "answerSlackUs": 16_000,
@@ -50,15 +50,15 @@
     tenants: Mapping[str, TenantSettings]
     deadlines_us: Mapping[str, int]  # default deadlines by class
     keyed: frozenset[str]  # classes whose calls are idempotent by their key
-    records: int  # most invocation records at a time
+    records: int  # maximum number of invocation records
     record_us: int  # how long a record is kept after its deadline
-    body_bytes: int  # longest request body
-    max_deadline_us: int  # longest deadline that a caller may set
-    connections: int  # most connections of the invoke front at a time
+    body_bytes: int  # maximum size of a request body
+    max_deadline_us: int  # maximum deadline of a call
+    connections: int  # maximum number of connections to the invoke front
     idle_s: float  # silence after which a connection without a request is closed
     node: Mapping[str, Any] = field(hash=False)  # in the form of the platform's settings
     policy: PolicySettings | None = None  # None if the policy is that of this file
-    epoch: int = 0  # of the adopted policy; 0 for the policy of this file
+    epoch: int = 0  # of the adopted policy; 0 if none was adopted
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,8 +75,8 @@
 
     def end(self) -> None:
         """Check that no unknown field is left in any table. Raises OperatorError."""
-        for single in fields(self):
-            getattr(self, single.name).end()
+        for table_field in fields(self):
+            getattr(self, table_field.name).end()
 
 
 def load(path: Path) -> OperatorSettings:
@@ -197,7 +197,7 @@
         "tenants": [{"name": tenant} for tenant in arrays.tenants],
         "kinds": [kind.name for kind in arrays.kinds],
         "instances": single.rules.whole("routers", 1, minimum=1),
-        "granularityUs": GRANULARITY_US,
+        "granularityUs": TIMER_TICK_US,
         "discovery": "push",
         "familyInfo": _family_info(single.rules, arrays),
         "limits": _router_limits(single.rules, single.limits),
@@ -211,7 +211,7 @@
         "whenAbsent": "load",
         "lingerIdleUs": int(rules.number("keep_s", 10.0, minimum=0.1) * 1e6),
         "machineMb": [kind.memory_mb for kind in arrays.kinds],
-        "answerWithinUs": ANSWER_WITHIN_US,
+        "answerWithinUs": LOAD_TIMEOUT_US,
     }
 
 
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -6,14 +6,14 @@
 
 from maplestile.common.toml_table import ConfigError, TomlTable
 
-# The `semantics` of a class: its name in the operator's file, and in the platform's settings.
+# The values of a class's `semantics`: from the operator's file to the platform's settings.
 SEMANTICS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 KEYED_SEMANTICS = SEMANTICS["keyed"]
 KEY_SCOPES = ("all", "zone", "cell")
 
 
 class OperatorError(ConfigError):
-    """An operator's file is invalid. The message names the field."""
+    """An error in an operator's file; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +31,7 @@
     """A tenant and its quota."""
 
     name: str
-    max_open: int  # most open calls at a time; 0 for no limit
+    max_open: int  # maximum number of open calls; 0 for no limit
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -1,8 +1,8 @@
 """The store of invocation records: of deferred calls and of calls with an idempotency key.
 
-A record is pending until it gets its one answer; an answer that was delivered never changes. If a result was
-not collected by its deadline, it is dropped and the call is reported as failed. Records are kept for a
-limited time and their number is limited: while the store is full, new calls that need a record are rejected.
+A record is pending until its call is answered. An answer that was delivered never changes. A result that was
+not delivered by the deadline is dropped, and the call is reported as failed. Records are kept for a limited
+time, and their number is limited: while the store is full, new calls that need a record are rejected.
 """
 
 from collections import Counter
@@ -12,6 +12,8 @@
 
 from maplestile.wire.http import Response, problem
 
+FIRST_ERROR_STATUS = 400  # HTTP statuses from here on are errors
+
 Timer = Callable[[int, Callable[[], object]], None]  # calls a function at a Unix time in microseconds
 
 
@@ -55,7 +57,7 @@
         return len(self.records) >= self.max_records
 
     def add(self, record: InvocationRecord) -> None:
-        """Add a record. It is failed at its deadline if not delivered, and dropped `retention_us` later."""
+        """Add a record until `retention_us` after its deadline."""
         self.records[record.id] = record
         if record.scope is not None:
             self.by_scope[record.scope] = record
@@ -97,9 +99,9 @@
             respond(self.deliver(record))
 
     def _expire(self, record: InvocationRecord) -> None:
-        """Replace an undelivered result with a failure at the deadline, and schedule the record's removal.
+        """Fail a record whose answer was not delivered by its deadline, and schedule its removal.
 
-        So no result is kept that nobody collects. An answer that was delivered stays, as it must not change.
+        So no result that nobody collects is kept. A delivered answer stays, since it must never change.
         """
         if record.id not in self.records:
             return  # already dropped
@@ -113,6 +115,6 @@
 def _expired_answer(record: InvocationRecord) -> Response:
     if record.answer is None:
         return problem(504, "the deadline lapsed")
-    if record.answer.status < 400:
+    if record.answer.status < FIRST_ERROR_STATUS:
         return problem(504, "the deadline lapsed before the result was collected")
     return record.answer
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -43,7 +43,7 @@
     """The operations of a router that the operators' front offers."""
 
     def not_ready_reason(self) -> str:
-        """Return why the router cannot serve yet; empty if it can."""
+        """Return why the router cannot serve; empty if it can."""
         ...
 
     def metrics(self) -> exposition.MetricsReport:
@@ -121,7 +121,7 @@
         return problem(503, reason) if reason else Response(200, b"ready\n", TEXT_HEADERS)
 
     def _metrics(self) -> Response:
-        return Response(200, exposition.encode_report(self.router.metrics()).encode(), METRICS_HEADERS)
+        return Response(200, exposition.encode_metrics(self.router.metrics()).encode(), METRICS_HEADERS)
 
     def _members(self) -> Response:
         view = self.router.members()
--- a/maplestile/operation/client.py
+++ b/maplestile/operation/client.py
@@ -26,7 +26,7 @@
 async def call(
     address: Address, method: str, path: str, wait_s: float, content: bytes = b""
 ) -> FrontResponse:
-    """Send a request and return the response. Raises CallError, also if it takes longer than `wait_s`."""
+    """Send a request and return the response. Raises CallError, also if that takes over `wait_s` seconds."""
     try:
         async with asyncio.timeout(wait_s):
             return await _exchange(address, method, path, content)
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -46,16 +46,15 @@
         self._counters = counters
         self._on_change = on_change
         self._unsaved = set[str]()  # cordons that could not be stored yet
-        self._listed_runners: dict[
-            str, None
-        ] = {}  # every runner listed so far, the most recently listed last
+        # Runners that were listed, as an ordered set: the most recently listed is last.
+        self._listed_runners: dict[str, None] = {}
 
     def remember_listed(self, runners: Iterable[str]) -> None:
         """Remember the listed runners: only runners that were listed can be cordoned."""
         for runner in runners:
             self._listed_runners.pop(runner, None)
             self._listed_runners[runner] = None
-        # Bounds the memory used: over time, runners that never return would add up.
+        # Limits the memory used, since runners are removed for good and new ones are added.
         while len(self._listed_runners) > self._limits.known_runners:
             oldest = next(iter(self._listed_runners))
             del self._listed_runners[oldest]
@@ -63,12 +62,12 @@
     def suspend(self, runner: str) -> bool:
         """Cordon a runner, and return whether it was ever listed; one that never was is not cordoned.
 
-        A cordon that cannot be stored is in force in this process only.
+        A cordon that cannot be stored is in force in this process only, until it can be stored.
         """
         if not self._was_listed(runner):
             return False
         self._counters["operation.suspends"] += 1
-        log.info("runner %s is suspended: it gets no new calls", runner)
+        log.info("runner %s was suspended by an operator", runner)
         self._save(runner)
         self._set_cordoned(self.cordoned | {runner})
         return True
@@ -78,7 +77,7 @@
         if not self._was_listed(runner):
             return False
         self._counters["operation.resumes"] += 1
-        log.info("runner %s is resumed: it gets calls again", runner)
+        log.info("runner %s was resumed by an operator", runner)
         self._unsaved.discard(runner)
         self._remove(runner)
         self._set_cordoned(self.cordoned - {runner})
@@ -92,7 +91,7 @@
             stored = self._store.names()
         except OSError as error:
             self._report_store_error(error)
-            # The store may be lost or only unavailable for a while: store every cordon in force again.
+            # The store is lost or unavailable for a while, so every cordon in force must be stored again.
             self._unsaved |= self.cordoned
             stored = set()
         for runner in list(self._unsaved):
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -1,8 +1,8 @@
 """Handover between an old and a new process: a state machine over two locks, polled at intervals.
 
-    WAITING --next is free--> TAKING --serving is free--> ALONE
-       |                                                    ^
-       +------------------ serving is free -----------------+
+    WAITING --next is free--> TAKING_OVER --serving is free--> ALONE
+       |                                                         ^
+       +-------------------- serving is free --------------------+
 
 A process that is ALONE holds the lock `serving`; the process that holds `next` meanwhile is its successor.
 """
@@ -10,21 +10,21 @@
 from enum import Enum
 from typing import Protocol
 
-SERVING_LOCK = "serving"
-NEXT_LOCK = "next"
+SERVING_LOCK = "serving"  # held by the process that serves without a predecessor
+NEXT_LOCK = "next"  # held by its successor
 READY_MARKER = b"ready"  # on the lock `next`: the successor can serve
-NOT_READY_MARKER = b""
+NOT_READY_MARKER = b""  # the successor cannot serve, or was asked to stop
 
 
 class HandoverStage(Enum):
     """The stage of a process in taking over from its predecessor."""
 
     WAITING = "waiting"  # another process is already taking over from the predecessor
-    TAKING = "taking over"  # this process is the successor; its predecessor still runs
+    TAKING_OVER = "taking over"  # this process is the successor; its predecessor still runs
     ALONE = "alone"  # no predecessor is left
 
 
-class Locking(Protocol):
+class NamedLocks(Protocol):
     """Locks that are released when their process ends. Every method may raise OSError."""
 
     def acquire(self, name: str) -> bool:
@@ -36,7 +36,7 @@
         ...
 
     def is_held(self, name: str) -> bool:
-        """Return whether another process holds a lock."""
+        """Return whether another process holds a lock. This process must not hold it itself."""
         ...
 
     def write_marker(self, name: str, marker: bytes) -> None:
@@ -49,12 +49,12 @@
 
 
 class Handover:
-    """The handover as one process takes part in it, as predecessor or successor."""
+    """One process's side of a handover, as the predecessor or the successor."""
 
-    def __init__(self, locks: Locking) -> None:
+    def __init__(self, locks: NamedLocks) -> None:
         self.stage = HandoverStage.WAITING
-        self.has_successor = False
-        self.successor_ready = False
+        self.has_successor = False  # another process is about to replace this one
+        self.successor_ready = False  # that process can serve
         self._locks = locks
         self.poll()
 
@@ -72,18 +72,18 @@
 
     def announce_ready(self) -> None:
         """Announce that this process can serve, so that its predecessor may hand over and exit."""
-        if self.stage is HandoverStage.TAKING:
+        if self.stage is HandoverStage.TAKING_OVER:
             self._locks.write_marker(NEXT_LOCK, READY_MARKER)
 
     def announce_stopping(self) -> None:
         """Announce that this process was asked to stop: its predecessor must not hand over to it."""
-        if self.stage is HandoverStage.TAKING:
+        if self.stage is HandoverStage.TAKING_OVER:
             self._locks.write_marker(NEXT_LOCK, NOT_READY_MARKER)
 
     def _advance(self) -> None:
         if self.stage is not HandoverStage.ALONE and self._locks.acquire(SERVING_LOCK):
-            if self.stage is HandoverStage.TAKING:
+            if self.stage is HandoverStage.TAKING_OVER:
                 self._locks.release(NEXT_LOCK)
             self.stage = HandoverStage.ALONE
         elif self.stage is HandoverStage.WAITING and self._locks.acquire(NEXT_LOCK):
-            self.stage = HandoverStage.TAKING
+            self.stage = HandoverStage.TAKING_OVER
--- a/maplestile/operation/metrics.py
+++ b/maplestile/operation/metrics.py
@@ -38,9 +38,8 @@
     hosts_down: int  # listed runners that get no calls: suspended by operators or avoided by the dispatcher
     membership: "MembershipMetrics | None" = None  # None if membership is off
     policy: PolicyMetrics | None = None  # None if the policy is that of the router's own file
-    epochs: Mapping[int, Mapping[str, int]] = field(
-        default_factory=dict
-    )  # counts by epoch and name of the counter
+    # Counts by epoch and counter name; empty if the policy is that of the router's own file.
+    epochs: Mapping[int, Mapping[str, int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,7 +55,7 @@
     """A metric with its name, type, help text and samples."""
 
     name: str
-    kind: str
+    kind: str  # COUNTER or GAUGE
     help: str
     samples: tuple[Sample, ...]
 
@@ -68,7 +67,7 @@
             yield f"{PREFIX}{self.name}{sample.labels} {sample.value}"
 
 
-def encode_report(report: MetricsReport) -> str:
+def encode_metrics(report: MetricsReport) -> str:
     """Return a report in the exposition format."""
     return "".join(f"{line}\n" for family in _families(report) for line in family.lines())
 
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -1,4 +1,4 @@
-"""The interface of a router's policy driver to the operators' front, and the messages of both."""
+"""The interface of a router's policy driver to the operators' front, and the data that they exchange."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
     epoch: int  # in force
     digest: str  # of the document in force; empty for the policy of the router's own file
-    status: "PolicyStatus"
+    status: "PolicyStatus"  # how the epoch relates to the committed one
     stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
     reason: str  # why the router refuses the committed epoch; empty if it does not
     build: str  # version of the program
@@ -39,8 +39,8 @@
     stale: float  # state: the router is cut off, and its epoch may not be the committed one
     stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
     refused: float  # state: the router cannot apply the committed epoch
-    reloads_refused: float  # reloads rejected because the file had another policy than at the start
-    mixed_calls: float  # attempts that were decided under another epoch than their call
+    reloads_refused: float  # reloads of a file with another policy than at the start; it was not applied
+    mixed_calls: float  # attempts decided under another epoch than their call; always 0
 
 
 class PolicyOperations(Protocol):
--- a/maplestile/operation/policy_json.py
+++ b/maplestile/operation/policy_json.py
@@ -1,7 +1,7 @@
 """Encodes and decodes the policy messages between an agent and its router, in JSON.
 
 An announcement is `{"epoch", "fenced_us", "checking"}`, and `"document"` if the agent sends that too. A check
-is `{"change", "document"}`. The response to an announcement is a `PolicyReport`, that to a check `{"build"}`.
+is `{"change", "document"}`. The response to an announcement is a `PolicyReport`, and to a check `{"build"}`.
 """
 
 from typing import Any
@@ -17,7 +17,7 @@
     epoch = _whole_number(message, "epoch")
     fenced_us = _whole_number(message, "fenced_us")
     checking = _whole_number(message, "checking")
-    assert isinstance(message, dict)  # since its numbers were found
+    assert isinstance(message, dict)  # _whole_number rejects anything else
     document = document_of(message.get("document"))
     return PolicyAnnouncement(epoch, fenced_us, checking, "document" in message, document)
 
@@ -25,7 +25,7 @@
 def decode_check(message: object) -> PolicyCheck:
     """Return the check in a message. Raises PolicyError, which names the field."""
     change = _whole_number(message, "change")
-    assert isinstance(message, dict)  # since its number was found
+    assert isinstance(message, dict)  # _whole_number rejects anything else
     return PolicyCheck(change, document_of(message.get("document")))
 
 
--- a/maplestile/operation/runner_view.py
+++ b/maplestile/operation/runner_view.py
@@ -7,13 +7,13 @@
 class RunnerView:
     """The state of one listed runner at the time of the request."""
 
-    id: str  # of the runner
+    id: str  # the id of the runner
     suspended: bool  # cordoned by an operator
-    avoided: bool  # the dispatcher sends it no calls, for example after failures
+    avoided: bool  # by the dispatcher: ejected, not accepting connections, or in a lost zone
     inflight: int  # attempts in flight at the runner
 
     def as_json(self) -> dict[str, str | bool | int]:
-        """Return a dictionary of JSON values, with the keys in the order of the response."""
+        """Return the state as a dictionary of JSON values, with the keys in the order of the response."""
         return {
             "id": self.id,
             "suspended": self.suspended,
--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -23,14 +23,14 @@
     core: Core
     endpoints: EndpointList
     cordons: Cordons
-    count_backend_calls: Callable[[], int]  # attempts that were written completely to runners
-    check_readiness: Callable[[], str]  # returns why the router cannot serve yet; empty if it can
-    membership_view: "Callable[[], MembershipView | None]"  # None if membership is off
-    membership_metrics: "Callable[[], MembershipMetrics | None]"  # None if membership is off
+    count_backend_calls: Callable[[], int]  # returns the attempts written completely to runners
+    check_readiness: Callable[[], str]  # returns why the router cannot serve; empty if it can
+    membership_view: "Callable[[], MembershipView | None]"  # returns None if membership is off
+    membership_metrics: "Callable[[], MembershipMetrics | None]"  # returns None if membership is off
     policy: PolicyOperations | None = None  # None if the policy is that of the router's own file
 
     def not_ready_reason(self) -> str:
-        """Return why the router cannot serve yet; empty if it can."""
+        """Return why the router cannot serve; empty if it can."""
         return self.check_readiness()
 
     def metrics(self) -> MetricsReport:
--- a/maplestile/operation/state_folder.py
+++ b/maplestile/operation/state_folder.py
@@ -18,7 +18,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        # The failure is not lost: each method that uses the folder raises it again.
+        # Ignored here, since every method that uses the folder raises OSError too.
         with contextlib.suppress(OSError):
             folder.mkdir(parents=True, exist_ok=True)
 
@@ -68,7 +68,7 @@
         os.close(self.descriptors.pop(name))
 
     def is_held(self, name: str) -> bool:
-        """Return whether a lock is held. Call it only for locks that this process does not hold."""
+        """Return whether another process holds a lock. This process must not hold it itself."""
         descriptor = self._open(name)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
--- a/tests/invoke_fixture.py
+++ b/tests/invoke_fixture.py
@@ -1,4 +1,4 @@
-"""A fixture that runs a real router process with an operator's file: platform front and invoke front."""
+"""A fixture that runs a real router process with a platform front and an invoke front."""
 
 import http.client
 import socket
@@ -46,13 +46,13 @@
         ):
             text = text.replace(old, new)
         file = Path(tempfile.mkdtemp()) / "operator.toml"
-        file.write_text(self.edit_file(text))
+        file.write_text(self.edit_operator_file(text))
         self.program = Program("serve", str(file))
         self.addCleanup(self.program.kill)
         self.port = self.program.port("invoke")
 
-    def edit_file(self, text: str) -> str:
-        """Return the text of the operator's file with the changes of a test case."""
+    def edit_operator_file(self, text: str) -> str:
+        """Return the text of the operator's file, with changes in test cases that override this method."""
         return text
 
     def request(self, method: str, path: str, body: bytes = b"", **headers: str) -> Answer:
--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -114,7 +114,7 @@
 
 
 def start_callers(port: int) -> list[RepeatingCaller]:
-    """Start two callers of each class: repeatable, never repeated, and repeatable with a key."""
+    """Start two callers of each class: calls are repeatable, never repeated, or repeatable with a key."""
     classes = ("review", NEVER_REPEATED, "deck-make")
     callers = [RepeatingCaller(port, name) for name in classes for _ in range(2)]
     for caller in callers:
--- a/tests/record_metrics.py
+++ b/tests/record_metrics.py
@@ -23,7 +23,7 @@
     policy = PolicyMetrics(0.5, 1.5, 2.5, 3.5, 4.5, 5.5)
     epochs = {3: {"calls": 7, "attempts": 8}, 4: {"calls": 1}}
     report = metrics.MetricsReport(("review", 'a"b'), answers, 7, 2, 5, 1, membership, policy, epochs)
-    return metrics.encode_report(report)
+    return metrics.encode_metrics(report)
 
 
 def counter_names() -> str:
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -1,4 +1,4 @@
-"""Tests of cordons without processes: their storage, and their effect on the endpoint list and dispatcher."""
+"""Tests of cordons: their storage, and their effect on the endpoint list and the dispatcher."""
 
 import tempfile
 import unittest
@@ -23,7 +23,7 @@
         self.second = self.create_cordons()
 
     def create_cordons(self) -> Cordons:
-        """Return the cordons of one more process, for which `a` and `../b` were listed."""
+        """Return the cordons of one more process, to which `a` and `../b` are listed."""
         cordons = Cordons(
             FileCordonStore(self.folder), OperatorLimits(known_runners=3), Counter(), lambda: None
         )
@@ -100,7 +100,7 @@
         driver.give(worker_list(entry("a"), kind=api.ListKind.FULL))
         self.assertEqual(sends(driver.give(arrival(2)))[0].worker, "a")
 
-    def test_worker_that_refused_a_connection_is_avoided(self) -> None:
+    def test_worker_with_failed_connection_is_avoided(self) -> None:
         driver = Driver(settings(), [entry("a"), entry("b")])
         dispatcher = driver.dispatcher
         (send,) = sends(driver.give(arrival(1)))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of the handover without processes: the stages by the locks, and the budgets of two processes."""
+"""Tests of the handover's stages, and of the budgets of two processes, without starting processes."""
 
 import tempfile
 import unittest
@@ -34,7 +34,7 @@
             second, second_locks = self.start_process()
             third, third_locks = self.start_process()
             first.poll()
-            self.assertEqual((second.stage, third.stage), (HandoverStage.TAKING, HandoverStage.WAITING))
+            self.assertEqual((second.stage, third.stage), (HandoverStage.TAKING_OVER, HandoverStage.WAITING))
             self.assertEqual(
                 (first.process_count, second.process_count, first.successor_ready), (2, 2, False)
             )
@@ -56,7 +56,7 @@
         self.assertEqual((first.process_count, first.successor_ready), (1, False))
         second, _ = self.start_process()
         first.poll()
-        self.assertEqual((second.stage, first.successor_ready), (HandoverStage.TAKING, False))
+        self.assertEqual((second.stage, first.successor_ready), (HandoverStage.TAKING_OVER, False))
 
     def test_successor_that_is_stopping_is_not_ready(self) -> None:
         first, _ = self.start_process()
@@ -69,9 +69,9 @@
         self.assertEqual((first.has_successor, first.successor_ready), (True, False))
 
     def test_budgets_are_divided_between_two_processes(self) -> None:
-        chosen = settings()
+        router_settings = settings()
         for descriptors in (256, 384, 1024):
-            alone = Limits.from_settings(chosen, descriptors, 80)
+            alone = Limits.from_settings(router_settings, descriptors, 80)
             both = alone.shared(2)
             held = 2 * (both.clients.connections + both.runners.connections + both.operators.connections)
             self.assertLess(held, descriptors - 40)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -201,7 +201,7 @@
 
 
 class LongAnswerTest(unittest.TestCase):
-    """The limits of a process compared with the longest result."""
+    """The longest result, compared with the limits of a process."""
 
     def test_longest_result_is_within_the_limits(self) -> None:
         limits = Limits.from_settings(settings(), 256, 80)
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -53,7 +53,7 @@
         return successor
 
     def assert_ran_once(self, caller: RepeatingCaller, first_round: int) -> None:
-        """Check that no call of a caller ran twice since its round `first_round`."""
+        """Check that no call of a caller ran twice from round `first_round` on."""
         counts = self.run_counts()
         rounds = range(first_round, caller.rounds)
         keys = [caller.idempotency_key(number, n) for number in rounds for n in range(CALLS_PER_ROUND)]
--- a/tests/test_process_invoke.py
+++ b/tests/test_process_invoke.py
@@ -84,9 +84,8 @@
         self.assertEqual(code, 202)
         answers = self.poll_from_threads(headers["location"], 4)
         final_answers = {answer for answer in answers if answer[0] != 202}
-        self.assertEqual(
-            [status for status, _ in final_answers], [504]
-        )  # one answer, the same for all pollers
+        # One answer, the same for all pollers.
+        self.assertEqual([status for status, _ in final_answers], [504])
         self.assertEqual(self.request("DELETE", headers["location"])[0], 409)
         self.assertEqual((self.final_answer(headers["location"])[0], self.run_count(b"hang:1")), (504, 1))
 
--- a/tests/test_process_invoke_connections.py
+++ b/tests/test_process_invoke_connections.py
@@ -37,7 +37,7 @@
             "the connection with a partial request",
         )
         self.assertEqual(self.post(REPEATABLE, b"abc")[:2], (200, b"cba"))
-        self.assertEqual(silent.recv(1), b"")  # evicted; the client that has sent a part may send the rest
+        self.assertEqual(silent.recv(1), b"")  # evicted; the partial request may be completed
         partial.sendall(f"ngth: 3\r\nMaplestile-Tenant: {TENANT}\r\n\r\nabc".encode())
         self.assertTrue(partial.recv(100).startswith(b"HTTP/1.1 200 "))
 
--- a/tests/test_process_invoke_drain.py
+++ b/tests/test_process_invoke_drain.py
@@ -102,7 +102,7 @@
 class DrainAloneTest(InvokeTestCase):
     """Drain without a platform's front, where no time is set at which the process is killed."""
 
-    def edit_file(self, text: str) -> str:
+    def edit_operator_file(self, text: str) -> str:
         before, _, rest = text.partition("[platform]")
         return before + rest[rest.index("[operation]") :]
 
