--- a/maplestile/operation/service.py
+++ b/maplestile/operation/service.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorService:
-    """Implements `operation.api.RouterOperations` with the components of a router process."""
+    """The implementation of `operation.api.RouterOperations` by the components of a router process."""
 
     core: Core
     endpoints: EndpointList
--- a/maplestile/operation/state_folder.py
+++ b/maplestile/operation/state_folder.py
@@ -11,7 +11,7 @@
 
 
 class FileCordonStore:
-    """Stores each name as an empty file, created and removed by one atomic system call, so without a lock.
+    """A store of names as empty files: one atomic system call creates or removes each, so no lock is needed.
 
     Every method may raise OSError.
     """
--- a/tests/invoke_fixture.py
+++ b/tests/invoke_fixture.py
@@ -26,15 +26,15 @@
 
 def post_head(*lines: str) -> bytes:
     """Return the head of a request that invokes `REPEATABLE`, with these header lines and the empty line."""
-    first_lines = (f"POST {invocations_path(REPEATABLE)} HTTP/1.1", "Host: h")
-    return "\r\n".join((*first_lines, *lines, "", "")).encode()
+    required_lines = (f"POST {invocations_path(REPEATABLE)} HTTP/1.1", "Host: h")
+    return "\r\n".join((*required_lines, *lines, "", "")).encode()
 
 
 PARTIAL_HEAD = post_head("Content-Le").rstrip()  # ends within the name of its last header
 
 
 class InvokeTestCase(unittest.TestCase):
-    """Starts a router with the operator's file of `deploy/`, two workers and free ports."""
+    """A test case with a router that runs the operator's file of `deploy/` on free ports, and two workers."""
 
     def setUp(self) -> None:
         self.workers = [Worker(), Worker()]
--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -1,4 +1,4 @@
-"""A fixture that runs real router processes, with requests to their operators' fronts and steady callers."""
+"""A fixture that runs real router processes, requests to their operators' fronts, and clients for load."""
 
 import http.client
 import tempfile
@@ -40,7 +40,7 @@
 
 
 def scrape_metrics(program: Program) -> dict[str, int]:
-    """Return the values of the metrics, by name with labels."""
+    """Return the values of the metrics, by name and labels as they are written."""
     lines = request_operator(program, "/v1/metrics")[1].splitlines()
     samples = (line.split() for line in lines if not line.startswith("#"))
     return {name: int(value) for name, value in samples}
@@ -131,7 +131,7 @@
 
 
 class OperationTestCase(unittest.TestCase):
-    """Starts a router with an operators' front, two workers and a folder for cordons and locks."""
+    """A test case with two workers and a router that has an operators' front and a shared folder."""
 
     def setUp(self) -> None:
         self.workers = [Worker(), Worker()]
--- a/tests/test_process_invoke_drain.py
+++ b/tests/test_process_invoke_drain.py
@@ -24,19 +24,19 @@
 CALLS_PER_S = 200
 CALLS_BEFORE_STOP = 300
 CALLS_AFTER_EXIT = 50
-MAX_CALLS = 4000
-CONNECTIONS = 230
-RETRY_AFTER_S = 1.0
+MAX_CALLS = 4000  # upper limit: the arrivals normally end soon after the exit
+MAX_CONNECTIONS = 230
+RETRY_AFTER_S = 1.0  # the `Retry-After` of a pending deferred call
 CALL_ENDS_AFTER_S = 1.2  # after SIGTERM
 MAX_EXIT_WITH_PARTIAL_REQUEST_S = 4.0  # less than the 10 s that a request may take to arrive
 MAX_EXIT_WITH_DEFERRED_RESULT_S = 4.5  # less than the deadline of the call
 
 
 def arrivals_around_stop(process: subprocess.Popen[str]) -> Iterator[Arrival]:
-    """Yield calls at a steady rate; send SIGTERM after some, and go on until some calls after the exit.
+    """Yield calls at a steady rate, send SIGTERM to the process, and end a few calls after its exit.
 
-    If the test itself was paused, the calls missed are not all made at once: so many open calls would
-    exceed the limits of the load tool and of the front, which this test is not about.
+    If the test itself was paused, the missed calls are not all made at once: that many open calls would
+    exceed the limits of the load tool and of the front, which are not tested here.
     """
     calls_since_exit = 0
     due_s = 0.0
@@ -51,7 +51,7 @@
         yield Arrival(due_s, REPEATABLE)
 
 
-class RepeatingCaller(threading.Thread):
+class ReconnectingCaller(threading.Thread):
     """A client that makes each call on a new connection, until a connection is refused."""
 
     def __init__(self, fixture: InvokeTestCase) -> None:
@@ -86,34 +86,34 @@
         return "answered"
 
 
-class DrainTest(InvokeTestCase):
-    """Drain with a platform's front, where the platform kills the process after its longest deadline."""
+class DrainWithPlatformTest(InvokeTestCase):
+    """Drains with a platform front: the platform kills the process after its longest deadline."""
 
     def test_drain_loses_no_call_on_kept_connections(self) -> None:
         process = self.program.process
         load = Load([("127.0.0.1", self.port)], CallTemplate(b"x", TENANT), wait_s=PATIENCE_S)
-        result = asyncio.run(load.run(arrivals_around_stop(process), CONNECTIONS))
+        result = asyncio.run(load.run(arrivals_around_stop(process), MAX_CONNECTIONS))
         # After the exit the address accepts no connection ("nowhere"); a client may call another router.
         self.assertLessEqual(set(result.ends), {"served", "refused", "nowhere"}, result.ends)
         self.assertGreaterEqual(result.ends["nowhere"], CALLS_AFTER_EXIT)
         self.assertEqual(process.wait(PATIENCE_S), 0)
 
 
-class DrainAloneTest(InvokeTestCase):
-    """Drain without a platform's front, where no time is set at which the process is killed."""
+class DrainWithoutPlatformTest(InvokeTestCase):
+    """Drains without a platform front: the process is not killed at a set time."""
 
     def edit_operator_file(self, text: str) -> str:
         before, _, rest = text.partition("[platform]")
         return before + rest[rest.index("[operation]") :]
 
     def test_drain_ends_while_callers_continue(self) -> None:
-        """New calls keep coming, so that some call is always pending and the drain has to end them.
+        """New calls keep coming, so that some call is always pending; the drain must end nevertheless.
 
         A caller that connects between the last accept and the close of the listener is reset by the system
         (`test_listen.py`), at most once per caller. All other calls are answered or get a clean close, and
         the router reads no request that it does not answer.
         """
-        callers = [RepeatingCaller(self) for _ in range(6)]
+        callers = [ReconnectingCaller(self) for _ in range(6)]
         for caller in callers:
             caller.start()
             time.sleep(0.08)
@@ -140,7 +140,7 @@
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assertLess(time.monotonic() - start_s, MAX_EXIT_WITH_PARTIAL_REQUEST_S)
 
-    def stop_with_a_deferred_call(self) -> str:
+    def stop_during_deferred_call(self) -> str:
         """Send SIGTERM during a deferred call, let the call end soon after, and return its location."""
         self.pause_workers()
         code, _, headers = self.post(REPEATABLE_WITH_KEY, b"abc", Prefer=DEFERRED)
@@ -151,13 +151,13 @@
         return headers["location"]
 
     def test_deferred_result_can_be_collected_after_retry_after_during_drain(self) -> None:
-        location = self.stop_with_a_deferred_call()
+        location = self.stop_during_deferred_call()
         time.sleep(RETRY_AFTER_S)
         self.assertEqual(self.request("GET", location)[:2], (200, b"cba"))
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
 
     def test_uncollected_deferred_result_does_not_delay_exit(self) -> None:
-        self.stop_with_a_deferred_call()
+        self.stop_during_deferred_call()
         start_s = time.monotonic()
         self.assertEqual(self.program.process.wait(PATIENCE_S), 0)
         self.assertLess(time.monotonic() - start_s, MAX_EXIT_WITH_DEFERRED_RESULT_S)
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -90,16 +90,14 @@
     def call_and_count_outcomes(self) -> Counter[tuple[str, str]]:
         """Make calls with each outcome, and count the outcomes by metric name and class."""
         client = self.connect()
-        outcomes = Counter[tuple[str, str]]()
+        counts = Counter[tuple[str, str]]()
         calls = [("review", b"ok")] * 5 + [("test-submit", b"error:")] * 2 + [("test-submit", b"ok")]
         for class_name, body in [*calls, ("review", b"full:")]:
             client.call(class_name, body, limit_ms=700 if body == b"full:" else 10_000)
             answer = client.read() or {}
             is_rejected = answer.get("error", {}).get("code") == REFUSED
-            outcomes[
-                "success" if "result" in answer else "busy" if is_rejected else "failure", class_name
-            ] += 1
-        return outcomes
+            counts["success" if "result" in answer else "busy" if is_rejected else "failure", class_name] += 1
+        return counts
 
     def reset_connection_during_call(self) -> None:
         """Reset a client's connection during a call, and wait until the call has ended."""
