--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -75,7 +75,7 @@
         return self.operator != old
 
     def apply_settings(self, new: OperatorSettings) -> None:
-        """Apply the classes and limits of another policy, at the same time as the dispatcher does."""
+        """Apply the classes and limits of another policy, at the moment when the dispatcher applies them."""
         self._apply(replace(new, listen=self.operator.listen))
 
     def _apply(self, operator: OperatorSettings) -> None:
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -44,7 +44,7 @@
     semantics: str  # a value of `SEMANTICS`
     key_scope: str  # deduplication scope: one of `KEY_SCOPES`
     key_window_us: int  # deduplication window
-    late_value: float  # weight of an answer after the latency objective; one in time has 1
+    late_value: float  # weight of an answer after the latency objective, against 1 for one in time
 
     def router_settings(self) -> dict[str, Any]:
         """Return the class in the form of the platform's settings."""
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -1,7 +1,8 @@
 """Cordoned runners: those that operators have taken out of service until they resume them.
 
 The dispatcher and the pool treat a cordoned runner as a draining one (`EndpointList.suspended`). Cordons are
-stored in a folder that both processes of a handover read, so that operators may send a change to either.
+stored in a folder that both processes of a handover read, so that operators may send a change to either
+process.
 """
 
 import logging
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -4,7 +4,7 @@
        |                                                         ^
        +-------------------- serving is free --------------------+
 
-A process that is ALONE holds the lock `serving`; the process that holds `next` meanwhile is its successor.
+A process that is ALONE holds the lock `serving`; a process that holds `next` is its successor.
 """
 
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class HandoverStage(Enum):
-    """The stage of a process in taking over from its predecessor."""
+    """The progress of a process in taking over from its predecessor."""
 
     WAITING = "waiting"  # another process is already taking over from the predecessor
     TAKING_OVER = "taking over"  # this process is the successor; its predecessor still runs
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -27,18 +27,18 @@
     stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
     reason: str  # why the router refuses the committed epoch; empty if it does not
     build: str  # version of the program
-    calls_by_epoch: Mapping[int, Mapping[str, int]]  # counts by epoch and name of the counter
+    calls_by_epoch: Mapping[int, Mapping[str, int]]  # counts by epoch and counter name
     lacks_document: bool  # the agent must send the document of the announced epoch
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyMetrics:
-    """The values of a router's policy metrics; a state is 1 if it holds, else 0."""
+    """The values of a router's policy metrics."""
 
     epoch: float  # in force; 0 if none is on disk
-    stale: float  # state: the router is cut off, and its epoch may not be the committed one
+    stale: float  # 1 if the router is cut off, so that its epoch may not be the committed one; else 0
     stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
-    refused: float  # state: the router cannot apply the committed epoch
+    refused: float  # 1 if the router cannot apply the committed epoch; else 0
     reloads_refused: float  # reloads of a file with another policy than at the start; it was not applied
     mixed_calls: float  # attempts decided under another epoch than their call; always 0
 
--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -65,7 +65,7 @@
         self.done = threading.Event()
         self.rounds = 0  # completed rounds
         self.served = 0  # calls with a result
-        self.crossed = 0  # calls without an answer, since the connection closed
+        self.crossed = 0  # calls that got no answer because the connection was closed
         self.faults = list[str]()  # unexpected answers and errors
 
     def idempotency_key(self, round_number: int, n: int) -> str:
