--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -1,5 +1,6 @@
 """Tests of the handover between real router processes, under load and with cordons."""
 
+import json
 import tempfile
 import time
 
@@ -8,6 +9,7 @@
     OperationTestCase,
     RepeatingCaller,
     change_runner,
+    request_operator,
     scrape_metrics,
     start_callers,
     stop_callers,
@@ -31,7 +33,7 @@
         first_rounds = [caller.rounds + 1 for caller in callers]
         for _ in range(2):
             program = self.replace(program, port)
-            self.assertEqual(scrape_metrics(program)["svc_hosts_down"], 1)  # the cordon is still in force
+            self.assert_only_cordoned(program, "s-0")
         served = sum(caller.served for caller in callers)
         eventually(
             lambda: sum(caller.served for caller in callers) > served + 50, "calls served by the last process"
@@ -41,6 +43,17 @@
         for caller, first in zip(callers, first_rounds, strict=True):
             self.assert_ran_once(caller, first)
 
+    def assert_only_cordoned(self, program: Program, runner: str) -> None:
+        """Check that the process has a cordon on this runner only, and reports one runner as down.
+
+        The metric also counts a runner that the dispatcher avoids. On a busy machine that happens for a
+        moment to the other worker, when its thread is paused and none of its calls is answered.
+        """
+        runners = json.loads(request_operator(program, "/v1/runners")[1])["runners"]
+        cordoned = {listed["id"]: listed["suspended"] for listed in runners}
+        self.assertEqual(cordoned, {"s-0": runner == "s-0", "s-1": runner == "s-1"})
+        eventually(lambda: scrape_metrics(program)["svc_hosts_down"] == 1, "one runner to be down")
+
     def replace(self, program: Program, port: int) -> Program:
         """Start a process on the same port, let it take over from `program`, and return it."""
         successor = self.start_router(port)
