--- a/examples/toy_worker.py
+++ b/examples/toy_worker.py
@@ -1,9 +1,10 @@
-"""A toy worker: speaks the workers' line protocol, takes its time, and answers each body reversed.
+"""A toy worker, which answers each call with its body reversed after a configurable time.
 
     python examples/toy_worker.py --port 9001 --work-ms 50
 
-The protocol has one JSON object a line in both directions. A router sends CALL, LOAD, UNLOAD, STATS and
-CANCEL; each but UNLOAD and CANCEL is answered, in any order, under the tag that the router gave it.
+It speaks the line protocol of workers, which has one JSON object per line in both directions. A router sends
+CALL, LOAD, UNLOAD, STATS and CANCEL. All but UNLOAD and CANCEL are answered, in any order; an answer has the
+tag that the router gave the command.
 """
 
 import argparse
@@ -20,25 +21,25 @@
 
 @dataclass(frozen=True)
 class Command:
-    """A line of a router."""
+    """A command, which a router sends as one line."""
 
     kind: str
-    tag: str  # names the command in its answer; of UNLOAD, the function
+    tag: str  # identifies the command in its answer; for UNLOAD, the name of the function
     function: str = ""
-    copies: int = 0  # that a LOAD requests
-    body: bytes = b""  # of a CALL
+    copies: int = 0  # requested by LOAD
+    body: bytes = b""  # body of a CALL
 
 
 @dataclass(frozen=True)
 class Answer:
-    """A line of the worker, without the tag of the command that it answers."""
+    """The answer to a command, without the command's tag."""
 
     kind: str
     fields: dict[str, Any]  # the other fields of the line
 
 
 def decode(line: bytes) -> Command:
-    """Decode a line of a router. Raises ValueError where it is no JSON."""
+    """Decode a line from a router. Raises ValueError if it is not JSON."""
     message = json.loads(line)
     head = message.get("head") or {}
     return Command(
@@ -51,21 +52,21 @@
 
 
 def encode(tag: str, answer: Answer) -> bytes:
-    """Encode the answer to the command with this tag."""
+    """Encode the answer to the command with this tag as a line."""
     return json.dumps({"kind": answer.kind, "call": tag, **answer.fields}).encode() + b"\n"
 
 
 class ToyWorker:
-    """A worker that takes `load_s` to load a copy and `work_s` for a call."""
+    """A worker that takes `load_s` seconds to load copies of a function and `work_s` seconds per call."""
 
     def __init__(self, work_s: float, load_s: float) -> None:
         self._work_s = work_s
         self._load_s = load_s
-        self._copies: dict[str, int] = {}  # loaded, by function
-        self._in_flight: dict[str, int] = {}  # calls, by function
+        self._copies: dict[str, int] = {}  # loaded copies by function
+        self._in_flight: dict[str, int] = {}  # calls in progress by function
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection of a router until it ends, which cancels what is in flight on it."""
+        """Serve one connection of a router until it ends; then cancel its commands that are in progress."""
         tasks: dict[str, asyncio.Task[None]] = {}
         try:
             while line := await reader.readline():
@@ -80,7 +81,7 @@
     def _receive(
         self, command: Command, tasks: dict[str, asyncio.Task[None]], writer: asyncio.StreamWriter
     ) -> None:
-        """Start a command that is answered, or carry out one that is not."""
+        """Carry out a command that has no answer, or start a task for one that has."""
         match command.kind:
             case "CANCEL":
                 if task := tasks.pop(command.tag, None):
@@ -108,14 +109,14 @@
         return Answer("alive", {})
 
     async def _load(self, function: str, copies: int) -> int:
-        """Load a function until there are at least so many copies; return how many there are."""
+        """Load a function if there are fewer copies than requested; return how many there are then."""
         if copies > self._copies.get(function, 0):
             await asyncio.sleep(self._load_s)
             self._copies[function] = max(copies, self._copies.get(function, 0))
         return self._copies.get(function, 0)
 
     async def _run(self, call: Command) -> Answer:
-        """Run a call, with a cold start if its function is not loaded."""
+        """Run a call; if its function is not loaded, this includes a cold start."""
         queued_ahead = self._in_flight.get(call.function, 0)
         self._in_flight[call.function] = queued_ahead + 1
         try:
@@ -132,7 +133,7 @@
 
 
 async def main() -> None:
-    """Listen until the process ends."""
+    """Serve routers until the process ends."""
     parser = argparse.ArgumentParser(description="A toy worker on the loopback address.")
     parser.add_argument("--port", type=int, default=9001)
     parser.add_argument("--work-ms", type=float, default=50.0)
--- a/maplestile/__init__.py
+++ b/maplestile/__init__.py
@@ -1,4 +1,4 @@
-"""maplestile: the decisions of a dispatcher for many small functions on a shared fleet of workers."""
+"""maplestile: a router that dispatches calls of many small functions to a shared fleet of workers."""
 
 from maplestile.dispatch.dispatcher import Dispatcher
 
--- a/maplestile/__main__.py
+++ b/maplestile/__main__.py
@@ -1,11 +1,15 @@
-"""Entry point of `python -m maplestile`: without arguments a node of the platform, else the command line."""
+"""Entry point of `python -m maplestile`.
+
+Without arguments it runs a router that the platform configures by environment variables; with arguments it
+runs the command line.
+"""
 
 import sys
 
 
 def main() -> int:
-    """Run the program, and return its exit code."""
-    # Imported here: the platform's nodes don't load the command line (start time and memory).
+    """Run the program and return its exit code."""
+    # Imported here, so that a router of the platform does not spend time and memory on the command line.
     if sys.argv[1:]:
         from maplestile.tools import cli
 
--- a/maplestile/tools/__init__.py
+++ b/maplestile/tools/__init__.py
@@ -1,1 +1,1 @@
-"""The command line and its tools: explorer, models, fault relay, load generator, trace reader."""
+"""The command line and its tools: explorer, models, fault relay, load generator and trace reader."""
--- a/maplestile/tools/agent_client.py
+++ b/maplestile/tools/agent_client.py
@@ -1,4 +1,4 @@
-"""The client side of the agent's command server, as the commands of the command line use it."""
+"""A client for an agent's command server, shared by the commands that send requests to an agent."""
 
 import argparse
 import asyncio
@@ -13,21 +13,22 @@
 
 
 def add_agent_options(command: argparse.ArgumentParser) -> None:
-    """Add the options of every command that sends a request to an agent."""
+    """Add the options that all commands with requests to an agent share."""
     command.add_argument("--agent", default=DEFAULT_AGENT, metavar="HOST:PORT")
     command.add_argument("--json", action="store_true", help="print the agent's whole answer")
 
 
-def request_agent(where: str, do: str, names: list[str], **more: Any) -> AgentReply | None:
-    """Send one request to the agent at `where` and return its reply.
+def request_agent(address: str, operation: str, instances: list[str], **fields: Any) -> AgentReply | None:
+    """Send a request with these fields to the agent at `address` and return its reply.
 
-    Returns None where the agent gives no answer or an error, with the reason printed on standard error.
+    An empty list of instances means all of them. If the agent does not answer, or answers with an error,
+    print the reason on standard error and return None.
     """
-    host, _, port = where.rpartition(":")
+    host, _, port = address.rpartition(":")
     try:
-        reply = asyncio.run(supervisor.send_command((host, int(port)), do, names, **more))
+        reply = asyncio.run(supervisor.send_command((host, int(port)), operation, instances, **fields))
     except (OSError, ValueError, TimeoutError) as error:
-        print(f"maplestile: no agent at {where}: {error}", file=sys.stderr)
+        print(f"maplestile: no agent at {address}: {error}", file=sys.stderr)
         return None
     if "error" in reply:
         print(f"maplestile: {reply['error']}", file=sys.stderr)
--- a/maplestile/tools/cli.py
+++ b/maplestile/tools/cli.py
@@ -1,7 +1,7 @@
 """The entry point of the `maplestile` command.
 
-Each command has a module of its own, which adds its arguments to the parser and sets the function that
-runs it as the parser's default `run`. That function takes the parsed arguments and returns the exit code.
+Each module of commands adds their arguments to the parser and sets the function that runs a command as the
+default `run` of its parser. That function takes the parsed arguments and returns the exit code.
 """
 
 import argparse
@@ -23,8 +23,8 @@
 from maplestile.tools.traces import TraceError
 
 
-def parser() -> argparse.ArgumentParser:
-    """Build the parser of all commands, in the order in which the help text lists them."""
+def build_parser() -> argparse.ArgumentParser:
+    """Return the parser for all commands, which are added in the order of the help text."""
     top = argparse.ArgumentParser(prog="maplestile", description="A function router and its agent.")
     commands = top.add_subparsers(dest="command", required=True)
     serving_commands.add(commands)
@@ -42,10 +42,10 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command and return its exit code.
 
-    A file that cannot be used ends the command with 1 and its reason on standard error, unless the command
-    has an exit code of its own for it. A reader that closes our standard output is no error.
+    For an invalid file, print the reason on standard error and return 1, unless the command has an exit code
+    of its own for this error. It is not an error if the reader of the standard output closes it.
     """
-    parsed = parser().parse_args(arguments)
+    parsed = build_parser().parse_args(arguments)
     try:
         exit_code: int = parsed.run(parsed)
     except (ConfigError, TraceError) as error:
--- a/maplestile/tools/dispatcher_settings.py
+++ b/maplestile/tools/dispatcher_settings.py
@@ -1,7 +1,7 @@
-"""The dispatcher settings that the explorer and the benchmarks have in common.
+"""The dispatcher settings that the explorer and the benchmarks share.
 
-Everything that a dispatcher may do is allowed, and load requests are not limited. Each user replaces what
-depends on its own workers and calls.
+All optional behaviour is enabled, and the number of load requests is not limited. The explorer and each
+benchmark replace the settings that depend on their workers and calls.
 """
 
 from maplestile.dispatch import api
--- a/maplestile/tools/faults/__init__.py
+++ b/maplestile/tools/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between processes and members: one schedule for the model and for the relay on loopback."""
+"""Fault schedules for the model and for the relay, and the relay, which applies them to loopback traffic."""
--- a/maplestile/tools/faults/command.py
+++ b/maplestile/tools/faults/command.py
@@ -1,6 +1,6 @@
-"""`maplestile relay`: play a schedule of faults on the traffic between processes.
+"""`maplestile relay`: apply a fault schedule to the traffic between processes.
 
-Exits with 2 for a schedule that cannot be used, with the field named, and with 1 where it cannot listen.
+The exit code is 2 for an invalid schedule, whose error names the field, and 1 if the relay cannot listen.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 from maplestile.common.toml_table import TomlTable
 from maplestile.tools.faults.schedule import Schedule, ScheduleError, schedule_from
 
-# Fields of a schedule's file that only the model reads; the two share their files.
+# Fields of a schedule file that only the model reads; the model and the relay can use the same files.
 MODEL_FIELDS = ("duration_s", "lifeguard", "period_ms", "duties")
 
 
@@ -27,7 +27,7 @@
 
 def run(arguments: argparse.Namespace) -> int:
     """Serve the relay until the process is interrupted."""
-    # Imported here, so that other commands start without it.
+    # Imported here, so that it does not delay the start of other commands.
     from maplestile.tools.faults import control_port
 
     try:
--- a/maplestile/tools/faults/control_port.py
+++ b/maplestile/tools/faults/control_port.py
@@ -1,13 +1,14 @@
-"""The relay's control port: carries out the commands of whoever started the processes.
+"""The relay's control port, for the program that started the processes.
 
-It is controlled by JSON lines on a loopback port, one object in, one back; an error names what is wrong:
+Each command is a JSON object on a line of its own, sent to a loopback port, and so is its reply. The reply to
+an invalid command is `{"error": TEXT}`, and the text names the invalid field. The commands are:
 
-    {"do": "udp", "member": 0, "address": "127.0.0.1:4000"}     the member's real socket
+    {"do": "udp", "member": 0, "address": "127.0.0.1:4000"}     register the member's real socket
     {"do": "tcp", "from": 0, "to": 1, "address": "127.0.0.1:5000"} -> {"ok": true, "front": "127.0.0.1:5511"}
-    {"do": "begin"}                     the schedule's clock starts at 0 now
-    {"do": "begin", "schedule": {...}}  the same with another schedule, in the file's form (without `members`)
-    {"do": "heal"}                      everything passes again
-    {"do": "counts"}                    what became of datagrams, chunks and connections so far
+    {"do": "begin"}                     start the schedule at time 0
+    {"do": "begin", "schedule": {...}}  start another schedule, in the form of the file (without `members`)
+    {"do": "heal"}                      end all faults
+    {"do": "counts"}                    return the counters of datagrams, chunks and connections
 """
 
 import asyncio
@@ -35,21 +36,21 @@
 from maplestile.tools.faults.schedule import FaultKind, Schedule, ScheduleError
 
 MAX_LINE_BYTES = 65_536
-NOT_PLAYED = (FaultKind.KILL, FaultKind.PAUSE)  # faults of processes: the relay signals nobody
+NOT_PLAYED = (FaultKind.KILL, FaultKind.PAUSE)  # faults of processes, to which the relay sends no signals
 
 
 class ControlPort:
-    """The commands for one relay."""
+    """The server that carries out the commands for one relay."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     async def execute(self, line: bytes) -> dict[str, Any]:
-        """Carry out one line's command and return the reply's JSON object."""
+        """Carry out the command on one line and return its reply as a JSON object."""
         try:
             table = relay_commands.parse(line)
             reply = await self._carry_out(relay_commands.decode(table, self._relay.schedule))
-            table.end()  # an unknown field is reported, and does not undo what was done
+            table.end()  # reports an unknown field, although the command has been carried out
         except ScheduleError as error:
             return {"error": str(error)}
         return relay_commands.encode(reply)
@@ -71,8 +72,8 @@
         return Done()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the lines of one connection until it ends."""
-        with contextlib.suppress(OSError, ValueError):  # a line too long, or a caller that disconnected
+        """Carry out the commands of one connection until it ends."""
+        with contextlib.suppress(OSError, ValueError):  # a line is too long, or the client has disconnected
             while line := await reader.readline():
                 writer.write(json.dumps(await self.execute(line)).encode() + b"\n")
                 await writer.drain()
@@ -80,7 +81,7 @@
 
 
 async def serve(schedule: Schedule, control: Address) -> None:
-    """Open a relay, print one JSON line with its addresses, and carry out commands until cancelled."""
+    """Open a relay, print its addresses as one JSON line on standard error, and serve until cancelled."""
     relay = Relay(schedule)
     fronts = await relay.open()
     server = await asyncio.start_server(ControlPort(relay).serve, *control, limit=MAX_LINE_BYTES)
--- a/maplestile/tools/faults/relay_commands.py
+++ b/maplestile/tools/faults/relay_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the relay's control port and the replies to them: typed, with their JSON form."""
+"""The typed commands and replies of the relay's control port, and their JSON encoding."""
 
 import json
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RegisterMember:
-    """`udp`: the real socket of a member."""
+    """`udp`: register the address of a member's real socket."""
 
     member: int
     address: Address
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenLink:
-    """`tcp`: a front for connections from one member to another, whose listener is at `address`."""
+    """`tcp`: open a front for connections from one member to the listener of another at `address`."""
 
     origin: int
     target: int
@@ -32,19 +32,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Begin:
-    """`begin`: play a schedule from now on."""
+    """`begin`: start a schedule."""
 
     schedule: Schedule
 
 
 @dataclass(slots=True, frozen=True)
 class Heal:
-    """`heal`: have everything pass again."""
+    """`heal`: end all faults."""
 
 
 @dataclass(slots=True, frozen=True)
 class ReadCounts:
-    """`counts`: what became of datagrams, chunks and connections so far."""
+    """`counts`: read the counters of datagrams, chunks and connections."""
 
 
 Command = RegisterMember | OpenLink | Begin | Heal | ReadCounts
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Done:
-    """The reply to a command that gives nothing back."""
+    """The reply to a command that returns no data."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,7 +66,7 @@
 class ScheduleStarted:
     """The reply to `begin`."""
 
-    not_played: tuple[FaultKind, ...]  # one for each fault of the schedule that the relay leaves to others
+    not_played: tuple[FaultKind, ...]  # the kind of each fault that the relay does not carry out
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,7 +80,7 @@
 
 
 def parse(line: bytes) -> TomlTable:
-    """Read a line as a table of fields. Raises `ScheduleError`."""
+    """Parse a line into a table of fields. Raises `ScheduleError`."""
     try:
         values = json.loads(line)
     except ValueError:
@@ -89,9 +89,9 @@
 
 
 def decode(table: TomlTable, default: Schedule) -> Command:
-    """Take a command's fields out of a table, for a relay that was started with the schedule `default`.
+    """Decode the command in a table, and remove its fields from the table.
 
-    Raises `ScheduleError` naming the field.
+    `default` is the schedule with which the relay was started. Raises `ScheduleError`, which names the field.
     """
     last_member = default.members - 1
     match table.choice("do", COMMANDS):
@@ -103,14 +103,14 @@
             target = table.whole("to", maximum=last_member)
             return OpenLink(origin, target, parse_address(table.loopback("address")))
         case "begin":
-            return Begin(_schedule(table, default))
+            return Begin(_decode_schedule(table, default))
         case "heal":
             return Heal()
     return ReadCounts()
 
 
 def encode(reply: Reply) -> dict[str, Any]:
-    """The JSON object of a reply."""
+    """Return the JSON object of a reply."""
     match reply:
         case LinkOpened((host, port)):
             return {"ok": True, "front": f"{host}:{port}"}
@@ -121,7 +121,7 @@
     return {"ok": True}
 
 
-def _schedule(command: TomlTable, default: Schedule) -> Schedule:
+def _decode_schedule(command: TomlTable, default: Schedule) -> Schedule:
     if "schedule" not in command.values:
         return default
     table = command.table("schedule")
@@ -129,5 +129,5 @@
     table.values = {"seed": default.seed, **table.values, "members": default.members}
     schedule = schedule_from(table)
     table.end()
-    # Without a network of its own, the schedule delays nothing.
+    # A schedule without a `net` table delays and loses nothing on the links.
     return schedule if has_net else replace(schedule, net=NO_DELAY)
--- a/maplestile/tools/instance_commands.py
+++ b/maplestile/tools/instance_commands.py
@@ -1,6 +1,6 @@
-"""The commands that an agent carries out on its instances, and how their answers are printed.
+"""The commands that an agent carries out on its instances, and the output of their answers.
 
-They exit with 0 where all the instances did what was requested, with 1 otherwise.
+The exit code is 0 if all instances did what was requested, and 1 otherwise.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceAnswer:
-    """What the operators' front of one instance answered, by way of the agent."""
+    """The answer from the operators' front of one instance, forwarded by the agent."""
 
     instance: str
     ok: bool
@@ -41,30 +41,30 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceStatus:
-    """The process of one instance, as the agent reports it."""
+    """The status of one instance's process, as reported by the agent."""
 
     instance: str
     state: str
     pid: int | None  # None while no process runs
-    starts: int
-    for_s: float  # in this state
-    last_exit: str
+    starts: int  # how often the process has been started
+    state_age_s: float  # seconds since the instance entered its state
+    last_exit: str  # how the previous process ended
 
 
 @dataclass(slots=True, frozen=True)
 class ViewCell:
-    """What one instance sees of a member."""
+    """The state of one member in the membership view of one instance."""
 
     status: str
-    incarnation: int | None = None
+    incarnation: int | None = None  # None if there is none to print
 
     def __str__(self) -> str:
-        """The cell as it is printed."""
+        """Return the text of the table cell."""
         return self.status if self.incarnation is None else f"{self.status}/{self.incarnation}"
 
 
-View = dict[str, ViewCell]  # of one instance: by member, and by ISOLATED_ROW whether it is isolated
-ABSENT = ViewCell("-")  # in a view that lacks a member
+View = dict[str, ViewCell]  # of one instance, by member; ISOLATED_ROW has whether the instance is isolated
+ABSENT_MEMBER = ViewCell("-")  # printed for a member that is missing from a view
 
 
 def add(commands: Any) -> None:
@@ -81,31 +81,31 @@
 def run(arguments: argparse.Namespace) -> int:
     """Send the command to the agent and print its reply."""
     name: str = arguments.command
-    more = {"runner": arguments.runner} if name in RUNNER_COMMANDS else {}
-    reply = request_agent(arguments.agent, name, arguments.instance, **more)
+    fields = {"runner": arguments.runner} if name in RUNNER_COMMANDS else {}
+    reply = request_agent(arguments.agent, name, arguments.instance, **fields)
     if reply is None:
         return 1
     if arguments.json or name in JSON_COMMANDS:
         return _print_json(reply)
     if name in supervisor.OPERATE:
-        return PRINTERS.get(name, _print_answers)(_answers_of(reply[name]))
-    for instance in _instances_of(reply["instances"]):
+        return PRINTERS.get(name, _print_answers)(_decode_answers(reply[name]))
+    for instance in _decode_statuses(reply["instances"]):
         _print_instance(instance)
     return 0
 
 
-def _answers_of(reply: Mapping[str, Any]) -> list[InstanceAnswer]:
+def _decode_answers(reply: Mapping[str, Any]) -> list[InstanceAnswer]:
     return [InstanceAnswer(instance, answer["ok"], answer["told"]) for instance, answer in reply.items()]
 
 
-def _instances_of(reply: Mapping[str, Any]) -> Iterator[InstanceStatus]:
+def _decode_statuses(reply: Mapping[str, Any]) -> Iterator[InstanceStatus]:
     for name, status in reply.items():
         yield InstanceStatus(
             instance=name,
             state=status["state"],
             pid=status["pid"],
             starts=status["starts"],
-            for_s=status["for_s"],
+            state_age_s=status["for_s"],
             last_exit=status["last_exit"],
         )
 
@@ -119,7 +119,7 @@
 def _print_instance(status: InstanceStatus) -> None:
     pid = f"pid {status.pid}" if status.pid else "no process"
     starts = f"{status.starts} starts"
-    age = f"{status.for_s} s"
+    age = f"{status.state_age_s} s"
     print(status.instance, status.state, pid, starts, age, status.last_exit, sep="\t")
 
 
@@ -147,24 +147,25 @@
 
 
 def _print_members(answers: list[InstanceAnswer]) -> int:
-    """Print the membership views side by side, and whether they agree.
+    """Print the membership views side by side, and whether they agree; return the exit code.
 
-    There is a row for each member and a column for each instance, with `status/incarnation` in the cells.
-    Returns 1 where two views differ in a status; instances without a view are named on standard error.
+    There is a row for each member and a column for each instance, and each cell is `status/incarnation`.
+    The exit code is 1 if two views differ in a status. Instances without a view are reported on standard
+    error.
     """
-    views = _views_of(answers)
+    views = _decode_views(answers)
     print("member", *views, "agree", sep="\t")
     all_agree = True
     for member in sorted({member for view in views.values() for member in view}):
-        cells = [view.get(member, ABSENT) for view in views.values()]
+        cells = [view.get(member, ABSENT_MEMBER) for view in views.values()]
         agree = len({cell.status for cell in cells}) <= 1
         all_agree = all_agree and agree
         print(member, *cells, "yes" if agree else "NO", sep="\t")
     return int(not all_agree)
 
 
-def _views_of(answers: list[InstanceAnswer]) -> dict[str, View]:
-    """The views by instance, without the instances that have none, which are named on standard error."""
+def _decode_views(answers: list[InstanceAnswer]) -> dict[str, View]:
+    """Return the views by instance; instances without a view are left out and reported on standard error."""
     views: dict[str, View] = {}
     for answer in answers:
         view = _decode_view(answer)
@@ -176,7 +177,7 @@
 
 
 def _decode_view(answer: InstanceAnswer) -> View | None:
-    """Decode a view of the membership; None where there is none."""
+    """Decode a membership view; return None if the answer has none."""
     if not answer.ok:
         return None
     try:
@@ -192,7 +193,7 @@
     return view
 
 
-# The commands whose answers are printed in a form of their own.
+# The functions that print the answers of commands with an output format of their own.
 PRINTERS: dict[str, Callable[[list[InstanceAnswer]], int]] = {
     "figures": _print_metrics,
     "members": _print_members,
--- a/maplestile/tools/load/__init__.py
+++ b/maplestile/tools/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: calls to the invoke fronts of one or many instances, at a set rate or from a trace."""
+"""The load generator: calls to the invoke fronts of one or more instances, at a set rate or as in a trace."""
--- a/maplestile/tools/load/arrivals.py
+++ b/maplestile/tools/load/arrivals.py
@@ -1,7 +1,7 @@
-"""When calls are made and to which function; free of I/O. Times are seconds from the start of the load.
+"""The plan of which function is called when, in seconds from the start of a run; this module does no I/O.
 
-The load is open: a call is made when it is due, whatever became of those before, so that a router that stalls
-meets the calls that it would meet in production.
+The load is open-loop: each call is made when it is due, whether or not earlier calls have ended, so that a
+router that stalls receives the calls that it would receive in production.
 """
 
 import random
@@ -14,14 +14,17 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Arrival:
-    """One call that is due."""
+    """One planned call."""
 
     at_s: float
     function: str
 
 
 def poisson(functions: Mapping[str, float], rate: float, seconds: float, seed: int) -> Iterator[Arrival]:
-    """Plan `rate` calls a second over `functions`, by their weights; the same seed gives the same calls."""
+    """Plan `rate` calls per second as a Poisson process, which choose among the weighted functions.
+
+    The same seed gives the same calls.
+    """
     generator = random.Random(seed)
     names = list(functions)
     weights = list(functions.values())
@@ -35,19 +38,19 @@
 class TracedCall:
     """One call of a trace."""
 
-    at_s: float  # in the trace's own time
+    at_s: float  # on the clock of the trace
     app: str
     function: str
 
 
 @dataclass(slots=True)
 class Recorder:
-    """Records the calls of a trace as it is read (`Trace.on_calls`): the first `most` of them."""
+    """A recorder of the first `max_calls` calls of a trace, used as its `Trace.on_calls`."""
 
     seed: int
-    most: int
+    max_calls: int
     calls: list[TracedCall] = field(default_factory=list)
-    dropped: int = 0  # calls beyond `most`
+    dropped: int = 0  # calls beyond `max_calls`
     _random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
@@ -56,7 +59,7 @@
     def record(self, group: CallGroup) -> None:
         """Record the calls of a group, at random times within its span."""
         for _ in range(group.count):
-            if len(self.calls) >= self.most:
+            if len(self.calls) >= self.max_calls:
                 self.dropped += 1
                 continue
             at_s = group.start_s + self._random.random() * group.span_s
@@ -64,7 +67,10 @@
 
 
 def replay(recorder: Recorder, names: Mapping[tuple[str, str], str], speed: float) -> list[Arrival]:
-    """Plan the trace's calls from its first on, `speed` times as fast, under the functions' names."""
+    """Plan the recorded calls `speed` times as fast as in the trace, from the first call on.
+
+    `names` has the name under which each function is called, by app and function.
+    """
     if not recorder.calls:
         return []
     first_s = min(call.at_s for call in recorder.calls)
@@ -73,16 +79,16 @@
     )
 
 
-def names_of(trace: Trace, only: str = "") -> dict[tuple[str, str], str]:
-    """The names of a trace's functions, by app and function.
+def called_names(trace: Trace, only_function: str = "") -> dict[tuple[str, str], str]:
+    """Return the names under which a trace's functions are called, by app and function.
 
-    They are those of its function table (`traces --format functions`), or `only` for each if that is given.
+    They are the names of `traces --format functions`, or `only_function` for all if it is given.
     """
-    return {(usage.app, usage.name): only or name for usage, name in trace.named()}
+    return {(usage.app, usage.name): only_function or name for usage, name in trace.named()}
 
 
 def bounded(arrivals: Iterable[Arrival], seconds: float, count: int) -> Iterator[Arrival]:
-    """The first `count` arrivals, up to the first that is due after `seconds`."""
+    """Yield at most `count` arrivals, and none from the first that is due after `seconds`."""
     for arrival in islice(arrivals, count):
         if arrival.at_s > seconds:
             return
--- a/maplestile/tools/load/client.py
+++ b/maplestile/tools/load/client.py
@@ -1,7 +1,8 @@
-"""The load generator: makes each call when it is due, and counts what became of it.
+"""The client of the load generator: makes each call when it is due, and counts how it ended.
 
-A call whose connection is refused, or ends before anything of the call was sent, goes to the next target: no
-router has received it. One that was sent and got no complete answer is lost: nobody can tell whether it ran.
+If a connection is refused, or ends before any part of the call was sent, the call goes to the next target,
+since no router has received it. A call that was sent and got no complete answer is lost: it may or may not
+have run.
 """
 
 import asyncio
@@ -22,11 +23,11 @@
 REJECTED_STATUSES = frozenset((429, 503))
 US_PER_S = 1e6
 MAX_LATENCY_US = 3_600_000_000
-LATENCY_DIGITS = 3  # significant digits of the histogram
+LATENCY_DIGITS = 3  # significant digits that the histogram keeps
 
 
 class CallEnd(StrEnum):
-    """What became of a call; the values stand in the JSON result."""
+    """How a call ended; the values appear in the JSON result."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -38,16 +39,16 @@
 
 @dataclass(slots=True)
 class CallTemplate:
-    """What every call carries."""
+    """The body and the headers of every call; a header whose value is empty or 0 is not sent."""
 
     body: bytes
     tenant: str = ""
     class_name: str = ""
     deadline_ms: int = 0
-    keys: bool = False  # an Idempotency-Key of its own with each call
+    keys: bool = False  # whether each call has an Idempotency-Key of its own
 
     def headers(self, key: str) -> Headers:
-        """The headers of one call."""
+        """Return the headers of one call."""
         headers: Headers = []
         if self.tenant:
             headers.append(("Maplestile-Tenant", self.tenant))
@@ -62,27 +63,27 @@
 
 @dataclass
 class Result:
-    """What became of the calls; latencies in microseconds, from when each call was due."""
+    """The result of a run; latencies are in microseconds, from the time when each call was due."""
 
-    ends: Counter[str] = field(default_factory=Counter)
-    statuses: Counter[int] = field(default_factory=Counter)
-    targets: Counter[str] = field(default_factory=Counter)  # served, by target
-    moved: int = 0  # attempts at a target that took no connection
-    late_us: int = 0  # the most that a call was made after it was due: this tool's own lag
-    seconds: float = 0.0
-    ends_by_second: dict[int, Counter[str]] = field(default_factory=dict)  # of the call's arrival
+    ends: Counter[str] = field(default_factory=Counter)  # calls by `CallEnd`
+    statuses: Counter[int] = field(default_factory=Counter)  # answers by HTTP status
+    targets: Counter[str] = field(default_factory=Counter)  # served calls by target
+    moved: int = 0  # attempts at a target that accepted no connection
+    max_lag_us: int = 0  # the longest delay of the load generator itself in making a call that was due
+    seconds: float = 0.0  # duration of the run
+    ends_by_second: dict[int, Counter[str]] = field(default_factory=dict)  # by the second of the arrival
 
     def __post_init__(self) -> None:
         self.latency = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
 
     def record_end(self, end: CallEnd, arrival: Arrival) -> None:
-        """Count what became of a call."""
+        """Count a call by how it ended."""
         self.ends[end] += 1
         self.ends_by_second.setdefault(int(arrival.at_s), Counter())[end] += 1
 
 
 class Load:
-    """One run against some targets, which are called in turn."""
+    """One run against a number of targets, which are called in turn."""
 
     def __init__(self, targets: list[Address], request: CallTemplate, wait_s: float) -> None:
         self._targets = [Target(address) for address in targets]
@@ -93,7 +94,7 @@
         self._calls: set[asyncio.Task[None]] = set()
 
     async def run(self, arrivals: Iterable[Arrival], max_in_flight: int) -> Result:
-        """Make all calls, and wait until each has ended."""
+        """Make all calls, wait until each has ended, and return the result."""
         started_s = time.monotonic()
         for number, arrival in enumerate(arrivals):
             due_s = started_s + arrival.at_s
@@ -101,8 +102,8 @@
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
             lag_us = int((time.monotonic() - due_s) * US_PER_S)
-            self._result.late_us = max(self._result.late_us, lag_us)
-            if len(self._calls) >= max_in_flight:  # guards this process: a fleet that answers nothing
+            self._result.max_lag_us = max(self._result.max_lag_us, lag_us)
+            if len(self._calls) >= max_in_flight:  # bounds the memory of this process if nothing is answered
                 self._result.record_end(CallEnd.NOT_MADE, arrival)
             else:
                 self._start(number, arrival, due_s)
@@ -130,7 +131,7 @@
         self._result.record_end(end, arrival)
 
     async def _call_targets(self, number: int, arrival: Arrival) -> CallEnd:
-        """Call the targets, from the one whose turn it is, until one takes the call."""
+        """Try the targets, from the one whose turn it is, until one accepts the call."""
         first = next(self._turns)
         headers = self._request.headers(f"load-{id(self):x}-{number}")
         for target in (*self._targets[first:], *self._targets[:first]):
@@ -149,7 +150,7 @@
     async def _call_target(self, target: Target, arrival: Arrival, headers: Headers) -> int:
         """Make the call at one target and return the status. Raises `NotSent` or `CallLost`.
 
-        A connection that was idle may have ended before the call is sent; then another one is used.
+        If an idle connection has ended before the call could be sent, another connection is used.
         """
         path = f"/v1/functions/{arrival.function}/invocations"
         while True:
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -1,6 +1,6 @@
-"""`maplestile load`: call invoke fronts at a rate or as in a trace, and print the result as JSON.
+"""`maplestile load`: call invoke fronts at a set rate or as in a trace, and print the result as JSON.
 
-Exits with 0 whatever became of the calls, and with 2 for arguments that cannot be used.
+The exit code is 0 however the calls ended, and 2 for invalid arguments.
 """
 
 import argparse
@@ -18,12 +18,12 @@
     from maplestile.tools.load.arrivals import Arrival
     from maplestile.tools.load.client import CallTemplate
 
-# The modules of the load tool are imported by the functions that need them: the library of the histogram
-# would delay the start of every other command.
+# The modules of the load generator are imported by the functions that need them, because the histogram
+# library would delay the start of every other command.
 
 
 class ArgumentsError(ConfigError):
-    """Arguments of the command that cannot be used."""
+    """The error for invalid arguments of the command."""
 
 
 def add(commands: Any) -> None:
@@ -59,7 +59,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Make the calls, print the result, and draw the plot if there is to be one."""
+    """Make the calls, print the result, and draw the plot if one is requested."""
     from maplestile.tools.load import arrivals, client, report
 
     try:
@@ -69,7 +69,7 @@
     except ArgumentsError as error:
         print(f"maplestile: load: {error}", file=sys.stderr)
         return 2
-    planned = arrivals.bounded(_arrivals(arguments, weights), arguments.seconds, arguments.count)
+    planned = arrivals.bounded(_plan_arrivals(arguments, weights), arguments.seconds, arguments.count)
     load = client.Load(targets, _call_template(arguments), arguments.wait_s)
     result = asyncio.run(load.run(planned, arguments.open))
     print(report.as_json(report.summarize(result)))
@@ -105,22 +105,22 @@
 
 
 def _parse_weights(texts: Sequence[str]) -> dict[str, float]:
-    """The weights of the functions by name. Raises `ArgumentsError` for the last text that is wrong."""
+    """Return the weights by function name. Raises `ArgumentsError` for the last text that is invalid."""
     weights: dict[str, float] = {}
-    wrong = None
+    invalid_text = None
     for text in texts:
         name, _, weight = text.partition("=")
         try:
             weights[name] = float(weight or 1)
         except ValueError:
-            wrong = text
-    if wrong is not None:
-        raise ArgumentsError(f"--function {wrong}: the weight is no number")
+            invalid_text = text
+    if invalid_text is not None:
+        raise ArgumentsError(f"--function {invalid_text}: the weight is no number")
     return weights
 
 
 def _check_numbers(arguments: argparse.Namespace) -> None:
-    """Raise `ArgumentsError` where the numbers do not fit together or are out of range."""
+    """Check that the options fit together and are in range. Raises `ArgumentsError` if they are not."""
     if bool(arguments.rate) == bool(arguments.trace):
         raise ArgumentsError("either --rate or --trace")
     if arguments.rate and not arguments.function:
@@ -130,8 +130,8 @@
         raise ArgumentsError("--rate, --speed, --seconds, --count, --open and --wait-s must be over 0")
 
 
-def _arrivals(arguments: argparse.Namespace, weights: dict[str, float]) -> "Iterable[Arrival]":
-    """Plan the calls, by a Poisson process or by the files of a trace. Raises `TraceError`."""
+def _plan_arrivals(arguments: argparse.Namespace, weights: dict[str, float]) -> "Iterable[Arrival]":
+    """Plan the calls, as a Poisson process or from the files of a trace. Raises `TraceError`."""
     from maplestile.tools.load import arrivals
 
     if arguments.rate:
@@ -139,4 +139,4 @@
     recorder = arrivals.Recorder(arguments.seed, arguments.count)
     trace = read_traces(arguments.trace, recorder.record)
     only_function = next(iter(weights), "")
-    return arrivals.replay(recorder, arrivals.names_of(trace, only_function), arguments.speed)
+    return arrivals.replay(recorder, arrivals.called_names(trace, only_function), arguments.speed)
--- a/maplestile/tools/load/connection.py
+++ b/maplestile/tools/load/connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections of the load tool, by h11, kept and used again."""
+"""HTTP/1.1 connections of the load generator, which are kept and reused; the protocol is parsed by h11."""
 
 import asyncio
 import select
@@ -15,11 +15,11 @@
 
 
 class NotSent(Exception):
-    """The connection could not be opened, or had ended before the call was sent."""
+    """The error for a call that was not sent: it got no connection, or the connection had ended."""
 
 
 class CallLost(Exception):
-    """The call was sent, and no complete answer came."""
+    """The error for a call that was sent and got no complete answer."""
 
 
 class Connection:
@@ -31,11 +31,11 @@
         self._protocol = h11.Connection(h11.CLIENT)
 
     def is_closed(self) -> bool:
-        """Whether either side has ended the connection, also if this loop has not read of that yet."""
+        """Return whether either side has ended the connection, even if the event loop has not noticed yet."""
         return self._reader.at_eof() or self._writer.is_closing() or self._has_unread_input()
 
     def is_reusable(self) -> bool:
-        """Whether the last call has left the connection ready for another."""
+        """Return whether the last call has left the connection ready for another."""
         if self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE:
             self._protocol.start_next_cycle()
         return self._protocol.our_state is h11.IDLE
@@ -45,10 +45,11 @@
         self._writer.close()
 
     def _has_unread_input(self) -> bool:
-        """Look at the socket itself: between two calls, all that can come is the end of the connection.
+        """Return whether the socket has input that the event loop has not read yet.
 
-        A loop that was busy for a while would otherwise write calls to connections that ended long ago, and
-        nobody could tell whether those calls were received.
+        Between calls, such input can only be the end of the connection. Without this check, an event loop
+        that was busy for a while would write calls to connections that had ended long before, and it would be
+        unknown whether those calls were received.
         """
         poll = select.poll()
         poll.register(self._writer.get_extra_info("socket"), select.POLLIN)
@@ -57,11 +58,11 @@
     async def call(self, host: str, path: str, headers: Headers, body: bytes) -> int:
         """Post the body and return the status of the answer.
 
-        Raises `NotSent` before the call is sent, `CallLost` after it.
+        Raises `NotSent` if the call was not sent, and `CallLost` if it was sent and got no complete answer.
         """
         data = self._encode(host, path, headers, body)
         if self.is_closed():
-            raise NotSent("it ended while it was idle")
+            raise NotSent("the connection ended while it was idle")
         self._writer.write(data)
         try:
             return await self._read_answer()
@@ -85,7 +86,7 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.ConnectionClosed):
-                raise CallLost("the connection ended")
+                raise CallLost("the connection ended before the answer was complete")
         return status
 
 
@@ -98,11 +99,11 @@
         self._idle: deque[Connection] = deque()
 
     def has_idle(self) -> bool:
-        """Whether the next connection may be one that was idle."""
+        """Return whether there are idle connections, one of which `connect` may return."""
         return bool(self._idle)
 
     async def connect(self) -> Connection:
-        """Take an idle connection that is still open, or open one. Raises `NotSent`."""
+        """Return an idle connection that is still open, or open a new one. Raises `NotSent`."""
         while self._idle:
             connection = self._idle.pop()
             if not connection.is_closed():
@@ -115,7 +116,7 @@
         return Connection(reader, writer)
 
     def release(self, connection: Connection) -> None:
-        """Keep a connection for the next call, or close it where it cannot be used again."""
+        """Keep a connection for another call, or close it if it cannot be reused or enough are idle."""
         if connection.is_reusable() and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
--- a/maplestile/tools/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -1,4 +1,4 @@
-"""The result of a load as JSON, and as a plot over time."""
+"""The result of the load generator as JSON and as a plot."""
 
 import json
 from collections import Counter
@@ -23,17 +23,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadSummary:
-    """The result as it is printed; the names of the fields are the keys of the JSON object."""
+    """The result in the printed form; the field names are the keys of the JSON object."""
 
     calls: int
-    ends: dict[str, int]  # calls by their end
-    seconds: float
+    ends: dict[str, int]  # calls by `CallEnd`
+    seconds: float  # duration of the run
     served_share: float | None  # None without calls
-    latency_ms: dict[str, float] | None  # of served calls, by percentile; None without any
-    statuses: dict[str, int]  # calls by the HTTP status of the answer
+    latency_ms: dict[str, float] | None  # of served calls, by percentile; None without served calls
+    statuses: dict[str, int]  # answers by HTTP status
     served_by_target: dict[str, int]
-    moved: int  # attempts at a target that took no connection
-    own_lag_ms: float  # the most that a call was made after it was due
+    moved: int  # attempts at a target that accepted no connection
+    own_lag_ms: float  # the longest delay of the load generator itself in making a call that was due
 
 
 def _latency_ms(result: Result, percentile: float) -> float:
@@ -41,7 +41,7 @@
 
 
 def summarize(result: Result) -> LoadSummary:
-    """Count calls by their end, and take the percentiles of the latencies of the served ones."""
+    """Return the calls by how they ended, and the latency percentiles of the served calls."""
     calls = result.ends.total()
     served = result.ends[CallEnd.SERVED]
     latency_ms = {f"p{percentile:g}": _latency_ms(result, percentile) for percentile in PERCENTILES}
@@ -55,17 +55,17 @@
         statuses={str(status): count for status, count in sorted(result.statuses.items())},
         served_by_target=dict(sorted(result.targets.items())),
         moved=result.moved,
-        own_lag_ms=round(result.late_us / US_PER_MS, 3),
+        own_lag_ms=round(result.max_lag_us / US_PER_MS, 3),
     )
 
 
 def as_json(summary: LoadSummary) -> str:
-    """The summary as a JSON object."""
+    """Return the summary as a JSON object."""
     return json.dumps(asdict(summary), indent=2)
 
 
 def plot(result: Result, title: str, path: Path) -> None:
-    """Draw the ends of calls by the second in which they were due, and the latencies of the served ones."""
+    """Plot how the calls of each second ended, and the latencies of the served calls, into a file."""
     pyplot = load_pyplot()
     figure, (top, bottom) = pyplot.subplots(2, 1, figsize=(8, 6))
     _plot_ends(top, result)
@@ -80,7 +80,7 @@
 
 
 def _plot_ends(axes: Any, result: Result) -> None:
-    """Draw a stacked bar for each second."""
+    """Draw a stacked bar for each second, with the calls that were due in it by how they ended."""
     seconds = range(max(result.ends_by_second, default=0) + 1)
     below = [0] * len(seconds)
     for end, colour in COLOURS.items():
--- a/maplestile/tools/plots.py
+++ b/maplestile/tools/plots.py
@@ -1,16 +1,16 @@
-"""The set-up of matplotlib that all plots of the tools share."""
+"""The matplotlib setup that the plots of all tools share."""
 
 from typing import Any
 
 
 def load_pyplot() -> Any:
-    """The `matplotlib.pyplot` module, set up to draw into files without a screen.
+    """Return the `matplotlib.pyplot` module, set up to draw into files without a display.
 
-    It is imported by the first plot, since that takes long and most runs draw nothing.
+    It is imported only when something is plotted, because the import is slow and most runs plot nothing.
     """
     import matplotlib
 
-    matplotlib.use("Agg")  # draws into memory, for a file; needs no screen
+    matplotlib.use("Agg")  # draws into memory and needs no display
     from matplotlib import pyplot
 
     return pyplot
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -1,7 +1,8 @@
-"""`maplestile policy propose FILE | status | rollback`: the operators' side of the fleet's policy.
+"""`maplestile policy propose FILE | status | rollback`: change the fleet's policy, or print its status.
 
-Exits with 0 where the change is committed or the status printed, with 1 where the fleet refused or aborted
-the change or no agent answered, and with 2 for a file that cannot be used, with the field named.
+The exit code is 0 if the change was committed (with `--no-wait`: proposed) or the status was printed, 1 if
+the fleet rejected or aborted the change or no agent answered, and 2 for an invalid file; the error names the
+field.
 """
 
 import argparse
@@ -19,28 +20,30 @@
 from maplestile.invoke.operator_file import OperatorError, from_tables, read
 from maplestile.tools.agent_client import AgentReply, add_agent_options, request_agent
 
-DECISION_TIMEOUT_S = 30.0  # of a change: its check takes 6 s at the most, an election 2
+DECISION_TIMEOUT_S = 30.0  # for a change: its check takes at most 6 s, a leader election 2 s
 POLL_INTERVAL_S = 0.1
 EXIT_DONE = 0
-EXIT_REFUSED = 1
+EXIT_FAILED = 1
 EXIT_BAD_FILE = 2
 
 
 @dataclass(slots=True, frozen=True)
 class InstancePolicy:
-    """The policy of one instance, as its agent last reported it; None where there is no report."""
+    """The policy of one instance, as its agent last reported it."""
 
     name: str
     agent: str
-    epoch: int | None
+    epoch: int | None  # None without a report
     standing: str
-    report_age_s: float | None
-    stale_s: float  # for how long the epoch has not been known to be the committed one; 0 while it is
-    reason: str
+    report_age_s: float | None  # None without a report
+    stale_s: (
+        float  # how long the instance has not known whether its epoch is the committed one; 0 if it knows
+    )
+    reason: str  # empty if there is none
 
     @classmethod
     def decode(cls, name: str, encoded: Mapping[str, Any]) -> "InstancePolicy":
-        """The policy of an instance, from its entry in an agent's reply."""
+        """Decode the entry of an instance in an agent's reply."""
         return cls(
             name=name,
             agent=encoded["agent"],
@@ -82,9 +85,10 @@
 
 
 def load_policy(path: Path) -> Document:
-    """Read the policy of a file and check it as routers of this build do.
+    """Read a policy file and check it as routers of this build do.
 
-    It is checked as part of the file of a router that has one function. Raises ConfigError naming the field.
+    The policy is checked together with a minimal router file that has one function. Raises ConfigError, which
+    names the invalid field.
     """
     document = Document.from_tables(read(path))
     router = {
@@ -104,7 +108,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run a sub-command and return the exit code."""
+    """Run a sub-command and return its exit code."""
     match arguments.what:
         case "propose":
             return _propose(arguments)
@@ -121,21 +125,21 @@
         return EXIT_BAD_FILE
     base = _base_epoch(arguments)
     if base is None:
-        return EXIT_REFUSED
+        return EXIT_FAILED
     return _submit(arguments, {"document": document, "base": base})
 
 
 def _roll_back(arguments: argparse.Namespace) -> int:
     base = _base_epoch(arguments)
     if base is None:
-        return EXIT_REFUSED
+        return EXIT_FAILED
     return _submit(arguments, {"base": base, "to": arguments.to})
 
 
 def _show_status(arguments: argparse.Namespace) -> int:
     status = _request_status(arguments)
     if status is None:
-        return EXIT_REFUSED
+        return EXIT_FAILED
     if arguments.json:
         print(json.dumps(status, indent=2))
     else:
@@ -144,19 +148,19 @@
 
 
 def _base_epoch(arguments: argparse.Namespace) -> int | None:
-    """The epoch that a change is based on: `--base`, or the fleet's; None where no agent answered."""
+    """Return the epoch that a change is based on: `--base` or the committed one; None if no agent answers."""
     status = _request_status(arguments)
     if status is None:
         return None
-    agreed = AgreedPolicies.decode(status["agreed"])
-    return agreed.epoch.number if arguments.base is None else int(arguments.base)
+    policies = AgreedPolicies.decode(status["agreed"])
+    return policies.epoch.number if arguments.base is None else int(arguments.base)
 
 
 def _submit(arguments: argparse.Namespace, command: Mapping[str, Any]) -> int:
-    """Propose a change, and wait until it is decided unless `--no-wait` is given."""
+    """Propose a change, wait for the decision unless `--no-wait` is given, and return the exit code."""
     reply = request_agent(arguments.agent, "policy", [], what=arguments.what, command=command)
     if reply is None:
-        return EXIT_REFUSED
+        return EXIT_FAILED
     if not arguments.no_wait:
         return _wait_until_decided(arguments, int(reply["policy"]["change"]))
     print(json.dumps(reply) if arguments.json else f"change {reply['policy']['change']} is being checked")
@@ -164,29 +168,34 @@
 
 
 def _request_status(arguments: argparse.Namespace) -> AgentReply | None:
-    """The agent's view of the policy; None, with the reason printed, where it gives no answer."""
+    """Return the policy status of the agent; without an answer, print the reason and return None."""
     reply = request_agent(arguments.agent, "policy", [], what="status")
     return None if reply is None else reply["policy"]
 
 
 def _wait_until_decided(arguments: argparse.Namespace, number: int) -> int:
-    """Wait for the end of a change, by the replica of the agent, which may be a little behind."""
+    """Poll the agent until a change is decided, and return the exit code.
+
+    The agent answers from its own replica, which may lag behind the leader.
+    """
     end_s = time.monotonic() + DECISION_TIMEOUT_S
     while time.monotonic() < end_s:
         status = _request_status(arguments)
         if status is None:
-            return EXIT_REFUSED
+            return EXIT_FAILED
         change = _find_change(AgreedPolicies.decode(status["agreed"]), number)
         if change is not None and change.phase is not Phase.CHECKING:
             return _print_decision(arguments, change)
         time.sleep(POLL_INTERVAL_S)
-    text = f"change {number} is not decided after {DECISION_TIMEOUT_S:.0f} s: see `policy status`"
+    text = (
+        f"change {number} was not decided within {DECISION_TIMEOUT_S:.0f} s: see `maplestile policy status`"
+    )
     print(f"maplestile: {text}", file=sys.stderr)
-    return EXIT_REFUSED
+    return EXIT_FAILED
 
 
-def _find_change(agreed: AgreedPolicies, number: int) -> Change | None:
-    changes = (agreed.change, *agreed.history)
+def _find_change(policies: AgreedPolicies, number: int) -> Change | None:
+    changes = (policies.change, *policies.history)
     return next((change for change in changes if change is not None and change.number == number), None)
 
 
@@ -202,7 +211,7 @@
     if is_committed:
         return EXIT_DONE
     print(f"maplestile: change {change.number} is given up: {change.reason}", file=sys.stderr)
-    return EXIT_REFUSED
+    return EXIT_FAILED
 
 
 def _decision_json(change: Change, epoch: int) -> dict[str, Any]:
@@ -216,16 +225,16 @@
 
 
 def _print_status(status: AgentReply) -> None:
-    agreed = AgreedPolicies.decode(status["agreed"])
+    policies = AgreedPolicies.decode(status["agreed"])
     raft = status["raft"]
-    _print_epoch(agreed.epoch, agreed.epochs)
+    _print_epoch(policies.epoch, policies.epochs)
     cut_off = "" if status["ready"] else "; cut off: this is old"
     print(f"leader {raft['leader'] or 'unknown'}, term {raft['term']}{cut_off}")
-    if agreed.change is not None:
-        _print_change(agreed.change)
+    if policies.change is not None:
+        _print_change(policies.change)
     print("instance", "agent", "epoch", "standing", "heard", "", sep="\t")
     for name, instance in status["instances"].items():
-        _print_instance(InstancePolicy.decode(name, instance), agreed)
+        _print_instance(InstancePolicy.decode(name, instance), policies)
 
 
 def _print_epoch(epoch: Epoch, kept: list[Epoch]) -> None:
@@ -242,27 +251,27 @@
         print(f"not there at the commit: {', '.join(change.absent)}")
 
 
-def _print_instance(instance: InstancePolicy, agreed: AgreedPolicies) -> None:
+def _print_instance(instance: InstancePolicy, policies: AgreedPolicies) -> None:
     epoch = "-" if instance.epoch is None else instance.epoch
     age = "never" if instance.report_age_s is None else f"{instance.report_age_s} s"
-    notes = "; ".join(_notes(instance, agreed))
+    notes = "; ".join(_notes(instance, policies))
     print(instance.name, instance.agent, epoch, instance.standing, age, notes, sep="\t")
 
 
-def _notes(instance: InstancePolicy, agreed: AgreedPolicies) -> Iterator[str]:
-    """What an operator has to know of an instance beside its epoch."""
-    if instance.epoch is not None and instance.epoch < agreed.epoch.number:
+def _notes(instance: InstancePolicy, policies: AgreedPolicies) -> Iterator[str]:
+    """Yield the notes in the last column of an instance: lagging, stale, its reason and its verdict."""
+    if instance.epoch is not None and instance.epoch < policies.epoch.number:
         yield "lags"
     if instance.stale_s:
         yield f"stale for {instance.stale_s} s"
     if instance.reason:
         yield instance.reason
-    verdict = agreed.change.verdicts.get(instance.name, "") if agreed.change is not None else ""
+    verdict = policies.change.verdicts.get(instance.name, "") if policies.change is not None else ""
     if verdict:
         yield verdict
 
 
 def is_policy_file(path: Path) -> bool:
-    """Whether a file has tables of policy alone, and so is checked as such by `maplestile check`."""
+    """Return whether `maplestile check` treats a file as a policy: it has no `invoke` or `function` table."""
     tables = TomlTable(read(path), "", OperatorError).values
     return bool(tables) and "invoke" not in tables and "function" not in tables
--- a/maplestile/tools/rollout_command.py
+++ b/maplestile/tools/rollout_command.py
@@ -1,6 +1,7 @@
-"""`maplestile rollout`: start, watch and control the rollout that a fleet of agents agrees on.
+"""`maplestile rollout`: start, watch and control the rollout of a fleet.
 
-Exits with 0 where the fleet agreed, with 1 where it refused or no agent answered, with the reason.
+The exit code is 0 if the command succeeded. It is 1, with the reason on standard error, if the command was
+rejected or no agent answered.
 """
 
 import argparse
@@ -24,20 +25,20 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutSummary:
-    """What is printed of a rollout."""
+    """The fields of a rollout that are printed."""
 
     number: int
     action: str
-    kind: str  # of instances: routers or runners
+    kind: str  # of the instances: routers or runners
     phase: str
-    reason: str  # of a halt or an undo
-    done: int  # instances
-    targets: int
-    budget: int
+    reason: str  # for a halt or an undo; empty without one
+    done: int  # number of instances that are done
+    targets: int  # number of instances to roll out to
+    budget: int  # number of instances that may be out at once
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> "RolloutSummary":
-        """The summary of a rollout in an agent's reply; fields that are not printed are ignored."""
+        """Decode a rollout in an agent's reply; fields that are not printed are ignored."""
         return cls(
             number=encoded["number"],
             action=encoded["action"],
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseSummary:
-    """What is printed of a lease."""
+    """The fields of a lease that are printed."""
 
     instance: str
     action: str
@@ -61,7 +62,7 @@
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> "LeaseSummary":
-        """The summary of a lease in an agent's reply; fields that are not printed are ignored."""
+        """Decode a lease in an agent's reply; fields that are not printed are ignored."""
         return cls(encoded["instance"], encoded["action"], encoded["stage"], encoded["holder"])
 
 
@@ -90,7 +91,7 @@
 
 def run(arguments: argparse.Namespace) -> int:
     """Send the sub-command to the agent and print its reply."""
-    command = _log_command(arguments)
+    command = _command_fields(arguments)
     reply = request_agent(arguments.agent, "rollout", [], what=arguments.what, command=command)
     if reply is None:
         return 1
@@ -99,12 +100,12 @@
     elif arguments.what == "status":
         _print_status(reply["rollout"])
     else:
-        print(_outcome_text(reply["rollout"]))
+        print(_format_outcome(reply["rollout"]))
     return 0
 
 
-def _log_command(arguments: argparse.Namespace) -> dict[str, Any]:
-    """Encode the command for the replicated log, without its kind."""
+def _command_fields(arguments: argparse.Namespace) -> dict[str, Any]:
+    """Return the fields of the command for the replicated log; its type is sent separately, as `what`."""
     match arguments.what:
         case "start":
             return {
@@ -120,7 +121,7 @@
     return {}
 
 
-def _outcome_text(outcome: Mapping[str, Any]) -> str:
+def _format_outcome(outcome: Mapping[str, Any]) -> str:
     fields = (f"{key} {value}" for key, value in outcome.items() if key != "ok")
     return ", ".join(fields) or "done"
 
--- a/maplestile/tools/serving_commands.py
+++ b/maplestile/tools/serving_commands.py
@@ -1,4 +1,4 @@
-"""The commands that run a program or check its file: `serve`, `check` and `agent`."""
+"""The commands that run a router or an agent, or check a file: `serve`, `agent` and `check`."""
 
 import argparse
 import asyncio
@@ -25,12 +25,12 @@
 
 
 def _serve(arguments: argparse.Namespace) -> int:
-    # Imported here: the router loads all of its front ends, which would delay the start of other commands.
+    # Imported here, because the router loads all its fronts, which would delay the start of other commands.
     from maplestile.router.process import serve
 
-    # A file with a policy may be complete only together with the policy that the fleet has agreed on.
+    # A file with a [policy] table may be complete only together with the fleet's committed policy.
     if "policy" not in read(arguments.file):
-        load(arguments.file)  # reports errors of the file before the log is set up
+        load(arguments.file)  # reports errors in the file before the log is set up
     return serve(arguments.file)
 
 
@@ -53,7 +53,7 @@
         for instance in supervisor.load_settings(file).instances:
             if instance.name == name:
                 return instance
-        raise OperatorError(f"{file}: no instance '{name}' any more")
+        raise OperatorError(f"{file}: the file no longer defines instance '{name}'")
 
     try:
         asyncio.run(supervisor.Supervisor(settings, reload_instance).run())
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -1,8 +1,8 @@
-"""Public cluster traces in CSV, read row by row: what each function uses.
+"""Reader of public cluster traces in CSV; it adds up the usage of each function row by row.
 
-They are known by their header: the Azure Functions trace of 2019 (invocations a minute, durations, memory by
-app) and that of 2021 (one row a call). Several files of one trace are put together by function.
-See https://github.com/Azure/AzurePublicDataset for the forms.
+The format is recognised by the header: the Azure Functions trace of 2019 (invocations per minute, durations,
+and memory by app) or that of 2021 (one row per call). Several files of one trace are joined by function.
+See https://github.com/Azure/AzurePublicDataset for the formats.
 """
 
 import csv
@@ -15,7 +15,7 @@
 DAY_MINUTES = 1440
 MS_PER_S = 1000
 SHORT_NAME_LENGTH = 16
-MAX_BAD_ROWS = 1000  # named; a file of another kind must not fill the memory
+MAX_BAD_ROWS = 1000  # reported; bounds the memory that a file of another format takes
 
 Row = list[str]
 Columns = Mapping[str, int]  # the index of each column by its name
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True, frozen=True)
 class CallGroup:
-    """Calls of one function that a row has."""
+    """Calls of one function from one row, which start within one time span."""
 
     app: str
     function: str
-    start_s: float
-    span_s: float  # within which they start; 0 for a single call with a known start
+    start_s: float  # start of the span, on the clock of the trace
+    span_s: float  # length of the span; 0 for a single call with a known start
     count: int
 
 
@@ -36,53 +36,53 @@
 
 
 class TraceError(Exception):
-    """A file that is no known trace."""
+    """The error for a file that cannot be read or is in no known trace format."""
 
 
 class RowError(Exception):
-    """A row that cannot be used."""
+    """The error for an invalid row."""
 
 
 @dataclass(slots=True)
 class Usage:
-    """One function; means are kept as sums and counts, so that no row needs to be held."""
+    """The usage of one function, as sums and counts, so that rows need not be stored to compute means."""
 
     owner: str
     app: str
     name: str
     calls: float = 0.0
-    span_s: float = 0.0
+    span_s: float = 0.0  # length of the part of the trace that covers the function; 0 while unknown
     gap_sum_s: float = 0.0
-    gaps: int = 0
+    gap_count: int = 0  # gaps between the starts of consecutive calls
     max_gap_s: float = 0.0
     duration_sum_ms: float = 0.0
-    durations: float = 0.0
+    duration_count: float = 0.0  # calls with a known duration
     max_duration_ms: float = 0.0
-    last_s: float = -math.inf
+    last_start_s: float = -math.inf  # latest start of a call so far
 
-    def rate(self) -> float:
-        """Calls a second."""
+    def calls_per_second(self) -> float:
+        """Return the mean number of calls per second; 0 if the span is unknown."""
         return self.calls / self.span_s if self.span_s > 0 else 0.0
 
-    def duration_ms(self) -> float | None:
-        """The mean duration."""
-        return self.duration_sum_ms / self.durations if self.durations else None
+    def mean_duration_ms(self) -> float | None:
+        """Return the mean duration, or None if no duration is known."""
+        return self.duration_sum_ms / self.duration_count if self.duration_count else None
 
-    def gap_s(self) -> float | None:
-        """The mean time between the starts of two calls."""
-        return self.gap_sum_s / self.gaps if self.gaps else None
+    def mean_gap_s(self) -> float | None:
+        """Return the mean time between the starts of consecutive calls, or None without two calls."""
+        return self.gap_sum_s / self.gap_count if self.gap_count else None
 
     def add_gap(self, gap_s: float) -> None:
-        """Count the time between the starts of two calls."""
+        """Add a time between the starts of two consecutive calls."""
         self.max_gap_s = max(self.max_gap_s, gap_s)
         self.gap_sum_s += gap_s
-        self.gaps += 1
+        self.gap_count += 1
 
-    def add_durations(self, mean_ms: float, count: float, most_ms: float) -> None:
-        """Count some calls' durations."""
+    def add_durations(self, mean_ms: float, count: float, max_ms: float) -> None:
+        """Add the mean and longest duration of `count` calls."""
         self.duration_sum_ms += mean_ms * count
-        self.durations += count
-        self.max_duration_ms = max(self.max_duration_ms, most_ms)
+        self.duration_count += count
+        self.max_duration_ms = max(self.max_duration_ms, max_ms)
 
 
 @dataclass(slots=True)
@@ -90,17 +90,17 @@
     """The content of the files of one trace that have been read so far."""
 
     functions: dict[tuple[str, str], Usage] = field(default_factory=dict)
-    memory: dict[str, tuple[float, float]] = field(default_factory=dict)  # app to sum and weight
-    bad: list[str] = field(default_factory=list)  # rows that could not be used, by their line
+    memory: dict[str, tuple[float, float]] = field(default_factory=dict)  # by app: weighted sum in MB, weight
+    row_errors: list[str] = field(default_factory=list)  # one for each invalid row, with its line number
     rows: int = 0
-    first_s: float = math.inf
-    last_s: float = -math.inf
-    on_calls: CallGroupHandler | None = None  # receives the calls as they are read
+    first_s: float = math.inf  # start of the first call, in traces of single calls
+    last_s: float = -math.inf  # end of the last call, in traces of single calls
+    on_calls: CallGroupHandler | None = None  # receives the calls as they are read; None for no handler
 
     def usage(self, owner: str, app: str, name: str) -> Usage:
-        """The usage of a function, which is new at its first row. Raises `RowError`."""
+        """Return the usage of a function, creating it at its first row. Raises `RowError` for empty names."""
         if not app or not name:
-            raise RowError("no app or no function")
+            raise RowError("the name of the app or the function is empty")
         found = self.functions.get((app, name))
         if found is None:
             found = Usage(owner, app, name)
@@ -108,14 +108,14 @@
         return found
 
     def memory_mb(self, usage: Usage) -> float | None:
-        """The mean memory of a function's app; None where the trace has none."""
+        """Return the mean memory of a function's app, or None if the trace has no memory of the app."""
         total, weight = self.memory.get(usage.app, (0.0, 0.0))
         return total / weight if weight else None
 
     def read(self, file: TextIO, name: str, max_bad_rows: int = MAX_BAD_ROWS) -> None:
-        """Read one file; a row that cannot be used is named by its line and left out.
+        """Read one file; invalid rows are skipped and reported in `row_errors` by their line number.
 
-        Raises `TraceError` where the file is no known trace.
+        Raises `TraceError` if the file is in no known trace format.
         """
         reader = csv.reader(file)
         try:
@@ -131,28 +131,28 @@
             except StopIteration:
                 break
             except (RowError, csv.Error) as error:
-                if len(self.bad) < max_bad_rows:
-                    self.bad.append(f"{name}, line {reader.line_num}: {error}")
+                if len(self.row_errors) < max_bad_rows:
+                    self.row_errors.append(f"{name}, line {reader.line_num}: {error}")
         self._set_spans()
 
     def _read_row(self, row: Row, width: int, read_row: Callable[[Row], None]) -> None:
         self.rows += 1
         if len(row) != width:
-            raise RowError(f"{len(row)} fields where {width} are due")
+            raise RowError(f"found {len(row)} fields, expected {width}")
         read_row(row)
 
     def _set_spans(self) -> None:
-        """Give the functions without a span of their own that of the whole trace."""
+        """Set the span of the functions that have none to that of the whole trace."""
         if self.last_s > self.first_s:
             for usage in self.functions.values():
                 usage.span_s = usage.span_s or self.last_s - self.first_s
 
     def _row_reader(self, header: Row, name: str) -> Callable[[Row], None]:
-        """The reader for rows of a file with this header. Raises `TraceError` where there is none."""
+        """Return the reader for rows under this header. Raises `TraceError` if no format has this header."""
         columns = {column: index for index, column in enumerate(header)}
         names = columns.keys()
         if {"HashApp", "HashFunction", "1"} <= names:
-            minutes = [columns[str(m)] for m in range(1, DAY_MINUTES + 1) if str(m) in columns]
+            minutes = [columns[str(minute)] for minute in range(1, DAY_MINUTES + 1) if str(minute) in columns]
             return lambda row: self._read_minutes(row, columns, minutes)
         if {"HashApp", "HashFunction", "Average", "Count"} <= names:
             return lambda row: self._read_durations(row, columns)
@@ -160,15 +160,15 @@
             return lambda row: self._read_memory(row, columns)
         if {"app", "func", "end_timestamp", "duration"} <= names:
             return lambda row: self._read_call(row, columns)
-        raise TraceError(f"{name}: its header is of no trace known here")
+        raise TraceError(f"{name}: the header matches no known trace format")
 
     def _hashed_usage(self, row: Row, columns: Columns) -> Usage:
         owner = row[columns["HashOwner"]] if "HashOwner" in columns else ""
         return self.usage(owner, row[columns["HashApp"]], row[columns["HashFunction"]])
 
     def _read_minutes(self, row: Row, columns: Columns, minutes: list[int]) -> None:
-        """Read a function's calls in each minute."""
-        counts = [number(row[index], f"minute {minute}") for minute, index in enumerate(minutes, 1)]
+        """Read the calls of a function in each minute."""
+        counts = [parse_number(row[index], f"minute {minute}") for minute, index in enumerate(minutes, 1)]
         usage = self._hashed_usage(row, columns)
         start_s = usage.span_s
         usage.calls += sum(counts)
@@ -181,39 +181,39 @@
         if self.on_calls is not None:
             self.on_calls(CallGroup(usage.app, usage.name, start_s, MINUTE_S, count))
         middle_s = start_s + MINUTE_S / 2
-        if usage.last_s > -math.inf:
-            usage.add_gap(middle_s - usage.last_s)
-        usage.gaps += count - 1  # within a minute calls are taken as close together
-        usage.last_s = middle_s
+        if usage.last_start_s > -math.inf:
+            usage.add_gap(middle_s - usage.last_start_s)
+        usage.gap_count += count - 1  # gaps between calls of the same minute are taken as 0 s
+        usage.last_start_s = middle_s
 
     def _read_durations(self, row: Row, columns: Columns) -> None:
-        """Read a function's mean and longest duration."""
-        average = number(row[columns["Average"]], "Average")
-        count = number(row[columns["Count"]], "Count")
-        most = number(row[columns["Maximum"]], "Maximum") if "Maximum" in columns else average
-        self._hashed_usage(row, columns).add_durations(average, count, most)
+        """Read the mean and longest duration of a function."""
+        average = parse_number(row[columns["Average"]], "Average")
+        count = parse_number(row[columns["Count"]], "Count")
+        longest = parse_number(row[columns["Maximum"]], "Maximum") if "Maximum" in columns else average
+        self._hashed_usage(row, columns).add_durations(average, count, longest)
 
     def _read_memory(self, row: Row, columns: Columns) -> None:
-        """Read an app's mean memory."""
-        average = number(row[columns["AverageAllocatedMb"]], "AverageAllocatedMb")
-        weight = number(row[columns["SampleCount"]], "SampleCount")
+        """Read the mean memory of an app."""
+        average = parse_number(row[columns["AverageAllocatedMb"]], "AverageAllocatedMb")
+        weight = parse_number(row[columns["SampleCount"]], "SampleCount")
         app = row[columns["HashApp"]]
         if not app:
-            raise RowError("no app")
-        total, former_weight = self.memory.get(app, (0.0, 0.0))
-        self.memory[app] = total + average * weight, former_weight + weight
+            raise RowError("the name of the app is empty")
+        total, total_weight = self.memory.get(app, (0.0, 0.0))
+        self.memory[app] = total + average * weight, total_weight + weight
 
     def _read_call(self, row: Row, columns: Columns) -> None:
-        """Read one call; the rows are in the order of the calls' ends."""
-        end_s = number(row[columns["end_timestamp"]], "end_timestamp")
-        duration_s = number(row[columns["duration"]], "duration")
+        """Read one call; the rows are ordered by the end of the call."""
+        end_s = parse_number(row[columns["end_timestamp"]], "end_timestamp")
+        duration_s = parse_number(row[columns["duration"]], "duration")
         usage = self.usage("", row[columns["app"]], row[columns["func"]])
         start_s = end_s - duration_s
         if self.on_calls is not None:
             self.on_calls(CallGroup(usage.app, usage.name, start_s, span_s=0.0, count=1))
-        if usage.last_s > -math.inf:
-            usage.add_gap(max(0.0, start_s - usage.last_s))
-        usage.last_s = max(usage.last_s, start_s)
+        if usage.last_start_s > -math.inf:
+            usage.add_gap(max(0.0, start_s - usage.last_start_s))
+        usage.last_start_s = max(usage.last_start_s, start_s)
         usage.calls += 1
         duration_ms = duration_s * MS_PER_S
         usage.add_durations(duration_ms, 1, duration_ms)
@@ -221,12 +221,12 @@
         self.last_s = max(self.last_s, end_s)
 
     def ranked(self, top: int = 0) -> list[Usage]:
-        """The functions by their calls, the busiest first; only so many where `top` is not 0."""
-        found = sorted(self.functions.values(), key=lambda usage: (-usage.calls, usage.app, usage.name))
-        return found[:top] if top else found
+        """Return the `top` busiest functions, or all if `top` is 0; the busiest comes first."""
+        ranked = sorted(self.functions.values(), key=lambda usage: (-usage.calls, usage.app, usage.name))
+        return ranked[:top] if top else ranked
 
     def named(self, top: int = 0) -> Iterator[tuple[Usage, str]]:
-        """Each function with the name it has in a function table: short, and no name twice."""
+        """Yield the functions of `ranked`, each with a short and unique name for a function table."""
         taken = set[str]()
         for usage in self.ranked(top):
             name = usage.name[:SHORT_NAME_LENGTH]
@@ -236,8 +236,8 @@
             yield usage, name
 
 
-def number(text: str, column: str) -> float:
-    """Read a number that is finite and not negative. Raises `RowError` naming the column."""
+def parse_number(text: str, column: str) -> float:
+    """Parse a finite number that is not negative. Raises `RowError`, which names the column."""
     try:
         value = float(text)
     except ValueError:
--- a/maplestile/tools/traces_command.py
+++ b/maplestile/tools/traces_command.py
@@ -1,4 +1,4 @@
-"""`maplestile traces`: summarise public cluster traces, or make a function table from them."""
+"""`maplestile traces`: summarise public cluster traces, or make function tables from them."""
 
 import argparse
 import sys
@@ -25,26 +25,28 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Read the files and print the chosen form of their summary."""
+    """Read the files and print their summary in the chosen format."""
     trace = read_traces(arguments.file)
-    for line in _lines(trace, arguments):
+    for line in _output_lines(trace, arguments):
         print(line)
     return 0
 
 
-def _lines(trace: traces.Trace, arguments: argparse.Namespace) -> Iterator[str]:
+def _output_lines(trace: traces.Trace, arguments: argparse.Namespace) -> Iterator[str]:
     if arguments.format == "functions":
-        return trace_output.functions(trace, arguments.class_name, arguments.memory_mb, arguments.top)
-    summaries = trace_output.summary(trace, arguments.top)
+        return trace_output.format_function_tables(
+            trace, arguments.class_name, arguments.memory_mb, arguments.top
+        )
+    summaries = trace_output.summarize(trace, arguments.top)
     if arguments.format == "table":
-        return trace_output.table(summaries)
-    return trace_output.json_lines(summaries)
+        return trace_output.format_table(summaries)
+    return trace_output.format_json_lines(summaries)
 
 
 def read_traces(paths: Sequence[Path], on_calls: traces.CallGroupHandler | None = None) -> traces.Trace:
-    """Read the files of one trace; rows that cannot be used are named on standard error.
+    """Read the files of one trace; invalid rows are reported on standard error.
 
-    Raises `TraceError` for a file that cannot be read or is of no known form.
+    Raises `TraceError` for a file that cannot be read or is in no known trace format.
     """
     trace = traces.Trace(on_calls=on_calls)
     for path in paths:
@@ -53,6 +55,6 @@
                 trace.read(file, str(path))
         except OSError as error:
             raise traces.TraceError(f"{path}: {error.strerror}") from None
-    for problem in trace.bad:
-        print(f"maplestile: {problem}", file=sys.stderr)
+    for error_text in trace.row_errors:
+        print(f"maplestile: {error_text}", file=sys.stderr)
     return trace
--- a/tests/record_faults.py
+++ b/tests/record_faults.py
@@ -1,4 +1,4 @@
-"""Records what the schedules of faults do to datagrams, and the replies of the relay."""
+"""Recorders of what fault schedules do to datagrams, and of the relay's replies to commands."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from tests.recording import Recorder, as_json, masked, relative
 from tests.standins import ROOT
 
-DATAGRAMS = 12  # at each of the times
+DATAGRAMS = 12  # drawn at each of the times
 TIMES_US = (0, 15_000_000, 60_000_000)
 SEED = 7
 RELAY_LINES = (
@@ -40,23 +40,23 @@
 
 
 def schedules() -> str:
-    """What each schedule of the examples does to datagrams at some times, with a fixed seed."""
-    played: dict[str, object] = {}
+    """Return what each example schedule does to datagrams at some times, with a fixed seed."""
+    results: dict[str, object] = {}
     for file in sorted((ROOT / "examples" / "model").glob("*.toml")):
         schedule = schedule_from(TomlTable(experiment.read(file), "", ScheduleError))
-        draws = random.Random(SEED)
-        played[relative(file)] = [
+        generator = random.Random(SEED)
+        results[relative(file)] = [
             [
                 [schedule.cut(0, 9, at_us), schedule.cut(9, 0, at_us)],
-                [schedule.delivery_delays_us(0, 9, at_us, draws) for _ in range(DATAGRAMS)],
+                [schedule.delivery_delays_us(0, 9, at_us, generator) for _ in range(DATAGRAMS)],
             ]
             for at_us in TIMES_US
         ]
-    return as_json(played)
+    return as_json(results)
 
 
 def relay_replies() -> str:
-    """The answers of the relay's control port to valid and invalid commands."""
+    """Return the replies of the relay's control port to valid and invalid commands."""
 
     async def replies() -> str:
         relay = Relay(schedule_from(TomlTable({"seed": 1, "members": 3}, "", ScheduleError)))
--- a/tests/relay_process.py
+++ b/tests/relay_process.py
@@ -1,4 +1,4 @@
-"""The project's fault relay as a process of its own, steered by its control port."""
+"""The fault relay as a process of its own, controlled through its control port."""
 
 import json
 import socket
@@ -10,11 +10,11 @@
 from tests.standins import PATIENCE_S, Program
 
 Json = dict[str, Any]
-FOREVER = {"at_s": 0, "until_s": 3600}  # of a fault: until it is healed
+FOREVER = {"at_s": 0, "until_s": 3600}  # the times of a fault that lasts until it is healed
 
 
 class Relay:
-    """The relay between a number of members; it delivers everything until faults are started."""
+    """A relay process between a number of members; it forwards everything until faults are started."""
 
     def __init__(self, test: unittest.TestCase, members: int, seed: int = 3) -> None:
         file = Path(tempfile.mkdtemp()) / "relay.toml"
@@ -30,7 +30,7 @@
         test.addCleanup(self.file.close)
 
     def send_command(self, do: str, **more: Any) -> Json:
-        """One command by the control port, and its reply; an error in the reply is an `AssertionError`."""
+        """Send a command to the control port and return the reply. Raises `AssertionError` for an error."""
         self.socket.sendall(json.dumps({"do": do, **more}).encode() + b"\n")
         reply: Json = json.loads(self.file.readline())
         if "error" in reply:
@@ -38,11 +38,11 @@
         return reply
 
     def start_faults(self, **schedule: Any) -> None:
-        """Start these faults, which last until others are started or until `heal`."""
+        """Start these faults, which last until others are started or `heal` is called."""
         self.send_command("begin", schedule=schedule)
 
     def tcp_front(self, origin: int, target: int, address: str) -> str:
-        """The address by which `origin` reaches `target`'s TCP `address` through the relay."""
+        """Return the address by which `origin` reaches the TCP `address` of `target` through the relay."""
         return str(self.send_command("tcp", **{"from": origin, "to": target}, address=address)["front"])
 
     def heal(self) -> None:
@@ -50,6 +50,6 @@
         self.send_command("heal")
 
     def counts(self) -> Json:
-        """The relay's counters of what it passed and lost."""
+        """Return the relay's counters of the traffic that it forwarded and lost."""
         counts: Json = self.send_command("counts")["counts"]
         return counts
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The schedule of faults, and the relay that applies it between sockets of this process."""
+"""Tests of fault schedules, and of the relay that applies them between sockets of this process."""
 
 import asyncio
 import json
@@ -12,16 +12,16 @@
 from maplestile.tools.faults.schedule import Fault, FaultKind, Net, Schedule, ScheduleError, schedule_from
 from tests.standins import wait_until
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 PAYLOAD_BYTES = 100_000
-DATAGRAMS = 5000  # for a share to be near what is configured
+DATAGRAMS = 5000  # enough for the share of each fault to be close to the configured one
 FLAP = Fault(FaultKind.FLAP, 100, 1000, frozenset({0}), frozenset({1}), down_us=30, up_us=70)
 
 
 class ScheduleTest(unittest.TestCase):
-    """What a schedule does to single datagrams, and how a bad one is refused."""
+    """Tests of what a schedule does to single datagrams, and of the errors of invalid ones."""
 
-    def test_each_fault_cuts_its_links_in_its_time(self) -> None:
+    def test_fault_cuts_only_its_links_and_only_while_it_lasts(self) -> None:
         split = Fault(FaultKind.SPLIT, 10, 20, sides=(frozenset({0, 1}), frozenset({2})))
         cut = Fault(FaultKind.CUT, 10, 20, frozenset({0}), frozenset({1}))
         for fault, origin, target, now, expected in (
@@ -42,17 +42,17 @@
             with self.subTest(fault=fault.kind, origin=origin, target=target, now=now):
                 self.assertEqual(fault.cuts(origin, target, now), expected)
 
-    def test_loss_and_duplicates_have_the_configured_shares(self) -> None:
+    def test_lost_duplicated_and_reordered_shares_are_as_configured(self) -> None:
         schedule = Schedule(1, 2, Net(loss=0.2, duplicate=0.1, reorder=0.3, reorder_us=1_000_000))
-        chooser = random.Random(1)
-        delays = [schedule.delivery_delays_us(0, 1, 0, chooser) for _ in range(DATAGRAMS)]
+        generator = random.Random(1)
+        delays = [schedule.delivery_delays_us(0, 1, 0, generator) for _ in range(DATAGRAMS)]
         self.assertAlmostEqual(sum(not arrivals for arrivals in delays) / DATAGRAMS, 0.2, delta=0.03)
         self.assertAlmostEqual(sum(len(arrivals) == 2 for arrivals in delays) / DATAGRAMS, 0.08, delta=0.02)
         self.assertAlmostEqual(
             sum(max(arrivals, default=0) >= 1_000_000 for arrivals in delays) / DATAGRAMS, 0.24, delta=0.03
         )
 
-    def test_a_bad_schedule_names_its_field(self) -> None:
+    def test_invalid_schedule_raises_error_that_names_the_field(self) -> None:
         for values, place in (
             ({"members": 3}, "seed"),
             ({"seed": 1, "members": 3, "net": {"loss": 2}}, "net.loss"),
@@ -80,7 +80,7 @@
 
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
-    """A relay between two members, whose sockets are the test's."""
+    """Tests of a relay between two members, whose sockets belong to the test."""
 
     async def asyncSetUp(self) -> None:
         self.relay = Relay(Schedule(1, 2))
@@ -97,7 +97,7 @@
             self.addCleanup(front.transport.close)
 
     async def send_command(self, **command: Any) -> dict[str, Any]:
-        """Execute a command of the control port; its reply."""
+        """Execute a command of the control port and return its reply."""
         return await self.control_port.execute(json.dumps(command).encode())
 
     async def register_members(self) -> None:
@@ -108,24 +108,24 @@
                 (await self.send_command(do="udp", member=number, address=f"{host}:{port}"))["ok"]
             )
 
-    async def test_datagrams_are_passed_then_cut_in_one_direction_and_passed_again(self) -> None:
+    async def test_cut_drops_datagrams_in_one_direction_until_it_is_healed(self) -> None:
         (one, _), (_, other) = self.member_sockets
         one.sendto(b"unknown", self.fronts[1])
-        await wait_until(lambda: self.relay.counts["udp.unknown"] == 1, PATIENCE_S)
+        await wait_until(lambda: self.relay.counts["udp.unknown"] == 1, TIMEOUT_S)
         await self.register_members()
         one.sendto(b"a", self.fronts[1])
-        await wait_until(lambda: other.received == [b"a"], PATIENCE_S)
+        await wait_until(lambda: other.received == [b"a"], TIMEOUT_S)
         cut = {"at_s": 0, "until_s": 100, "from": [0], "to": [1]}
         await self.send_command(do="begin", schedule={"cut": [cut]})
         one.sendto(b"b", self.fronts[1])
-        await wait_until(lambda: self.relay.counts["udp.lost"] == 1, PATIENCE_S)
+        await wait_until(lambda: self.relay.counts["udp.lost"] == 1, TIMEOUT_S)
         self.member_sockets[1][0].sendto(b"back", self.fronts[0])
-        await wait_until(lambda: self.member_sockets[0][1].received == [b"back"], PATIENCE_S)
+        await wait_until(lambda: self.member_sockets[0][1].received == [b"back"], TIMEOUT_S)
         await self.send_command(do="heal")
         one.sendto(b"c", self.fronts[1])
-        await wait_until(lambda: other.received == [b"a", b"c"], PATIENCE_S)
+        await wait_until(lambda: other.received == [b"a", b"c"], TIMEOUT_S)
 
-    async def test_tcp_bytes_wait_at_a_cut_and_arrive_complete_and_in_order(self) -> None:
+    async def test_tcp_bytes_wait_during_split_and_arrive_complete_and_in_order(self) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(await reader.readexactly(PAYLOAD_BYTES))
             writer.close()
@@ -141,16 +141,16 @@
         split = {"at_s": 0, "until_s": 100, "sides": [[0], [1]]}
         await self.send_command(do="begin", schedule={"net": {"loss": 0.1, "jitter_ms": 0}, "split": [split]})
         writer.write(data)
-        await wait_until(lambda: self.relay.counts["tcp.held"] > 0, PATIENCE_S)
+        await wait_until(lambda: self.relay.counts["tcp.held"] > 0, TIMEOUT_S)
         self.assertEqual(self.relay.counts["tcp.chunks"], 0)
         await self.send_command(do="heal")
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             received = bytearray()
             while chunk := await reader.read(65_536):
                 received += chunk
         self.assertEqual(bytes(received), data)
 
-    async def test_a_bad_command_is_answered_with_its_field(self) -> None:
+    async def test_invalid_command_is_answered_with_error_that_names_the_field(self) -> None:
         for line, place in (
             (b"no json", "not JSON"),
             (b"[]", "file"),
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: when calls are made, and what is counted of each at a scripted front."""
+"""Tests of the load generator: when it makes calls, and how it counts them against a scripted front."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 
 Arrival = arrivals.Arrival
 Address = tuple[str, int]
-MAX_CALLS = 100  # that are kept of a trace
-PATIENCE_S = 5.0
+MAX_CALLS = 100  # recorded of a trace
+TIMEOUT_S = 5.0
 
 
 class RecordedTrace(NamedTuple):
@@ -31,9 +31,9 @@
 
 
 class ArrivalsTest(unittest.TestCase):
-    """When calls are made, by a rate and by traces."""
+    """Tests of when calls are made, at a rate and from traces."""
 
-    def test_a_rate_and_its_weights(self) -> None:
+    def test_poisson_arrivals_have_the_rate_and_the_weights(self) -> None:
         planned = list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2))
         self.assertEqual(planned, list(arrivals.poisson({"f": 3.0, "g": 1.0}, 50.0, 40.0, seed=2)))
         self.assertAlmostEqual(len(planned) / 2000, 1.0, delta=0.1)
@@ -45,21 +45,21 @@
         self.assertEqual(len(list(arrivals.bounded(planned, 10.0, 100_000))), due)
         self.assertEqual(len(list(arrivals.bounded(planned, 40.0, 7))), 7)
 
-    def test_traces_of_both_kinds_are_replayed_from_their_first_call(self) -> None:
+    def test_replays_both_trace_formats_from_the_first_call(self) -> None:
         calls = "app,func,end_timestamp,duration\na,f,10.5,0.5\na,g,12.0,1.0\nb,f,14.0,1.0\n"
         recorder, trace = self.read(calls)
-        names = arrivals.names_of(trace)
-        self.assertEqual(len(set(names.values())), 3)  # two apps have a function of one name
+        names = arrivals.called_names(trace)
+        self.assertEqual(len(set(names.values())), 3)  # although two apps have a function with the same name
         planned = arrivals.replay(recorder, names, 2.0)
         self.assertEqual([arrival.at_s for arrival in planned], [0.0, 0.5, 1.5])
         recorder, trace = self.read("HashOwner,HashApp,HashFunction,Trigger,1,2\no,a,f,http,3,2\n")
-        planned = arrivals.replay(recorder, arrivals.names_of(trace, "only"), 1.0)
+        planned = arrivals.replay(recorder, arrivals.called_names(trace, "only"), 1.0)
         self.assertEqual({arrival.function for arrival in planned}, {"only"})
         self.assertEqual(len(planned), 5)
         self.assertLess(planned[-1].at_s, 120.0)
 
     def read(self, text: str) -> "RecordedTrace":
-        """Read a trace, and record its calls."""
+        """Read a trace and record its calls."""
         recorder = arrivals.Recorder(1, MAX_CALLS)
         trace = Trace(on_calls=recorder.record)
         trace.read(io.StringIO(text), "t.csv")
@@ -67,7 +67,7 @@
 
 
 class ScriptedFront:
-    """A front that gives its answers in turn and repeats the last; an empty one ends the connection."""
+    """A front that sends its answers in turn and repeats the last; an empty answer closes the connection."""
 
     def __init__(self, answers: tuple[bytes, ...], requests: list[bytes]) -> None:
         self._answers = list(answers)
@@ -90,13 +90,13 @@
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
-    """The load at scripted fronts: how each call is counted."""
+    """Tests of how calls to scripted fronts are counted."""
 
     async def asyncSetUp(self) -> None:
         self.requests: list[bytes] = []
 
     async def start_front(self, *answers: bytes) -> Address:
-        """Start a front with these answers; its address."""
+        """Start a front with these answers and return its address."""
         front = ScriptedFront(answers, self.requests)
         server = await asyncio.start_server(front.serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
@@ -104,11 +104,11 @@
         return host, port
 
     async def load(self, targets: list[Address], count: int, keys: bool = False) -> client.Result:
-        """Make so many calls at these fronts, one every 5 ms."""
-        load = client.Load(targets, client.CallTemplate(b"body", "t", keys=keys), wait_s=PATIENCE_S)
+        """Make `count` calls to these fronts, one every 5 ms."""
+        load = client.Load(targets, client.CallTemplate(b"body", "t", keys=keys), wait_s=TIMEOUT_S)
         return await load.run([Arrival(n * 0.005, "f") for n in range(count)], 100)
 
-    async def test_each_call_is_counted_by_its_end(self) -> None:
+    async def test_counts_each_call_by_how_it_ended(self) -> None:
         front = await self.start_front(
             b"200 OK", b"503 Busy", b"429 Many", b"502 Bad", b"504 Late", b"200 OK"
         )
@@ -119,13 +119,13 @@
         keys = {head.partition(b"Idempotency-Key: ")[2].split(b"\r\n")[0] for head in self.requests}
         self.assertEqual(len(keys), 6)
 
-    async def test_a_call_that_was_sent_and_not_answered_is_lost_and_not_made_again(self) -> None:
+    async def test_call_that_was_sent_and_not_answered_is_lost_and_not_repeated(self) -> None:
         front = await self.start_front(b"", b"200 OK")
         result = await self.load([front], 3)
         self.assertEqual(dict(result.ends), {"lost": 1, "served": 2})
         self.assertEqual(len(self.requests), 3)
 
-    async def test_a_front_that_accepts_no_connection_is_skipped(self) -> None:
+    async def test_front_that_accepts_no_connection_is_skipped(self) -> None:
         closed = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         unreachable = closed.sockets[0].getsockname()[:2]
         closed.close()
@@ -137,45 +137,48 @@
 
 
 class EndedConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """Connections that the front ends while the tool's loop is busy, so that it has not read their end."""
+    """Tests of connections that the front closes while the load generator's event loop is busy.
+
+    The loop has not read the end of such a connection when it is about to send a call.
+    """
 
     def setUp(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         self.target = Target(listener.getsockname()[:2])
         self.addCleanup(self.target.close)
-        self.may_end = threading.Event()
+        self.may_close = threading.Event()
         thread = threading.Thread(target=self.serve, args=(listener,), daemon=True)
-        self.addCleanup(thread.join, PATIENCE_S)
+        self.addCleanup(thread.join, TIMEOUT_S)
         thread.start()
 
     def serve(self, listener: socket.socket) -> None:
-        """End the first connection after its answer, the second before any, and keep the third."""
-        for answers, ends in ((True, True), (False, True), (True, False)):
+        """Answer and close the first connection, close the second unanswered, answer and keep the third."""
+        for has_answer, has_end in ((True, True), (False, True), (True, False)):
             peer, _ = listener.accept()
             self.addCleanup(peer.close)
-            if answers:
+            if has_answer:
                 peer.recv(4096)
                 peer.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-            if ends:
-                self.may_end.wait(PATIENCE_S)
+            if has_end:
+                self.may_close.wait(TIMEOUT_S)
                 peer.close()
 
     def block_until_ended(self, connection: Connection) -> None:
-        """Wait without the loop until the system knows of the end, which nothing has read yet."""
-        peer = connection._writer.get_extra_info("socket")
-        self.assertEqual(select.select([peer], [], [], PATIENCE_S)[0], [peer])
+        """Block the event loop until the end of the connection has arrived, which nothing has read yet."""
+        client_socket = connection._writer.get_extra_info("socket")
+        self.assertEqual(select.select([client_socket], [], [], TIMEOUT_S)[0], [client_socket])
 
     async def call(self, connection: Connection) -> int:
-        """Make a call; the status of its answer."""
+        """Make a call and return the status of its answer."""
         return await connection.call("front", "/", [], b"x")
 
-    async def test_a_connection_that_has_ended_gets_no_call(self) -> None:
+    async def test_connection_that_has_ended_gets_no_call(self) -> None:
         idle = await self.target.connect()
         self.assertEqual(await self.call(idle), 200)
         self.assertFalse(idle.is_closed())
         self.target.release(idle)
-        self.may_end.set()
+        self.may_close.set()
         self.block_until_ended(idle)
         unused = await self.target.connect()
         self.assertIsNot(unused, idle)
@@ -189,9 +192,9 @@
 
 
 class CommandTest(unittest.TestCase):
-    """The command `maplestile load`."""
+    """Tests of the command `maplestile load`."""
 
-    def test_unusable_arguments_are_named(self) -> None:
+    def test_invalid_arguments_are_reported_with_the_reason(self) -> None:
         for arguments, reason in (
             (["127.0.0.1:1"], "either --rate or --trace"),
             (["127.0.0.1:1", "--rate", "5"], "--rate needs a --function"),
@@ -203,7 +206,7 @@
                 self.assertEqual(main(["load", *arguments]), 2)
             self.assertIn(reason, errors.getvalue())
 
-    def test_a_plot_and_the_answer_as_json(self) -> None:
+    def test_prints_result_as_json_and_writes_plot(self) -> None:
         file = Path(tempfile.mkdtemp()) / "load.png"
         with contextlib.redirect_stdout(io.StringIO()) as output:
             arguments = ["127.0.0.1:9", "--rate", "50", "--function", "f", "--seconds", "0.2"]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces of calls: of one day by the minute, and of single calls."""
+"""Tests of the trace reader: traces with the calls of each minute, and traces of single calls."""
 
 import io
 from pathlib import Path
@@ -10,32 +10,35 @@
 from tests.standins import ROOT
 
 OPERATOR_FILE = (ROOT / "deploy" / "operator.toml").read_text()
+MINUTES_HEADER = "HashOwner,HashApp,HashFunction,Trigger," + ",".join(map(str, range(1, 1441)))
 
 
-MINUTES = "HashOwner,HashApp,HashFunction,Trigger," + ",".join(map(str, range(1, 1441)))
-
-
-def test_traces_of_one_day_are_joined_and_bad_rows_are_named() -> None:
+def test_joins_files_of_one_trace_and_reports_invalid_rows() -> None:
     counts = ["0"] * 1440
     counts[0], counts[10] = "60", "1380"
     trace = traces.Trace()
-    rows = [MINUTES, "o,a,f,http," + ",".join(counts), "o,a,g,http,1", "o,a,h,http," + ",".join(["x"] * 1440)]
+    rows = [
+        MINUTES_HEADER,
+        "o,a,f,http," + ",".join(counts),
+        "o,a,g,http,1",
+        "o,a,h,http," + ",".join(["x"] * 1440),
+    ]
     trace.read(io.StringIO("\n".join(rows)), "day.csv")
     durations = "HashOwner,HashApp,HashFunction,Average,Count,Minimum,Maximum\no,a,f,250,4,1,900"
     trace.read(io.StringIO(durations), "d")
     trace.read(io.StringIO("HashOwner,HashApp,SampleCount,AverageAllocatedMb\no,a,2,100\no,a,2,200"), "m")
-    assert trace.bad == [
-        "day.csv, line 3: 5 fields where 1444 are due",
+    assert trace.row_errors == [
+        "day.csv, line 3: found 5 fields, expected 1444",
         "day.csv, line 4: column 'minute 1' is no number: 'x'",
     ]
-    (row,) = trace_output.summary(trace)
+    (row,) = trace_output.summarize(trace)
     assert (row.calls, row.rate_per_s, row.longest_gap_s) == (1440, 0.01667, 600.0)
     assert (row.mean_ms, row.most_ms, row.memory_mb) == (250.0, 900.0, 150.0)
-    table = "\n".join(trace_output.functions(trace, "review", 64))
+    table = "\n".join(trace_output.format_function_tables(trace, "review", 64))
     assert parse(OPERATOR_FILE.replace("[[kind]]", table + "\n[[kind]]", 1)).functions["f"].memory_mb == 150.0
 
 
-def test_trace_of_single_calls_and_an_unknown_file(tmp_path: Path, capsys: Any) -> None:
+def test_reads_single_calls_and_rejects_file_of_unknown_format(tmp_path: Path, capsys: Any) -> None:
     file = tmp_path / "calls.csv"
     file.write_text("app,func,end_timestamp,duration\na,f,1.5,0.5\na,f,4.0,1.0\na,f,x,1\n")
     assert main(["traces", str(file), "--format", "json"]) == 0
@@ -44,4 +47,4 @@
     assert "calls.csv, line 4: column 'end_timestamp'" in err
     file.write_text("a,b\n1,2\n")
     assert main(["traces", str(file)]) == 1
-    assert "no trace known here" in capsys.readouterr().err
+    assert "the header matches no known trace format" in capsys.readouterr().err
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of real processes, and the table of the bench's trials; `python -m tools.NAME` runs one."""
+"""Measurements of real processes, and a table of the bench's runs; `python -m tools.NAME` starts one."""
--- a/tools/measure_policy.py
+++ b/tools/measure_policy.py
@@ -1,10 +1,10 @@
-"""Changes of policy on five real routers under three voting agents, measured on loopback.
+"""Measure policy changes on five real routers under three voters on loopback.
 
     python -m tools.measure_policy [--rounds N] [--seconds S] [--changes N]
 
-Each round starts a fleet, calls it with the load tool without a change, then under the same load and seed
-with changes one after the other, and once more with a fifth of all messages between processes lost. Prints
-one JSON object with the least, median and greatest over the rounds.
+Each round starts a fleet and calls it with the load generator, always with the same load and seed: first
+without changes, then with one change after the other, and then with changes while a fifth of all messages
+between processes is lost. The result is one JSON object with the minimum, median and maximum over the rounds.
 """
 
 import argparse
@@ -16,19 +16,19 @@
 
 from tests.policy_fleet import PolicyFleet
 from tests.rollout_fleet import Calls
-from tools.samples import LOAD_TOOL_START_S, Samples
+from tools.samples import LOAD_GENERATOR_START_S, Samples
 
 
 @dataclass(frozen=True)
 class Application:
-    """How long after their commits epochs were applied by the routers."""
+    """How the routers applied committed epochs."""
 
-    took_ms: list[float]  # of each epoch, from its commit until the last router had it
-    old_calls: int  # first sent out under an older epoch between the two
+    took_ms: list[float]  # for each epoch, from its commit until the last router had applied it
+    old_calls: int  # calls whose first attempt was sent under an older epoch in that time
 
 
 def measure_fleet(seconds: float, changes: int, samples: Samples) -> None:
-    """Measure one fleet, and add to the samples."""
+    """Measure one fleet and add the results to the samples."""
     test = unittest.TestCase()
     try:
         fleet = PolicyFleet(test)
@@ -42,9 +42,9 @@
 
 
 def measure_changes(fleet: PolicyFleet, seconds: float, changes: int, samples: Samples) -> None:
-    """Propose changes under load."""
+    """Measure policy changes under load."""
     calls = Calls(fleet, seconds)
-    time.sleep(LOAD_TOOL_START_S)
+    time.sleep(LOAD_GENERATOR_START_S)
     epochs = propose_changes(fleet, changes, "", samples)
     samples.add_calls("changes", calls)
     application = time_to_apply(fleet, epochs)
@@ -55,7 +55,7 @@
 
 
 def measure_changes_with_loss(fleet: PolicyFleet, seconds: float, changes: int, samples: Samples) -> None:
-    """Propose changes under load with a fifth of all messages lost."""
+    """Measure policy changes under load while a fifth of all messages is lost."""
     calls = Calls(fleet, seconds)
     fleet.relay.start_faults(net={"loss": 0.2})
     propose_changes(fleet, changes, ", 20% lost", samples)
@@ -63,29 +63,32 @@
     samples.add_calls("changes, 20% lost", calls)
 
 
-def propose_changes(fleet: PolicyFleet, changes: int, when: str, samples: Samples) -> list[int]:
-    """Propose changes one after the other, measure them, and return the epochs that were committed."""
+def propose_changes(fleet: PolicyFleet, changes: int, name_suffix: str, samples: Samples) -> list[int]:
+    """Propose changes one after the other, measure them, and return the committed epochs.
+
+    `name_suffix` is appended to the names of the samples; it is empty if no messages are lost.
+    """
     epochs = list[int]()
     took_s = list[float]()
     for number in range(changes):
         started_s = time.monotonic()
         epochs_before = fleet.epochs(0)
-        attempts = 2 + number + len(epochs_before) * bool(when)  # differs from every change before
+        attempts = 2 + number + len(epochs_before) * bool(name_suffix)  # another value in each change
         exit_code = fleet.propose(0, attempts=attempts)[0]
         if not exit_code:
             took_s.append(time.monotonic() - started_s)
             epoch = int(fleet.policy_status(0)["agreed"]["epochs"][-1]["number"])
             epochs.append(epoch)
             fleet.wait_for_epoch(0, epoch)
-    samples.add(f"abort rate{when}", 1 - len(epochs) / changes)
+    samples.add(f"abort rate{name_suffix}", 1 - len(epochs) / changes)
     if took_s:
         median_s = sorted(took_s)[len(took_s) // 2]
-        samples.add(f"proposal to commit s, median{when}", median_s)
+        samples.add(f"proposal to commit s, median{name_suffix}", median_s)
     return epochs
 
 
 def time_to_apply(fleet: PolicyFleet, epochs: list[int]) -> Application:
-    """How long each epoch took from its commit to the last router, from the routers' and agents' logs."""
+    """Return how long the routers took to apply each epoch, from the logs of the routers and agents."""
     committed_us = {event["epoch"]: event["t_us"] for _, event in fleet.events_of("commit")}
     last_us = {
         epoch: max(event["t_us"] for _, event in fleet.events_of("applied") if event["epoch"] == epoch)
@@ -101,8 +104,8 @@
 
 
 def main() -> None:
-    """Run the rounds, and print the summary."""
-    parser = argparse.ArgumentParser(description="changes of policy on sockets")
+    """Run the rounds and print the summary."""
+    parser = argparse.ArgumentParser(description="Measure policy changes on real routers.")
     parser.add_argument("--rounds", type=int, default=4)
     parser.add_argument("--seconds", type=float, default=12.0)
     parser.add_argument("--changes", type=int, default=10)
--- a/tools/trials.py
+++ b/tools/trials.py
@@ -1,4 +1,4 @@
-"""Prints the runs of real routers in the journal as one table.
+"""Print the journal's runs of real routers as one table.
 
 python -m tools.trials JOURNAL [--since NAME]
 """
@@ -11,32 +11,32 @@
 from typing import Any
 
 COLUMNS = ("began", "commit", "site", "run", "day", "seed", "routers", "score", "served", "outcome")
-COMMANDS = ("real", "real-score")  # of the bench, that run real routers
-TIME_LENGTH = 15  # of the time at the start of a file's name
-COMMIT_LENGTH = 7
+COMMANDS = ("real", "real-score")  # the bench commands that run real routers
+TIME_LENGTH = 15  # characters of the time at the start of a file name
+COMMIT_LENGTH = 7  # characters of an abbreviated commit
 NOT_PLAYED = "not played to its end"
 MISSING = "-"
 
 
-Row = tuple[str, ...]  # the cells of the table, by COLUMNS
+Row = tuple[str, ...]  # the cells of a table row, in the order of COLUMNS
 
 
 @dataclass(frozen=True)
 class Day:
-    """One simulated day of a run, as the bench reports it."""
+    """One simulated day of a run, as reported by the bench."""
 
     name: str
     seed: str
     routers: str
-    score: float | None
-    served: float | None  # share of the calls
-    rules: Mapping[str, int]  # how often each was broken
-    fault: str
-    gate: str
+    score: float | None  # None if the bench reports none
+    served: float | None  # share of the calls that were served; None if the bench reports none
+    rules: Mapping[str, int]  # the number of violations of each rule
+    fault: str  # empty if there is none
+    gate: str  # empty if there is none
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> "Day":
-        """The day of a journal entry."""
+        """Decode a day in a journal entry."""
         return cls(
             name=encoded["name"],
             seed=str(encoded.get("seed", MISSING)),
@@ -49,7 +49,7 @@
         )
 
     def outcome(self) -> str:
-        """The fault and the broken rules, or else the gate."""
+        """Return the fault and the violated rules, or else the gate."""
         problems = [f"fault: {self.fault}"] if self.fault else []
         problems += [f"{rule} {count} times" for rule, count in self.rules.items() if count]
         if problems:
@@ -58,7 +58,7 @@
 
 
 def rows(folder: Path, since: str) -> Iterator[Row]:
-    """The rows of the table, from the files whose names are not before `since`."""
+    """Yield the table rows of the journal entries whose file names do not sort before `since`."""
     for file in sorted(folder.glob("*.json")):
         if file.name < since:
             continue
@@ -90,7 +90,7 @@
 
 
 def _option(arguments: Sequence[str], name: str) -> str:
-    """The argument after an option; `MISSING` where the option is not there."""
+    """Return the argument after an option, or `MISSING` if the option is not given."""
     return arguments[arguments.index(name) + 1] if name in arguments else MISSING
 
 
@@ -99,10 +99,8 @@
 
 
 def main() -> None:
-    """Print the table in Markdown."""
-    parser = argparse.ArgumentParser(
-        description="The bench's runs of real routers in the journal, as one table."
-    )
+    """Print the table as Markdown."""
+    parser = argparse.ArgumentParser(description="Print the journal's runs of real routers as one table.")
     parser.add_argument("journal", type=Path)
     parser.add_argument("--since", default="")
     arguments = parser.parse_args()
