--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs as the fleet grows; `python -m benchmarks` measures it. See docs/CAPACITY.md."""
+"""Benchmarks of what each role costs as the fleet grows; run `python -m benchmarks`. See docs/CAPACITY.md."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,8 +1,9 @@
-"""Runs the scale benchmarks and prints their tables.
+"""Run the scale benchmarks and print their tables.
 
     python -m benchmarks [PART …] [--small] [--json FILE] [--plots FOLDER]
 
-Parts: data_path, name_lists, membership, agreed_reads, policy_changes. It ends by itself.
+The parts are data_path, name_lists, membership, agreed_reads and policy_changes. The program ends when the
+parts have been run.
 """
 
 import argparse
@@ -26,19 +27,25 @@
 
 def parse_arguments() -> argparse.Namespace:
     """Parse the command line."""
-    parser = argparse.ArgumentParser(prog="python -m benchmarks", description="what each role costs by size")
-    parser.add_argument("parts", nargs="*", metavar="PART", help=f"of {', '.join(PARTS)}; all by default")
-    parser.add_argument("--small", action="store_true", help="few and small sizes, to see that all runs")
-    parser.add_argument("--json", type=Path, help="write the data here, too")
-    parser.add_argument("--plots", type=Path, help="draw each figure with its fit into this folder")
+    parser = argparse.ArgumentParser(
+        prog="python -m benchmarks", description="Measure what each role costs as the fleet grows."
+    )
+    parser.add_argument(
+        "parts", nargs="*", metavar="PART", help=f"one of {', '.join(PARTS)}; all parts by default"
+    )
+    parser.add_argument(
+        "--small", action="store_true", help="use few and small sizes, to try all parts quickly"
+    )
+    parser.add_argument("--json", type=Path, help="also write the data to this file")
+    parser.add_argument("--plots", type=Path, help="plot each series with its fitted line into this folder")
     arguments = parser.parse_args()
     if unknown := [part for part in arguments.parts if part not in PARTS]:
-        parser.error(f"no part '{unknown[0]}': there are {', '.join(PARTS)}")
+        parser.error(f"unknown part '{unknown[0]}': must be one of {', '.join(PARTS)}")
     return arguments
 
 
 def run_parts(parts: Sequence[str], small: bool) -> dict[str, list[Series]]:
-    """Run the parts one after the other, and print the rows of each."""
+    """Run the parts one after the other, print their table rows, and return their series."""
     results: dict[str, list[Series]] = {}
     for number, part in enumerate(parts, 1):
         started_s = time.monotonic()
@@ -51,7 +58,7 @@
 
 
 def main() -> None:
-    """Run the chosen parts, and write the data and the plots that are wanted."""
+    """Run the chosen parts, and write the data and the plots that are requested."""
     arguments = parse_arguments()
     print(TABLE_HEAD, flush=True)
     results = run_parts(arguments.parts or list(PARTS), arguments.small)
--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -1,7 +1,7 @@
-"""What an agreed read of an agent costs each of three voters, by the number of reads and by their size.
+"""Measure what policy reads through the replicated log cost each of three voters, by their number and size.
 
-Three voters of the shipped `RaftLog` run in this process, on loopback, with their journals on disk. An agent
-is a `ReadPolicy` submitted to one of them each second, with what each of the agent's routers reports.
+Three voters of the shipped `RaftLog` run in this process on loopback, with their journals on disk. An agent
+submits one `ReadPolicy` command per second to one of the voters, with the status of the agent's routers.
 """
 
 import asyncio
@@ -26,24 +26,24 @@
 READ_INTERVAL_S = 1.0
 READY_TIMEOUT_S = 20
 POLL_S = 0.05
-SMALL_SIZES = 2  # of those below
-AGENTS = (5, 15, 30, 60)  # with a router each
-ROUTERS = (1, 4, 12, 30)  # of each of eight agents
+SMALL_SIZES = 2  # how many of the sizes below a small run uses
+AGENTS = (5, 15, 30, 60)  # with one router each
+ROUTERS = (1, 4, 12, 30)  # of each of `FEW_AGENTS` agents
 FEW_AGENTS = 8
 
 
 @dataclass(frozen=True)
 class Usage:
-    """What the reads cost, for each second."""
+    """The cost of the reads."""
 
-    reads: float  # agreed a second
-    late: float  # share not agreed within the second
-    voter_ms: float  # processor time of a voter a second
-    log_bytes: float  # of entries a second, as each voter keeps them
+    reads: float  # committed per second
+    late: float  # share of the reads that were not committed within a second
+    voter_ms: float  # processor time of a voter, in milliseconds per second
+    log_bytes: float  # size of the log entries that each voter stores per second
 
 
 def router_status() -> dict[str, Any]:
-    """What a router reports to its agent of the policy, as long as a real one's."""
+    """Return the policy status that a router reports to its agent, as long as that of a real one."""
     calls = {str(epoch): {"calls": 126_000, "attempts": 127_000} for epoch in range(8)}
     return {
         "epoch": 7,
@@ -57,7 +57,7 @@
 
 
 class Voters:
-    """The voters, and their event-loop tasks."""
+    """The voters and the tasks that run them."""
 
     def __init__(self, folder: Path) -> None:
         ports = free_ports(VOTERS)
@@ -71,31 +71,31 @@
         rules = RolloutRules(step_us=60_000_000, settle_us=1_000_000, max_failed_share=0.1, min_calls=20)
         return ControlSettings(voter.name, voter.address, self.folder / voter.name, voters, (), 1, rules)
 
-    async def ready(self) -> None:
-        """Wait until each is ready."""
+    async def wait_until_ready(self) -> None:
+        """Wait until all voters are ready."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not all(raft.ready() for raft in self.rafts):
                 await asyncio.sleep(POLL_S)
 
     async def stop(self) -> None:
-        """Stop them all."""
+        """Stop all voters."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
 async def measure(agents: int, routers: int, seconds: float) -> Usage:
-    """The cost of the reads of so many agents with so many routers each."""
+    """Measure the cost of the reads of a number of agents with a number of routers each."""
     with tempfile.TemporaryDirectory() as folder:
         voters = Voters(Path(folder))
         try:
-            await voters.ready()
-            return await _load(voters, agents, routers, seconds)
+            await voters.wait_until_ready()
+            return await _measure_reads(voters, agents, routers, seconds)
         finally:
             await voters.stop()
 
 
-async def _load(voters: Voters, agents: int, routers: int, seconds: float) -> Usage:
+async def _measure_reads(voters: Voters, agents: int, routers: int, seconds: float) -> Usage:
     readers = [Reader(number, voters.rafts[number % VOTERS], routers) for number in range(agents)]
     end_s = time.monotonic() + seconds
     processor_before_s = time.process_time()
@@ -114,19 +114,19 @@
 
 
 class Reader:
-    """An agent that submits a read each second, and counts them."""
+    """An agent that submits a read each second and counts the reads."""
 
     def __init__(self, number: int, raft: RaftLog, routers: int) -> None:
         self.number = number
-        self.reads = 0
-        self.late = 0  # those that were not agreed, too
-        self.bytes = 0
+        self.reads = 0  # committed
+        self.late = 0  # not committed within a second, or not at all
+        self.bytes = 0  # encoded size of the committed reads
         self._raft = raft
         self._name = f"g{number}"
         self._routers = tuple(f"r{number}-{router}" for router in range(routers))
 
     async def run(self, delay_s: float, end_s: float) -> None:
-        """Register the agent's routers, wait, and read until the end, by `time.monotonic`."""
+        """Register the agent's routers, wait for `delay_s`, and read until `end_s` on the monotonic clock."""
         await self._raft.submit(Register(agent=self._name, instances=self._routers))
         await asyncio.sleep(delay_s)
         while time.monotonic() < end_s:
@@ -147,7 +147,7 @@
 
 
 def run(small: bool = False) -> list[Series]:
-    """The series by agents and by routers; `small` is for a quick look."""
+    """Return the series by agents and by routers; `small` selects a short run with few sizes."""
     by_agents = Series("voter by agents", "agents of a router", "ms of processor time a second")
     late = Series("reads late by agents", "agents of a router", "share")
     each = f"routers of each of {FEW_AGENTS} agents"
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -1,10 +1,11 @@
-"""Faults among hollow routers: what each costs until all of them have one view again.
+"""Measure what faults among hollow routers cost until all of them have the same membership view again.
 
     python -m benchmarks.faults [--members N] [--cut SECONDS]
 
-A third is cut off for a minute, as a region; a twelfth is killed at once, as a zone; a tenth is restarted one
-after the other within 30 s. Printed are the seconds until one view, the most messages and bytes of a member
-in a second, and how often a member was declared dead by another, during the fault and after it.
+A third of the members is cut off for a minute, like a region; a twelfth is killed at once, like a zone; a
+tenth is restarted one after the other within 30 s. The table has the seconds until all views agree, the
+highest mean number of messages and bytes that a member sent in one second, and how often a member was
+declared dead by another, during the fault and after it.
 """
 
 import argparse
@@ -22,21 +23,21 @@
 MEMBERS = 60
 PERIOD_US = 1_000_000
 CUT_S = 60.0
-RESTARTS_S = 30.0  # for all restarts
-SETTLE_S = 30.0  # before a fault
-AFTER_S = 2.0  # after one view, in which traffic is still measured
+RESTARTS_S = 30.0  # time over which all restarts are spread
+SETTLE_S = 30.0  # wait before a fault
+AFTER_S = 2.0  # time for which traffic is still measured once all views are the same
 VIEW_TIMEOUT_S = 120.0
 POLL_S = 0.1
-REGION_DIVISOR = 3
-ZONE_DIVISOR = 12
-RESTARTED_DIVISOR = 10
+REGION_DIVISOR = 3  # a region has a third of the members
+ZONE_DIVISOR = 12  # a zone has a twelfth of the members
+RESTARTED_DIVISOR = 10  # a tenth of the members is restarted
 
 Fault = Callable[[HollowFleet], Awaitable[None]]
 
 
 @dataclass
 class TrafficSampler:
-    """Each second's messages and bytes of a member, in the mean."""
+    """The messages and bytes that a member sends in each second, as the mean of all members."""
 
     fleet: HollowFleet
     messages: list[float] = field(default_factory=list)
@@ -57,34 +58,34 @@
 
 @dataclass(frozen=True)
 class FaultResult:
-    """What a fault cost."""
+    """The cost of a fault."""
 
-    view_s: float  # until one view; infinite if it did not come in time
-    most_messages: float  # of a member in a second
-    most_bytes: float
-    deaths_during: int  # declared by any member of any other
-    deaths_after: int
+    view_s: float  # time until all views are the same; infinite after `VIEW_TIMEOUT_S`
+    max_messages: float  # per member in one second, the largest mean of all members
+    max_bytes: float  # per member in one second, the largest mean of all members
+    deaths_during: int  # how often a member declared another dead during the fault
+    deaths_after: int  # how often after the fault
 
     def row(self, name: str, members: int) -> str:
-        """A line of the Markdown table."""
-        traffic = f"{self.most_messages:.1f} | {self.most_bytes:.0f}"
+        """Return a row of the Markdown table."""
+        traffic = f"{self.max_messages:.1f} | {self.max_bytes:.0f}"
         deaths = f"{self.deaths_during} | {self.deaths_after}"
         return f"| {name} | {members} | {self.view_s:.1f} | {traffic} | {deaths} |"
 
 
 def has_one_view(fleet: HollowFleet) -> bool:
-    """Whether every router sees all routers and no other."""
+    """Return whether every router sees all the running routers as live and no other members."""
     names = sorted(router.name for router in fleet.routers)
     return all(router.swim.live() == names for router in fleet.routers)
 
 
 def count_deaths(fleet: HollowFleet) -> int:
-    """How often the routers that run now have declared another dead."""
+    """Return how often the running routers have declared another member dead."""
     return sum(router.counters["peers.events.confirm"] for router in fleet.routers)
 
 
-async def until_one_view(fleet: HollowFleet) -> float:
-    """Wait for one view, and return the seconds until then; infinity after `VIEW_TIMEOUT_S`."""
+async def wait_for_one_view(fleet: HollowFleet) -> float:
+    """Wait until all views are the same; return how many seconds it took, infinity after `VIEW_TIMEOUT_S`."""
     started_s = time.monotonic()
     while not has_one_view(fleet):
         if time.monotonic() - started_s > VIEW_TIMEOUT_S:
@@ -94,27 +95,27 @@
 
 
 async def cut_region(fleet: HollowFleet, seconds: float) -> None:
-    """Cut the first third, the seeds among them, off from the others for so many seconds."""
+    """Cut the first third of the members, which includes the seeds, off from the others for a time."""
     region = {router.address() for router in fleet.routers[: len(fleet.routers) // REGION_DIVISOR]}
 
     def reaches_own_side(is_inside: bool, address: Any) -> bool:
         return (tuple(address) in region) is is_inside
 
     for router in fleet.routers:
-        router.reaches = functools.partial(reaches_own_side, router.address() in region)
+        router.can_reach = functools.partial(reaches_own_side, router.address() in region)
     await asyncio.sleep(seconds)
     for router in fleet.routers:
-        router.reaches = lambda address: True
+        router.can_reach = lambda address: True
 
 
 async def kill_zone(fleet: HollowFleet) -> None:
-    """Kill the last twelfth at once."""
+    """Kill the last twelfth of the members at once."""
     for router in fleet.routers[-max(1, len(fleet.routers) // ZONE_DIVISOR) :]:
         await fleet.kill(router)
 
 
 async def restart_some(fleet: HollowFleet, seconds: float) -> None:
-    """Restart the last tenth one after the other, all within so many seconds."""
+    """Restart the last tenth of the members one after the other, spread over this many seconds."""
     chosen: list[HollowRouter] = fleet.routers[-max(1, len(fleet.routers) // RESTARTED_DIVISOR) :]
     for router in chosen:
         number = int(router.name[1:])
@@ -123,8 +124,8 @@
         await fleet.add(number, port)
 
 
-async def play(members: int, fault: Fault) -> FaultResult:
-    """Play a fault on a fleet of its own."""
+async def measure(members: int, fault: Fault) -> FaultResult:
+    """Start a fleet, cause a fault, and measure its cost."""
     fleet = HollowFleet(members, PERIOD_US)
     sampler = TrafficSampler(fleet)
     try:
@@ -134,7 +135,7 @@
         sampling = asyncio.create_task(sampler.run())
         await fault(fleet)
         deaths_during = count_deaths(fleet) - deaths_before
-        view_s = await until_one_view(fleet)
+        view_s = await wait_for_one_view(fleet)
         await asyncio.sleep(AFTER_S)
         sampling.cancel()
         deaths_after = count_deaths(fleet) - deaths_before - deaths_during
@@ -144,9 +145,9 @@
 
 
 def main() -> None:
-    """Play each fault, and print the table."""
+    """Measure each fault and print the table."""
     parser = argparse.ArgumentParser(
-        prog="python -m benchmarks.faults", description="faults of hollow routers"
+        prog="python -m benchmarks.faults", description="Measure what faults among hollow routers cost."
     )
     parser.add_argument("--members", type=int, default=MEMBERS)
     parser.add_argument("--cut", type=float, default=CUT_S, help="seconds for which a third is cut off")
@@ -162,7 +163,7 @@
     print("| --- | --- | --- | --- | --- | --- | --- |", flush=True)
     for name, fault in faults.items():
         print(f"{name} …", file=sys.stderr, flush=True)
-        result = asyncio.run(play(arguments.members, fault))
+        result = asyncio.run(measure(arguments.members, fault))
         print(result.row(name, arguments.members), flush=True)
 
 
--- a/benchmarks/fit.py
+++ b/benchmarks/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured sizes, with the spread of their slope."""
+"""Straight lines fitted to measurements at several sizes, with the standard error of the slope."""
 
 import math
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
     slope_error: float
 
     def at(self, x: float) -> float:
-        """The line's value at a size."""
+        """Return the value of the line at `x`."""
         return self.intercept + self.slope * x
 
 
@@ -27,14 +27,14 @@
     count = len(xs)
     mean_x = sum(xs) / count
     mean_y = sum(ys) / count
-    spread = sum((x - mean_x) ** 2 for x in xs)
-    if count < 2 or spread == 0:
-        raise ValueError("a line needs two sizes")
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / spread
+    squares_x = sum((x - mean_x) ** 2 for x in xs)
+    if count < 2 or squares_x == 0:
+        raise ValueError("a line needs at least two sizes that differ")
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / squares_x
     intercept = mean_y - slope * mean_x
-    residual = sum((y - intercept - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
-    error = math.sqrt(residual / (count - 2) / spread) if count > 2 else 0.0
-    return Line(intercept, slope, error)
+    residual_squares = sum((y - intercept - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
+    slope_error = math.sqrt(residual_squares / (count - 2) / squares_x) if count > 2 else 0.0
+    return Line(intercept, slope, slope_error)
 
 
 @dataclass
@@ -42,33 +42,35 @@
     """One measured quantity at several sizes."""
 
     name: str
-    size: str  # what is varied
+    size: str  # name of what is varied
     unit: str
-    points: list[tuple[float, float]] = field(default_factory=list)
+    points: list[tuple[float, float]] = field(default_factory=list)  # size and measured value
 
     def add(self, x: float, y: float) -> None:
-        """Add what was measured at a size."""
+        """Add the value `y` that was measured at the size `x`."""
         self.points.append((x, y))
 
     def line(self) -> Line:
-        """The line through the points."""
+        """Return the line fitted to the points."""
         return fit([x for x, _ in self.points], [y for _, y in self.points])
 
     def rows(self) -> list[str]:
-        """The lines of a Markdown table."""
+        """Return the rows of the series in a Markdown table."""
         line = self.line()
         points = ", ".join(f"{x:g}: {y:.4g}" for x, y in self.points)
-        # Rounded first, so that a zero is not printed as some 1e-15.
-        start, slope, error = (round(value, 9) for value in (line.intercept, line.slope, line.slope_error))
+        # Rounded first, so that a rounding error such as 1e-15 is printed as 0.
+        intercept, slope, slope_error = (
+            round(value, 9) for value in (line.intercept, line.slope, line.slope_error)
+        )
         measured = f"| {self.name} ({self.unit}) | {self.size} | {points} |"
-        return [f"{measured} {start:.3g} | {slope:.3g} ± {error:.1g} |"]
+        return [f"{measured} {intercept:.3g} | {slope:.3g} ± {slope_error:.1g} |"]
 
     def json(self) -> dict[str, Any]:
-        """The points and the line as a JSON object."""
+        """Return the points and the fitted line as a JSON object."""
         return {**asdict(self), "line": asdict(self.line())}
 
     def plot(self, folder: Path) -> Path:
-        """Draw the points and the line; the file that has the plot."""
+        """Plot the points and the fitted line, and return the file of the plot."""
         pyplot = load_pyplot()
         line = self.line()
         xs = [x for x, _ in self.points]
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -1,6 +1,6 @@
-"""Hollow routers: the shipped membership driver and nothing else, many in one process, a UDP socket each.
+"""Hollow routers, which run the shipped membership driver and nothing else; many share one process.
 
-Bytes are counted where datagrams are passed to the socket and taken from it.
+Each has a UDP socket of its own. Bytes are counted where datagrams enter and leave the socket.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 HEADER_BYTES = 28  # IPv4 and UDP
 PAGE_KB = resource.getpagesize() // 1024
 SEEDS = 3
-CONVERGENCE_TIMEOUT_S = 60.0  # for every member to see all others
+CONVERGENCE_TIMEOUT_S = 60.0  # time for all members to see each other
 POLL_S = 0.1
 
 
@@ -34,26 +34,26 @@
 
 
 class HollowRouter(GossipDriver):
-    """A member that counts its bytes."""
+    """A router that only takes part in the membership protocol and counts its bytes."""
 
     def __init__(self, name: str, settings: MembershipSettings, seed: int) -> None:
         self.traffic: Counter[str] = Counter()
-        self.reaches: Callable[[Any], bool] = lambda address: True
+        self.can_reach: Callable[[Any], bool] = lambda address: True
         super().__init__(name, settings, seed, Counter(), lambda runner: None)
 
     def connection_made(self, transport: Any) -> None:
-        """Count what is sent, and drop what is sent to an address that this member does not reach."""
+        """Have the transport count what is sent, and drop datagrams to addresses that are out of reach."""
         send = transport.sendto
 
         def count_and_send(data: bytes, address: Any = None) -> None:
             self.traffic["out"] += len(data) + HEADER_BYTES
-            if self.reaches(address):
+            if self.can_reach(address):
                 send(data, address)
 
         transport.sendto = count_and_send
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Count what is received."""
+        """Count a received datagram and process it."""
         self.traffic["in"] += len(data) + HEADER_BYTES
         super().datagram_received(data, addr)
 
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class MemberUsage:
-    """What a member uses each second, on average: messages, bytes out and in, and processor time in ms."""
+    """What a member uses per second, on average: messages, bytes out and in, and processor time in ms."""
 
     messages: float
     bytes_out: float
@@ -88,7 +88,7 @@
 
 
 class HollowFleet:
-    """A number of hollow routers on this process's loop."""
+    """A number of hollow routers on the event loop of this process."""
 
     def __init__(self, members: int, period_us: int, seed: int = 1) -> None:
         self.members = members
@@ -98,19 +98,19 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start every router. Raises TimeoutError where they do not all see each other."""
-        # Otherwise each member would log the join of each other.
+        """Start all routers. Raises TimeoutError if they do not all see each other in time."""
+        # At the info level, each member would log the join of each other member.
         structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING))
         for number in range(self.members):
             await self.add(number)
         deadline = time.monotonic() + CONVERGENCE_TIMEOUT_S
         while any(len(router.swim.live()) < self.members for router in self.routers):
             if time.monotonic() > deadline:
-                raise TimeoutError(f"{self.members} members do not see each other")
+                raise TimeoutError(f"the {self.members} members did not all see each other in time")
             await asyncio.sleep(POLL_S)
 
     async def add(self, number: int, port: int = 0) -> HollowRouter:
-        """Start one more router, or one that is back at its port."""
+        """Start a router, on the port that it had if it is restarted; port 0 stands for any free port."""
         tuning = replace(Tuning(), period_us=self.period_us, ack_us=self.period_us * 2 // 5)
         seeds = tuple(router.address() for router in self.routers[:SEEDS])
         settings = MembershipSettings(("127.0.0.1", port), seeds, tuning)
@@ -122,7 +122,7 @@
         return router
 
     async def kill(self, router: HollowRouter) -> int:
-        """End a router without a leave message, and return its port."""
+        """Stop a router without a leave message and return its port."""
         index = self.routers.index(router)
         port = router.address()[1]
         del self.routers[index]
@@ -132,7 +132,7 @@
         return port
 
     async def measure(self, seconds: float) -> MemberUsage:
-        """Measure what a member uses over the next seconds."""
+        """Measure what a member uses in the next seconds."""
         traffic_before = self._traffic()
         time_before = time.monotonic()
         processor_before = time.process_time()
@@ -148,7 +148,7 @@
         )
 
     async def stop(self) -> None:
-        """End every router."""
+        """Stop all routers."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -161,5 +161,5 @@
 
 
 def resident_kb() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process in KiB."""
     return int(Path(f"/proc/{os.getpid()}/statm").read_text().split()[1]) * PAGE_KB
--- a/benchmarks/hollow_check.py
+++ b/benchmarks/hollow_check.py
@@ -1,9 +1,10 @@
-"""Hollow routers beside real ones: the same membership, at the same period, of 5 and of 20.
+"""Check that hollow routers send as many membership messages as real ones, with 5 and with 20 members.
 
     python -m benchmarks.hollow_check
 
-Real ones are processes of the program with the relay between them; both count the messages that they send. It
-fails where the two differ by more than `MAX_DIFFERENCE`.
+The real routers are processes of the program with the relay between them. Both kinds run with the same
+protocol period and count the messages that they send. The check fails if the counts differ by more than
+`MAX_DIFFERENCE`.
 """
 
 import asyncio
@@ -17,11 +18,11 @@
 SIZES = (5, 20)
 SETTLE_S = 2.0
 SECONDS = 5.0
-MAX_DIFFERENCE = 0.15  # as a share
+MAX_DIFFERENCE = 0.15  # as a share of the messages of real routers
 
 
 def measure_real(members: int) -> float:
-    """Messages a member and second of real routers."""
+    """Return the messages per member and second of real routers."""
     test = unittest.TestCase()
     try:
         routers = Routers(test, members)
@@ -36,12 +37,12 @@
 
 
 def total_sent(routers: Routers) -> int:
-    """The membership messages that all routers have sent so far."""
+    """Return the number of membership messages that all routers have sent so far."""
     return sum(messages_sent(program.counters()) for program in routers.programs)
 
 
 async def measure_hollow(members: int) -> float:
-    """Messages a member and second of hollow routers."""
+    """Return the messages per member and second of hollow routers."""
     fleet = HollowFleet(members, int(PERIOD_S * 1e6))
     try:
         await fleet.start()
@@ -52,18 +53,18 @@
 
 
 def main() -> int:
-    """Compare both at each size; 1 where they differ by too much at any, else 0."""
-    is_too_far = False
+    """Compare both kinds at each size; return 1 if they differ too much at any size, and 0 otherwise."""
+    has_failed = False
     for members in SIZES:
         real = measure_real(members)
         hollow = asyncio.run(measure_hollow(members))
         difference = abs(hollow / real - 1)
-        is_too_far = is_too_far or difference > MAX_DIFFERENCE
+        has_failed = has_failed or difference > MAX_DIFFERENCE
         print(
             f"{members} routers: real {real:.2f}, hollow {hollow:.2f} messages a second, "
             f"{difference:.1%} apart"
         )
-    return int(is_too_far)
+    return int(has_failed)
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,4 +1,4 @@
-"""Membership: bytes, processor time and memory of a member as their number grows, by hollow routers."""
+"""Measure the traffic, processor time and memory of a member as the group grows, with hollow routers."""
 
 import asyncio
 import gc
@@ -8,27 +8,28 @@
 from benchmarks.fit import Series
 from benchmarks.hollow import HollowFleet, MemberUsage, resident_kb
 
-PERIOD_US = 1_000_000  # the shipped one
+PERIOD_US = 1_000_000  # the default of the program
 SIZES = (10, 20, 40, 80)
 SECONDS = 6.0
 SMALL_SIZES = (4, 8, 12)
 SMALL_SECONDS = 2.0
 SMALL_PERIOD_US = 200_000
-# For the joins to be disseminated: some tens of bytes for each member, some times, a dozen a message.
+# The time to disseminate the joins: each takes some tens of bytes and is sent several times, and a message
+# holds about a dozen of them.
 SETTLE_S = 4.0
 SETTLE_S_PER_MEMBER = 0.4
 
 
 @dataclass(frozen=True)
 class MemberCost:
-    """What a member costs when nothing happens."""
+    """The cost of a member while the group does not change."""
 
     usage: MemberUsage
     resident_kb: float
 
 
 async def measure(members: int, seconds: float = SECONDS, period_us: int = PERIOD_US) -> MemberCost:
-    """Measure a member of a group of so many."""
+    """Measure the cost of a member of a group of this many."""
     gc.collect()
     before_kb = resident_kb()
     fleet = HollowFleet(members, period_us)
@@ -42,7 +43,7 @@
 
 
 def run(small: bool = False) -> list[Series]:
-    """Return the series over the number of members; `small` is for a quick look."""
+    """Return the series by number of members; `small` selects a short run with small sizes."""
     sizes = SMALL_SIZES if small else SIZES
     seconds = SMALL_SECONDS if small else SECONDS
     period_us = SMALL_PERIOD_US if small else PERIOD_US
@@ -56,7 +57,7 @@
         try:
             cost = asyncio.run(measure(members, seconds, period_us))
         except TimeoutError as error:
-            print(f"membership: left out: {error}", file=sys.stderr, flush=True)
+            print(f"membership: this size is skipped: {error}", file=sys.stderr, flush=True)
             continue
         messages.add(members, cost.usage.messages)
         bytes_out.add(members, cost.usage.bytes_out)
--- a/benchmarks/policy_changes.py
+++ b/benchmarks/policy_changes.py
@@ -1,7 +1,7 @@
-"""Changes of policy among many routers, on the model of the shipped decisions (`maplestile model`).
+"""Measure policy changes among many routers in the model (`maplestile model`), which runs the shipped logic.
 
-Times are the model's, from a commit to the last router that was not cut off or down; a share of the changes
-is given up where agents are cut off or routers restart while they are checked.
+The times are simulated, from a commit until the last router that was not cut off or down has applied it. Some
+changes are aborted, because agents are cut off or routers restart while the changes are checked.
 """
 
 from collections.abc import Sequence
@@ -17,19 +17,19 @@
 ROUTERS = (50, 100, 200, 570)
 SMALL_ROUTERS = (20, 40)
 RESTARTS = 12
-ROUTERS_AN_AGENT = 10
+ROUTERS_PER_AGENT = 10
 CHANGES = 10
 SEEDS = 3
 
 
 def experiment(routers: int, **faults: Any) -> dict[str, Any]:
-    """An experiment with so many routers, in the form of its file."""
-    agents = max(1, routers // ROUTERS_AN_AGENT)
+    """Return the tables of an experiment with this many routers, in the form of its file."""
+    agents = max(1, routers // ROUTERS_PER_AGENT)
     return {"kind": "policy", "seed": 5, "routers": routers, "agents": agents, "changes": CHANGES} | faults
 
 
 def run_seeds(tables: dict[str, Any], seeds: int) -> list[PolicyMetrics]:
-    """Run an experiment with so many seeds; the metrics of each run."""
+    """Run an experiment with this many seeds and return the metrics of each run."""
     return [policy.run(seeded) for seeded in with_seeds(parse(tables), seeds)]
 
 
@@ -38,7 +38,7 @@
 
 
 def run(small: bool = False) -> list[Series]:
-    """The series by routers; `small` is for a quick look."""
+    """Return the series by number of routers; `small` selects a short run with few sizes."""
     last = Series("last router p99", "routers", "ms from the commit")
     cut = Series("changes given up, an agent cut off", "routers", "share")
     restarts = Series("changes given up, a restart each 5 s", "routers", "share")
--- a/maplestile/tools/instance_commands.py
+++ b/maplestile/tools/instance_commands.py
@@ -48,7 +48,7 @@
     pid: int | None  # None while no process runs
     starts: int  # how often the process has been started
     state_age_s: float  # seconds since the instance entered its state
-    last_exit: str  # how the previous process ended
+    last_exit: str  # how the last process ended, or why it could not start; empty before that
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/command_line_uses.py
+++ b/tests/command_line_uses.py
@@ -1,4 +1,4 @@
-"""Uses of the command line that are recorded: helps, good and bad arguments, and damaged files."""
+"""The command lines whose output is recorded: help texts, valid and invalid arguments, and damaged files."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class DamagedFile(NamedTuple):
-    """A command that reads a file in which a text is replaced once."""
+    """A command, and a file in which `old` is replaced once by `new` before the command reads it."""
 
     command: str
     file: str
@@ -14,7 +14,7 @@
     new: str
 
 
-NOBODY = "127.0.0.1:1"  # a port where nothing listens
+UNUSED_ADDRESS = "127.0.0.1:1"  # no process listens there
 COMMANDS: tuple[Arguments, ...] = (
     (),
     ("serve",),
@@ -90,18 +90,18 @@
     ("explore", "--states", "-1"),
     ("explore", "--replay", "missing.json"),
     ("explore", "--replay", "README.md"),
-    ("status", "--agent", NOBODY),
+    ("status", "--agent", UNUSED_ADDRESS),
     ("status", "--agent", "nowhere"),
-    ("stop", "--agent", NOBODY, "--json"),
-    ("ready", "--agent", NOBODY),
-    ("members", "--agent", NOBODY),
-    ("suspend", "w1", "--agent", NOBODY),
-    ("rollout", "status", "--agent", NOBODY),
-    ("rollout", "start", "r1", "--agent", NOBODY),
-    ("policy", "status", "--agent", NOBODY),
-    ("policy", "propose", "examples/policy/policy.toml", "--agent", NOBODY),
+    ("stop", "--agent", UNUSED_ADDRESS, "--json"),
+    ("ready", "--agent", UNUSED_ADDRESS),
+    ("members", "--agent", UNUSED_ADDRESS),
+    ("suspend", "w1", "--agent", UNUSED_ADDRESS),
+    ("rollout", "status", "--agent", UNUSED_ADDRESS),
+    ("rollout", "start", "r1", "--agent", UNUSED_ADDRESS),
+    ("policy", "status", "--agent", UNUSED_ADDRESS),
+    ("policy", "propose", "examples/policy/policy.toml", "--agent", UNUSED_ADDRESS),
 )
-BAD_LOADS: tuple[Arguments, ...] = (  # apart, since these import the library of the latencies
+BAD_LOADS: tuple[Arguments, ...] = (  # separate, because these import the histogram library
     ("load", "127.0.0.1:1"),
     ("load", "127.0.0.1:1", "--rate", "1"),
     ("load", "127.0.0.1:1", "--rate", "1", "--trace", "x", "--function", "f"),
--- a/tests/record_command_line.py
+++ b/tests/record_command_line.py
@@ -1,6 +1,8 @@
-"""Records the command line: `python -m tests.record_command_line` writes `tests/recorded/command-line-*`.
+"""Recorders of the command line and of the files that it reads.
 
-Each recorder gives one file's text; `tests/test_recorded_command_line.py` compares it with the file."""
+`python -m tests.record_command_line` writes the files of `RECORDERS` to `tests/recorded`. Each recorder
+returns the text of one file, and `tests/test_recorded_command_line.py` compares it with the file.
+"""
 
 import re
 import tempfile
@@ -16,38 +18,38 @@
 
 
 def helps() -> str:
-    """The help of each command."""
+    """Return the help text of each command."""
     return "\n".join(run(*command, "--help") for command in COMMANDS)
 
 
 def bad_uses() -> str:
-    """Uses that end with an error."""
+    """Return the output of commands that end with an error."""
     return "\n".join(run(*arguments) for arguments in BAD_USES)
 
 
 def bad_loads() -> str:
-    """Uses of the load tool that end with an error."""
+    """Return the output of `load` commands that end with an error."""
     return "\n".join(run(*arguments) for arguments in BAD_LOADS)
 
 
 def good_uses() -> str:
-    """Uses that succeed without a network."""
+    """Return the output of commands that succeed without a network."""
     return "\n".join(run(*arguments) for arguments in GOOD_USES)
 
 
 def checks() -> str:
-    """What `check` says of each example and deployment file."""
+    """Return the output of `check` for each example and deployment file."""
     files = sorted([*(ROOT / "deploy").rglob("*.toml"), *(ROOT / "examples").rglob("*.toml")])
     return "\n".join(run("check", relative(file)) for file in files)
 
 
 def damaged_files() -> str:
-    """What commands say of each damaged file."""
-    return "\n".join(use_of_damaged_file(damaged) for damaged in DAMAGED_FILES)
+    """Return the output of commands for each damaged file."""
+    return "\n".join(run_on_damaged_file(damaged) for damaged in DAMAGED_FILES)
 
 
-def use_of_damaged_file(damaged: DamagedFile) -> str:
-    """What a command says of a damaged copy of a file, which is in another folder than the original."""
+def run_on_damaged_file(damaged: DamagedFile) -> str:
+    """Return the output of a command for a damaged copy of a file; the copy is in a folder of its own."""
     text = (ROOT / damaged.file).read_text()
     if damaged.old not in text:
         raise AssertionError(f"{damaged.file} has no {damaged.old!r} to replace")
@@ -60,29 +62,29 @@
 
 
 def agent_files() -> str:
-    """The files of agents, as they are read: only values, in the order of the fields."""
-    read: dict[str, object] = {}
+    """Return the decoded files of agents: only values, in the order of the fields."""
+    results: dict[str, object] = {}
     for file in sorted((ROOT / "examples").rglob("*.toml")):
         try:
-            read[relative(file)] = load_settings(file)
+            results[relative(file)] = load_settings(file)
         except ConfigError as error:
-            read[relative(file)] = f"refused: {error}"
-    return as_json(read)
+            results[relative(file)] = f"refused: {error}"
+    return as_json(results)
 
 
 def operator_files() -> str:
-    """The files of routers, as they are read: only values, in the order of the fields."""
-    read: dict[str, object] = {}
+    """Return the decoded files of routers: only values, in the order of the fields."""
+    results: dict[str, object] = {}
     for file in sorted((ROOT / "deploy").rglob("*.toml")):
         try:
-            read[relative(file)] = operator_file.load(file)
+            results[relative(file)] = operator_file.load(file)
         except ConfigError as error:
-            read[relative(file)] = f"refused: {error}"
-    return as_json(read)
+            results[relative(file)] = f"refused: {error}"
+    return as_json(results)
 
 
 def agent_answers() -> str:
-    """What the command line sends to an agent, and prints of its reply."""
+    """Return the requests that commands send to an agent, and what they print of its replies."""
     results: list[str] = []
     for arguments, reply in AGENT_REPLIES:
         with serving_agent(reply) as agent:
--- a/tests/record_files.py
+++ b/tests/record_files.py
@@ -1,4 +1,4 @@
-"""Records how documents of policy and the platform's configuration are parsed."""
+"""Recorders of how policy documents and the platform's configuration are decoded."""
 
 import json
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
 
 def policies() -> str:
-    """Documents of policy: the canonical text and the digest, or what is wrong."""
+    """Return the canonical text and the digest of each policy document, or the error of an invalid one."""
     call_class = {"name": "review", "aim_ms": 800, "deadline_ms": 4000, "semantics": "safe"}
     results: list[object] = []
     documents: tuple[object, ...] = (
@@ -35,39 +35,39 @@
         try:
             document = Document.from_tables(tables)
             results.append([document.text, document.digest(), document.applied_to(file)])
-        except ConfigError as fault:
-            results.append(f"refused: {fault}")
+        except ConfigError as error:
+            results.append(f"refused: {error}")
     return as_json(results)
 
 
 def settings() -> str:
-    """The router's configuration from a complete payload, from the least one, and from damaged ones."""
+    """Return the router's configuration from a complete payload, a minimal one, and damaged ones."""
     complete = _complete_payload()
-    complete_result = _configured(complete)
-    least_result = _configured({"settings": params(familyInfo={}, kinds=[])})
+    complete_result = _decode_config(complete)
+    minimal_result = _decode_config({"settings": params(familyInfo={}, kinds=[])})
     lines = [
-        f"{damaged.place}: {_summary(damaged.result, complete_result)}"
-        for damaged in _results_of_damage(complete)
+        f"{damaged.place}: {_summarize(damaged.result, complete_result)}"
+        for damaged in _decode_damaged(complete)
     ]
-    return as_json([{"whole": complete_result}, {"least": least_result}]) + masked("\n".join(lines)) + "\n"
+    return as_json([{"whole": complete_result}, {"least": minimal_result}]) + masked("\n".join(lines)) + "\n"
 
 
 class DamagedResult(NamedTuple):
-    """The place of a damaged field and its damage, and the configuration or the error."""
+    """A damaged field and its damage, and the decoded configuration or the text of the error."""
 
     place: str
     result: Any
 
 
 class Leaf(NamedTuple):
-    """A value within nested lists, and its place as a path of numbers."""
+    """A value within nested lists, and its place as a path of indices."""
 
     place: str
     value: Any
 
 
 def _complete_payload() -> JsonTables:
-    """A configuration that has every field."""
+    """Return a payload that has every field."""
     targets = [target("s-0", 9001), target("s-1", 9002, "Terminating")]
     return {
         "name": "n0",
@@ -81,8 +81,8 @@
     }
 
 
-def _results_of_damage(payload: JsonTables) -> Iterator[DamagedResult]:
-    """Configure with each field missing, and with each of another type; the payload is restored after it."""
+def _decode_damaged(payload: JsonTables) -> Iterator[DamagedResult]:
+    """Decode the payload with each field missing and with each of a wrong type; it is restored each time."""
     params_tables = payload["settings"]
     for place, tables in (
         ("", payload),
@@ -94,14 +94,14 @@
     ):
         for name in list(tables):
             value = tables.pop(name)
-            yield DamagedResult(f"{place}.{name} missing", _configured(payload))
+            yield DamagedResult(f"{place}.{name} missing", _decode_config(payload))
             tables[name] = {"odd": []}
-            yield DamagedResult(f"{place}.{name} odd", _configured(payload))
+            yield DamagedResult(f"{place}.{name} odd", _decode_config(payload))
             tables[name] = value
 
 
-def _summary(value: Any, complete: Any) -> str:
-    """The error, or only what differs from the complete configuration, by its place."""
+def _summarize(value: Any, complete: Any) -> str:
+    """Return the error, or the values that differ from the complete configuration, each with its place."""
     if isinstance(value, str):
         return value
     before = dict(_leaves(complete, ""))
@@ -115,28 +115,28 @@
 
 
 def _leaves(value: Any, place: str) -> Iterator[Leaf]:
-    """Each value within nested lists."""
+    """Yield each value within nested lists."""
     if isinstance(value, list):
-        for number, each in enumerate(value):
-            yield from _leaves(each, f"{place}/{number}")
+        for index, item in enumerate(value):
+            yield from _leaves(item, f"{place}/{index}")
     else:
         yield Leaf(place, value)
 
 
-def _configured(payload: JsonTables) -> Any:
-    """The configuration in plain values, or the text of its error."""
+def _decode_config(payload: JsonTables) -> Any:
+    """Return the decoded configuration as plain values, or the text of the error."""
     try:
         config = config_from(payload)
-    except ConfigError as fault:
-        return f"refused: {fault}"
+    except ConfigError as error:
+        return f"refused: {error}"
     addresses = [config.name, config.listen, config.dns, config.operation, config.seed]
     return plain([addresses, config.settings, _limit_values(config.limits), config.fleet.visible_entries()])
 
 
 def _limit_values(limits: Limits) -> list[float]:
-    """All limits as one list in the order of the recording, which is from before they were grouped.
+    """Return all limits as one list in the order of the recorded file, which is older than their groups.
 
-    It has the sizes of reads and the maximal Retry-After ahead of the last four.
+    The read sizes and the maximum Retry-After come before the last four limits.
     """
     moved = (limits.runners.read_bytes, limits.clients.read_bytes, limits.requests.max_retry_after_us)
     moved_fields = {("runners", "read_bytes"), ("clients", "read_bytes"), ("requests", "max_retry_after_us")}
--- a/tests/test_recorded_command_line.py
+++ b/tests/test_recorded_command_line.py
@@ -1,4 +1,4 @@
-"""The command line does as it was recorded: helps, exit codes, errors, files read, and answers printed."""
+"""Tests that help texts, exit codes, errors, output and decoded files of the command line are as recorded."""
 
 import pytest
 
@@ -8,6 +8,6 @@
 
 
 @pytest.mark.parametrize("name", RECORDERS)
-def test_the_command_line_does_as_recorded(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_command_line_behaves_as_recorded(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(ROOT)
     assert RECORDERS[name]() == recorded(name)
--- a/tools/measure_rollout.py
+++ b/tools/measure_rollout.py
@@ -20,7 +20,7 @@
 from tools.samples import LOAD_GENERATOR_START_S, Samples
 
 BUDGETS = (1, 2, 3)
-STEP_S = 30.0
+STEP_S = 30.0  # how long a step may take before the rollout halts
 AFTER_HALT_S = 2.5  # long enough for a step to begin if the halt were ignored
 
 
