--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -85,7 +85,7 @@
 
 
 async def measure(agents: int, routers: int, seconds: float) -> Usage:
-    """Measure the cost of the reads of a number of agents with a number of routers each."""
+    """Measure the cost of the reads of `agents` agents with `routers` routers each."""
     with tempfile.TemporaryDirectory() as folder:
         voters = Voters(Path(folder))
         try:
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -37,7 +37,7 @@
 
 @dataclass
 class TrafficSampler:
-    """The messages and bytes that a member sends in each second, as the mean of all members."""
+    """A sampler of the mean number of messages and bytes that a member sends in each second."""
 
     fleet: HollowFleet
     messages: list[float] = field(default_factory=list)
@@ -61,10 +61,10 @@
     """The cost of a fault."""
 
     view_s: float  # time until all views are the same; infinite after `VIEW_TIMEOUT_S`
-    max_messages: float  # per member in one second, the largest mean of all members
-    max_bytes: float  # per member in one second, the largest mean of all members
+    max_messages: float  # sent in one second: the highest mean of the members
+    max_bytes: float  # sent in one second: the highest mean of the members
     deaths_during: int  # how often a member declared another dead during the fault
-    deaths_after: int  # how often after the fault
+    deaths_after: int  # how often a member declared another dead after the fault
 
     def row(self, name: str, members: int) -> str:
         """Return a row of the Markdown table."""
@@ -95,7 +95,7 @@
 
 
 async def cut_region(fleet: HollowFleet, seconds: float) -> None:
-    """Cut the first third of the members, which includes the seeds, off from the others for a time."""
+    """Cut the first third of the members, which includes the seeds, off from the others for `seconds`."""
     region = {router.address() for router in fleet.routers[: len(fleet.routers) // REGION_DIVISOR]}
 
     def reaches_own_side(is_inside: bool, address: Any) -> bool:
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -42,7 +42,7 @@
         super().__init__(name, settings, seed, Counter(), lambda runner: None)
 
     def connection_made(self, transport: Any) -> None:
-        """Have the transport count what is sent, and drop datagrams to addresses that are out of reach."""
+        """Wrap the transport to count the sent bytes and to drop datagrams to unreachable addresses."""
         send = transport.sendto
 
         def count_and_send(data: bytes, address: Any = None) -> None:
@@ -110,7 +110,7 @@
             await asyncio.sleep(POLL_S)
 
     async def add(self, number: int, port: int = 0) -> HollowRouter:
-        """Start a router, on the port that it had if it is restarted; port 0 stands for any free port."""
+        """Start a router; `port` is the former port of a restarted router, or 0 for any free port."""
         tuning = replace(Tuning(), period_us=self.period_us, ack_us=self.period_us * 2 // 5)
         seeds = tuple(router.address() for router in self.routers[:SEEDS])
         settings = MembershipSettings(("127.0.0.1", port), seeds, tuning)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -29,7 +29,7 @@
 
 
 async def measure(members: int, seconds: float = SECONDS, period_us: int = PERIOD_US) -> MemberCost:
-    """Measure the cost of a member of a group of this many."""
+    """Measure the cost of a member in a group of this size."""
     gc.collect()
     before_kb = resident_kb()
     fleet = HollowFleet(members, period_us)
--- a/maplestile/__main__.py
+++ b/maplestile/__main__.py
@@ -9,7 +9,7 @@
 
 def main() -> int:
     """Run the program and return its exit code."""
-    # Imported here, so that a router of the platform does not spend time and memory on the command line.
+    # Imported here, so that a router of the platform does not spend time and memory on loading it.
     if sys.argv[1:]:
         from maplestile.tools import cli
 
--- a/maplestile/tools/agent_client.py
+++ b/maplestile/tools/agent_client.py
@@ -13,7 +13,7 @@
 
 
 def add_agent_options(command: argparse.ArgumentParser) -> None:
-    """Add the options that all commands with requests to an agent share."""
+    """Add the options of all commands that send a request to an agent."""
     command.add_argument("--agent", default=DEFAULT_AGENT, metavar="HOST:PORT")
     command.add_argument("--json", action="store_true", help="print the agent's whole answer")
 
--- a/maplestile/tools/cli.py
+++ b/maplestile/tools/cli.py
@@ -1,7 +1,7 @@
 """The entry point of the `maplestile` command.
 
-Each module of commands adds their arguments to the parser and sets the function that runs a command as the
-default `run` of its parser. That function takes the parsed arguments and returns the exit code.
+Each command module adds its commands to the parser, and sets the function that runs a command as the default
+`run` of the command's parser. That function takes the parsed arguments and returns the exit code.
 """
 
 import argparse
@@ -43,7 +43,7 @@
     """Run one command and return its exit code.
 
     For an invalid file, print the reason on standard error and return 1, unless the command has an exit code
-    of its own for this error. It is not an error if the reader of the standard output closes it.
+    of its own for this error. A closed standard output, such as a broken pipe, is not an error.
     """
     parsed = build_parser().parse_args(arguments)
     try:
--- a/maplestile/tools/faults/__init__.py
+++ b/maplestile/tools/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Fault schedules for the model and for the relay, and the relay, which applies them to loopback traffic."""
+"""Fault schedules for the model and the relay, and the relay itself, which applies them on loopback."""
--- a/maplestile/tools/faults/control_port.py
+++ b/maplestile/tools/faults/control_port.py
@@ -36,7 +36,7 @@
 from maplestile.tools.faults.schedule import FaultKind, Schedule, ScheduleError
 
 MAX_LINE_BYTES = 65_536
-NOT_PLAYED = (FaultKind.KILL, FaultKind.PAUSE)  # faults of processes, to which the relay sends no signals
+PROCESS_FAULTS = (FaultKind.KILL, FaultKind.PAUSE)  # the relay does not signal processes
 
 
 class ControlPort:
@@ -50,7 +50,7 @@
         try:
             table = relay_commands.parse(line)
             reply = await self._carry_out(relay_commands.decode(table, self._relay.schedule))
-            table.end()  # reports an unknown field, although the command has been carried out
+            table.end()  # reports unknown fields; the command has been carried out by then
         except ScheduleError as error:
             return {"error": str(error)}
         return relay_commands.encode(reply)
@@ -60,11 +60,11 @@
             case RegisterMember(member, address):
                 self._relay.register(member, address)
             case OpenLink(origin, target, address):
-                return LinkOpened(await self._relay.link(origin, target, address))
+                return LinkOpened(await self._relay.open_link(origin, target, address))
             case Begin(schedule):
                 self._relay.begin(schedule)
                 kinds = (fault.kind for fault in schedule.faults)
-                return ScheduleStarted(tuple(kind for kind in kinds if kind in NOT_PLAYED))
+                return ScheduleStarted(tuple(kind for kind in kinds if kind in PROCESS_FAULTS))
             case Heal():
                 self._relay.heal()
             case ReadCounts():
@@ -83,7 +83,7 @@
 async def serve(schedule: Schedule, control: Address) -> None:
     """Open a relay, print its addresses as one JSON line on standard error, and serve until cancelled."""
     relay = Relay(schedule)
-    fronts = await relay.open()
+    fronts = await relay.open_fronts()
     server = await asyncio.start_server(ControlPort(relay).serve, *control, limit=MAX_LINE_BYTES)
     host, port = server.sockets[0].getsockname()[:2]
     addresses = {"control": f"{host}:{port}", "fronts": [f"{host}:{port}" for host, port in fronts]}
--- a/maplestile/tools/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -2,7 +2,7 @@
 
 UDP: each member has a front, a socket of the relay that the member advertises to the others as its own
 address (`[peers] advertise`). A datagram from member A's real socket to member B's front is forwarded to B's
-real socket. By the schedule it may be lost, delayed, duplicated, reordered, or dropped by a cut. A datagram
+real socket. As the schedule says, it is lost, delayed, duplicated, reordered, or dropped by a cut. A datagram
 from an unknown socket is counted and dropped.
 
 TCP: each directed link has a front of its own, since the address of a connection does not show its origin.
@@ -29,7 +29,7 @@
 
 HOST = "127.0.0.1"  # the only host that traffic is accepted from and sent to
 CHUNK_BYTES = 16_384
-MAX_DELAYED_DATAGRAMS = 20_000  # limits the memory that a flood of datagrams takes under a long delay
+MAX_DELAYED_DATAGRAMS = 20_000  # bounds the memory for a flood of datagrams under a long delay
 RETRANSMIT_S = 0.2  # the shortest retransmission timeout of Linux
 POLL_INTERVAL_S = 0.02  # between checks whether a cut has ended
 
@@ -110,7 +110,7 @@
 
     # UDP.
 
-    async def open(self) -> list[Address]:
+    async def open_fronts(self) -> list[Address]:
         """Open a front for each member and return their addresses in the order of the members."""
         loop = asyncio.get_running_loop()
         for number in range(self.schedule.members):
@@ -159,7 +159,7 @@
 
     # TCP.
 
-    async def link(self, origin: int, target: int, address: Address) -> Address:
+    async def open_link(self, origin: int, target: int, address: Address) -> Address:
         """Open a front for connections from `origin` to the listener of `target`, and return its address."""
         serve = functools.partial(self._serve, Direction(origin, target), address)
         server = await asyncio.start_server(serve, HOST, 0)
@@ -179,8 +179,8 @@
         self.counts["tcp.connections"] += 1
         writers = [writer]
         try:
-            await self._until_open(forward)
-            await self._until_open(backward)  # a TCP handshake needs both directions
+            await self._wait_until_open(forward)
+            await self._wait_until_open(backward)  # a TCP handshake needs both directions
             target_reader, target_writer = await asyncio.open_connection(*address)
             writers.append(target_writer)
             async with asyncio.TaskGroup() as directions:
@@ -201,11 +201,11 @@
         while data := await reader.read(CHUNK_BYTES):
             if self.active_schedule is not None:
                 await self._delay_chunk(self.active_schedule)
-            await self._until_open(direction)
+            await self._wait_until_open(direction)
             self.counts["tcp.chunks"] += 1
             writer.write(data)
             await writer.drain()
-        await self._until_open(direction)
+        await self._wait_until_open(direction)
         if writer.can_write_eof():
             writer.write_eof()
 
@@ -220,9 +220,9 @@
 
     def _is_cut(self, direction: Direction) -> bool:
         schedule = self.active_schedule
-        return schedule is not None and schedule.cut(direction.origin, direction.target, self.now_us())
+        return schedule is not None and schedule.is_cut(direction.origin, direction.target, self.now_us())
 
-    async def _until_open(self, direction: Direction) -> None:
+    async def _wait_until_open(self, direction: Direction) -> None:
         """Wait until no fault cuts this direction."""
         was_held = False
         while self._is_cut(direction):
--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -8,7 +8,7 @@
     delay_ms = 0.5               # one way, plus exponential jitter with the mean `jitter_ms`
     jitter_ms = 1.0
     duplicate = 0.01             # the probability that a datagram arrives twice
-    reorder = 0.01               # the probability that a datagram is late by `reorder_ms`, and overtaken
+    reorder = 0.01               # the probability of an extra delay of `reorder_ms`, which causes reordering
     reorder_ms = 20
 
     [[kill]]                     # the member's process is killed, as by SIGKILL
@@ -25,13 +25,13 @@
     until_s = 80
     sides = [[0, 1], [2, 3, 4]]
 
-    [[cut]]                      # nothing passes from some members to others; the other direction is open
+    [[cut]]                      # nothing passes from some members to others; the reverse direction is open
     at_s = 10
     until_s = 20
     from = [0]
     to = [1]
 
-    [[flap]]                     # the links between two groups are down and up by turns, down first
+    [[flap]]                     # the links between two groups alternate between down and up, first down
     at_s = 10
     until_s = 40
     from = [0]
@@ -59,7 +59,7 @@
 
 
 class ScheduleError(ConfigError):
-    """The error for an invalid schedule; the text names the field."""
+    """Raised for an invalid schedule; the text names the field."""
 
 
 class FaultKind(StrEnum):
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault."""
+    """One fault of a schedule."""
 
     kind: FaultKind
     at_us: int  # start of the fault
@@ -98,27 +98,27 @@
     up_us: int = 0  # time for which a flapping link is up
 
     def side(self, member: int) -> int:
-        """Return the number of the side of a split that a member is on; unlisted members share the last."""
+        """Return the index of a member's side of a split; all unlisted members share the last index."""
         for number, side in enumerate(self.sides):
             if member in side:
                 return number
         return len(self.sides)
 
     def cuts(self, origin: int, target: int, now_us: int) -> bool:
-        """Return whether this fault blocks datagrams from `origin` to `target` at a time."""
+        """Return whether this fault cuts the link from `origin` to `target` at `now_us`."""
         if not self.at_us <= now_us < self.until_us:
             return False
         match self.kind:
             case FaultKind.SPLIT:
                 return self.side(origin) != self.side(target)
             case FaultKind.CUT:
-                return self._is_on_link(origin, target)
+                return self._includes_link(origin, target)
             case FaultKind.FLAP:
-                is_flapping_link = self._is_on_link(origin, target) or self._is_on_link(target, origin)
+                is_flapping_link = self._includes_link(origin, target) or self._includes_link(target, origin)
                 return is_flapping_link and self._is_down(now_us)
         return False
 
-    def _is_on_link(self, origin: int, target: int) -> bool:
+    def _includes_link(self, origin: int, target: int) -> bool:
         return origin in self.members and target in self.others
 
     def _is_down(self, now_us: int) -> bool:
@@ -134,8 +134,8 @@
     net: Net = Net()
     faults: tuple[Fault, ...] = ()
 
-    def cut(self, origin: int, target: int, now_us: int) -> bool:
-        """Return whether any fault blocks datagrams from `origin` to `target` at a time."""
+    def is_cut(self, origin: int, target: int, now_us: int) -> bool:
+        """Return whether any fault cuts the link from `origin` to `target` at `now_us`."""
         return any(fault.cuts(origin, target, now_us) for fault in self.faults)
 
     def delivery_delays_us(
@@ -146,7 +146,7 @@
         There is none if the datagram is lost, and there are two if it is duplicated.
         """
         net = self.net
-        if generator.random() < net.loss or self.cut(origin, target, now_us):
+        if generator.random() < net.loss or self.is_cut(origin, target, now_us):
             return ()
         delays = [self.delay_us(generator)]
         if net.reorder and generator.random() < net.reorder:
--- a/maplestile/tools/instance_commands.py
+++ b/maplestile/tools/instance_commands.py
@@ -56,14 +56,14 @@
     """The state of one member in the membership view of one instance."""
 
     status: str
-    incarnation: int | None = None  # None if there is none to print
+    incarnation: int | None = None  # None if only the status is printed
 
     def __str__(self) -> str:
         """Return the text of the table cell."""
         return self.status if self.incarnation is None else f"{self.status}/{self.incarnation}"
 
 
-View = dict[str, ViewCell]  # of one instance, by member; ISOLATED_ROW has whether the instance is isolated
+View = dict[str, ViewCell]  # of one instance, by member; the entry ISOLATED_ROW is yes or no
 ABSENT_MEMBER = ViewCell("-")  # printed for a member that is missing from a view
 
 
--- a/maplestile/tools/load/arrivals.py
+++ b/maplestile/tools/load/arrivals.py
@@ -1,4 +1,6 @@
-"""The plan of which function is called when, in seconds from the start of a run; this module does no I/O.
+"""Plans of when calls are made and to which functions; times are seconds from the start of a run.
+
+This module does no I/O.
 
 The load is open-loop: each call is made when it is due, whether or not earlier calls have ended, so that a
 router that stalls receives the calls that it would receive in production.
@@ -21,7 +23,7 @@
 
 
 def poisson(functions: Mapping[str, float], rate: float, seconds: float, seed: int) -> Iterator[Arrival]:
-    """Plan `rate` calls per second as a Poisson process, which choose among the weighted functions.
+    """Plan a Poisson process of `rate` calls per second, and choose the function of each call by weight.
 
     The same seed gives the same calls.
     """
@@ -45,7 +47,7 @@
 
 @dataclass(slots=True)
 class Recorder:
-    """A recorder of the first `max_calls` calls of a trace, used as its `Trace.on_calls`."""
+    """Records the first `max_calls` calls of a trace; `record` serves as the trace's `on_calls`."""
 
     seed: int
     max_calls: int
@@ -67,9 +69,9 @@
 
 
 def replay(recorder: Recorder, names: Mapping[tuple[str, str], str], speed: float) -> list[Arrival]:
-    """Plan the recorded calls `speed` times as fast as in the trace, from the first call on.
+    """Plan the recorded calls at `speed` times the speed of the trace, starting with the first call.
 
-    `names` has the name under which each function is called, by app and function.
+    `names` maps each app and function to the name under which the function is called.
     """
     if not recorder.calls:
         return []
@@ -88,7 +90,7 @@
 
 
 def bounded(arrivals: Iterable[Arrival], seconds: float, count: int) -> Iterator[Arrival]:
-    """Yield at most `count` arrivals, and none from the first that is due after `seconds`."""
+    """Yield at most `count` arrivals, and stop at the first that is due after `seconds`."""
     for arrival in islice(arrivals, count):
         if arrival.at_s > seconds:
             return
--- a/maplestile/tools/load/client.py
+++ b/maplestile/tools/load/client.py
@@ -45,10 +45,10 @@
     tenant: str = ""
     class_name: str = ""
     deadline_ms: int = 0
-    keys: bool = False  # whether each call has an Idempotency-Key of its own
+    has_idempotency_keys: bool = False  # whether each call has an Idempotency-Key of its own
 
     def headers(self, key: str) -> Headers:
-        """Return the headers of one call."""
+        """Return the headers of the call with this idempotency key."""
         headers: Headers = []
         if self.tenant:
             headers.append(("Maplestile-Tenant", self.tenant))
@@ -56,7 +56,7 @@
             headers.append(("Maplestile-Class", self.class_name))
         if self.deadline_ms:
             headers.append(("Maplestile-Deadline-Ms", str(self.deadline_ms)))
-        if self.keys:
+        if self.has_idempotency_keys:
             headers.append(("Idempotency-Key", key))
         return headers
 
@@ -67,8 +67,8 @@
 
     ends: Counter[str] = field(default_factory=Counter)  # calls by `CallEnd`
     statuses: Counter[int] = field(default_factory=Counter)  # answers by HTTP status
-    targets: Counter[str] = field(default_factory=Counter)  # served calls by target
-    moved: int = 0  # attempts at a target that accepted no connection
+    served_by_target: Counter[str] = field(default_factory=Counter)
+    moved: int = 0  # attempts whose call could not be sent, so that the next target was tried
     max_lag_us: int = 0  # the longest delay of the load generator itself in making a call that was due
     seconds: float = 0.0  # duration of the run
     ends_by_second: dict[int, Counter[str]] = field(default_factory=dict)  # by the second of the arrival
@@ -85,9 +85,9 @@
 class Load:
     """One run against a number of targets, which are called in turn."""
 
-    def __init__(self, targets: list[Address], request: CallTemplate, wait_s: float) -> None:
+    def __init__(self, targets: list[Address], template: CallTemplate, wait_s: float) -> None:
         self._targets = [Target(address) for address in targets]
-        self._request = request
+        self._template = template
         self._wait_s = wait_s
         self._turns = itertools.cycle(range(len(targets)))
         self._result = Result()
@@ -103,7 +103,7 @@
                 await asyncio.sleep(wait_s)
             lag_us = int((time.monotonic() - due_s) * US_PER_S)
             self._result.max_lag_us = max(self._result.max_lag_us, lag_us)
-            if len(self._calls) >= max_in_flight:  # bounds the memory of this process if nothing is answered
+            if len(self._calls) >= max_in_flight:  # bounds this process's memory if nothing is answered
                 self._result.record_end(CallEnd.NOT_MADE, arrival)
             else:
                 self._start(number, arrival, due_s)
@@ -133,7 +133,7 @@
     async def _call_targets(self, number: int, arrival: Arrival) -> CallEnd:
         """Try the targets, from the one whose turn it is, until one accepts the call."""
         first = next(self._turns)
-        headers = self._request.headers(f"load-{id(self):x}-{number}")
+        headers = self._template.headers(f"load-{id(self):x}-{number}")
         for target in (*self._targets[first:], *self._targets[:first]):
             try:
                 status = await self._call_target(target, arrival, headers)
@@ -142,7 +142,7 @@
                 continue
             self._result.statuses[status] += 1
             if status == OK_STATUS:
-                self._result.targets[target.name] += 1
+                self._result.served_by_target[target.name] += 1
                 return CallEnd.SERVED
             return CallEnd.REJECTED if status in REJECTED_STATUSES else CallEnd.FAILED
         return CallEnd.NO_TARGET
@@ -157,7 +157,7 @@
             may_be_stale = target.has_idle()
             connection = await target.connect()
             try:
-                status = await connection.call(target.name, path, headers, self._request.body)
+                status = await connection.call(target.name, path, headers, self._template.body)
             except NotSent:
                 connection.close()
                 if not may_be_stale:
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -23,7 +23,7 @@
 
 
 class ArgumentsError(ConfigError):
-    """The error for invalid arguments of the command."""
+    """Raised for invalid arguments of the command."""
 
 
 def add(commands: Any) -> None:
@@ -38,24 +38,24 @@
 
 
 def _add_arrival_options(command: argparse.ArgumentParser) -> None:
-    add = command.add_argument
-    add("--function", action="append", default=[], metavar="NAME[=WEIGHT]", help="what to call")
-    add("--rate", type=float, default=0.0, help="calls a second, Poisson")
-    add("--trace", type=Path, action="append", default=[], help="a trace in CSV to replay")
-    add("--speed", type=float, default=1.0, help="replay so many times as fast")
-    add("--seconds", type=float, default=10.0, help="no call is made later (default 10)")
-    add("--count", type=int, default=100_000, help="no more calls than this")
-    add("--open", type=int, default=1000, help="no more calls in hand than this")
+    add_option = command.add_argument
+    add_option("--function", action="append", default=[], metavar="NAME[=WEIGHT]", help="what to call")
+    add_option("--rate", type=float, default=0.0, help="calls a second, Poisson")
+    add_option("--trace", type=Path, action="append", default=[], help="a trace in CSV to replay")
+    add_option("--speed", type=float, default=1.0, help="replay so many times as fast")
+    add_option("--seconds", type=float, default=10.0, help="no call is made later (default 10)")
+    add_option("--count", type=int, default=100_000, help="no more calls than this")
+    add_option("--open", type=int, default=1000, help="no more calls in hand than this")
 
 
 def _add_request_options(command: argparse.ArgumentParser) -> None:
-    add = command.add_argument
-    add("--wait-s", type=float, default=30.0, help="for an answer; then the call is lost")
-    add("--tenant", default="")
-    add("--class", dest="class_name", default="")
-    add("--deadline-ms", type=int, default=0)
-    add("--body-bytes", type=int, default=64)
-    add("--keys", action="store_true", help="an Idempotency-Key with each call")
+    add_option = command.add_argument
+    add_option("--wait-s", type=float, default=30.0, help="for an answer; then the call is lost")
+    add_option("--tenant", default="")
+    add_option("--class", dest="class_name", default="")
+    add_option("--deadline-ms", type=int, default=0)
+    add_option("--body-bytes", type=int, default=64)
+    add_option("--keys", action="store_true", help="an Idempotency-Key with each call")
 
 
 def run(arguments: argparse.Namespace) -> int:
@@ -86,7 +86,7 @@
         tenant=arguments.tenant,
         class_name=arguments.class_name,
         deadline_ms=arguments.deadline_ms,
-        keys=arguments.keys,
+        has_idempotency_keys=arguments.keys,
     )
 
 
@@ -120,7 +120,7 @@
 
 
 def _check_numbers(arguments: argparse.Namespace) -> None:
-    """Check that the options fit together and are in range. Raises `ArgumentsError` if they are not."""
+    """Check that the options are consistent and in range. Raises `ArgumentsError`."""
     if bool(arguments.rate) == bool(arguments.trace):
         raise ArgumentsError("either --rate or --trace")
     if arguments.rate and not arguments.function:
--- a/maplestile/tools/load/connection.py
+++ b/maplestile/tools/load/connection.py
@@ -15,11 +15,11 @@
 
 
 class NotSent(Exception):
-    """The error for a call that was not sent: it got no connection, or the connection had ended."""
+    """Raised for a call that was not sent: it got no connection, or the connection had ended."""
 
 
 class CallLost(Exception):
-    """The error for a call that was sent and got no complete answer."""
+    """Raised for a call that was sent and got no complete answer."""
 
 
 class Connection:
--- a/maplestile/tools/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -32,7 +32,7 @@
     latency_ms: dict[str, float] | None  # of served calls, by percentile; None without served calls
     statuses: dict[str, int]  # answers by HTTP status
     served_by_target: dict[str, int]
-    moved: int  # attempts at a target that accepted no connection
+    moved: int  # attempts whose call could not be sent, so that the next target was tried
     own_lag_ms: float  # the longest delay of the load generator itself in making a call that was due
 
 
@@ -41,7 +41,7 @@
 
 
 def summarize(result: Result) -> LoadSummary:
-    """Return the calls by how they ended, and the latency percentiles of the served calls."""
+    """Summarise a run: how the calls ended, and the latency percentiles of the served calls."""
     calls = result.ends.total()
     served = result.ends[CallEnd.SERVED]
     latency_ms = {f"p{percentile:g}": _latency_ms(result, percentile) for percentile in PERCENTILES}
@@ -53,7 +53,7 @@
         served_share=round(served / calls, 6) if calls else None,
         latency_ms=latency_ms if served else None,
         statuses={str(status): count for status, count in sorted(result.statuses.items())},
-        served_by_target=dict(sorted(result.targets.items())),
+        served_by_target=dict(sorted(result.served_by_target.items())),
         moved=result.moved,
         own_lag_ms=round(result.max_lag_us / US_PER_MS, 3),
     )
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -36,9 +36,7 @@
     epoch: int | None  # None without a report
     standing: str
     report_age_s: float | None  # None without a report
-    stale_s: (
-        float  # how long the instance has not known whether its epoch is the committed one; 0 if it knows
-    )
+    stale_s: float  # time since the epoch was last known to be the committed one; 0 while it is known
     reason: str  # empty if there is none
 
     @classmethod
@@ -168,7 +166,7 @@
 
 
 def _request_status(arguments: argparse.Namespace) -> AgentReply | None:
-    """Return the policy status of the agent; without an answer, print the reason and return None."""
+    """Return the agent's policy status; if it does not answer, print the reason and return None."""
     reply = request_agent(arguments.agent, "policy", [], what="status")
     return None if reply is None else reply["policy"]
 
@@ -272,6 +270,6 @@
 
 
 def is_policy_file(path: Path) -> bool:
-    """Return whether `maplestile check` treats a file as a policy: it has no `invoke` or `function` table."""
+    """Return whether `maplestile check` takes a file for a policy: it has no `invoke` or `function` table."""
     tables = TomlTable(read(path), "", OperatorError).values
     return bool(tables) and "invoke" not in tables and "function" not in tables
--- a/maplestile/tools/rollout_command.py
+++ b/maplestile/tools/rollout_command.py
@@ -33,8 +33,8 @@
     phase: str
     reason: str  # for a halt or an undo; empty without one
     done: int  # number of instances that are done
-    targets: int  # number of instances to roll out to
-    budget: int  # number of instances that may be out at once
+    targets: int  # number of instances in the rollout
+    budget: int  # how many instances may be out at once
 
     @classmethod
     def decode(cls, encoded: Mapping[str, Any]) -> "RolloutSummary":
--- a/maplestile/tools/trace_output.py
+++ b/maplestile/tools/trace_output.py
@@ -65,7 +65,7 @@
 def format_function_tables(trace: Trace, class_name: str, memory_mb: float, top: int = 0) -> Iterator[str]:
     """Yield the function tables of an operator's file; functions of unknown memory get `memory_mb`."""
     for usage, name in trace.named(top):
-        # Little's law gives the mean number of calls in flight; each takes a lane.
+        # Little's law gives the mean number of calls in flight; each occupies one lane.
         in_flight = usage.calls_per_second() * (usage.mean_duration_ms() or 0.0) / MS_PER_S
         lanes = min(MAX_LANES, max(1, math.ceil(in_flight)))
         memory = max(1.0, trace.memory_mb(usage) or memory_mb)
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -36,11 +36,11 @@
 
 
 class TraceError(Exception):
-    """The error for a file that cannot be read or is in no known trace format."""
+    """Raised for a file that cannot be read or is in no known trace format."""
 
 
 class RowError(Exception):
-    """The error for an invalid row."""
+    """Raised for an invalid row."""
 
 
 @dataclass(slots=True)
--- a/tests/record_faults.py
+++ b/tests/record_faults.py
@@ -47,7 +47,7 @@
         generator = random.Random(SEED)
         results[relative(file)] = [
             [
-                [schedule.cut(0, 9, at_us), schedule.cut(9, 0, at_us)],
+                [schedule.is_cut(0, 9, at_us), schedule.is_cut(9, 0, at_us)],
                 [schedule.delivery_delays_us(0, 9, at_us, generator) for _ in range(DATAGRAMS)],
             ]
             for at_us in TIMES_US
@@ -60,7 +60,7 @@
 
     async def replies() -> str:
         relay = Relay(schedule_from(TomlTable({"seed": 1, "members": 3}, "", ScheduleError)))
-        await relay.open()
+        await relay.open_fronts()
         port = ControlPort(relay)
         answers = [f"> {line}\n{json.dumps(await port.execute(line.encode()))}\n" for line in RELAY_LINES]
         return masked("".join(answers))
--- a/tests/record_files.py
+++ b/tests/record_files.py
@@ -134,7 +134,7 @@
 
 
 def _limit_values(limits: Limits) -> list[float]:
-    """Return all limits as one list in the order of the recorded file, which is older than their groups.
+    """Return all limits as one list in the order of the recorded file, which predates their groups.
 
     The read sizes and the maximum Retry-After come before the last four limits.
     """
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -13,14 +13,14 @@
 from benchmarks.policy_changes import experiment, run_seeds
 from tests.standins import name_bytes
 
-# Long enough for acks to arrive in time even if the process gets only part of a core. Without an ack, members
-# ping indirectly through others, which would raise the counts.
+# Long enough for acks to arrive in time even if the process gets only part of a core. If an ack is late,
+# members ping through others, which raises the counts.
 PERIOD_US = 500_000
 POLL_S = 0.05
 TIMEOUT_S = 30.0
 
 
-def test_fit_has_the_line_and_the_standard_error_of_its_slope() -> None:
+def test_fit_returns_line_and_standard_error_of_slope() -> None:
     exact = fit([1, 2, 4, 8], [5, 7, 11, 19])
     assert (round(exact.intercept, 9), round(exact.slope, 9), round(exact.slope_error, 9)) == (3, 2, 0)
     assert fit([1, 2, 3, 4], [1, 3, 2, 4]).slope_error > 0
@@ -34,7 +34,7 @@
 
 
 def test_calls_cost_no_more_passes_over_workers_in_a_larger_fleet() -> None:
-    """Compare the passes over all workers and the median ranking lengths with 60 and with 600 workers."""
+    """Compare passes over all workers and ranking lengths at 60 and 600 workers, with a list each second."""
     passes = list[int]()
     ranking_lengths = list[float]()
     for workers in (60, 600):
@@ -88,7 +88,7 @@
     assert few <= 3
 
 
-def test_name_server_answer_fits_the_limit_only_up_to_the_most_listed_workers() -> None:
+def test_name_server_answer_exceeds_limit_only_beyond_max_listed_workers() -> None:
     query = b"\0\1" + bytes(10) + name_bytes("_app._tcp.cluster.lan") + b"\0\x21\0\1"
     sizes = [len(NameServer(workers).answer(query)) for workers in (20, 60, max_listed_workers())]
     assert max(sizes) <= ANSWER_BYTES < len(NameServer(max_listed_workers() + 10).answer(query))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -85,7 +85,7 @@
     async def asyncSetUp(self) -> None:
         self.relay = Relay(Schedule(1, 2))
         self.control_port = ControlPort(self.relay)
-        self.fronts = await self.relay.open()
+        self.fronts = await self.relay.open_fronts()
         loop = asyncio.get_running_loop()
         self.member_sockets = [
             await loop.create_datagram_endpoint(DatagramRecorder, local_addr=("127.0.0.1", 0))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -105,7 +105,9 @@
 
     async def load(self, targets: list[Address], count: int, keys: bool = False) -> client.Result:
         """Make `count` calls to these fronts, one every 5 ms."""
-        load = client.Load(targets, client.CallTemplate(b"body", "t", keys=keys), wait_s=TIMEOUT_S)
+        load = client.Load(
+            targets, client.CallTemplate(b"body", "t", has_idempotency_keys=keys), wait_s=TIMEOUT_S
+        )
         return await load.run([Arrival(n * 0.005, "f") for n in range(count)], 100)
 
     async def test_counts_each_call_by_how_it_ended(self) -> None:
--- a/tools/measure_policy.py
+++ b/tools/measure_policy.py
@@ -73,7 +73,7 @@
     for number in range(changes):
         started_s = time.monotonic()
         epochs_before = fleet.epochs(0)
-        attempts = 2 + number + len(epochs_before) * bool(name_suffix)  # another value in each change
+        attempts = 2 + number + len(epochs_before) * bool(name_suffix)  # differs in each change
         exit_code = fleet.propose(0, attempts=attempts)[0]
         if not exit_code:
             took_s.append(time.monotonic() - started_s)
--- a/tools/trials.py
+++ b/tools/trials.py
@@ -30,7 +30,7 @@
     routers: str
     score: float | None  # None if the bench reports none
     served: float | None  # share of the calls that were served; None if the bench reports none
-    rules: Mapping[str, int]  # the number of violations of each rule
+    violations: Mapping[str, int]  # the number of violations, by rule
     fault: str  # empty if there is none
     gate: str  # empty if there is none
 
@@ -43,7 +43,7 @@
             routers=str(encoded.get("nodes", MISSING)),
             score=encoded.get("score"),
             served=encoded.get("served"),
-            rules=encoded.get("rules", {}),
+            violations=encoded.get("rules", {}),
             fault=encoded.get("fault") or "",
             gate=encoded.get("gate") or "",
         )
@@ -51,7 +51,7 @@
     def outcome(self) -> str:
         """Return the fault and the violated rules, or else the gate."""
         problems = [f"fault: {self.fault}"] if self.fault else []
-        problems += [f"{rule} {count} times" for rule, count in self.rules.items() if count]
+        problems += [f"{rule} {count} times" for rule, count in self.violations.items() if count]
         if problems:
             return "; ".join(problems)
         return f"gate: {self.gate}" if self.gate else "held"
