--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -25,7 +25,7 @@
 CUT_S = 60.0
 RESTARTS_S = 30.0  # time over which all restarts are spread
 SETTLE_S = 30.0  # wait before a fault
-AFTER_S = 2.0  # time for which traffic is still measured once all views are the same
+AFTER_S = 2.0  # time for which traffic is still measured once all views agree
 VIEW_TIMEOUT_S = 120.0
 POLL_S = 0.1
 REGION_DIVISOR = 3  # a region has a third of the members
@@ -60,9 +60,9 @@
 class FaultResult:
     """The cost of a fault."""
 
-    view_s: float  # time until all views are the same; infinite after `VIEW_TIMEOUT_S`
-    max_messages: float  # sent in one second: the highest mean of the members
-    max_bytes: float  # sent in one second: the highest mean of the members
+    view_s: float  # time until all views agree; infinite after `VIEW_TIMEOUT_S`
+    max_messages: float  # highest mean number of messages that a member sent in one second
+    max_bytes: float  # highest mean number of bytes that a member sent in one second
     deaths_during: int  # how often a member declared another dead during the fault
     deaths_after: int  # how often a member declared another dead after the fault
 
@@ -85,7 +85,7 @@
 
 
 async def wait_for_one_view(fleet: HollowFleet) -> float:
-    """Wait until all views are the same; return how many seconds it took, infinity after `VIEW_TIMEOUT_S`."""
+    """Wait until all views agree; return how many seconds it took, or infinity after `VIEW_TIMEOUT_S`."""
     started_s = time.monotonic()
     while not has_one_view(fleet):
         if time.monotonic() - started_s > VIEW_TIMEOUT_S:
@@ -98,11 +98,11 @@
     """Cut the first third of the members, which includes the seeds, off from the others for `seconds`."""
     region = {router.address() for router in fleet.routers[: len(fleet.routers) // REGION_DIVISOR]}
 
-    def reaches_own_side(is_inside: bool, address: Any) -> bool:
+    def is_on_same_side(is_inside: bool, address: Any) -> bool:
         return (tuple(address) in region) is is_inside
 
     for router in fleet.routers:
-        router.can_reach = functools.partial(reaches_own_side, router.address() in region)
+        router.can_reach = functools.partial(is_on_same_side, router.address() in region)
     await asyncio.sleep(seconds)
     for router in fleet.routers:
         router.can_reach = lambda address: True
--- a/maplestile/tools/load/client.py
+++ b/maplestile/tools/load/client.py
@@ -103,7 +103,7 @@
                 await asyncio.sleep(wait_s)
             lag_us = int((time.monotonic() - due_s) * US_PER_S)
             self._result.max_lag_us = max(self._result.max_lag_us, lag_us)
-            if len(self._calls) >= max_in_flight:  # bounds this process's memory if nothing is answered
+            if len(self._calls) >= max_in_flight:  # protects this process if the fleet does not answer
                 self._result.record_end(CallEnd.NOT_MADE, arrival)
             else:
                 self._start(number, arrival, due_s)
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -69,7 +69,7 @@
         return self.duration_sum_ms / self.duration_count if self.duration_count else None
 
     def mean_gap_s(self) -> float | None:
-        """Return the mean time between the starts of consecutive calls, or None without two calls."""
+        """Return the mean time between the starts of consecutive calls, or None for fewer than two calls."""
         return self.gap_sum_s / self.gap_count if self.gap_count else None
 
     def add_gap(self, gap_s: float) -> None:
@@ -89,10 +89,10 @@
 class Trace:
     """The content of the files of one trace that have been read so far."""
 
-    functions: dict[tuple[str, str], Usage] = field(default_factory=dict)
+    functions: dict[tuple[str, str], Usage] = field(default_factory=dict)  # by app and function
     memory: dict[str, tuple[float, float]] = field(default_factory=dict)  # by app: weighted sum in MB, weight
     row_errors: list[str] = field(default_factory=list)  # one for each invalid row, with its line number
-    rows: int = 0
+    rows: int = 0  # rows read, including invalid ones
     first_s: float = math.inf  # start of the first call, in traces of single calls
     last_s: float = -math.inf  # end of the last call, in traces of single calls
     on_calls: CallGroupHandler | None = None  # receives the calls as they are read; None for no handler
@@ -108,7 +108,7 @@
         return found
 
     def memory_mb(self, usage: Usage) -> float | None:
-        """Return the mean memory of a function's app, or None if the trace has no memory of the app."""
+        """Return the mean memory of a function's app, or None if the trace has no memory data for the app."""
         total, weight = self.memory.get(usage.app, (0.0, 0.0))
         return total / weight if weight else None
 
@@ -142,7 +142,7 @@
         read_row(row)
 
     def _set_spans(self) -> None:
-        """Set the span of the functions that have none to that of the whole trace."""
+        """Set the span of functions that have none to the length of the whole trace."""
         if self.last_s > self.first_s:
             for usage in self.functions.values():
                 usage.span_s = usage.span_s or self.last_s - self.first_s
