--- a/maplestile/tools/serving_commands.py
+++ b/maplestile/tools/serving_commands.py
@@ -53,7 +53,7 @@
         for instance in supervisor.load_settings(file).instances:
             if instance.name == name:
                 return instance
-        raise OperatorError(f"{file}: the file no longer defines instance '{name}'")
+        raise OperatorError(f"{file}: no instance '{name}' any more")
 
     try:
         asyncio.run(supervisor.Supervisor(settings, reload_instance).run())
