--- a/maplestile/tools/faults/__init__.py
+++ b/maplestile/tools/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between processes and members: one schedule for the model and for the relay on loopback."""
+"""Fault schedules for the model and the relay, and the relay itself, which applies them on loopback."""
