--- a/maplestile/membership/assignment.py
+++ b/maplestile/membership/assignment.py
@@ -1,45 +1,49 @@
-"""Periodic checks shared among the live members by rendezvous hashing (Thaler and Ravishankar, 1998).
+"""Assignment of periodic checks to the live members by rendezvous hashing (Thaler and Ravishankar, 1998).
 
-Every member that sees the same live set gives each check the same owner, so the fleet does a check about once
-instead of once a member; a member that ends moves only its own checks. Members that disagree (a partition, a
-slow member) may both own one: both do it, which is harmless, and `CheckAssignment.overlap` counts it.
+All members that see the same set of live members compute the same assignee for a check, so the check runs
+about once in the whole group instead of once in each member. When a member ends, only its own checks are
+reassigned. Members whose views differ (a partition, a slow member) may both be the assignee of a check: both
+run it, which is harmless, and `CheckAssignment.overlap` counts it.
 """
 
 import hashlib
 from collections.abc import Iterable
 
-WEIGHT_BYTES = 8
+WEIGHT_BYTES = 8  # length of the digest that is read as the weight
 
 
-def weight(check: str, member: str) -> int:
-    """Return the rendezvous hash of a check and a member."""
+def rendezvous_weight(check: str, member: str) -> int:
+    """Return the rendezvous hash of a check and a member; the highest one decides the assignee."""
     digest = hashlib.blake2b(f"{check}\x00{member}".encode(), digest_size=WEIGHT_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
-def owner(check: str, live: Iterable[str]) -> str:
-    """Return the member of the highest weight for `check`. Raises ValueError if there is no member."""
-    return max(live, key=lambda member: (weight(check, member), member))
+def assignee(check: str, live: Iterable[str]) -> str:
+    """Return the live member with the highest weight for `check`. Raises ValueError if `live` is empty."""
+    return max(live, key=lambda member: (rendezvous_weight(check, member), member))
 
 
 class CheckAssignment:
-    """The checks assigned to one member, recomputed when its view changes."""
+    """The checks that are assigned to one member, recomputed when its view changes."""
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
         self.assigned: frozenset[str] = frozenset()
-        self.taken_over = 0  # checks that became this member's while it had some already
-        self.given_up = 0  # checks that went to another, such as when a slow member comes back
-        self.overlap = 0  # checks done here while the last agreed view gives them to another
+        self.taken_over = 0  # checks newly assigned to this member while it already had others
+        self.given_up = 0  # checks reassigned to another member, as when a slow one comes back
+        self.overlap = 0  # checks assigned here that the agreed view assigns to another member
 
     def assign(self, checks: Iterable[str], live: Iterable[str], agreed: Iterable[str]) -> frozenset[str]:
-        """Return the checks of this member by the live view; `agreed` is the last view without suspicion."""
+        """Return the checks that the members in `live` leave to this member.
+
+        `agreed` is the last view without suspicions; it only serves to count the overlap.
+        """
         live_members = sorted({*live, self.own_name})
         agreed_members = sorted({*agreed, self.own_name})
-        assigned = frozenset(check for check in checks if owner(check, live_members) == self.own_name)
+        assigned = frozenset(check for check in checks if assignee(check, live_members) == self.own_name)
         if self.assigned:
             self.taken_over += len(assigned - self.assigned)
         self.given_up += len(self.assigned - assigned)
-        self.overlap += sum(1 for check in assigned if owner(check, agreed_members) != self.own_name)
+        self.overlap += sum(1 for check in assigned if assignee(check, agreed_members) != self.own_name)
         self.assigned = assigned
         return assigned
--- a/maplestile/membership/events.py
+++ b/maplestile/membership/events.py
@@ -1,4 +1,4 @@
-"""What the protocol reports to its driver: events to log, and counts of invalid messages."""
+"""What the protocol reports to its driver: events to be logged, and counts of invalid messages."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,26 +7,26 @@
 
 
 class EventKind(StrEnum):
-    """What happened, by the name that it has in the log."""
+    """The kinds of membership events; the values are the event names in the log."""
 
     JOIN = "join"
     REFUTE = "refute"
     SUSPECT = "suspect"
-    CONFIRM = "confirm"  # a member is declared dead
+    CONFIRM = "confirm"  # a member was declared dead
     LEAVE = "leave"
-    ISOLATED = "isolated"
-    HEALED = "healed"
+    ISOLATED = "isolated"  # this member sees less than a majority of its quorum view
+    HEALED = "healed"  # this member is no longer isolated
 
 
 class MembershipEvent(NamedTuple):
-    """An event and the fields of its log line."""
+    """An event with the fields of its log line; `kind` is a value of `EventKind`."""
 
     kind: str
     fields: dict[str, object]
 
 
 class EventLog:
-    """The events and faults since the driver emptied them."""
+    """The events, and the counts of faults by kind, since the driver last emptied them."""
 
     def __init__(self) -> None:
         self.events: list[MembershipEvent] = []
@@ -36,8 +36,8 @@
         """Record an event."""
         self.events.append(MembershipEvent(kind.value, fields))
 
-    def add_about(self, kind: EventKind, member: Member, reported_by: str | None = None) -> None:
-        """Record an event about a member, and who reported it where that matters."""
+    def add_member_event(self, kind: EventKind, member: Member, reported_by: str | None = None) -> None:
+        """Record an event about a member; the field `by` is left out if `reported_by` is None."""
         fields: dict[str, object] = {"member": member.name, "incarnation": member.incarnation}
         if reported_by is not None:
             fields["by"] = reported_by
--- a/maplestile/membership/gossip_timer.py
+++ b/maplestile/membership/gossip_timer.py
@@ -1,7 +1,8 @@
-"""Gossip between the probes, where the probes do not carry the updates in time.
+"""Gossip messages between the probes, for updates that the probes would not spread fast enough.
 
-On an ordinary day the probes carry every update. These messages are for a member that probes slowly because
-of its local health, and for more updates than one message holds: a slow prober must not spread slowly too.
+Normally the probes carry every update. Gossip messages are sent when the member probes slowly because of its
+local health, so that updates do not spread slowly as well, or when there are more updates than one message
+holds.
 """
 
 from maplestile.membership.local_health import LocalHealth
@@ -23,7 +24,7 @@
         self.next_gossip_us = now_us + self._interval_us
 
     def tick(self, now_us: int) -> None:
-        """Gossip if it is due; with a backlog, exchange the full state with one member a period."""
+        """Gossip if it is due; while there is a backlog, also request one full-state exchange per period."""
         if now_us < self.next_gossip_us:
             return
         self.next_gossip_us = now_us + self._interval_us
--- a/maplestile/membership/local_health.py
+++ b/maplestile/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health multiplier: a member that may itself be slow is more patient with the others.
+"""Lifeguard's local health multiplier: a member that may itself be slow gives the others more time.
 
 Source: Dadgar, Phillips and Currey, "Lifeguard: SWIM-ing with Situational Awareness" (2017), section 4.1.
 """
@@ -7,7 +7,7 @@
 
 
 class LocalHealth:
-    """A saturating counter; 0 is healthy. It stays at 0 where Lifeguard is off."""
+    """A saturating counter; 0 is healthy, and higher means slower. It stays at 0 if Lifeguard is off."""
 
     def __init__(self, tuning: Tuning) -> None:
         self.score = 0
@@ -15,13 +15,13 @@
 
     @property
     def multiplier(self) -> int:
-        """By how much the probe period and the ack timeout are stretched."""
+        """The factor by which the probe period and the ack timeout are multiplied."""
         return self.score + 1
 
     def improve(self) -> None:
-        """Count a probe that was acked in time."""
+        """Lower the score after a probe that was acked in time."""
         self.score = max(0, self.score - 1)
 
     def worsen(self) -> None:
-        """Count one sign that this member itself is slow."""
+        """Raise the score after a sign that this member itself is slow."""
         self.score = min(self._max_score, self.score + 1)
--- a/maplestile/membership/member_list.py
+++ b/maplestile/membership/member_list.py
@@ -12,48 +12,48 @@
 
 @dataclass(slots=True)
 class Member:
-    """One member as this member sees it; `since_us` is when it took its present status."""
+    """A member of the group, as known to the member that keeps the table."""
 
     name: str
     address: Address
     incarnation: int
     status: Status
-    since_us: int
-    suspected_by: set[str] = field(default_factory=set)  # who reported a suspicion of this incarnation
-    reported_dead: bool = False  # another declared this incarnation dead while it is only suspected here
+    since_us: int  # the time of the last change of status
+    suspected_by: set[str] = field(default_factory=set)  # names of the members that suspect it
+    reported_dead: bool = False  # another member declared it dead while it is only suspected here
 
     @property
-    def in_view(self) -> bool:
-        """Whether the member is not known to have ended."""
+    def is_in_view(self) -> bool:
+        """Whether the member is alive or suspected, so not known to be dead or to have left."""
         return self.status in STATUSES_IN_VIEW
 
 
 class MemberList:
-    """The table of members, this one among them.
+    """The table of members, including this one.
 
-    The digest is the exclusive or of a hash of each member's name, incarnation and whether it is in view, so
-    that two views can be compared by one number.
+    The digest is the exclusive or of one hash per member, of its name, its incarnation and whether it is in
+    view, so that two views can be compared by a single number.
     """
 
     def __init__(self, name: str, address: Address, now_us: int) -> None:
         self.own_name = name
         self.members: dict[str, Member] = {}
-        # A dict in order of suspicion: a set's order would differ from one run to the next.
+        # The suspected names in order of suspicion; a dict, since the order of a set differs between runs.
         self.suspects: dict[str, None] = {}
         self.digest = 0
         self._member_digests: dict[str, int] = {}
-        self._live_names: list[str] | None = None  # cached result of `live` until the view changes
+        self._live_names: list[str] | None = None  # cached result of `live`; None after a change
         self.own = self.add(Member(name, address, 0, Status.ALIVE, now_us))
 
     def __len__(self) -> int:
         return len(self.members)
 
     def get(self, name: str) -> Member | None:
-        """Return the member of that name, or None."""
+        """Return the member with this name, or None if it is unknown."""
         return self.members.get(name)
 
     def add(self, member: Member) -> Member:
-        """Take a member that is not in the table yet, and return it."""
+        """Add a member that is not in the table yet, and return it."""
         self.members[member.name] = member
         self.set_status(member, member.status)
         return member
@@ -61,7 +61,8 @@
     def set_status(self, member: Member, status: Status, incarnation: int | None = None) -> None:
         """Change a member's status, and its incarnation if one is given.
 
-        Every change goes through here, so that the digest and the cached names follow.
+        Every change must use this method, which keeps the digest, the suspects and the cached names up to
+        date.
         """
         member.status = status
         if incarnation is not None:
@@ -74,37 +75,37 @@
             self.suspects.pop(member.name, None)
 
     def forget(self, member: Member) -> None:
-        """Drop a member from the table."""
+        """Remove a member from the table."""
         del self.members[member.name]
         self._replace_digest(member.name, 0)
         self._live_names = None
 
     def live(self) -> list[str]:
-        """Return the sorted names of the members in view; the same list object until the view changes."""
+        """Return the sorted names of the members in view; the same list object until the table changes."""
         if self._live_names is None:
-            self._live_names = sorted(name for name, member in self.members.items() if member.in_view)
+            self._live_names = sorted(name for name, member in self.members.items() if member.is_in_view)
         return self._live_names
 
     def other_live(self, excluded: str = "") -> list[str]:
-        """Return the sorted names of the members in view but this one and the excluded one."""
+        """Return the sorted names of the members in view, without this member and the excluded one."""
         return [name for name in self.live() if name not in (self.own_name, excluded)]
 
     def out_of_view(self) -> list[Member]:
         """Return the members that are dead or have left, in the order in which they became known."""
-        return [member for member in self.members.values() if not member.in_view]
+        return [member for member in self.members.values() if not member.is_in_view]
 
     def sorted_by_name(self) -> list[Member]:
         """Return all members, sorted by name."""
         return sorted(self.members.values(), key=lambda member: member.name)
 
     def update_about(self, member: Member, status: Status | None = None) -> MemberUpdate:
-        """Return this member's report of `member`: its state as seen here, or `status` in its incarnation."""
+        """Return an update by this member about `member`, with its known status or, if given, `status`."""
         return MemberUpdate(
             status or member.status, member.name, member.address, member.incarnation, self.own_name
         )
 
     def own_update(self) -> MemberUpdate:
-        """Return the report of this member itself."""
+        """Return an update by this member about itself."""
         return self.update_about(self.own)
 
     def _replace_digest(self, name: str, digest: int) -> None:
@@ -113,5 +114,5 @@
 
 
 def _member_digest(member: Member) -> int:
-    hashed = f"{member.name}\x00{member.incarnation}\x00{member.in_view}".encode()
+    hashed = f"{member.name}\x00{member.incarnation}\x00{member.is_in_view}".encode()
     return int.from_bytes(hashlib.blake2b(hashed, digest_size=DIGEST_BYTES).digest(), "big")
--- a/maplestile/membership/settings.py
+++ b/maplestile/membership/settings.py
@@ -1,15 +1,16 @@
-"""The settings of membership: the `[peers]` table of an operator's file in the router's form, checked.
+"""The membership settings: the `[peers]` table of an operator's file, checked.
 
-The table, as an operator writes it (`invoke.operator_file` turns it into the router's form):
+This is the table as an operator writes it; `invoke.operator_file` converts it to the router's form, which is
+what `membership_settings_from` reads:
 
     [peers]
     listen = "127.0.0.1:7946"          # UDP, loopback only
-    seeds = ["127.0.0.1:7947"]         # members to join through; the others are learned from them
-    advertise = "127.0.0.1:8946"       # where the others reach this member, if not at `listen`
-    period_ms = 1000                   # the protocol's period
-    ack_ms = 400                       # for a direct ack
-    lifeguard = true
-    watch_ms = 1000                    # each runner is probed so often, by the member that owns it; 0 for off
+    seeds = ["127.0.0.1:7947"]         # members to join through; they report the other members
+    advertise = "127.0.0.1:8946"       # where other members reach this one, if not at `listen`
+    period_ms = 1000                   # the probe period
+    ack_ms = 400                       # the timeout of a direct ack
+    lifeguard = true                   # false for plain SWIM
+    watch_ms = 1000                    # the interval of shared health checks of each runner; 0 for none
 """
 
 from dataclasses import dataclass, replace
@@ -24,45 +25,46 @@
 PERIOD_MAX_US = 60_000_000
 ACK_MIN_US = 1_000
 LOOPBACK_HOSTS = ("127.0.0.1", "localhost", "::1")
-PORTS = 1 << 16
+PORT_LIMIT = 1 << 16
 
 
 class MembershipSettingsError(ValueError):
-    """Settings that cannot be used; the text names the field."""
+    """Settings that are invalid; the text names the invalid field."""
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipSettings:
-    """One member's settings."""
+    """The membership settings of one router."""
 
     listen: Address
     seeds: tuple[Address, ...]
     tuning: Tuning
-    advertise: Address | None = None  # where the others reach this member, if not at `listen`
-    health_check_interval_us: int = 0  # of each runner, by the member that owns it; 0 for none
+    advertise: Address | None = None  # where other members reach this one; None for `listen`
+    health_check_interval_us: int = 0  # of the shared health checks of each runner; 0 for none
 
 
 def membership_settings_from(table: Any) -> MembershipSettings:
-    """Return the settings of a table in the router's form. Raises MembershipSettingsError.
+    """Parse a table in the router's form. Raises MembershipSettingsError.
 
-    The form is `{"listen": "h:p", "seeds": [...], "periodUs", "ackUs", "lifeguard", "watchUs", "advertise"}`.
+    The table is `{"listen": "h:p", "seeds": [...], "periodUs", "ackUs", "lifeguard", "watchUs",
+    "advertise"}`.
     """
     if not isinstance(table, dict):
         raise MembershipSettingsError("peers: must be a table")
-    listen = _address(table.get("listen"), "peers.listen")
+    listen = _parse_address(table.get("listen"), "peers.listen")
     seeds = table.get("seeds", [])
     if not isinstance(seeds, list) or len(seeds) > SEEDS_MAX:
         raise MembershipSettingsError(f"peers.seeds: must be a list of at most {SEEDS_MAX} addresses")
-    tuning = _tuning(table)
+    tuning = _parse_tuning(table)
     advertise = table.get("advertise")
     if advertise is not None:
-        advertise = _address(advertise, "peers.advertise")
-    interval_us = _health_check_interval_us(table)
-    seed_addresses = tuple(_address(seed, f"peers.seeds[{index}]") for index, seed in enumerate(seeds))
+        advertise = _parse_address(advertise, "peers.advertise")
+    interval_us = _parse_health_check_interval_us(table)
+    seed_addresses = tuple(_parse_address(seed, f"peers.seeds[{index}]") for index, seed in enumerate(seeds))
     return MembershipSettings(listen, seed_addresses, tuning, advertise, interval_us)
 
 
-def _tuning(table: dict[str, Any]) -> Tuning:
+def _parse_tuning(table: dict[str, Any]) -> Tuning:
     period_us = table.get("periodUs", DEFAULT_TUNING.period_us)
     ack_us = table.get("ackUs", DEFAULT_TUNING.ack_us)
     lifeguard = table.get("lifeguard", DEFAULT_TUNING.lifeguard)
@@ -75,7 +77,7 @@
     return replace(DEFAULT_TUNING, period_us=period_us, ack_us=ack_us, lifeguard=lifeguard)
 
 
-def _health_check_interval_us(table: dict[str, Any]) -> int:
+def _parse_health_check_interval_us(table: dict[str, Any]) -> int:
     interval_us = table.get("watchUs", 0)
     if not isinstance(interval_us, int) or (
         interval_us and not PERIOD_MIN_US <= interval_us <= PERIOD_MAX_US
@@ -84,8 +86,8 @@
     return interval_us
 
 
-def _address(value: Any, place: str) -> Address:
+def _parse_address(value: Any, field_path: str) -> Address:
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if host not in LOOPBACK_HOSTS or not port.isdigit() or not 0 <= int(port) < PORTS:
-        raise MembershipSettingsError(f"{place}: must be a loopback host:port")
+    if host not in LOOPBACK_HOSTS or not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
+        raise MembershipSettingsError(f"{field_path}: must be a loopback host:port")
     return ("127.0.0.1" if host == "localhost" else host), int(port)
--- a/maplestile/membership/suspicion.py
+++ b/maplestile/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""Suspicion timeouts: when a suspected member that has not refuted is declared dead.
+"""Suspicion timeouts: when a suspected member that has not refuted the suspicion is declared dead.
 
-Sources: SWIM (2002), section 4.2, for the suspicion; Lifeguard (2017), section 4.2, for its length, which
-shrinks as independent members confirm it.
+Sources: SWIM (2002), section 4.2, for the suspicion; Lifeguard (2017), section 4.2, for its duration,
+which becomes shorter as independent members confirm the suspicion.
 """
 
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 
 class SuspicionTimers:
-    """The deadlines of the present suspicions."""
+    """Declares suspected members dead when their suspicion times out."""
 
     def __init__(self, members: MemberList, merger: UpdateMerger, tuning: Tuning) -> None:
         self._members = members
@@ -21,12 +21,12 @@
         self._tuning = tuning
 
     def deadlines_us(self) -> Iterator[int]:
-        """Yield when each suspicion ends in a declaration of death."""
+        """Yield the time at which each suspected member will be declared dead."""
         for name in self._members.suspects:
             yield self._deadline_us(self._members.members[name])
 
     def tick(self, now_us: int) -> None:
-        """Declare those dead whose suspicion has lasted long enough."""
+        """Declare each member dead whose suspicion has timed out."""
         for name in list(self._members.suspects):
             member = self._members.members[name]
             if now_us >= self._deadline_us(member):
--- a/maplestile/membership/swim.py
+++ b/maplestile/membership/swim.py
@@ -1,10 +1,10 @@
-"""SWIM membership with the Lifeguard refinements, as a state machine without I/O on a virtual clock.
+"""SWIM membership with the Lifeguard extensions, as a state machine without I/O or a clock of its own.
 
 Sources: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002); Dadgar, Phillips and Currey, "Lifeguard: SWIM-ing with Situational Awareness" (2017).
 
-The driver passes in datagrams (`receive`) and the time (`tick`), sends what `outbox` holds and logs what
-`events` holds. Times are microseconds of a monotonic clock; an address is a (host, port) pair.
+The driver passes in messages (`receive`) and the time (`tick`), sends the messages in `outbox` and logs the
+events in `events`. Times are microseconds of a monotonic clock; an address is a (host, port) pair.
 """
 
 import random
@@ -34,10 +34,10 @@
 
 
 class Swim:
-    """One member's part in the group.
+    """One member of the group.
 
-    The driver empties `outbox`, `events` and `faults` after each call. Nothing that peers send raises an
-    error: an invalid or unexpected message is counted in `faults`.
+    The driver empties `outbox`, `events` and `faults` after each call. No message from another member raises
+    an error: an invalid or unexpected message is counted in `faults`.
     """
 
     def __init__(
@@ -53,19 +53,21 @@
         self.tuning = tuning
         self.member_list = MemberList(name, address, now_us)
         self._health_checks = health_checks
-        self._log = EventLog()
+        self._event_log = EventLog()
         self._local_health = LocalHealth(tuning)
-        # All parts draw from one generator, in an order that is part of a recorded run.
-        draws = random.Random(seed)
-        self._sender = MessageSender(self.member_list, tuning, draws, health_checks)
-        self._probe_order = ProbeOrder(self.member_list, draws)
+        # All components share one generator: replaying a recorded run needs the same order of random draws.
+        rng = random.Random(seed)
+        self._sender = MessageSender(self.member_list, tuning, rng, health_checks)
+        self._probe_order = ProbeOrder(self.member_list, rng)
         self._merger = self._new_merger()
-        self._detector = self._new_detector(now_us)
-        self._suspicions = SuspicionTimers(self.member_list, self._merger, tuning)
+        self._failure_detector = self._new_failure_detector(now_us)
+        self._suspicion_timers = SuspicionTimers(self.member_list, self._merger, tuning)
         self._gossip_timer = GossipTimer(self._sender, self._merger, self._local_health, now_us)
-        self._exchange = StateExchange(self.member_list, self._sender, self._merger, self._log, now_us)
-        self._isolation = IsolationDetector(
-            self.member_list, self._log, health_checks, tuning, self._local_health
+        self._state_exchange = StateExchange(
+            self.member_list, self._sender, self._merger, self._event_log, now_us
+        )
+        self._isolation_detector = IsolationDetector(
+            self.member_list, self._event_log, health_checks, tuning, self._local_health
         )
 
     def _new_merger(self) -> UpdateMerger:
@@ -74,21 +76,21 @@
             sender=self._sender,
             probe_order=self._probe_order,
             health=self._local_health,
-            log=self._log,
+            event_log=self._event_log,
         )
 
-    def _new_detector(self, now_us: int) -> FailureDetector:
+    def _new_failure_detector(self, now_us: int) -> FailureDetector:
         return FailureDetector(
             members=self.member_list,
             sender=self._sender,
             probe_order=self._probe_order,
             merger=self._merger,
             health=self._local_health,
-            log=self._log,
+            event_log=self._event_log,
             now_us=now_us,
         )
 
-    # What the driver empties.
+    # Output that the driver empties.
 
     @property
     def outbox(self) -> list[OutgoingMessage]:
@@ -98,12 +100,12 @@
     @property
     def events(self) -> list[MembershipEvent]:
         """Events to log, oldest first."""
-        return self._log.events
+        return self._event_log.events
 
     @property
     def faults(self) -> dict[str, int]:
         """Counts of invalid or unexpected messages, by kind."""
-        return self._log.faults
+        return self._event_log.faults
 
     @property
     def update_queue(self) -> UpdateQueue:
@@ -114,7 +116,7 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """Every known member by name, this one among them."""
+        """Every known member by name, including this one."""
         return self.member_list.members
 
     @property
@@ -124,44 +126,44 @@
 
     @property
     def local_health(self) -> int:
-        """Lifeguard's local health score: 0 is healthy."""
+        """Lifeguard's local health score: 0 is healthy, and higher means slower."""
         return self._local_health.score
 
     @property
     def isolated(self) -> bool:
-        """Whether this member sees less than a majority of the agreed view."""
-        return self._isolation.isolated
+        """Whether this member sees less than a majority of its quorum view; see `IsolationDetector`."""
+        return self._isolation_detector.isolated
 
     @property
     def agreed(self) -> frozenset[str]:
-        """The names of the last view that held no suspicion."""
-        return self._isolation.agreed
+        """The names in the agreed view; see `IsolationDetector`."""
+        return self._isolation_detector.agreed
 
     def view(self) -> list[Member]:
         """Return every known member, sorted by name."""
         return self.member_list.sorted_by_name()
 
     def live(self) -> list[str]:
-        """Return the names of the members that are not known to have ended, this one among them."""
+        """Return the sorted names of the members that are alive or suspected, including this one."""
         return self.member_list.live()
 
-    # What the driver calls.
+    # Input from the driver.
 
     def join(self, seeds: Iterable[Address]) -> None:
-        """Request the state of the seeds; repeated until one answers."""
-        self._exchange.join(seeds)
+        """Request the full state of the seeds, repeatedly until one answers."""
+        self._state_exchange.join(seeds)
 
     def add_known(self, members: list[tuple[str, Address]]) -> None:
-        """Take members as alive in incarnation 0 without spreading updates: a group that exists already."""
+        """Add members of an existing group as alive in incarnation 0, without spreading updates."""
         for name, address in members:
             if self.member_list.get(name) is None:
                 self.member_list.add(Member(name, address, 0, Status.ALIVE, 0))
                 self._probe_order.insert(name)
-        self._isolation.agree()
+        self._isolation_detector.accept_view()
 
     def leave(self) -> None:
         """Announce that this member leaves, so that it is not suspected and its checks move at once."""
-        self._merger.leaving = True
+        self._merger.is_leaving = True
         self.member_list.set_status(self.member_list.own, Status.LEFT, self.incarnation + 1)
         self._sender.update_queue.add(self.member_list.own_update())
         for member in self._sender.random_members(self.tuning.indirect_probes):
@@ -173,76 +175,78 @@
         if self._health_checks is not None:
             for finding in message.findings:
                 self._health_checks.merge(finding)
-        if self._merger.refute_to(message.source):
+        if self._merger.take_refutation_due(message.source):
             self._send_refutation(message)
-        self._handle(message, now_us)
-        self._exchange.reconcile(message, now_us)
+        self._handle_by_kind(message, now_us)
+        self._state_exchange.reconcile(message, now_us)
 
     def tick(self, now_us: int) -> None:
-        """Do everything that is due by now."""
-        self._detector.tick(now_us)
-        self._suspicions.tick(now_us)
+        """Run all timers that are due at `now_us`."""
+        self._failure_detector.tick(now_us)
+        self._suspicion_timers.tick(now_us)
         self._gossip_timer.tick(now_us)
-        self._exchange.tick(now_us)
-        self._isolation.evaluate(now_us)
+        self._state_exchange.tick(now_us)
+        self._isolation_detector.evaluate(now_us)
 
     def due_us(self) -> int:
         """Return the next time at which `tick` has something to do."""
         return min(
             self._gossip_timer.next_gossip_us,
-            self._exchange.next_reconnect_us,
-            *self._detector.deadlines_us(),
-            *self._suspicions.deadlines_us(),
+            self._state_exchange.next_reconnect_us,
+            *self._failure_detector.deadlines_us(),
+            *self._suspicion_timers.deadlines_us(),
         )
 
     def _merge_updates(self, message: Message, now_us: int) -> None:
         """Merge the updates of a message.
 
-        A full state, or a message of a member that is out of view, may be old, as from the other side of a
-        partition. Deaths that it reports anew are taken as suspicions, so that the members can refute.
+        A full state, or a message from a sender that is not in view, may be stale, for example after a
+        network partition. Deaths that it newly reports are merged as suspicions, so that the members can
+        refute them.
         """
         sender = self.member_list.get(message.source)
-        may_be_old = message.kind in FULL_STATE_KINDS or sender is None or not sender.in_view
+        may_be_stale = message.kind in FULL_STATE_KINDS or sender is None or not sender.is_in_view
         for update in message.gossip:
-            if self._is_known(update, may_be_old):
+            if self._is_redundant(update, may_be_stale):
                 continue
-            self._merger.merge(self._weakened(update) if may_be_old else update, now_us)
+            self._merger.merge(self._with_death_as_suspicion(update) if may_be_stale else update, now_us)
 
-    def _is_known(self, update: MemberUpdate, may_be_old: bool) -> bool:
-        """Return whether an update adds nothing: the common case in a full state.
+    def _is_redundant(self, update: MemberUpdate, may_be_stale: bool) -> bool:
+        """Return whether an update adds nothing, as most updates in a full state do.
 
-        Nor does an old suspicion of a known incarnation: this member's own probes know more.
+        A possibly stale suspicion of a known incarnation adds nothing either: this member's own probes are
+        more recent.
         """
         known = self.member_list.get(update.name)
         if known is None or known.incarnation != update.incarnation:
             return False
         if update.status is Status.SUSPECT:
-            return may_be_old
+            return may_be_stale
         return known.status is update.status
 
-    def _weakened(self, update: MemberUpdate) -> MemberUpdate:
-        """Return a death of a newer incarnation than the known one as a suspicion."""
+    def _with_death_as_suspicion(self, update: MemberUpdate) -> MemberUpdate:
+        """Return the update, turned into a suspicion if it reports a death in a newer incarnation."""
         known = self.member_list.get(update.name)
         if update.status is Status.DEAD and (known is None or update.incarnation > known.incarnation):
             return replace(update, status=Status.SUSPECT)
         return update
 
     def _send_refutation(self, message: Message) -> None:
-        """Send this member's own state to one that passed on an old suspicion of it."""
+        """Send this member's own update to a sender that passed on an old suspicion or death of it."""
         ping = self._sender.new_message(MessageKind.PING, message.source)
         self._sender.send(message.reply_to, ping, first=self.member_list.own_update())
 
-    def _handle(self, message: Message, now_us: int) -> None:
+    def _handle_by_kind(self, message: Message, now_us: int) -> None:
         match message.kind:
             case MessageKind.PING:
-                self._detector.handle_ping(message)
+                self._failure_detector.handle_ping(message)
             case MessageKind.PING_REQ:
-                self._detector.handle_ping_request(message, now_us)
+                self._failure_detector.handle_ping_request(message, now_us)
             case MessageKind.ACK:
-                self._detector.handle_ack(message)
+                self._failure_detector.handle_ack(message)
             case MessageKind.NACK:
-                self._detector.handle_nack(message)
+                self._failure_detector.handle_nack(message)
             case MessageKind.JOIN:
-                self._exchange.handle_join(message)
+                self._state_exchange.handle_join(message)
             case MessageKind.SYNC:
-                self._exchange.handle_sync()
+                self._state_exchange.handle_sync()
--- a/maplestile/membership/tuning.py
+++ b/maplestile/membership/tuning.py
@@ -1,4 +1,4 @@
-"""Every time, count and size of the membership protocol, with its reason. Times are in microseconds."""
+"""The parameters of the membership protocol: times in microseconds or in probe periods, counts and sizes."""
 
 import math
 from dataclasses import dataclass
@@ -6,48 +6,51 @@
 
 @dataclass(slots=True, frozen=True)
 class Tuning:
-    """The protocol's parameters, as SWIM (2002) and Lifeguard (2017) name and derive them."""
+    """The parameters of the protocol, derived as in SWIM (2002) and Lifeguard (2017)."""
 
-    # One probe a period: a dead member is found within one period of its end on average, two at worst,
-    # plus the suspicion. A second keeps the messages of 1000 members under 3 per member and second.
+    # The probe period. A dead member is first probed within one period of its end on average, two at worst,
+    # and declared dead after the suspicion. At one second, each of 1000 members sends under 3 messages/s.
     period_us: int = 1_000_000
-    # For the direct ack: loopback and one switch answer in well under a millisecond, a busy process in tens.
+    # Timeout of a direct ack. Over loopback or one switch an ack takes well under a millisecond, from a busy
+    # process tens of milliseconds.
     ack_us: int = 400_000
-    indirect_probes: int = 3  # k of SWIM: helpers that ping the target when the direct ping is not answered
-    # Lifeguard: the suspicion lasts from suspicion_mult * log10(N) periods to suspicion_max_mult times as
-    # long, and shrinks as independent confirmations come in; `confirmations` is how many are expected.
+    indirect_probes: int = 3  # SWIM's k: helpers that ping the target when it has not answered directly
+    # Lifeguard: a suspicion lasts at least suspicion_mult * log10(N) periods and at most suspicion_max_mult
+    # times that. Each independent confirmation shortens it, down to the minimum after `confirmations`.
     suspicion_mult: float = 4.0
     suspicion_max_mult: float = 6.0
     confirmations: int = 3
-    local_health_max: int = 8  # Lifeguard's local health: periods and ack times stretch at most (8 + 1) times
-    # An update goes out about lambda * log10(N + 1) times: enough for all with high probability (SWIM, 4.4).
+    local_health_max: int = 8  # Lifeguard: probe periods and ack timeouts are multiplied by up to 8 + 1
+    # SWIM's lambda (section 4.4): each update is sent about lambda * log10(N + 1) times, which reaches all
+    # members with high probability.
     retransmit_mult: int = 4
-    updates_per_message: int = 12  # member updates on one message: 12 of at most 96 bytes fit in 1200
-    findings_per_message: int = 4  # health findings; most are far shorter than their bound of 128 bytes
-    # A dead member is tried by a full-state exchange now and then, so that two sides of a partition find
-    # each other again without an operator; its tombstone also rejects old updates about it.
+    updates_per_message: int = 12  # 12 updates of at most 96 bytes fit into 1200 bytes
+    findings_per_message: int = 4  # health findings; most are much shorter than their limit of 128 bytes
+    # One member that is dead or has left is contacted every `reconnect_periods` for a full-state exchange, so
+    # that the two sides of a partition reconnect without an operator. The table keeps the entry of such a
+    # member, its tombstone, for `tombstone_periods`; meanwhile old updates about the member are ignored.
     reconnect_periods: int = 5
     tombstone_periods: int = 600
-    # Where the probes do not carry the updates in time (more than a message holds, or this member probes
-    # slowly because of its local health), gossip messages also go to `gossip_fanout` members this often.
+    # When the probes do not carry the updates in time, gossip messages are sent to `gossip_fanout` members at
+    # this interval: more updates than one message holds, or slow probes because of the local health.
     gossip_interval_periods: float = 0.5
     gossip_fanout: int = 2
-    # More queued updates than this for over a period, as when a partition heals: then one full-state exchange
-    # a period goes to a random member, and updates beyond `queued_updates_max` are left to the exchanges.
+    # While more updates than this are queued, as when a partition heals, a full-state exchange is requested
+    # from a random member once per period. Only those exchanges spread updates beyond `queued_updates_max`.
     backlog_updates: int = 48
     queued_updates_max: int = 128
-    # Views that differ by their digests are reconciled by a full-state exchange, this often at most.
+    # Minimum time between two full-state exchanges that reconcile views with different digests.
     reconcile_periods: int = 5
-    # Members that others declare dead and that are alive here are notified at once, so many a period.
+    # Maximum number of members that are told at once, in each period, that another member declared them dead.
     death_notices_per_period: int = 8
-    state_updates_per_message: int = 250  # of a full state: 24 KB at most, under UDP's 64 KB
-    members_max: int = 4096  # of any status: beyond, new names are rejected; the model goes to 2000
-    lifeguard: bool = True  # off: plain SWIM, for measurements beside it
+    state_updates_per_message: int = 250  # in a full state: at most 24 KB, below UDP's 64 KB
+    members_max: int = 4096  # of any status; new names beyond it are ignored. The model has up to 2000
+    lifeguard: bool = True  # False selects plain SWIM, for comparison
 
     def suspicion_us(self, members: int, confirmed: int) -> int:
-        """Return how long a suspicion lasts before the member is declared dead: Lifeguard, section 4.2.
+        """Return how long a suspicion lasts before the member is declared dead (Lifeguard, section 4.2).
 
-        `members` is the size of the view; `confirmed` counts independent suspicions after the first.
+        `members` is the size of the view; `confirmed` counts the independent suspicions after the first.
         """
         min_us = self.suspicion_mult * max(1.0, math.log10(max(members, 1))) * self.period_us
         if not self.lifeguard:
@@ -57,5 +60,5 @@
         return int(max(min_us, max_us - (max_us - min_us) * min(confirmed_share, 1.0)))
 
     def retransmits(self, members: int) -> int:
-        """Return how many times an update is sent in a view of `members` (SWIM's lambda * log N)."""
+        """Return how many times an update is sent in a view of this many members (SWIM's lambda * log N)."""
         return self.retransmit_mult * max(1, math.ceil(math.log10(members + 1)))
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -1,8 +1,8 @@
-"""How a reported update changes the membership table: precedence, refutation, and reports of deaths.
+"""Merging of updates into the membership table: precedence, refutation, and deaths declared by other members.
 
-Source: Das, Gupta and Motivala, "SWIM" (2002), section 4.2. Of two updates the one with the higher
-incarnation wins; in the same incarnation dead wins over suspect, and suspect over alive. Only a member itself
-raises its incarnation.
+Source: Das, Gupta and Motivala, "SWIM" (2002), section 4.2. Of two updates, the one with the higher
+incarnation wins; in the same incarnation, dead overrides suspect, and suspect overrides alive. Only the
+member itself raises its incarnation.
 """
 
 from maplestile.membership.events import EventKind, EventLog
@@ -16,7 +16,7 @@
 
 
 class UpdateMerger:
-    """Takes updates, of others or of this member's own failure detector, into the table.
+    """Merges updates from other members and from this member's own failure detector into the table.
 
     An update that changes the table is queued to be passed on.
     """
@@ -28,7 +28,7 @@
         sender: MessageSender,
         probe_order: ProbeOrder,
         health: LocalHealth,
-        log: EventLog,
+        event_log: EventLog,
     ) -> None:
         self._members = members
         self._sender = sender
@@ -36,15 +36,15 @@
         self._queue = sender.update_queue
         self._probe_order = probe_order
         self._health = health
-        self._log = log
-        self._death_notices = 0  # sent in this period
-        self.leaving = False
-        self.refuted_update_repeated = False  # whether an update that this member refuted before came again
+        self._event_log = event_log
+        self._death_notices_sent = 0  # in the current period
+        self.is_leaving = False
+        self.refutation_due = False  # an update about this member that it has already refuted was received
 
     def merge(self, update: MemberUpdate, now_us: int) -> None:
-        """Take one update; one that the table supersedes changes nothing."""
+        """Merge one update; an update that is older than the state in the table changes nothing."""
         if update.name == self._members.own_name:
-            self._merge_own(update)
+            self._merge_update_about_self(update)
             return
         member = self._members.get(update.name)
         if member is None:
@@ -55,38 +55,38 @@
         if status is Status.SUSPECT and same_incarnation and member.status is Status.SUSPECT:
             self._confirm_suspicion(member, update)
             return
-        precedes = STATUS_PRECEDENCE[status] > STATUS_PRECEDENCE[member.status]
-        if update.incarnation < member.incarnation or (same_incarnation and not precedes):
+        has_precedence = STATUS_PRECEDENCE[status] > STATUS_PRECEDENCE[member.status]
+        if update.incarnation < member.incarnation or (same_incarnation and not has_precedence):
             return
         if status is Status.DEAD and update.by != self._members.own_name:
             self._merge_reported_death(member, update)
             return
         self._replace_state(member, update, status, now_us)
 
-    def refute_to(self, message_source: str) -> bool:
-        """Return, once, whether the sender of a message needs the refutation of what it passed on."""
-        if not self.refuted_update_repeated or message_source == self._members.own_name:
+    def take_refutation_due(self, message_source: str) -> bool:
+        """Return whether the sender of a message needs a refutation; reset `refutation_due` if so."""
+        if not self.refutation_due or message_source == self._members.own_name:
             return False
-        self.refuted_update_repeated = False
+        self.refutation_due = False
         return True
 
     def begin_period(self) -> None:
-        """Allow the death notices of a new period."""
-        self._death_notices = 0
+        """Reset the count of death notices for a new period."""
+        self._death_notices_sent = 0
 
     def _add_member(self, update: MemberUpdate, now_us: int) -> None:
         status = update.status
         if status not in STATUSES_IN_VIEW or len(self._members) >= self._tuning.members_max:
-            return  # a member that was never known matters only while it is in view
+            return  # an unknown member is added only while it is alive or suspected
         member = self._members.add(Member(update.name, update.address, update.incarnation, status, now_us))
         if status is Status.SUSPECT:
             member.suspected_by.add(update.by)
         self._probe_order.insert(member.name)
-        self._log.add_about(EventKind.JOIN, member)
+        self._event_log.add_member_event(EventKind.JOIN, member)
         self._queue.add(update)
 
     def _confirm_suspicion(self, member: Member, update: MemberUpdate) -> None:
-        """Lifeguard: each member that suspects independently shortens the suspicion."""
+        """Record another member's suspicion: each independent one shortens the timeout (Lifeguard)."""
         if update.by not in member.suspected_by:
             member.suspected_by.add(update.by)
             self._queue.add(update)
@@ -107,46 +107,50 @@
         match member.status:
             case Status.ALIVE:
                 refuted = status_before is Status.SUSPECT
-                self._log.add_about(EventKind.REFUTE if refuted else EventKind.JOIN, member)
+                self._event_log.add_member_event(EventKind.REFUTE if refuted else EventKind.JOIN, member)
             case Status.SUSPECT:
-                self._log.add_about(EventKind.SUSPECT, member, reported_by)
+                self._event_log.add_member_event(EventKind.SUSPECT, member, reported_by)
             case Status.DEAD:
-                self._log.add_about(EventKind.CONFIRM, member, reported_by)
+                self._event_log.add_member_event(EventKind.CONFIRM, member, reported_by)
             case Status.LEFT:
-                self._log.add_about(EventKind.LEAVE, member, reported_by)
+                self._event_log.add_member_event(EventKind.LEAVE, member, reported_by)
 
     def _merge_reported_death(self, member: Member, update: MemberUpdate) -> None:
-        """Take another member's declaration that `member` is dead; it is not believed at once.
+        """Merge another member's declaration that `member` is dead, without accepting it at once.
 
-        A suspicion held here counts as fully confirmed, and lasts its minimum. A member that is alive
-        here is sent the declaration, so that it can refute, and is probed next.
+        If this member already suspects it, the suspicion counts as fully confirmed and lasts its minimum
+        time. If it is alive here, the declaration is sent to it, so that it can refute it, and it is probed
+        next.
 
-        This protects live members after a network partition: the other side has declared all of this side
-        dead, and each of its members goes on spreading that. When such reports were believed at once, whole
-        sides were declared dead (7458 false deaths in 1000 member-minutes among 100 members).
+        This protects live members after a network partition: the other side has declared all members of this
+        side dead, and each of its members keeps spreading that. If such reports were accepted at once, whole
+        sides would be declared dead (7458 false deaths in 1000 member-minutes among 100 members).
         """
         if member.status is Status.SUSPECT:
             member.reported_dead = True
             if update.incarnation > member.incarnation:
                 self._members.set_status(member, Status.SUSPECT, update.incarnation)
-        elif member.status is Status.ALIVE and self._death_notices < self._tuning.death_notices_per_period:
-            self._death_notices += 1
+        elif (
+            member.status is Status.ALIVE and self._death_notices_sent < self._tuning.death_notices_per_period
+        ):
+            self._death_notices_sent += 1
             self._probe_order.put_next(member.name)
             self._sender.send(member.address, self._sender.new_message(MessageKind.GOSSIP), first=update)
 
-    def _merge_own(self, update: MemberUpdate) -> None:
-        """Refute a suspicion or a death of this member by a higher incarnation (SWIM, section 4.2).
+    def _merge_update_about_self(self, update: MemberUpdate) -> None:
+        """Refute a suspicion or death of this member with a higher incarnation (SWIM, section 4.2).
 
-        Only this member changes its own state; its old updates that come back by gossip are ignored.
+        Only this member changes its own state; reports that it is alive, which come back by gossip, are
+        ignored.
         """
-        if update.status is Status.ALIVE or self.leaving:
+        if update.status is Status.ALIVE or self.is_leaving:
             return
         own = self._members.own
         if update.incarnation < own.incarnation:
-            self.refuted_update_repeated = True
+            self.refutation_due = True
             return
         self._members.set_status(own, Status.ALIVE, update.incarnation + 1)
         if update.status is Status.SUSPECT:
-            self._health.worsen()  # Lifeguard: being suspected is a sign of being slow
+            self._health.worsen()  # Lifeguard: a suspected member may be slow itself
         self._queue.add(self._members.own_update())
-        self._log.add_about(EventKind.REFUTE, own, update.by)
+        self._event_log.add_member_event(EventKind.REFUTE, own, update.by)
--- a/maplestile/membership/update_queue.py
+++ b/maplestile/membership/update_queue.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class QueuedUpdate:
-    """An update waiting to be sent, and how often it went out so far."""
+    """An update waiting to be sent, and how often it has been sent so far."""
 
     update: MemberUpdate
     transmissions: int = 0
@@ -19,15 +19,15 @@
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._queued: dict[str, QueuedUpdate] = {}  # by the member's name, the latest last
+        self._queued: dict[str, QueuedUpdate] = {}  # by name of the member, the newest last
 
     def __len__(self) -> int:
         return len(self._queued)
 
     def add(self, update: MemberUpdate) -> None:
-        """Queue an update in place of any other about the same member; beyond capacity the oldest is dropped.
+        """Queue an update, replacing any other about the same member; over capacity, the oldest is dropped.
 
-        Full-state exchanges carry what is dropped.
+        Full-state exchanges spread the dropped updates.
         """
         self._queued.pop(update.name, None)
         self._queued[update.name] = QueuedUpdate(update)
@@ -35,7 +35,7 @@
             del self._queued[next(iter(self._queued))]
 
     def take(self, count: int, transmit_limit: int) -> list[MemberUpdate]:
-        """Return up to `count` updates, least sent first; one sent `transmit_limit` times is dropped."""
+        """Take up to `count` updates, the least often sent first; drop those sent `transmit_limit` times."""
         chosen = heapq.nsmallest(count, self._queued.values(), key=lambda queued: queued.transmissions)
         for queued in chosen:
             queued.transmissions += 1
@@ -48,6 +48,6 @@
         self._queued.clear()
 
 
-def with_first(first: MemberUpdate, updates: list[MemberUpdate]) -> list[MemberUpdate]:
-    """Return `first` and then the updates about other members."""
+def prepend_update(first: MemberUpdate, updates: list[MemberUpdate]) -> list[MemberUpdate]:
+    """Return `first`, followed by the updates about other members."""
     return [first, *(update for update in updates if update.name != first.name)]
--- a/maplestile/membership/view.py
+++ b/maplestile/membership/view.py
@@ -1,4 +1,4 @@
-"""One member's view of its group as operators see it, at the moment of the call."""
+"""A snapshot of one member's view of its group, for operators and metrics."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberView:
-    """A known member, by the last update about it."""
+    """A known member, according to the last update about it."""
 
     name: str
     address: Address
@@ -18,45 +18,45 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthChecksView:
-    """One member's part in the shared health checks; the counts start at 0 with the process."""
+    """One member's share of the health checks; the counts start at 0 when the process starts."""
 
-    assigned: tuple[str, ...]  # the runners that this member probes for all, sorted
-    silent: tuple[str, ...]  # the runners that their owners find silent, sorted
-    taken_over: int  # checks that became this member's while it had some already
-    given_up: int  # checks that went to another member
-    overlap: int  # checks done here while the last agreed view gave them to another member
-    skipped_probes: int  # probes of this router's own that were left to a runner's owner
+    assigned: tuple[str, ...]  # the runners that this member probes for the group, sorted
+    silent: tuple[str, ...]  # the runners that their assignees find silent, sorted
+    taken_over: int  # checks newly assigned to this member while it already had others
+    given_up: int  # checks reassigned to another member
+    overlap: int  # checks assigned here that the agreed view assigned to another member
+    skipped_probes: int  # own probes skipped since the assignee finds the runner silent
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckMetrics:
-    """The numbers of one member's part in the shared health checks."""
+    """The metrics of one member's share of the health checks."""
 
-    assigned: int  # runners that this member probes for all
-    overlap: int  # checks done here while the last agreed view gave them to another member
+    assigned: int  # runners that this member probes for the group
+    overlap: int  # checks assigned here that the agreed view assigned to another member
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipMetrics:
-    """The numbers of one member's view: how many members it knows by status, and its own state."""
+    """The metrics of one member's view: the number of known members by status, and its own state."""
 
-    alive: int  # this member among them
+    alive: int  # including this member
     suspect: int
     dead: int
     left: int
-    isolated: int  # 1 while it sees less than a majority of the last view that it agreed with, else 0
-    local_health: int
-    health_checks: HealthCheckMetrics | None  # None where the members share none
+    isolated: int  # 1 while it sees less than a majority of its quorum view, else 0
+    local_health: int  # Lifeguard's local health score: 0 is healthy, and higher means slower
+    health_checks: HealthCheckMetrics | None  # None if health checks are not shared
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipView:
-    """What a member knows of its group."""
+    """What a member knows about its group."""
 
     own_name: str
     incarnation: int  # of this member
-    isolated: bool  # whether it sees less than a majority of the last view that it agreed with
-    local_health: int  # Lifeguard's local health score: 0 is well, more is slow
-    agreed: tuple[str, ...]  # the members of the last view without a suspicion, sorted
-    members: tuple[MemberView, ...]  # every known member, this one among them, sorted by name
-    health_checks: HealthChecksView | None  # None where the members share none
+    isolated: bool  # whether it sees less than a majority of its quorum view
+    local_health: int  # Lifeguard's local health score: 0 is healthy, and higher means slower
+    agreed: tuple[str, ...]  # names in the agreed view (the last one without suspicions), sorted
+    members: tuple[MemberView, ...]  # every known member, including this one, sorted by name
+    health_checks: HealthChecksView | None  # None if health checks are not shared
--- a/tests/record_datagrams.py
+++ b/tests/record_datagrams.py
@@ -1,8 +1,8 @@
-"""Records datagrams of the membership protocol: good ones, refused ones, and those with foreign keys."""
+"""Records datagrams of the membership protocol: valid ones, invalid ones, and ones with unknown keys."""
 
 from typing import Any
 
-import msgpack  # type: ignore[import-untyped]  # the library has no types
+import msgpack  # type: ignore[import-untyped]  # msgpack ships no type information
 
 from maplestile.membership import messages
 from maplestile.membership.health_checks import HealthFinding
@@ -37,9 +37,9 @@
 FINDING = ["w0", True, 5, "n1"]
 
 
-def _with(place: int, value: object, values: list[Any]) -> list[Any]:
-    """A copy of the values with another one at that place."""
-    return [*values[:place], value, *values[place + 1 :]]
+def _replaced(index: int, value: object, values: list[Any]) -> list[Any]:
+    """Return a copy of a list with another value at this index."""
+    return [*values[:index], value, *values[index + 1 :]]
 
 
 BAD_MAPS: list[object] = [
@@ -56,10 +56,10 @@
     *(REQUEST | {"a": address} for address in (None, ["x", "1"])),
     *(PING | {"d": digest} for digest in (-1, None, "d", True)),
     *(PING | {"g": gossip} for gossip in ("g", dict[str, int](), [1], [ENTRY, ENTRY[:5]])),
-    *(PING | {"g": [_with(0, status, ENTRY)]} for status in ("lost", 1)),
+    *(PING | {"g": [_replaced(0, status, ENTRY)]} for status in ("lost", 1)),
     *(
-        PING | {"g": [ENTRY, _with(place, bad, ENTRY)]}
-        for place, bad in (
+        PING | {"g": [ENTRY, _replaced(index, bad, ENTRY)]}
+        for index, bad in (
             (1, ""),
             (1, 5),
             (2, 5),
@@ -73,8 +73,8 @@
     ),
     *(PING | {"f": findings} for findings in ("f", [1], [FINDING[:3]])),
     *(
-        PING | {"f": [FINDING, _with(place, bad, FINDING)]}
-        for place, bad in (
+        PING | {"f": [FINDING, _replaced(index, bad, FINDING)]}
+        for index, bad in (
             (0, ""),
             (0, "w" * 129),
             (1, 1),
@@ -86,13 +86,13 @@
         )
     ),
     {1: 2},
-    PING | {"g": [0] * (messages.MAX_ENTRIES + 1)},
+    PING | {"g": [0] * (messages.MAX_LIST_ENTRIES + 1)},
 ]
 FOREIGN_MAPS = [PING | {"z": 1}, PING | {"a": 5}, PING | {"g": [], "f": []}, PING | {"": {"a": [None]}}]
 
 
 def bad_datagrams() -> list[dict[str, str]]:
-    """Each datagram that is refused, in hexadecimal, with the text of its error."""
+    """Return each invalid datagram, in hexadecimal, with the text of its error."""
     undamaged = msgpack.packb(PING)
     damaged = [
         b"",
@@ -107,15 +107,15 @@
     for datagram in [*damaged, *(msgpack.packb(message) for message in BAD_MAPS)]:
         try:
             messages.decode(datagram)
-        except messages.DatagramError as fault:
-            refused.append({"datagram": datagram.hex(), "told": str(fault)})
+        except messages.DatagramError as error:
+            refused.append({"datagram": datagram.hex(), "told": str(error)})
         else:
-            raise AssertionError(f"was decoded: {datagram!r}")
+            raise AssertionError(f"expected a DatagramError, but the datagram was decoded: {datagram!r}")
     return refused
 
 
 def datagrams() -> dict[str, bytes]:
-    """One good datagram of each kind, the refused ones, and those with foreign keys, which are ignored."""
+    """Return the recordings by file name: a valid datagram per kind, invalid ones, and unknown keys."""
     files = {f"datagram-{kind}.bin": messages.encode(message) for kind, message in MESSAGES.items()}
     files["bad-datagrams.jsonl"] = as_lines(bad_datagrams())
     files["foreign-datagrams.jsonl"] = as_lines(
--- a/tests/router_group.py
+++ b/tests/router_group.py
@@ -1,4 +1,4 @@
-"""Real routers that know each other, with the project's fault relay between all of them."""
+"""A group of router processes that are members of each other's view, with the fault relay between them."""
 
 import http.client
 import json
@@ -11,7 +11,7 @@
 from tests.relay_process import Json, Relay
 from tests.standins import PATIENCE_S, ROOT, Program, Worker, eventually
 
-# A short period keeps the tests short: the least suspicion is 4 periods, the longest 24 (0.8 and 4.8 s).
+# A short period keeps the tests short: a suspicion lasts from 4 periods (0.8 s) to 24 periods (4.8 s).
 PERIOD_S = 0.2
 PEERS = """[peers]
 listen = "127.0.0.1:0"
@@ -24,7 +24,7 @@
 
 
 class MemberStatus(NamedTuple):
-    """A member as a router sees it."""
+    """The state of a member in a router's view."""
 
     status: str
     incarnation: int
@@ -34,7 +34,7 @@
 
 
 class Routers:
-    """Routers with a file each, and the relay between all of them; the first is the seed of the others."""
+    """Routers, each with its own file, and the relay between them; the first is the seed of the others."""
 
     def __init__(self, test: unittest.TestCase, count: int) -> None:
         self.test = test
@@ -46,7 +46,7 @@
             self.register_udp_address(number)
 
     def start(self, number: int) -> Program:
-        """Write a router's own file, and start the router."""
+        """Write the operator's file of a router, and start the router."""
         text = (ROOT / "deploy" / "operator.toml").read_text()
         for old, new in (
             *((f"127.0.0.1:808{digit}", "127.0.0.1:0") for digit in range(3)),
@@ -62,17 +62,17 @@
         return program
 
     def register_udp_address(self, number: int) -> None:
-        """Register the router's own UDP socket at the relay."""
+        """Register the address of the router's UDP socket with the relay."""
         address = self.programs[number].find(r"members meet on UDP (127\.0\.0\.1:\d+)")
         self.relay.send_command("udp", member=number, address=address)
 
     def restart(self, number: int) -> None:
-        """Start a router that has ended again, with its own file and another UDP socket."""
+        """Start a router again after its process has ended, with the same name and a new UDP socket."""
         self.programs[number] = self.start(number)
         self.register_udp_address(number)
 
     def get(self, number: int, path: str) -> str:
-        """The body that a router's operator front answers to a GET of this path, with status 200."""
+        """Send a GET request to a router's operators front; check for status 200, and return the body."""
         port = self.programs[number].port("operator")
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
         try:
@@ -84,27 +84,27 @@
             connection.close()
 
     def view(self, number: int) -> Json:
-        """The members as a router sees them."""
+        """Return the membership view of a router."""
         view: Json = json.loads(self.get(number, "/v1/members"))
         return view
 
     def statuses(self, number: int) -> dict[str, str]:
-        """The status of every member in this router's view, by name."""
+        """Return the status of every member in a router's view, by name."""
         return {member["name"]: member["status"] for member in self.view(number)["members"]}
 
     def status(self, number: int, member: str) -> MemberStatus:
-        """A member's status and incarnation in this router's view; `UNKNOWN` where it is not in it."""
+        """Return a member's state in a router's view, or `UNKNOWN` if the view does not contain it."""
         for seen in self.view(number)["members"]:
             if seen["name"] == member:
                 return MemberStatus(seen["status"], seen["incarnation"])
         return UNKNOWN
 
     def all_see(self, numbers: list[int], member: str, status: str) -> bool:
-        """Whether all of these routers see a member in this status."""
+        """Return whether the member has this status in the views of all these routers."""
         return all(self.status(number, member).status == status for number in numbers)
 
     def is_converged(self, numbers: list[int]) -> bool:
-        """Whether each of these sees exactly these alive, suspects nobody, and is not isolated."""
+        """Return whether these routers see only themselves alive, suspect none, and are not isolated."""
         names = {f"r{number}" for number in numbers}
         for number in numbers:
             view = self.view(number)
@@ -115,22 +115,22 @@
         return True
 
     def wait_until_converged(self, numbers: list[int] | None = None) -> None:
-        """Wait until all routers, or else these, have one view of each other."""
+        """Wait until these routers, or all of them if None, have the same view of each other."""
         chosen = list(range(len(self.programs))) if numbers is None else numbers
-        eventually(lambda: self.is_converged(chosen), "one view of all")
+        eventually(lambda: self.is_converged(chosen), "the same view at all routers")
 
     def counter(self, number: int, name: str) -> int:
-        """A counter of a router; 0 while nothing was counted."""
+        """Return the value of a router's counter; 0 if it has not been incremented."""
         return self.programs[number].counters().get(name, 0)
 
     def declared_deaths(self, numbers: list[int]) -> list[int]:
-        """How many members each of these has declared dead, or knows as dead by gossip."""
+        """Return how many deaths each of these routers has recorded, including those learned by gossip."""
         return [self.counter(number, "peers.events.confirm") for number in numbers]
 
     def pause(self, number: int) -> None:
-        """Stop a router's process by SIGSTOP."""
+        """Stop a router's process with SIGSTOP."""
         self.programs[number].process.send_signal(signal.SIGSTOP)
 
     def resume(self, number: int) -> None:
-        """Let a paused router go on."""
+        """Resume a paused router's process with SIGCONT."""
         self.programs[number].process.send_signal(signal.SIGCONT)
--- a/tests/swim_group.py
+++ b/tests/swim_group.py
@@ -1,4 +1,4 @@
-"""Members of the gossip group whose datagrams are delivered at once, without a network."""
+"""Delivery of messages among members of a gossip group in memory, without a network."""
 
 from collections.abc import Callable, Sequence
 
@@ -6,13 +6,14 @@
 
 
 def do_nothing() -> None:
-    """The default of `after_each`."""
+    """Do nothing: the default of `after_each`."""
 
 
 def deliver_all(swims: Sequence[Swim], now_us: int, after_each: Callable[[], None] = do_nothing) -> None:
-    """Deliver what members send, and what they send in reply, until none has anything to send.
+    """Deliver the messages of all members, and the replies to them, until every outbox is empty.
 
-    Member `n` has the address `(host, n)`. `after_each` is called after each member's datagrams.
+    Member `n` has the address `(host, n)`. `after_each` is called each time one member's messages are
+    delivered.
     """
     while any(swim.outbox for swim in swims):
         for swim in swims:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""When a member takes itself for cut off, by the order and the times in which others are declared dead."""
+"""Isolation: when a member counts as isolated, depending on when the others are declared dead."""
 
 from maplestile.membership.events import EventLog
 from maplestile.membership.isolation import PROBE_PASSES, IsolationDetector
@@ -10,7 +10,8 @@
 TUNING = Tuning()
 MEMBERS = 5
 OTHERS = [f"r{number}" for number in range(1, MEMBERS)]
-ALL_PROBED_US = PROBE_PASSES * MEMBERS * TUNING.period_us  # after a death, by a healthy member
+# The time after a death until a healthy member has probed all others.
+ALL_PROBED_US = PROBE_PASSES * MEMBERS * TUNING.period_us
 
 
 class View:
@@ -25,12 +26,15 @@
         self.detector = IsolationDetector(self.members, self.log, None, TUNING, self.health)
 
     def set_status(self, name: str, status: Status, now_us: int) -> None:
-        """Change a member's status, as the detector sees it at that time."""
+        """Change the status of a member, and evaluate the view at that time."""
         self.members.set_status(self.members.members[name], status)
         self.detector.evaluate(now_us)
 
     def isolated_after_deaths(self, interval_us: int) -> list[bool]:
-        """Have three members die, each suspected once the one before is dead; whether isolated after each."""
+        """Declare three members dead, one after another, and return after each whether r0 is isolated.
+
+        Each member is suspected only once the previous one is dead.
+        """
         isolated = list[bool]()
         for number, name in enumerate(OTHERS[:3], 1):
             self.set_status(name, Status.SUSPECT, number * interval_us - 1)
@@ -39,7 +43,7 @@
         return isolated
 
 
-def test_members_that_die_one_after_the_other_within_their_probes_are_a_lost_side() -> None:
+def test_member_is_isolated_when_most_others_die_before_all_are_probed() -> None:
     view = View()
     assert view.isolated_after_deaths(ALL_PROBED_US // 2) == [False, False, True]
     assert view.detector.agreed == {"r0", *OTHERS}
@@ -47,7 +51,7 @@
     assert event == ("isolated", {"member": "r0", "seen": 2, "agreed": MEMBERS})
 
 
-def test_members_that_die_further_apart_are_lost_by_themselves() -> None:
+def test_member_is_not_isolated_by_deaths_that_are_far_apart() -> None:
     view = View()
     isolated = list[bool]()
     for number, name in enumerate(OTHERS[:3], 1):
@@ -58,7 +62,7 @@
     assert view.detector.agreed == {"r0", "r4"}
 
 
-def test_a_member_that_is_slow_itself_waits_longer_for_its_probes() -> None:
+def test_slow_member_keeps_dead_members_in_its_quorum_view_longer() -> None:
     view = View()
     view.health.worsen()
     view.set_status("r1", Status.DEAD, 0)
@@ -68,7 +72,7 @@
     assert view.detector.isolated
 
 
-def test_members_that_leave_are_no_lost_side() -> None:
+def test_member_is_not_isolated_when_others_leave() -> None:
     view = View()
     for name in OTHERS[:3]:
         view.set_status(name, Status.LEFT, 1)
@@ -76,7 +80,7 @@
     assert view.detector.agreed == {"r0", "r4"}
 
 
-def test_a_member_is_cut_off_until_a_majority_is_back_also_once_the_dead_are_forgotten() -> None:
+def test_member_stays_isolated_until_majority_returns_although_dead_member_is_forgotten() -> None:
     view = View()
     view.isolated_after_deaths(1)
     view.members.forget(view.members.members["r1"])
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol: encoded and decoded, or refused with the place of the error."""
+"""Encoding and decoding of membership datagrams, and the errors that name an invalid field."""
 
 import unittest
 
@@ -15,16 +15,16 @@
 
 
 class MessageTest(unittest.TestCase):
-    """Messages, updates and findings, encoded and decoded."""
+    """Encodes and decodes messages, updates and findings."""
 
-    def test_a_message_is_decoded_as_it_was_encoded(self) -> None:
+    def test_decoded_message_equals_encoded_message(self) -> None:
         update = MemberUpdate(Status.SUSPECT, "r2", ("127.0.0.1", 7001), 3, "r1")
         sent = Message(
             MessageKind.PING_REQ, 9, "r1", "r2", ("127.0.0.1", 7001), ("127.0.0.1", 7000), [update]
         )
         self.assertEqual(decode(encode(sent)), sent)
 
-    def test_a_finding_is_decoded_as_it_was_encoded_and_a_bad_one_is_refused_with_its_place(self) -> None:
+    def test_decodes_finding_and_names_field_of_invalid_finding(self) -> None:
         sent = Message(
             MessageKind.ACK,
             1,
@@ -41,7 +41,7 @@
             with self.assertRaisesRegex(DatagramError, rf"^f\[0\]\[{index}\]"):
                 decode(encode(Message(MessageKind.ACK, 1, "r1", reply_to=("h", 1), findings=[bad])))
 
-    def test_a_bad_datagram_is_refused_with_its_place(self) -> None:
+    def test_rejects_invalid_datagram_and_names_field(self) -> None:
         good = encode(Message(MessageKind.PING, 1, "r1", "r2", reply_to=("127.0.0.1", 1)))
         update = MemberUpdate(Status.DEAD, "r3", ("h", 1), 0, "r1")
         with_update = encode(
--- a/tests/test_recorded_datagrams.py
+++ b/tests/test_recorded_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol, against those recorded in `tests/recorded/control`."""
+"""Decoding of the membership datagrams that are recorded in `tests/recorded/control`."""
 
 import unittest
 
@@ -8,21 +8,21 @@
 
 
 class DatagramTest(unittest.TestCase):
-    """Recorded datagrams, decoded."""
+    """Decodes recorded datagrams."""
 
-    def test_each_kind_is_read(self) -> None:
-        self.assertEqual(set(MESSAGES), set(messages.KIND_BY_TEXT))
+    def test_decodes_each_kind_of_message(self) -> None:
+        self.assertEqual(set(MESSAGES), set(messages.KINDS_BY_NAME))
         for kind, message in MESSAGES.items():
             with self.subTest(kind):
                 self.assertEqual(messages.decode(recorded_bytes(f"datagram-{kind}.bin")), message)
 
-    def test_each_bad_one_is_refused_with_the_recorded_text(self) -> None:
+    def test_rejects_invalid_datagram_with_recorded_error(self) -> None:
         for bad in recorded_lines("bad-datagrams.jsonl"):
             with self.subTest(bad["told"]), self.assertRaises(messages.DatagramError) as refused:
                 messages.decode(bytes.fromhex(bad["datagram"]))
             self.assertEqual(str(refused.exception), bad["told"])
 
-    def test_foreign_keys_are_passed_over(self) -> None:
+    def test_ignores_unknown_keys(self) -> None:
         for foreign in recorded_lines("foreign-datagrams.jsonl"):
             read = messages.decode(bytes.fromhex(foreign["datagram"]))
             self.assertEqual(read, MESSAGES["ping"])
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks shared among members: who makes which, and how findings reach all."""
+"""Health checks shared among members: the assignment of checks, and the spread of findings to all members."""
 
 import unittest
 
@@ -10,12 +10,13 @@
 from maplestile.tools.model.run import run
 from tests.swim_group import deliver_all
 
-# Seeds of `HealthCheckGroup` in which all transmissions of a finding miss one member: 9 of the first 400.
+# Seeds of `HealthCheckGroup` for which a finding misses a member in all its transmissions: 4 of the 9 such
+# seeds among the first 400.
 MISSED_ONCE = (2, 32, 45, 258)
 
 
 class HealthCheckGroup:
-    """Members that share the health checks of two runners; every datagram is delivered at once."""
+    """Members that share the health checks of two runners; every message is delivered at once."""
 
     STEP_US = 10_000
     INTERVAL_US = 200_000
@@ -23,7 +24,7 @@
     def __init__(self, count: int, seed: int) -> None:
         tuning = Tuning(period_us=200_000, ack_us=80_000)
         self.now_us = 0
-        self.silent = set[str]()
+        self.silent = set[str]()  # the runners that do not answer
         self.checks = [SharedHealthChecks(f"r{n}", self.INTERVAL_US) for n in range(count)]
         self.swims = [
             Swim(f"r{n}", ("h", n), tuning, seed * count + n, 0, checks)
@@ -34,7 +35,7 @@
             swim.add_known([(f"r{n}", ("h", n)) for n in range(count) if n != number])
 
     def advance(self, steps: int) -> None:
-        """Let time pass in steps of `STEP_US`; due checks find the runners of `silent` silent."""
+        """Advance the time in steps of `STEP_US`; the runners in `silent` do not answer health checks."""
         for _ in range(steps):
             self.now_us += self.STEP_US
             for swim, checks in zip(self.swims, self.checks, strict=True):
@@ -45,18 +46,18 @@
 
 
 class AssignmentTest(unittest.TestCase):
-    """Which member makes which checks."""
+    """The assignment of checks to members."""
 
-    def test_a_member_that_ends_moves_only_its_own_checks(self) -> None:
+    def test_only_checks_of_removed_member_are_reassigned(self) -> None:
         names = [f"probe-{n}" for n in range(200)]
         members = [f"r{n}" for n in range(5)]
-        before = {name: assignment.owner(name, members) for name in names}
-        after = {name: assignment.owner(name, members[:2] + members[3:]) for name in names}
+        before = {name: assignment.assignee(name, members) for name in names}
+        after = {name: assignment.assignee(name, members[:2] + members[3:]) for name in names}
         moved = [name for name in names if before[name] != after[name]]
         self.assertEqual(set(moved), {name for name in names if before[name] == "r2"})
         self.assertTrue(20 < len(moved) < 60)
 
-    def test_assignment_counts_what_is_taken_over_and_what_is_done_twice(self) -> None:
+    def test_counts_checks_taken_over_given_up_and_overlapping(self) -> None:
         assigned_checks = assignment.CheckAssignment("r0")
         names = [f"probe-{n}" for n in range(100)]
         everyone = ["r0", "r1", "r2"]
@@ -70,22 +71,23 @@
 
 
 class SharedHealthChecksTest(unittest.TestCase):
-    """Checks and findings of members, in the model and singly."""
+    """Health checks and findings, in the membership model, in a group and of single members."""
 
-    def test_the_fleet_sends_about_one_probe_for_each_check_also_when_an_owner_dies(self) -> None:
+    def test_group_probes_each_runner_about_once_per_period_although_an_assignee_dies(self) -> None:
         kill = {"at_s": 20, "member": 3}
         tables = {"seed": 5, "members": 10, "duration_s": 60, "duties": 20, "kill": [kill]}
         metrics = run(parse(tables))[0]
-        # One in a period and check; every member for itself would make it ten.
+        # One probe per check and period; without sharing, the ten members would send ten.
         self.assertAlmostEqual(metrics.probes_per_duty_per_period or 0, 1.0, delta=0.1)
-        self.assertLess(metrics.longest_gap_of_a_duty_periods or 99, 12)  # detected, then taken over
+        # The longest gap lasts until the death is detected and the check is reassigned.
+        self.assertLess(metrics.longest_gap_of_a_duty_periods or 99, 12)
 
-    def test_the_later_finding_is_kept_and_a_single_miss_is_no_finding(self) -> None:
+    def test_keeps_newest_finding_and_ignores_single_missed_probe(self) -> None:
         one = SharedHealthChecks("r0", 1000)
         other = SharedHealthChecks("r1", 1000)
         for checks in (one, other):
             checks.set_runners(["w1"])
-        self.assertIsNone(one.record_result("w1", False))  # a single miss
+        self.assertIsNone(one.record_result("w1", False))  # a single missed probe
         finding = one.record_result("w1", False)
         assert finding is not None
         self.assertEqual((finding.answers, finding.version), (False, 1))
@@ -94,10 +96,10 @@
         back = other.record_result("w1", True)
         assert back is not None
         self.assertTrue(one.merge(back))
-        self.assertFalse(one.merge(finding))  # an old one changes nothing
+        self.assertFalse(one.merge(finding))  # an older finding changes nothing
         self.assertEqual(one.findings, other.findings)
 
-    def test_a_module_leaves_its_probe_to_the_owner_of_a_silent_runner_unless_cut_off(self) -> None:
+    def test_skips_own_probe_of_silent_runner_unless_isolated(self) -> None:
         checks = SharedHealthChecks("r0", 1000)
         checks.set_runners([f"w{n}" for n in range(20)])
         checks.set_view(["r0", "r1"], ["r0", "r1"], False)
@@ -108,10 +110,11 @@
         self.assertEqual(checks.skipped_probes, 1)
         checks.set_view(["r0", "r1"], ["r0", "r1"], True)
         self.assertTrue(checks.may_probe(others[0]))
-        checks.set_view(["r0"], ["r0", "r1"], True)  # r1 is dead: all are this member's, and due at once
+        # r1 is dead: all checks are assigned to r0, and due at once.
+        checks.set_view(["r0"], ["r0", "r1"], True)
         self.assertIn(others[0], checks.due(5))
 
-    def test_findings_go_out_so_many_times_and_no_more(self) -> None:
+    def test_piggybacks_each_finding_up_to_transmit_limit(self) -> None:
         checks = SharedHealthChecks("r0", 1000)
         checks.set_runners(["w1", "w2"])
         for runner in ("w1", "w2"):
@@ -119,7 +122,7 @@
         sent = [finding.runner for _ in range(9) for finding in checks.piggyback(1, 3)]
         self.assertEqual(sorted(sent), ["w1"] * 3 + ["w2"] * 3)
 
-    def test_a_finding_that_changes_something_is_repeated_once_an_interval_after_all_new_ones(self) -> None:
+    def test_repeats_finding_that_differs_from_default_after_all_new_findings(self) -> None:
         interval_us, transmit_limit = 1000, 3
         checks = SharedHealthChecks("r0", interval_us)
         checks.set_runners(["back", "new", "silent", "well"])
@@ -127,7 +130,7 @@
         for version, runner in ((2, "back"), (1, "silent"), (1, "well")):
             checks.merge(HealthFinding(runner, runner != "silent", version, "r1"))
         while checks.piggyback(4, transmit_limit):
-            pass  # until all have gone out as often as they may
+            pass  # until each finding has been sent `transmit_limit` times
         checks.due(REPEAT_INTERVALS * interval_us - 1)
         self.assertEqual(checks.piggyback(4, transmit_limit), [])
         checks.due(REPEAT_INTERVALS * interval_us)
@@ -135,13 +138,13 @@
         sent = [finding.runner for _ in range(9) for finding in checks.piggyback(1, transmit_limit)]
         self.assertEqual(sent, ["new", "new", "new", "back", "silent"])
 
-    def test_a_finding_reaches_all_also_if_all_its_transmissions_missed_a_member(self) -> None:
-        """Without repeats, a member in each of these groups never learned of it; no datagram is lost."""
+    def test_repeated_finding_reaches_member_that_missed_all_transmissions(self) -> None:
+        """Without repeats, one member of each group never gets the finding, although no message is lost."""
         for seed in MISSED_ONCE:
             group = HealthCheckGroup(5, seed)
             group.advance(100)
             group.silent.add("w1")
-            group.advance(1000)  # ten seconds, fifty intervals
+            group.advance(1000)  # 10 s, which is 50 health check intervals
             found = [checks.findings.get("w1") for checks in group.checks]
             self.assertEqual([finding and finding.answers for finding in found], [False] * 5, seed)
 
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -1,4 +1,4 @@
-"""Members that join, leave and come back; every datagram is delivered at once."""
+"""Members that join, leave and rejoin; every message is delivered at once."""
 
 import unittest
 
@@ -12,14 +12,14 @@
 
 
 def new_members() -> list[Swim]:
-    """Members that do not know each other."""
+    """Return members that do not know each other."""
     return [Swim(f"r{number}", ("h", number), TUNING, number, 0) for number in range(MEMBERS)]
 
 
 class JoinTest(unittest.TestCase):
-    """Members that join by a seed."""
+    """Members that join through a seed."""
 
-    def test_a_joiner_is_learned_by_all_also_where_the_seeds_update_about_it_died_out(self) -> None:
+    def test_all_members_learn_of_joining_member_although_updates_of_seed_are_lost(self) -> None:
         swims = new_members()
         swims[1].join([("h", 0)])
         swims[2].join([("h", 0)])
@@ -29,36 +29,36 @@
             for swim in swims:
                 swim.tick(now_us)
             if now_us == STEP_US:
-                # The seed's updates about the joiners are dropped.
+                # Drop the seed's updates about the joining members.
                 deliver_all(swims, now_us, after_each=swims[0].update_queue.clear)
             else:
                 deliver_all(swims, now_us)
         self.assertEqual([swim.live() for swim in swims], [["r0", "r1", "r2"]] * MEMBERS)
 
 
-class ReturnTest(unittest.TestCase):
-    """Members that leave and come back."""
+class RejoinTest(unittest.TestCase):
+    """Members that leave and rejoin."""
 
     def setUp(self) -> None:
         self.now_us = 0
         self.swims = new_members()
 
     def advance(self, steps: int) -> None:
-        """Let time pass in steps of `STEP_US`, and deliver all datagrams at each."""
+        """Advance the time in steps of `STEP_US`, and deliver all messages after each step."""
         for _ in range(steps):
             self.now_us += STEP_US
             for swim in self.swims:
                 swim.tick(self.now_us)
             deliver_all(self.swims, self.now_us)
 
-    def test_one_that_left_and_comes_back_with_no_seed_is_found_again(self) -> None:
+    def test_member_that_left_and_restarts_without_seeds_is_found_again(self) -> None:
         for swim in self.swims[1:]:
             swim.join([("h", 0)])
         self.advance(200)
         self.swims[0].leave()
         self.advance(100)
         self.assertEqual(self.swims[1].live(), ["r1", "r2"])
-        # Its file names no seed: it was the first.
+        # The restarted member has no seeds: it was the seed of the others.
         self.swims[0] = Swim("r0", ("h", 0), TUNING, 9, self.now_us)
         self.advance(300)
         self.assertEqual([swim.live() for swim in self.swims], [["r0", "r1", "r2"]] * MEMBERS)
