--- a/maplestile/membership/isolation.py
+++ b/maplestile/membership/isolation.py
@@ -26,13 +26,13 @@
         self,
         members: MemberList,
         event_log: EventLog,
-        checks: SharedHealthChecks | None,
+        health_checks: SharedHealthChecks | None,
         tuning: Tuning,
         health: LocalHealth,
     ) -> None:
         self._members = members
         self._event_log = event_log
-        self._health_checks = checks
+        self._health_checks = health_checks
         self._tuning = tuning
         self._health = health
         self._last_live: list[str] | None = None  # the names evaluated last; None before the first time
--- a/maplestile/membership/member_list.py
+++ b/maplestile/membership/member_list.py
@@ -18,7 +18,7 @@
     address: Address
     incarnation: int
     status: Status
-    since_us: int  # the time of the last change of status
+    since_us: int  # when the member took its current status
     suspected_by: set[str] = field(default_factory=set)  # names of the members that suspect it
     reported_dead: bool = False  # another member declared it dead while it is only suspected here
 
--- a/maplestile/membership/message_sender.py
+++ b/maplestile/membership/message_sender.py
@@ -28,12 +28,16 @@
     """
 
     def __init__(
-        self, members: MemberList, tuning: Tuning, rng: random.Random, checks: SharedHealthChecks | None
+        self,
+        members: MemberList,
+        tuning: Tuning,
+        rng: random.Random,
+        health_checks: SharedHealthChecks | None,
     ) -> None:
         self.members = members
         self.tuning = tuning
         self.rng = rng
-        self.health_checks = checks
+        self.health_checks = health_checks
         self.update_queue = UpdateQueue(tuning.queued_updates_max)
         self.outbox: list[OutgoingMessage] = []
         self._sequence = 0
--- a/maplestile/membership/settings.py
+++ b/maplestile/membership/settings.py
@@ -1,7 +1,7 @@
 """The membership settings: the `[peers]` table of an operator's file, checked.
 
-This is the table as an operator writes it; `invoke.operator_file` converts it to the router's form, which is
-what `membership_settings_from` reads:
+An operator writes the table as follows. `invoke.operator_file` converts it to the router's form, which
+`membership_settings_from` reads and describes.
 
     [peers]
     listen = "127.0.0.1:7946"          # UDP, loopback only
--- a/tests/router_group.py
+++ b/tests/router_group.py
@@ -11,7 +11,7 @@
 from tests.relay_process import Json, Relay
 from tests.standins import PATIENCE_S, ROOT, Program, Worker, eventually
 
-# A short period keeps the tests short: a suspicion lasts from 4 periods (0.8 s) to 24 periods (4.8 s).
+# A short probe period keeps the tests short: a suspicion lasts from 4 periods (0.8 s) to 24 periods (4.8 s).
 PERIOD_S = 0.2
 PEERS = """[peers]
 listen = "127.0.0.1:0"
@@ -30,7 +30,7 @@
     incarnation: int
 
 
-UNKNOWN = MemberStatus("unknown", -1)
+UNKNOWN = MemberStatus("unknown", -1)  # of a member that is not in the view
 
 
 class Routers:
@@ -77,9 +77,9 @@
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
         try:
             connection.request("GET", path)
-            answer = connection.getresponse()
-            self.test.assertEqual(answer.status, 200)
-            return answer.read().decode()
+            response = connection.getresponse()
+            self.test.assertEqual(response.status, 200)
+            return response.read().decode()
         finally:
             connection.close()
 
@@ -94,9 +94,9 @@
 
     def status(self, number: int, member: str) -> MemberStatus:
         """Return a member's state in a router's view, or `UNKNOWN` if the view does not contain it."""
-        for seen in self.view(number)["members"]:
-            if seen["name"] == member:
-                return MemberStatus(seen["status"], seen["incarnation"])
+        for entry in self.view(number)["members"]:
+            if entry["name"] == member:
+                return MemberStatus(entry["status"], entry["incarnation"])
         return UNKNOWN
 
     def all_see(self, numbers: list[int], member: str, status: str) -> bool:
--- a/tests/test_process_peers.py
+++ b/tests/test_process_peers.py
@@ -36,7 +36,7 @@
         self.assertFalse(any(routers.view(number)["isolated"] for number in others))
         eventually(lambda: self.checked_runners(others) == ["w1", "w2"], "the checks of r3 reassigned")
 
-    def test_member_refutes_suspicion_after_short_pause(self) -> None:
+    def test_member_is_not_declared_dead_after_short_pause(self) -> None:
         self.routers.pause(2)
         time.sleep(SHORT_PAUSE_S)
         self.routers.resume(2)
@@ -55,7 +55,9 @@
         self.assertTrue(
             all(self.routers.status(n, "r1").incarnation >= 1 for n in others), "a higher incarnation"
         )
-        eventually(lambda: self.checked_runners(ALL) == ["w1", "w2"], "one owner of each runner again")
+        eventually(
+            lambda: self.checked_runners(ALL) == ["w1", "w2"], "each runner probed by one router again"
+        )
 
     def test_suspected_member_that_leaves_is_known_as_left(self) -> None:
         """The member is suspected while it is paused, and gets SIGTERM as soon as it is resumed."""
@@ -132,7 +134,9 @@
         routers.wait_until_converged()
         # Each member contacts a dead one every 5 periods (1 s), and spreading the updates takes a few more.
         self.assertLess(time.monotonic() - start_s, DETECT_S)
-        eventually(lambda: self.checked_runners(ALL) == ["w1", "w2"], "one owner of each runner again")
+        eventually(
+            lambda: self.checked_runners(ALL) == ["w1", "w2"], "each runner probed by one router again"
+        )
         self.assert_no_death_declared_within_a_side(small)
         self.assertTrue(any(event["event"] == "healed" for event in self.events(0)))
 
--- a/tests/test_recorded_datagrams.py
+++ b/tests/test_recorded_datagrams.py
@@ -17,15 +17,15 @@
                 self.assertEqual(messages.decode(recorded_bytes(f"datagram-{kind}.bin")), message)
 
     def test_rejects_invalid_datagram_with_recorded_error(self) -> None:
-        for bad in recorded_lines("bad-datagrams.jsonl"):
-            with self.subTest(bad["told"]), self.assertRaises(messages.DatagramError) as refused:
-                messages.decode(bytes.fromhex(bad["datagram"]))
-            self.assertEqual(str(refused.exception), bad["told"])
+        for invalid in recorded_lines("bad-datagrams.jsonl"):
+            with self.subTest(invalid["told"]), self.assertRaises(messages.DatagramError) as rejected:
+                messages.decode(bytes.fromhex(invalid["datagram"]))
+            self.assertEqual(str(rejected.exception), invalid["told"])
 
     def test_ignores_unknown_keys(self) -> None:
-        for foreign in recorded_lines("foreign-datagrams.jsonl"):
-            read = messages.decode(bytes.fromhex(foreign["datagram"]))
-            self.assertEqual(read, MESSAGES["ping"])
+        for line in recorded_lines("foreign-datagrams.jsonl"):
+            message = messages.decode(bytes.fromhex(line["datagram"]))
+            self.assertEqual(message, MESSAGES["ping"])
 
 
 if __name__ == "__main__":
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -83,21 +83,21 @@
         self.assertLess(metrics.longest_gap_of_a_duty_periods or 99, 12)
 
     def test_keeps_newest_finding_and_ignores_single_missed_probe(self) -> None:
-        one = SharedHealthChecks("r0", 1000)
-        other = SharedHealthChecks("r1", 1000)
-        for checks in (one, other):
+        first = SharedHealthChecks("r0", 1000)
+        second = SharedHealthChecks("r1", 1000)
+        for checks in (first, second):
             checks.set_runners(["w1"])
-        self.assertIsNone(one.record_result("w1", False))  # a single missed probe
-        finding = one.record_result("w1", False)
+        self.assertIsNone(first.record_result("w1", False))  # a single missed probe
+        finding = first.record_result("w1", False)
         assert finding is not None
         self.assertEqual((finding.answers, finding.version), (False, 1))
-        self.assertTrue(other.merge(finding))
-        self.assertFalse(other.merge(finding))
-        back = other.record_result("w1", True)
-        assert back is not None
-        self.assertTrue(one.merge(back))
-        self.assertFalse(one.merge(finding))  # an older finding changes nothing
-        self.assertEqual(one.findings, other.findings)
+        self.assertTrue(second.merge(finding))
+        self.assertFalse(second.merge(finding))
+        recovery = second.record_result("w1", True)
+        assert recovery is not None
+        self.assertTrue(first.merge(recovery))
+        self.assertFalse(first.merge(finding))  # an older finding changes nothing
+        self.assertEqual(first.findings, second.findings)
 
     def test_skips_own_probe_of_silent_runner_unless_isolated(self) -> None:
         checks = SharedHealthChecks("r0", 1000)
