--- a/maplestile/membership/assignment.py
+++ b/maplestile/membership/assignment.py
@@ -12,15 +12,15 @@
 WEIGHT_BYTES = 8  # length of the digest that is read as the weight
 
 
-def rendezvous_weight(check: str, member: str) -> int:
-    """Return the rendezvous hash of a check and a member; the highest one decides the assignee."""
+def compute_rendezvous_weight(check: str, member: str) -> int:
+    """Return the rendezvous hash of a check and a member; the member with the highest one is the assignee."""
     digest = hashlib.blake2b(f"{check}\x00{member}".encode(), digest_size=WEIGHT_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
-def assignee(check: str, live: Iterable[str]) -> str:
+def choose_assignee(check: str, live: Iterable[str]) -> str:
     """Return the live member with the highest weight for `check`. Raises ValueError if `live` is empty."""
-    return max(live, key=lambda member: (rendezvous_weight(check, member), member))
+    return max(live, key=lambda member: (compute_rendezvous_weight(check, member), member))
 
 
 class CheckAssignment:
@@ -30,20 +30,24 @@
         self.own_name = own_name
         self.assigned: frozenset[str] = frozenset()
         self.taken_over = 0  # checks newly assigned to this member while it already had others
-        self.given_up = 0  # checks reassigned to another member, as when a slow one comes back
+        self.given_up = 0  # checks no longer assigned here, as when a slow member comes back
         self.overlap = 0  # checks assigned here that the agreed view assigns to another member
 
     def assign(self, checks: Iterable[str], live: Iterable[str], agreed: Iterable[str]) -> frozenset[str]:
-        """Return the checks that the members in `live` leave to this member.
+        """Assign the checks to the members in `live`, update the counts, and return this member's checks.
 
-        `agreed` is the last view without suspicions; it only serves to count the overlap.
+        `agreed` is the last view without suspicions; it is only used to count the overlap.
         """
         live_members = sorted({*live, self.own_name})
         agreed_members = sorted({*agreed, self.own_name})
-        assigned = frozenset(check for check in checks if assignee(check, live_members) == self.own_name)
+        assigned = frozenset(
+            check for check in checks if choose_assignee(check, live_members) == self.own_name
+        )
         if self.assigned:
             self.taken_over += len(assigned - self.assigned)
         self.given_up += len(self.assigned - assigned)
-        self.overlap += sum(1 for check in assigned if assignee(check, agreed_members) != self.own_name)
+        self.overlap += sum(
+            1 for check in assigned if choose_assignee(check, agreed_members) != self.own_name
+        )
         self.assigned = assigned
         return assigned
--- a/maplestile/membership/gossip_timer.py
+++ b/maplestile/membership/gossip_timer.py
@@ -31,16 +31,16 @@
         if now_us >= self._next_exchange_us:
             self._next_exchange_us = now_us + self._tuning.period_us
             self._merger.begin_period()
-            self._exchange_backlog()
-        if self._is_needed():
+            self._request_state_for_backlog()
+        if self._is_gossip_needed():
             for member in self._sender.random_members(self._tuning.gossip_fanout):
                 self._sender.send(member.address, self._sender.new_message(MessageKind.GOSSIP))
 
-    def _exchange_backlog(self) -> None:
+    def _request_state_for_backlog(self) -> None:
         if len(self._sender.update_queue) > self._tuning.backlog_updates:
             for member in self._sender.random_members(1):
                 self._sender.send_state(member.address, MessageKind.JOIN)
 
-    def _is_needed(self) -> bool:
+    def _is_gossip_needed(self) -> bool:
         queued = len(self._sender.update_queue)
         return queued > 0 and (self._health.score > 0 or queued > self._tuning.updates_per_message)
--- a/maplestile/membership/message_sender.py
+++ b/maplestile/membership/message_sender.py
@@ -43,7 +43,7 @@
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """Return a sequence number for a message that expects an answer."""
+        """Return the next sequence number, which wraps around after `SEQUENCE_BITS` bits."""
         self._sequence = (self._sequence + 1) & SEQUENCE_MASK
         return self._sequence
 
@@ -82,11 +82,11 @@
         asks for it, since one answer is enough.
         """
         updates = [self.members.update_about(member) for member in self.members.members.values()]
-        chunk = self.tuning.state_updates_per_message
-        for begin in range(0, len(updates), chunk):
-            message = Message(kind, 0, self.members.own_name, gossip=updates[begin : begin + chunk])
+        chunk_size = self.tuning.state_updates_per_message
+        for begin in range(0, len(updates), chunk_size):
+            message = Message(kind, 0, self.members.own_name, gossip=updates[begin : begin + chunk_size])
             if self.health_checks is not None and begin == 0:
-                message.findings = self.health_checks.all_findings()[:chunk]
+                message.findings = self.health_checks.all_findings()[:chunk_size]
             self._enqueue(to, message)
             kind = MessageKind.SYNC
 
--- a/maplestile/membership/messages.py
+++ b/maplestile/membership/messages.py
@@ -49,9 +49,9 @@
 MAX_HOST_CHARACTERS = 255
 MAX_LIST_ENTRIES = 4096  # of each list in a datagram
 SEQUENCE_BITS = 32
-DIGEST_BITS = 64
+DIGEST_BITS = 64  # as many as `member_list.DIGEST_BYTES`
 COUNTER_BITS = 63  # size of incarnations and versions
-PORT_LIMIT = 1 << 16
+PORT_LIMIT = 1 << 16  # ports are below this
 ADDRESS_FIELD_COUNT = 2
 UPDATE_FIELD_COUNT = 6
 FINDING_FIELD_COUNT = 4
@@ -69,7 +69,7 @@
     name: str
     address: Address
     incarnation: int
-    by: str
+    by: str  # name of the reporting member
 
 
 @dataclass(slots=True)
@@ -77,14 +77,14 @@
     """One message of the protocol; `sequence` matches an ack or nack to its ping or ping request."""
 
     kind: MessageKind
-    sequence: int
-    source: str
+    sequence: int  # 0 in full states
+    source: str  # name of the sending member; in a relayed ack, of the pinged member
     target: str = ""  # name of the member to ping; empty in messages of other kinds
-    target_address: Address | None = None  # only in a ping request
+    target_address: Address | None = None  # None except in a ping request
     reply_to: Address = ("", 0)  # the address of the sender
     gossip: list[MemberUpdate] = field(default_factory=list)
     findings: list[HealthFinding] = field(default_factory=list)
-    digest: int | None = None  # 64-bit `MemberList.digest` of the sender; only in pings and acks
+    digest: int | None = None  # 64-bit `MemberList.digest` of the sender; None except in pings and acks
 
 
 def encode(message: Message) -> bytes:
--- a/maplestile/membership/settings.py
+++ b/maplestile/membership/settings.py
@@ -25,7 +25,7 @@
 PERIOD_MAX_US = 60_000_000
 ACK_MIN_US = 1_000
 LOOPBACK_HOSTS = ("127.0.0.1", "localhost", "::1")
-PORT_LIMIT = 1 << 16
+PORT_LIMIT = 1 << 16  # ports are below this
 
 
 class MembershipSettingsError(ValueError):
--- a/maplestile/membership/tuning.py
+++ b/maplestile/membership/tuning.py
@@ -31,8 +31,8 @@
     # member, its tombstone, for `tombstone_periods`; meanwhile old updates about the member are ignored.
     reconnect_periods: int = 5
     tombstone_periods: int = 600
-    # When the probes do not carry the updates in time, gossip messages are sent to `gossip_fanout` members at
-    # this interval: more updates than one message holds, or slow probes because of the local health.
+    # Gossip messages are sent to `gossip_fanout` members at this interval while more updates are queued than
+    # one message holds, or while this member probes slowly because of its local health.
     gossip_interval_periods: float = 0.5
     gossip_fanout: int = 2
     # While more updates than this are queued, as when a partition heals, a full-state exchange is requested
--- a/maplestile/membership/update_merger.py
+++ b/maplestile/membership/update_merger.py
@@ -39,7 +39,7 @@
         self._event_log = event_log
         self._death_notices_sent = 0  # in the current period
         self.is_leaving = False
-        self.refutation_due = False  # an update about this member that it has already refuted was received
+        self.refutation_due = False  # whether an update that this member had refuted was received again
 
     def merge(self, update: MemberUpdate, now_us: int) -> None:
         """Merge one update; an update that is older than the state in the table changes nothing."""
@@ -118,8 +118,8 @@
     def _merge_reported_death(self, member: Member, update: MemberUpdate) -> None:
         """Merge another member's declaration that `member` is dead, without accepting it at once.
 
-        If this member already suspects it, the suspicion counts as fully confirmed and lasts its minimum
-        time. If it is alive here, the declaration is sent to it, so that it can refute it, and it is probed
+        If `member` is already suspected here, the suspicion counts as fully confirmed and lasts its minimum
+        time. If `member` is alive here, it is sent the declaration, so that it can refute it, and is probed
         next.
 
         This protects live members after a network partition: the other side has declared all members of this
--- a/maplestile/membership/view.py
+++ b/maplestile/membership/view.py
@@ -23,7 +23,7 @@
     assigned: tuple[str, ...]  # the runners that this member probes for the group, sorted
     silent: tuple[str, ...]  # the runners that their assignees find silent, sorted
     taken_over: int  # checks newly assigned to this member while it already had others
-    given_up: int  # checks reassigned to another member
+    given_up: int  # checks no longer assigned to this member
     overlap: int  # checks assigned here that the agreed view assigned to another member
     skipped_probes: int  # own probes skipped since the assignee finds the runner silent
 
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -51,8 +51,8 @@
     def test_only_checks_of_removed_member_are_reassigned(self) -> None:
         names = [f"probe-{n}" for n in range(200)]
         members = [f"r{n}" for n in range(5)]
-        before = {name: assignment.assignee(name, members) for name in names}
-        after = {name: assignment.assignee(name, members[:2] + members[3:]) for name in names}
+        before = {name: assignment.choose_assignee(name, members) for name in names}
+        after = {name: assignment.choose_assignee(name, members[:2] + members[3:]) for name in names}
         moved = [name for name in names if before[name] != after[name]]
         self.assertEqual(set(moved), {name for name in names if before[name] == "r2"})
         self.assertTrue(20 < len(moved) < 60)
