--- a/maplestile/membership/failure_detector.py
+++ b/maplestile/membership/failure_detector.py
@@ -150,7 +150,7 @@
         """Worsen this member's local health after a failed probe, unless the target is already suspected.
 
         After a partition, failed probes of members on the other side would otherwise make each member rate
-        itself as slow. It would then probe, and spread the recovery, at down to one ninth of the normal rate.
+        itself as slow. It would then probe, and spread the recovery, up to nine times more slowly.
         """
         if target is not None and target.status is Status.SUSPECT:
             return
--- a/maplestile/membership/gossip_timer.py
+++ b/maplestile/membership/gossip_timer.py
@@ -12,7 +12,7 @@
 
 
 class GossipTimer:
-    """Sends updates to random members at an interval shorter than the probe period."""
+    """Sends updates to random members, when needed, at an interval shorter than the probe period."""
 
     def __init__(self, sender: MessageSender, merger: UpdateMerger, health: LocalHealth, now_us: int) -> None:
         self._sender = sender
--- a/maplestile/membership/settings.py
+++ b/maplestile/membership/settings.py
@@ -44,7 +44,7 @@
 
 
 def membership_settings_from(table: Any) -> MembershipSettings:
-    """Parse a table in the router's form. Raises MembershipSettingsError.
+    """Parse the `[peers]` table in the router's form. Raises MembershipSettingsError.
 
     The table is `{"listen": "h:p", "seeds": [...], "periodUs", "ackUs", "lifeguard", "watchUs",
     "advertise"}`.
--- a/maplestile/membership/state_exchange.py
+++ b/maplestile/membership/state_exchange.py
@@ -9,7 +9,7 @@
 from maplestile.membership.messages import Message, MessageKind
 from maplestile.membership.update_merger import UpdateMerger
 
-# A member sends messages of these kinds only to receivers that are in its own view.
+# A member sends messages of these kinds only to receivers that it considers members.
 KINDS_BETWEEN_MEMBERS = (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ, MessageKind.NACK)
 
 
@@ -68,7 +68,7 @@
             self._sender.send_state(message.reply_to, MessageKind.JOIN)
 
     def tick(self, now_us: int) -> None:
-        """Contact the seeds while no other member is in view, and a random member that is dead or left."""
+        """Contact the seeds if no other member is in view, and one random member that is dead or has left."""
         if now_us < self.next_reconnect_us:
             return
         self.next_reconnect_us = now_us + self._reconnect_us
--- a/maplestile/membership/update_queue.py
+++ b/maplestile/membership/update_queue.py
@@ -15,7 +15,7 @@
 
 
 class UpdateQueue:
-    """The latest update about each member, until it has been sent often enough."""
+    """The latest update about each member, kept until it has been sent often enough."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
