--- a/maplestile/tools/explore/__init__.py
+++ b/maplestile/tools/explore/__init__.py
@@ -1,1 +1,1 @@
-"""The explorer: plays every order of events of a small case on the shipped components, without sockets."""
+"""The explorer: tries every order of events of small cases on the shipped components, without sockets."""
--- a/maplestile/tools/explore/cases.py
+++ b/maplestile/tools/explore/cases.py
@@ -1,4 +1,4 @@
-"""The bounded cases that the explorer plays."""
+"""Definitions of the bounded cases that the explorer searches."""
 
 from dataclasses import dataclass
 
@@ -6,26 +6,26 @@
 from maplestile.tools.explore.events import ANSWERS, EventKind
 
 LINK_FAULTS = (EventKind.REFUSE, EventKind.RESET)
-LIST_CHANGES = (EventKind.DRAIN, EventKind.GONE, EventKind.RETURN)
+ENDPOINT_LIST_EVENTS = (EventKind.DRAIN, EventKind.GONE, EventKind.RETURN)
 
 
 class CaseError(ConfigError):
-    """A case or a file that cannot be used; the text names the place."""
+    """An invalid case or file; the message names the offending option, file or field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """A bounded set of runs: the calls, the workers, and what may happen to them."""
+    """The bounds of one search: which calls are made, to which workers, and which faults may occur."""
 
     name: str
     summary: str
-    classes: tuple[str, ...]  # of the calls, in the order in which they come: `scenario.CLASSES`
-    fault_events: tuple[EventKind, ...]  # that may happen, beside submit, up, ok, time and drained
-    max_faults: int  # how many of them may happen
-    workers: int = 2
-    zones: tuple[str, ...] = ("a", "a")
-    cells: tuple[int, ...] = (1, 1)
-    max_time_steps: int = 6  # a call's deadline is four
+    classes: tuple[str, ...]  # class of each call, in order of submission; keys of `scenario.CLASSES`
+    fault_events: tuple[EventKind, ...]  # that may occur besides submit, up, ok, time and drained
+    max_faults: int  # maximum number of fault events in one run
+    workers: int = 2  # number of workers
+    zones: tuple[str, ...] = ("a", "a")  # zone of each worker
+    cells: tuple[int, ...] = (1, 1)  # cell of each worker
+    max_time_steps: int = 6  # maximum number of `time` events; a call's deadline is four steps away
 
 
 CALL_FAULTS = (*ANSWERS, *LINK_FAULTS)
@@ -94,7 +94,7 @@
             name="drain",
             summary="a worker drains, goes, and returns under its address",
             classes=("unsafe",),
-            fault_events=(*LIST_CHANGES, EventKind.REFUSE, EventKind.RESET, EventKind.PART),
+            fault_events=(*ENDPOINT_LIST_EVENTS, EventKind.REFUSE, EventKind.RESET, EventKind.PART),
             max_faults=3,
             max_time_steps=4,
         ),
@@ -102,7 +102,7 @@
             name="drain-safe",
             summary="the same under a safe call, with second copies",
             classes=("safe",),
-            fault_events=(*LIST_CHANGES, EventKind.RESET),
+            fault_events=(*ENDPOINT_LIST_EVENTS, EventKind.RESET),
             max_faults=3,
             max_time_steps=5,
         ),
@@ -163,8 +163,8 @@
         ),
     )
 }
-# Those that CI runs within a minute, and to which depth.
-SMALL = {
+# The cases that CI explores within a minute, with the maximum number of events in each run.
+SMALL_CASE_DEPTHS = {
     "unsafe": 8,
     "keyed-cell": 8,
     "late": 9,
--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -1,7 +1,7 @@
-"""`maplestile explore`: play every order of events of small cases, or replay a counterexample.
+"""`maplestile explore`: explore every order of events of small cases, or replay a counterexample.
 
-Exits with 0 where all properties held, with 1 and a counterexample otherwise, and with 2 for bad usage or a
-file that cannot be used, with its place.
+Exits with 0 if all properties hold, with 1 after printing a counterexample if one is violated, and with 2 for
+invalid options or an invalid file, after printing which option, file or field is wrong.
 """
 
 import argparse
@@ -16,8 +16,8 @@
 from typing import Any
 
 from maplestile.tools.explore import properties
-from maplestile.tools.explore.cases import CASES, SMALL, CaseError
-from maplestile.tools.explore.example_files import Example, read
+from maplestile.tools.explore.cases import CASES, SMALL_CASE_DEPTHS, CaseError
+from maplestile.tools.explore.example_files import Example, read_example
 from maplestile.tools.explore.search import Report, explore, play
 
 MAX_DEPTH = 30
@@ -30,15 +30,15 @@
     """The exploration of one case in a process of its own."""
 
     report: Report
-    peak_mb: float  # the most memory that the process has had
+    peak_mb: float  # peak resident memory of the process, in MiB
 
     def as_json(self) -> dict[str, Any]:
-        """The run as a JSON object."""
+        """Return the run as a JSON object."""
         return self.report.as_json() | {"peak_mb": self.peak_mb}
 
 
 def add(commands: Any) -> None:
-    """Add the command to argparse's sub-parsers."""
+    """Add the command to the argparse sub-parsers."""
     explore = commands.add_parser("explore", help="play every order of events of small cases")
     explore.add_argument("--case", action="append", default=[], metavar="NAME", help="default: small ones")
     explore.add_argument("--all", action="store_true", help="every case")
@@ -56,7 +56,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Explore the chosen cases, or list them, or replay an example."""
+    """Run the command: explore the selected cases, list all cases, or replay an example."""
     if arguments.list:
         _print_list()
         return 0
@@ -81,12 +81,12 @@
 def _print_list() -> None:
     for case in CASES.values():
         print("case", case.name, case.summary, sep="\t")
-    for name, description in properties.NAMES.items():
+    for name, description in properties.DESCRIPTIONS.items():
         print("property", name, description, sep="\t")
 
 
 def _case_names(arguments: argparse.Namespace) -> list[str]:
-    names = list(CASES) if arguments.all else arguments.case or list(SMALL)
+    names = list(CASES) if arguments.all else arguments.case or list(SMALL_CASE_DEPTHS)
     for name in names:
         if name not in CASES:
             raise CaseError(f"--case {name}: must be one of {', '.join(CASES)}")
@@ -99,9 +99,11 @@
 
 
 def _explore_all(names: Sequence[str], arguments: argparse.Namespace) -> list[CaseRun]:
-    """Explore the cases in processes of their own, as many at a time as there are cores."""
+    """Explore each case in a separate process, with at most one process per CPU core at a time."""
     is_bounded = arguments.depth or arguments.states or arguments.seconds
-    depths = {name: arguments.depth if is_bounded else SMALL.get(name, DEFAULT_DEPTH) for name in names}
+    depths = {
+        name: arguments.depth if is_bounded else SMALL_CASE_DEPTHS.get(name, DEFAULT_DEPTH) for name in names
+    }
     with ProcessPoolExecutor(min(len(names), os.cpu_count() or 1)) as pool:
         futures = [
             pool.submit(_explore_case, name, depth, arguments.states, arguments.seconds)
@@ -147,22 +149,22 @@
 
 
 def _replay(arguments: argparse.Namespace) -> int:
-    example = read(arguments.replay)
+    example = read_example(arguments.replay)
     if arguments.sockets:
         return _replay_on_sockets(example)
-    problems = play(CASES[example.case], example.events).problems
+    violations = play(CASES[example.case], example.events).violations
     if arguments.json:
-        print(json.dumps({"case": example.case, "broken": [list(problem) for problem in problems]}))
+        print(json.dumps({"case": example.case, "broken": [list(violation) for violation in violations]}))
     else:
-        for problem in problems:
-            print("BROKEN", problem.property, problem.detail, sep="\t")
-        if not problems:
+        for violation in violations:
+            print("BROKEN", violation.property, violation.detail, sep="\t")
+        if not violations:
             print(f"{example.case}: held; it broke {example.property or 'a property'} when it was written")
-    return int(bool(problems))
+    return int(bool(violations))
 
 
 def _replay_on_sockets(example: Example) -> int:
-    # Imported here, so that other commands start without it.
+    # Imported here so that other commands do not load it at startup.
     from maplestile.tools.explore import sockets
 
     result = sockets.replay(example)
--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -1,4 +1,4 @@
-"""The simulated connections: the shipped pool, with sockets that the explorer moves instead of the system."""
+"""Simulated connections: the shipped pool, on sockets that the explorer controls instead of the kernel."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,52 +10,52 @@
 
 
 @dataclass(slots=True, eq=False)
-class Line:
-    """A line that a worker has received complete."""
+class ReceivedLine:
+    """A complete line that a worker has received."""
 
     command: Command
     link: "Link"
-    at_us: int
-    answers: int = 0
-    never_ran: bool = False  # the router has received the proof
+    received_us: int  # simulated time of receipt
+    answers: int = 0  # number of answers that the worker has sent to this line
+    never_ran: bool = False  # the worker has answered that it did not run the call
 
-    def may_run(self) -> bool:
-        """Whether the worker may have run a call for this line."""
+    def may_have_run(self) -> bool:
+        """Return whether this line is a call that the worker may have run."""
         return self.command.kind is CommandKind.CALL and not self.never_ran
 
 
 class Environment(Protocol):
-    """What simulated connections need of the simulation that they are in."""
+    """The parts of a simulation that its connections use."""
 
-    now_us: int  # on the simulated clock
+    now_us: int  # simulated time
     counters: Counter[str]
-    links: list["Link"]  # in the order in which they were dialled
+    links: list["Link"]  # in the order in which they were opened
 
     def link_of(self, connection: Connection) -> "Link":
-        """Return the simulated socket of a connection of the pool."""
+        """Return the simulated socket of one of the pool's connections."""
 
     def on_write_started(self, link: "Link", command: Command) -> None:
-        """Check a command whose first byte goes out now."""
+        """Check a command whose first byte is about to be written."""
 
-    def on_line_received(self, line: Line) -> None:
-        """Check and keep a line that a worker has received complete."""
+    def on_line_received(self, line: ReceivedLine) -> None:
+        """Check and record a complete line that a worker has received."""
 
 
 class Link:
-    """One connection to a worker; to the pool it is the connection's socket."""
+    """A simulated connection to a worker; the pool uses it as the connection's socket."""
 
     def __init__(self, environment: Environment, number: int, connection: Connection) -> None:
         self._environment = environment
         self.number = number
         self.connection = connection
         self.worker = connection.runner.uid
-        self.lines: list[Line] = []
-        self.accepts_part = False  # of the next line only a part is accepted at once
-        self.unaccepted = b""  # a line whose rest has not been accepted yet
+        self.lines: list[ReceivedLine] = []
+        self.accepts_part = False  # the next line is accepted only in part
+        self.unaccepted = b""  # the line of which only a part is accepted; empty if there is none
         self.open = True
 
     def write(self, line: bytes) -> bool:
-        """Accept a line; False where only a part of it has been accepted."""
+        """Accept a line; return False if only a part of it was accepted."""
         self._environment.on_write_started(self, decode(line))
         if self.accepts_part:
             self.accepts_part = False
@@ -65,13 +65,13 @@
         return True
 
     def deliver(self, data: bytes) -> None:
-        """Have the worker receive a complete line."""
-        line = Line(decode(data), self, self._environment.now_us)
+        """Deliver a complete line to the worker."""
+        line = ReceivedLine(decode(data), self, self._environment.now_us)
         self.lines.append(line)
         self._environment.on_line_received(line)
 
     def holds(self) -> bool:
-        """Whether a part of a line has not been accepted yet."""
+        """Return whether part of a line has not been accepted yet."""
         return bool(self.unaccepted)
 
     def abort(self) -> None:
@@ -80,17 +80,17 @@
 
 
 class SimulatedPool(Pool):
-    """The shipped pool of connections, which dials simulated ones."""
+    """The shipped connection pool, which opens simulated connections."""
 
     def __init__(self, environment: Environment, limits: RunnerLimits) -> None:
         super().__init__(limits, lambda: environment.now_us, environment.counters)
         self.environment = environment
 
     def dial(self, connection: Connection) -> None:
-        """Begin to open a connection; an event `up` or `refuse` decides on it."""
+        """Start opening a connection; a later event, `up` or `refuse`, establishes or refuses it."""
         links = self.environment.links
         links.append(Link(self.environment, len(links), connection))
 
     def disconnect(self, connection: Connection) -> None:
-        """Close a connection."""
+        """Close a simulated connection."""
         self.environment.link_of(connection).open = False
--- a/maplestile/tools/explore/enabled_events.py
+++ b/maplestile/tools/explore/enabled_events.py
@@ -1,4 +1,7 @@
-"""Which events may happen next in a simulation. Their order is part of the search's result."""
+"""Lists the events that may happen next in a simulation.
+
+The search tries events in this order, so the order affects which counterexample it reports.
+"""
 
 from collections.abc import Iterator, Sequence
 from typing import Protocol
@@ -14,23 +17,23 @@
 
 
 class SimulationState(Protocol):
-    """What of a simulation's state decides on its next events."""
+    """The parts of a simulation's state that determine which events may happen next."""
 
     case: Case
     core: Core
-    now_us: int  # on the simulated clock
+    now_us: int  # simulated time
     clients: list[Client]
     links: list[Link]
     workers: SimulatedWorkers
-    faults: int  # events of `Case.fault_events` that have happened
-    steps: int  # of time that have passed
-    stopped: bool  # the router's process drains
+    fault_count: int  # number of events so far that `Case.fault_events` lists
+    time_steps: int  # number of `time` events so far
+    stopped: bool  # the router process has been told to stop and is draining
 
 
 def enabled_events(simulation: SimulationState) -> list[Event]:
-    """The events that may happen next, always in the same order."""
+    """Return the events that may happen next, in a fixed order."""
     case = simulation.case
-    faults = case.fault_events if simulation.faults < case.max_faults else ()
+    faults = case.fault_events if simulation.fault_count < case.max_faults else ()
     return [
         *_client_events(simulation, faults),
         *(event for link in simulation.links if link.open for event in _link_events(link, faults)),
@@ -95,5 +98,5 @@
         yield Event(EventKind.POLICY)
     if EventKind.STOP in faults and not simulation.stopped:
         yield Event(EventKind.STOP)
-    if simulation.steps < simulation.case.max_time_steps and simulation.clients:
+    if simulation.time_steps < simulation.case.max_time_steps and simulation.clients:
         yield Event(EventKind.TIME)
--- a/maplestile/tools/explore/events.py
+++ b/maplestile/tools/explore/events.py
@@ -1,4 +1,4 @@
-"""The explorer's events: what may happen next, to the router, to a client, to a connection or to a worker."""
+"""The explorer's events, each of which concerns the router, a client, a connection or a worker."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -6,7 +6,10 @@
 
 
 class EventKind(StrEnum):
-    """What happens; the value is the name in files and in output. `Simulation` says what each one does."""
+    """The kind of an event; the value is its name in files and output.
+
+    The module `simulation` describes what each kind does.
+    """
 
     SUBMIT = "submit"
     LEAVE = "leave"
@@ -31,19 +34,19 @@
 
 
 class Event(NamedTuple):
-    """Something that happens, and the numbers of what it happens to: a client, a worker, a link, its line."""
+    """An event, and the numbers of its client, its worker, or its link and the line on that link."""
 
     kind: EventKind
     numbers: tuple[int, ...] = ()
 
     def __str__(self) -> str:
-        """The event as it is printed."""
+        """Return the event as it is printed."""
         return " ".join(map(str, (self.kind, *self.numbers)))
 
 
 CLIENT_EVENTS = frozenset((EventKind.LEAVE, EventKind.AWAY))
-ANSWERS = (EventKind.ERROR, EventKind.FULL, EventKind.MISS)  # of a worker, beside the successful one
-LINE_EVENTS = frozenset((EventKind.OK, EventKind.AGAIN, *ANSWERS))  # at a line that a worker has received
+ANSWERS = (EventKind.ERROR, EventKind.FULL, EventKind.MISS)  # unsuccessful answers of a worker
+LINE_EVENTS = frozenset((EventKind.OK, EventKind.AGAIN, *ANSWERS))  # a worker's answers to a line
 LINK_EVENTS = LINE_EVENTS | {
     EventKind.UP,
     EventKind.REFUSE,
--- a/maplestile/tools/explore/example_files.py
+++ b/maplestile/tools/explore/example_files.py
@@ -1,8 +1,8 @@
-"""The files that hold a counterexample.
+"""Reads and writes counterexample files.
 
     {"version": 1, "case": "unsafe", "property": "unsafe-once", "events": [["submit"], ["up", 0], ...]}
 
-An event is a name and its numbers; `simulation.py` says what each does.
+An event is a name followed by its numbers; `simulation.py` describes each event.
 """
 
 import json
@@ -15,28 +15,28 @@
 
 VERSION = 1
 MAX_EVENTS = 200
-MAX_NUMBER = 999  # in an event
-EVENT_KINDS = {kind.value: kind for kind in EventKind}  # by their names
+MAX_NUMBER = 999  # largest client, worker, link or line number in an event
+EVENT_KINDS = {kind.value: kind for kind in EventKind}  # by name
 
 
 @dataclass(slots=True, frozen=True)
 class Example:
-    """A list of events that breaks a property."""
+    """A list of events that violates a property."""
 
     case: str
     property: str
     events: tuple[Event, ...]
-    detail: str = ""  # how it breaks the property; `told` in the file
+    detail: str = ""  # how the property is violated; `told` in the file
 
     def text(self) -> str:
-        """The example in the form of its file."""
+        """Return the contents of the example's file."""
         head = {"version": VERSION, "case": self.case, "property": self.property, "told": self.detail}
-        lines = ",\n  ".join(json.dumps(encode(event)) for event in self.events)
+        lines = ",\n  ".join(json.dumps(encode_event(event)) for event in self.events)
         return json.dumps(head, indent=1)[:-2] + f',\n "events": [\n  {lines}\n ]\n}}\n'
 
 
-def read(path: Path) -> Example:
-    """Read a file; raises `CaseError` naming the place of what is wrong."""
+def read_example(path: Path) -> Example:
+    """Read a counterexample file. Raises `CaseError` naming the invalid field."""
     try:
         document = json.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -45,10 +45,10 @@
         raise CaseError(f"{path}: no JSON: {error}") from None
     if not isinstance(document, dict):
         raise CaseError(f"{path}: must be an object")
-    return _example(path, document)
+    return _parse_example(path, document)
 
 
-def _example(path: Path, document: dict[str, Any]) -> Example:
+def _parse_example(path: Path, document: dict[str, Any]) -> Example:
     if document.get("version") != VERSION:
         raise CaseError(f"{path}: version: must be {VERSION}")
     if document.get("case") not in CASES:
@@ -59,17 +59,17 @@
     return Example(
         document["case"],
         str(document.get("property", "")),
-        tuple(_decode(f"{path}: events[{index}]", event) for index, event in enumerate(events)),
+        tuple(_decode_event(f"{path}: events[{index}]", event) for index, event in enumerate(events)),
         str(document.get("told", "")),
     )
 
 
-def encode(event: Event) -> list[str | int]:
-    """An event in the form of files and of JSON output: its name and its numbers."""
+def encode_event(event: Event) -> list[str | int]:
+    """Return an event as files and JSON output have it: a list of its name and its numbers."""
     return [event.kind.value, *event.numbers]
 
 
-def _decode(place: str, value: Any) -> Event:
+def _decode_event(place: str, value: Any) -> Event:
     if not isinstance(value, list) or not value or value[0] not in EVENT_KINDS:
         raise CaseError(f"{place}: must begin with one of {', '.join(EVENT_KINDS)}")
     kind = EVENT_KINDS[value[0]]
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -1,7 +1,7 @@
-"""The fingerprint of a simulation's state: states with equal fingerprints behave alike under any events.
+"""Computes the fingerprint of a simulation's state; states with equal fingerprints react alike to all events.
 
-It is a digest of the state in its normal form (`normal_form.py`). A timer is represented by what it
-would do; one that would do nothing is left out.
+The fingerprint is a digest of the state in normal form (`normal_form.py`). A timer is represented by what its
+callback would do; a timer whose callback would do nothing is left out.
 """
 
 import hashlib
@@ -16,21 +16,21 @@
 from maplestile.tools.explore.normal_form import NormalForm
 from maplestile.tools.explore.simulation import Simulation
 
-DIGEST_BYTES = 12  # enough for no collision among some millions of states
-# Variables of a timer's callback that do not change what it does.
+DIGEST_BYTES = 12  # collisions among millions of states are very unlikely
+# Captured variables of a timer's callback that do not affect what it does.
 IGNORED_VARIABLES = frozenset(("self", "ended"))
 
-Action = Callable[[], object]  # what a timer runs
+Action = Callable[[], object]  # the callback of a timer
 
 
 def digest(simulation: Simulation) -> bytes:
-    """The fingerprint of a simulation's state."""
+    """Return the fingerprint of a simulation's state."""
     state = _state(simulation, NormalForm(simulation))
     return hashlib.blake2b(repr(state).encode(), digest_size=DIGEST_BYTES).digest()
 
 
 def _state(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
-    """The whole state: the components under test, their environment, and the bounds used up."""
+    """Return the whole state: the components under test, their environment, and the event counts."""
     return (
         form.record(simulation.core.requests),
         form.record(simulation.core.attempts),
@@ -41,29 +41,29 @@
         [_link(link, form) for link in simulation.links if link.open],
         *_environment(simulation, form),
         _timers(simulation.core, form),
-        simulation.faults,
-        simulation.steps,
+        simulation.fault_count,
+        simulation.time_steps,
         simulation.stopped,
         simulation.epoch,
-        len(simulation.problems),
+        len(simulation.violations),
         [client.epoch for client in simulation.clients],
     )
 
 
 def _dispatcher(dispatcher: Dispatcher, form: NormalForm) -> list[Any]:
-    """Each part by its own state; a part's references to others appear as their types' names."""
-    return [(name, form.record(part)) for name, part in sorted(vars(dispatcher).items())]
+    """Return the state of each component; references to other components appear as type names."""
+    return [(name, form.record(component)) for name, component in sorted(vars(dispatcher).items())]
 
 
 def _link(link: Link, form: NormalForm) -> Any:
-    """One connection to a worker: what is in flight on it, and the state of both ends."""
+    """Return a connection to a worker: the lines in flight on it and the state of both ends."""
     lines = [(line.command.kind.value, line.command.tag, line.answers) for line in link.lines]
     connection = form.connection(link.connection)
     return link.number, form.value(link.worker), link.accepts_part, link.unaccepted, lines, connection
 
 
 def _environment(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
-    """The clients, the workers by the endpoint list, and the calls that workers have received."""
+    """Return the clients, the workers of the endpoint list, and the calls that workers have received."""
     clients = [
         (
             client.class_name,
@@ -80,17 +80,17 @@
     ]
     workers = [(form.value(name), state.value) for name, state in sorted(simulation.workers.states.items())]
     arrivals = [
-        (line.command.tag, form.value(line.link.worker), line.never_ran, form.value(line.at_us))
+        (line.command.tag, form.value(line.link.worker), line.never_ran, form.value(line.received_us))
         for line in sorted(simulation.arrivals, key=lambda line: line.command.tag)
     ]
     return clients, unavailable, workers, arrivals
 
 
-# Timers. A callback is known by the function of the core that makes it, and by the variables that it holds.
+# Timers. A callback is identified by its qualified name and the variables that it captures.
 
 
 def _timers(core: Core, form: NormalForm) -> list[Any]:
-    """The timers that would do something, with their due times."""
+    """Return the due time and effect of each timer that would do something."""
     tick_us = core.settings.tick_us
     timers = [
         (form.value(tick * tick_us), effect)
@@ -103,13 +103,13 @@
 
 @dataclass(slots=True, frozen=True)
 class _Callback:
-    """What a timer runs: a function by its qualified name, and the variables that it holds."""
+    """A timer's callback: the qualified name of the function and the variables that it captures."""
 
     name: str
     variables: Mapping[str, Any]
 
     def is_obsolete(self, core: Core) -> bool:
-        """Whether what the timer was set for has ended already."""
+        """Return whether the call, attempt or request that the timer was set for has already ended."""
         if any(_has_ended(value) for value in self.variables.values()):
             return True
         if self.name.startswith("RequestIntake.submit"):
@@ -121,7 +121,7 @@
         return False
 
     def normal_form(self, form: NormalForm) -> Any:
-        """The name and those variables that change what the callback does."""
+        """Return the name and the variables that affect what the callback does."""
         relevant = [(key, value) for key, value in self.variables.items() if key not in IGNORED_VARIABLES]
         return self.name, sorted((key, form.value(value)) for key, value in relevant)
 
@@ -136,9 +136,9 @@
 
 
 def _effect(action: Action, core: Core, form: NormalForm) -> Any:
-    """The normal form of what a timer would do; None if nothing."""
+    """Return the normal form of what a timer would do; None if it would do nothing."""
     callback = _callback(action)
-    if "token" in callback.variables:  # a timer of the dispatcher
+    if "token" in callback.variables:  # the dispatcher set the timer, and keeps the callback under this token
         inner = core.dispatcher.context.timers.get(callback.variables["token"])
         return None if inner is None else _effect(inner, core, form)
     return None if callback.is_obsolete(core) else callback.normal_form(form)
--- a/maplestile/tools/explore/normal_form.py
+++ b/maplestile/tools/explore/normal_form.py
@@ -1,7 +1,8 @@
-"""The normal form of a simulation's records: equal for states that differ only in names and in the date.
+"""Converts a simulation's records to a normal form, equal for states that differ only in names and in time.
 
-Times become relative to now, calls are named by their order of arrival, and workers by their rank for the one
-function that is called. What no decision reads is left out: counters, tokens, indexes.
+Times become relative to the current time, calls are named by their order of submission, and workers by their
+rank for the one function that is called. Values that affect no decision are left out, such as counters,
+tokens and indexes.
 """
 
 import functools
@@ -24,11 +25,11 @@
 from maplestile.tools.explore.scenario import FUNCTION, START_US
 from maplestile.tools.explore.simulation import Simulation
 
-HORIZON_US = 20_000_000  # times further off count as equal: no rule that a case meets reaches so far
-FIRST_TIME_US = START_US // 2  # a number from here on is a time, a smaller one a count or a call's number
-DECIMALS = 6  # of a float, since the last digits depend on the order of additions
-# Fields that have a form elsewhere, or that no decision reads.
-LEFT_OUT: dict[type, frozenset[str]] = {
+HORIZON_US = 20_000_000  # times further away count as equal; no rule that a case exercises looks that far
+FIRST_TIME_US = START_US // 2  # numbers from here on are times; smaller ones are counts or calls' numbers
+DECIMALS = 6  # floats are rounded, since their last digits depend on the order of additions
+# Fields that are represented elsewhere in the normal form, or that affect no decision.
+IGNORED_FIELDS: dict[type, frozenset[str]] = {
     RequestTable: frozenset(("_tick_us", "answers")),
     AttemptTable: frozenset(("_counters",)),
     ControlRequests: frozenset(("_counters", "limits")),
@@ -44,11 +45,11 @@
     Pool: frozenset(("limits", "clock", "counters", "move", "core", "environment", "calls_written")),
     Runner: frozenset(("connections",)),
     Message: frozenset(("line", "request")),
-    # The socket, the queue and the line on its way have forms of their own.
+    # `NormalForm.connection` represents the socket, the queue and the partly written line.
     Connection: frozenset(("runner", "socket", "partial", "queue")),
 }
-# Records that appear with all fields in the collection that holds them, and by their names elsewhere.
-RECORDS = frozenset(
+# Records that appear with all their fields in the collection that owns them, and by name everywhere else.
+RECORD_TYPES = frozenset(
     (
         FunctionEntry,
         Worker,
@@ -65,7 +66,7 @@
 
 
 class NormalForm:
-    """Brings the values of one simulation into tuples, lists and plain values, compared by their `repr`."""
+    """Converts the values of one simulation to tuples, lists and plain values that are compared by `repr`."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._now_us = simulation.now_us
@@ -74,22 +75,22 @@
         self._links = {id(link.connection): f"link {link.number}" for link in simulation.links}
 
     def value(self, value: object) -> Any:
-        """The form of any value by its type; that of a record is its name, and of all else its contents."""
+        """Return the normal form of a value by its type: the name of a record, the contents of all else."""
         kind: type = type(value)
         return _form_for(kind)(self, value)
 
     def element(self, value: Any) -> Any:
-        """The form of an element of a collection, where records appear with all fields."""
-        return self.record(value) if type(value) in RECORDS else self.value(value)
+        """Return the normal form of a collection's element; here records appear with all their fields."""
+        return self.record(value) if type(value) in RECORD_TYPES else self.value(value)
 
     def record(self, value: Any) -> list[Any]:
-        """The fields of a record by name, without those left out for its type."""
+        """Return the name and value of each field of a record, except the fields ignored for its type."""
         kind = type(value)
         names = _field_names(kind) if is_dataclass(kind) else _kept_names(kind, sorted(vars(value)))
         return [(name, self.value(getattr(value, name))) for name in names]
 
     def connection(self, connection: Connection) -> list[tuple[str, Any]]:
-        """The form of a connection at the router's end."""
+        """Return the normal form of the router's end of a connection."""
         partial = connection.partial
         return [
             *((name, self.value(getattr(connection, name))) for name in _field_names(Connection)),
@@ -98,80 +99,80 @@
             ("partial", None if partial is None else self.element(partial)),
         ]
 
-    # One method for each type, as `FORMS` lists them.
+    # The conversions that `FORMS` assigns to the types.
 
     def plain(self, value: object) -> object:
-        """A value that is its own form."""
+        """Return a value unchanged."""
         return value
 
     def number(self, value: int) -> Any:
-        """A time as the distance from now; a call's number as its name; a count as it is."""
+        """Return a time relative to the current time, a call's number as its name, and a count unchanged."""
         if value < FIRST_TIME_US:
             return self._calls.get(value, value)
         return "time", max(-HORIZON_US, min(HORIZON_US, value - self._now_us))
 
-    def real(self, value: float) -> float:
-        """A float, rounded."""
+    def float_number(self, value: float) -> float:
+        """Return a rounded float."""
         return round(value, DECIMALS)
 
     def text(self, value: str) -> str:
-        """A worker's name as its rank; any other text as it is."""
+        """Return a worker's name as its rank, and any other text unchanged."""
         return self._workers.get(value, value)
 
-    def member(self, value: Enum) -> Any:
-        """A member of an enumeration."""
+    def enum_member(self, value: Enum) -> Any:
+        """Return the value of an enum member."""
         return value.value
 
     def connection_name(self, value: Connection) -> str:
-        """A connection, by its link."""
+        """Return the name of a connection's link."""
         return self._links[id(value)]
 
     def worker(self, value: Worker) -> Any:
-        """A worker, and which of the processes at its address it is."""
+        """Return a worker's name and its start time, which differs between processes at one address."""
         return "worker", self._workers.get(value.entry.worker), self.value(value.entry.started_us)
 
     def function(self, value: FunctionEntry) -> Any:
-        """A function's entry."""
+        """Return the name of a function's entry."""
         return "function", value.function
 
     def call(self, value: Call) -> Any:
-        """A call, and whether it is open."""
+        """Return a call's name and whether the call is open."""
         return "call", self._calls.get(value.id), value.open
 
     def attempt(self, value: Attempt) -> Any:
-        """An attempt, with what became of it."""
+        """Return an attempt's number, worker and result."""
         return "attempt", value.number, self.value(value.worker), self.value(value.result)
 
     def window(self, value: Window) -> Any:
-        """A sliding window: its amounts and their sum."""
+        """Return the amounts of a sliding window and their sum."""
         return self.iterable(value.amounts), self.value(value.sum)
 
     def mapping(self, value: dict[Any, Any]) -> Any:
-        """A dict, without regard to its order."""
-        return sorted(((self.value(key), self.element(one)) for key, one in value.items()), key=repr)
+        """Return the sorted items of a dict, whose order does not matter."""
+        return sorted(((self.value(key), self.element(item)) for key, item in value.items()), key=repr)
 
     def collection(self, value: Iterable[Any]) -> Any:
-        """A set, without regard to its order."""
-        return sorted((self.value(one) for one in value), key=repr)
+        """Return the sorted elements of a set, whose order does not matter."""
+        return sorted((self.value(item) for item in value), key=repr)
 
     def iterable(self, value: Iterable[Any]) -> Any:
-        """A list or the like, in its order."""
-        return [self.element(one) for one in value]
+        """Return the elements of a list or other ordered iterable, in order."""
+        return [self.element(item) for item in value]
 
     def type_name(self, value: object) -> str:
-        """Any other object: its state, if any, has a form elsewhere."""
+        """Return the type name of any other object, whose state, if any, is represented elsewhere."""
         return type(value).__name__
 
 
-# The first entry whose type the value has, or derives from, applies.
+# The conversion for each type; the first entry that matches a value's type or one of its bases applies.
 FORMS: tuple[tuple[type, Callable[[NormalForm, Any], Any]], ...] = (
     (NoneType, NormalForm.plain),
     (bool, NormalForm.plain),
     (bytes, NormalForm.plain),
     (int, NormalForm.number),
-    (float, NormalForm.real),
+    (float, NormalForm.float_number),
     (str, NormalForm.text),
-    (Enum, NormalForm.member),
+    (Enum, NormalForm.enum_member),
     (Connection, NormalForm.connection_name),
     (Worker, NormalForm.worker),
     (FunctionEntry, NormalForm.function),
@@ -185,7 +186,7 @@
 )
 
 
-@functools.cache  # of few types; each state has thousands of values
+@functools.cache  # there are few types, but thousands of values in each state
 def _form_for(kind: type) -> Callable[[NormalForm, Any], Any]:
     for base, form in FORMS:
         if issubclass(kind, base):
@@ -195,23 +196,23 @@
 
 @functools.cache
 def _field_names(kind: Any) -> tuple[str, ...]:
-    """The names of a dataclass's fields, without those left out."""
+    """Return the names of a dataclass's fields, except the ignored ones."""
     return _kept_names(kind, (field.name for field in fields(kind)))
 
 
 def _kept_names(kind: type, names: Iterable[str]) -> tuple[str, ...]:
-    left_out = _left_out(kind)
-    return tuple(name for name in names if name not in left_out)
+    ignored = _ignored_fields(kind)
+    return tuple(name for name in names if name not in ignored)
 
 
 @functools.cache
-def _left_out(kind: type) -> frozenset[str]:
-    """The fields left out for a type, or for the nearest type that it derives from."""
-    return next((LEFT_OUT[base] for base in kind.__mro__ if base in LEFT_OUT), frozenset())
+def _ignored_fields(kind: type) -> frozenset[str]:
+    """Return the fields ignored for a type, or for the nearest of its bases that has an entry."""
+    return next((IGNORED_FIELDS[base] for base in kind.__mro__ if base in IGNORED_FIELDS), frozenset())
 
 
 def _worker_names(simulation: Simulation) -> dict[str, str]:
-    """A name for each worker by its rank, so that workers that are alike are one; the unranked come last."""
+    """Return a name for each worker by rank, so that equivalent workers match; unranked ones come last."""
     function = simulation.core.dispatcher.tiers.functions.get(FUNCTION)
     ranked = [worker.entry.worker for worker in function.ranking] if function is not None else []
     unranked = [name for name in sorted(simulation.workers.incarnations) if name not in ranked]
--- a/maplestile/tools/explore/records.py
+++ b/maplestile/tools/explore/records.py
@@ -1,4 +1,4 @@
-"""What a simulation records: its clients, and the properties that were violated."""
+"""The records that a simulation keeps: its clients and the violations found."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Violation(NamedTuple):
-    """A property that does not hold, and how it was violated."""
+    """The name of a violated property, and how it was violated."""
 
     property: str
     detail: str
@@ -15,16 +15,16 @@
 
 @dataclass(slots=True)
 class Client:
-    """A call as its client knows it."""
+    """A client of one call, and what it knows about the call."""
 
-    number: int  # of the core
+    number: int  # the core's number for the call
     class_name: str
-    due_us: int
-    epoch: int  # of the policy that it came under
-    outcomes: list[tuple[int, Outcome]] = field(default_factory=list)  # when, and which
-    withdrawn: bool = False  # the client waits no longer
-    half_closed: bool = False  # the client has closed its side
+    due_us: int  # simulated time by which the answer is due
+    epoch: int  # policy epoch under which the call was submitted
+    outcomes: list[tuple[int, Outcome]] = field(default_factory=list)  # each with its simulated time, in µs
+    withdrawn: bool = False  # the client has stopped waiting for an answer
+    half_closed: bool = False  # the client has closed its side of the connection
 
     def is_waiting(self) -> bool:
-        """Whether an answer is still due to the client."""
+        """Return whether the client is still waiting for an answer."""
         return not self.withdrawn and not self.outcomes
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -1,4 +1,4 @@
-"""The router of a replay on sockets: its file, and its process, `maplestile serve`."""
+"""The router of a replay on sockets: its settings file and its process, `maplestile serve`."""
 
 import asyncio
 import os
@@ -16,10 +16,10 @@
 from maplestile.tools.explore.cases import Case, CaseError
 from maplestile.tools.explore.scripted_workers import ScriptedWorker
 
-TIMEOUT_S = 10.0  # of the start, of the end, and of a request of an operator
+TIMEOUT_S = 10.0  # for the process to start or stop, and for an operator's request
 
 FRONTS = ("operator", "invoke")
-FILE_HEAD = f"""[invoke]
+SETTINGS_HEAD = f"""[invoke]
 listen = "127.0.0.1:0"
 [operation]
 listen = "127.0.0.1:0"
@@ -69,7 +69,7 @@
 
 
 class RouterUnderTest:
-    """The router's process. `root` is the folder that has the program's package."""
+    """The router process; `root` is the folder that contains the program's package."""
 
     def __init__(self, case: Case, folder: Path, root: Path) -> None:
         self.case = case
@@ -80,17 +80,17 @@
         self.fronts: dict[str, Address] = {}
         self.answers = SignalAnswers()
 
-    def write_file(self, workers: Iterable[ScriptedWorker], unlisted: Collection[str]) -> None:
-        """Write the operator's file, without the unlisted workers."""
+    def write_settings(self, workers: Iterable[ScriptedWorker], unlisted: Collection[str]) -> None:
+        """Write the settings file, without the unlisted workers."""
         classes = [_class_table(name) for name in dict.fromkeys(self.case.classes)]
         listed = [_worker_table(self.case, worker) for worker in workers if worker.name not in unlisted]
         function = FUNCTION_TABLE.format(self.case.classes[0])
-        self.file.write_text("".join((FILE_HEAD, *classes, function, *listed)))
+        self.file.write_text("".join((SETTINGS_HEAD, *classes, function, *listed)))
 
     async def start(self) -> None:
         """Start the process and wait until both of its fronts listen."""
         command = (sys.executable, "-m", "maplestile", "serve", str(self.file))
-        # The package of that folder, from wherever this is called, and whatever else is installed.
+        # Import the package from `root`, whatever the working directory is and whatever else is installed.
         environment = {**os.environ, "PYTHONPATH": str(self.root), "PYTHONSAFEPATH": "1"}
         self.process = await asyncio.create_subprocess_exec(
             *command, stdin=DEVNULL, stderr=PIPE, env=environment
@@ -113,12 +113,12 @@
                 self.fronts[front] = parse_address(rest.split(",")[0].strip())
 
     def reload(self) -> None:
-        """Have the process read its file again."""
+        """Make the process reload its settings file."""
         if self.process is not None:
             os.kill(self.process.pid, signal.SIGHUP)
 
     async def counters(self) -> dict[str, int]:
-        """Return the counters of the process. Raises `TimeoutError`."""
+        """Return the counters of the process. Raises `TimeoutError` if it does not report them in time."""
         answer = self.answers.expect("counters")
         if self.process is not None:
             self.process.send_signal(signal.SIGUSR1)
@@ -126,19 +126,19 @@
             counters: dict[str, int] = await answer
         return counters
 
-    async def request(self, method: str, path: str) -> None:
-        """Send a request to the operators' front. Raises `CaseError`."""
+    async def send_operator_request(self, method: str, path: str) -> None:
+        """Send a request to the operators' front. Raises `CaseError` if the request fails."""
         try:
             await call(self.fronts["operator"], method, path, TIMEOUT_S)
         except CallError as error:
             raise CaseError(f"the operators' front: {error}") from None
 
     def exit_code(self) -> int | None:
-        """The exit code of the process; None while it runs."""
+        """Return the exit code of the process; None if it is still running."""
         return None if self.process is None else self.process.returncode
 
     async def stop(self) -> None:
-        """End the process, with force where it does not end in time."""
+        """Terminate the process, and kill it if it does not exit in time."""
         process = self.process
         if process is not None and process.returncode is None:
             process.send_signal(signal.SIGTERM)
@@ -152,6 +152,6 @@
             self.reader.cancel()
 
     async def _read(self, stderr: asyncio.StreamReader) -> None:
-        """Read the log to its end; of its lines only the answers to signals are of use."""
+        """Read the log until it ends, keeping only the lines that answer signals."""
         while line := await stderr.readline():
             self.answers.accept(line)
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -1,4 +1,4 @@
-"""What all cases of the explorer share: settings, classes of calls, times, and kinds of answers."""
+"""Settings, call classes, times and answer kinds that all cases of the explorer share."""
 
 import random
 from dataclasses import replace
@@ -11,18 +11,18 @@
 from maplestile.wire import runner as wire
 from maplestile.wire.limits import ControlRequestLimits, Limits, RunnerLimits
 
-START_US = 1_000_000_000_000  # the simulated clock's first moment
-STEP_US = 100 * US_PER_MS  # how far one event `time` moves the clock
+START_US = 1_000_000_000_000  # simulated time at which every run starts
+STEP_US = 100 * US_PER_MS  # by which one `time` event advances the clock
 DEADLINE_US = 400 * US_PER_MS  # of every call
-DRAIN_US = 300 * US_PER_MS  # a process ends before the deadlines of the calls that it has in flight
+DRAIN_US = 300 * US_PER_MS  # from SIGTERM to exit; shorter than a call's deadline, so the exit comes first
 LOAD_TIMEOUT_US = 300 * US_PER_MS  # of each load request
-DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # for which a worker drops repeats of an idempotency key
-LATENCY_OBJECTIVE_US = 200 * US_PER_MS  # the latency objective of every class
-RUNNER_SILENT_US = 150 * US_PER_MS
-IDLE_STEPS = 12  # without events, after which nothing may be left: longer than any call, load or health check
-MAX_ATTEMPTS = 2  # of epoch 0, and of every second one after it
+DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # during which a worker drops calls that repeat an idempotency key
+LATENCY_OBJECTIVE_US = 200 * US_PER_MS  # of every call class
+RUNNER_SILENT_US = 150 * US_PER_MS  # without an answer, after which a connection may be dead
+IDLE_STEPS = 12  # without events before the check for leftovers; longer than any call, load or health check
+MAX_ATTEMPTS = 2  # per call under even policy epochs; one fewer under odd epochs
 SEED = 7
-FUNCTION = "f"  # the one function that all calls are of
+FUNCTION = "f"  # the only function that is called
 
 
 def _call_class(
@@ -40,30 +40,30 @@
         *(_call_class(f"keyed-{scope.value}", Idempotency.WITH_KEY, scope) for scope in DeduplicationScope),
     )
 }
-ANSWER_KINDS = {  # on the wire, by the event that is a worker's answer
+ANSWER_KINDS = {  # answer kind on the wire, by the event in which a worker sends it
     EventKind.OK: "200",
     EventKind.ERROR: "500",
     EventKind.FULL: "503",
     EventKind.MISS: "404",
 }
-# Answers that prove that a call never ran.
+# Answer kinds that prove that the call did not run.
 NEVER_RAN_KINDS = [kind for kind, result in wire.RESULTS.items() if result in NEVER_RAN]
 
 
-def attempts_of(epoch: int) -> int:
-    """The attempts that a call may have under a policy epoch."""
+def max_attempts(epoch: int) -> int:
+    """Return the maximum number of attempts of a call under a policy epoch."""
     return MAX_ATTEMPTS - epoch % 2
 
 
 def settings(epoch: int = 0) -> api.Settings:
-    """The dispatcher's settings under a policy epoch."""
+    """Return the dispatcher's settings under a policy epoch."""
     return replace(
         BASE_SETTINGS,
         classes=tuple(CLASSES.values()),
         zone="a",
         kind_memory_mb=(("k", 4000.0),),
         load_timeout_us=LOAD_TIMEOUT_US,
-        max_attempts=attempts_of(epoch),
+        max_attempts=max_attempts(epoch),
         epoch=epoch,
         slow_start_share=0.16,
         slow_start_us=18_000 * US_PER_MS,
@@ -72,7 +72,7 @@
 
 
 def limits() -> Limits:
-    """The limits of the data path."""
+    """Return the limits of the data path."""
     return Limits(
         runners=RunnerLimits(silent_us=RUNNER_SILENT_US, streams=2),
         control_requests=ControlRequestLimits(load_timeout_us=LOAD_TIMEOUT_US),
@@ -80,20 +80,20 @@
 
 
 class DeterministicRandom(random.Random):
-    """A source without chance: every choice is the first, and every share one half."""
+    """A deterministic random source: `random()` is always 0.5, and every choice is the first element."""
 
     def random(self) -> float:
-        """Return one half."""
+        """Return 0.5."""
         return 0.5
 
     def choices(self, population: Any, *_: Any, k: int = 1, **__: Any) -> list[Any]:
-        """Return the first of the population, `k` times."""
+        """Return a list of the first element, `k` times."""
         return [population[0]] * k
 
     def choice(self, seq: Any) -> Any:
-        """Return the first."""
+        """Return the first element."""
         return seq[0]
 
     def sample(self, population: Any, k: int, **_: Any) -> list[Any]:
-        """Return the first `k`."""
+        """Return the first `k` elements."""
         return list(population)[:k]
--- a/maplestile/tools/explore/scripted_workers.py
+++ b/maplestile/tools/explore/scripted_workers.py
@@ -1,4 +1,4 @@
-"""Workers on loopback that accept the router's connections, keep what they receive, and answer on demand."""
+"""Workers on loopback that accept the router's connections, record what they receive and answer on demand."""
 
 import asyncio
 import contextlib
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True)
 class ReceivedCall:
-    """A call that a worker has received complete."""
+    """A call that a worker has completely received."""
 
-    call: str  # the client's name for it, which is its body
+    name: str  # the client's name for the call, which is also its body
     worker: str
-    at_s: float
-    never_ran: bool = False
+    received_s: float  # time of receipt, on the monotonic clock
+    never_ran: bool = False  # the worker has answered that it did not run the call
 
 
 @dataclass(slots=True, eq=False)
-class Peer:
+class AcceptedConnection:
     """A connection that a worker has accepted."""
 
     worker: str
@@ -32,28 +32,28 @@
     commands: list[Command] = field(default_factory=list)
 
     def answer(self, tag: str, kind: str) -> None:
-        """Answer the command with this tag."""
+        """Answer the command with this tag, with an answer of this kind."""
         self.writer.write(encode_answer(tag, kind) + b"\n")
 
     def reset(self) -> None:
-        """End the connection with a TCP reset."""
+        """Close the connection with a TCP reset."""
         connection = self.writer.get_extra_info("socket")
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 @dataclass(slots=True)
-class Received:
-    """What all the workers of a replay have accepted and received, in order."""
+class ReceivedTraffic:
+    """The connections and calls that all workers of a replay have received, in order."""
 
-    peers: list[Peer] = field(default_factory=list)
+    connections: list[AcceptedConnection] = field(default_factory=list)
     calls: list[ReceivedCall] = field(default_factory=list)
 
 
 class ScriptedWorker:
-    """A worker with a port of its own, at which it listens or refuses connections."""
+    """A worker with its own port, which accepts or refuses connections there."""
 
-    def __init__(self, name: str, received: Received) -> None:
+    def __init__(self, name: str, received: ReceivedTraffic) -> None:
         self.name = name
         self.received = received
         self.server: asyncio.Server | None = None
@@ -61,23 +61,23 @@
             probe.bind((HOST, 0))
             self.port = int(probe.getsockname()[1])
 
-    async def listen(self, wanted: bool) -> None:
-        """Start or stop to accept connections."""
-        if wanted and self.server is None:
+    async def set_listening(self, should_listen: bool) -> None:
+        """Start accepting connections if `should_listen`, else stop."""
+        if should_listen and self.server is None:
             self.server = await asyncio.start_server(self._serve, HOST, self.port)
-        elif not wanted and self.server is not None:
+        elif not should_listen and self.server is not None:
             self.server.close()
             self.server = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        peer = Peer(self.name, reader, writer)
-        self.received.peers.append(peer)
+        connection = AcceptedConnection(self.name, reader, writer)
+        self.received.connections.append(connection)
         with contextlib.suppress(OSError, ValueError):
             while line := await reader.readline():
-                self._receive(peer, decode(line))
+                self._receive(connection, decode(line))
 
-    def _receive(self, peer: Peer, command: Command) -> None:
-        peer.commands.append(command)
+    def _receive(self, connection: AcceptedConnection, command: Command) -> None:
+        connection.commands.append(command)
         if command.kind is CommandKind.CALL:
             name = command.body.decode()
             self.received.calls.append(ReceivedCall(name, self.name, time.monotonic()))
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -1,7 +1,8 @@
-"""The search for violations: breadth first, so that the first one found is a shortest one.
+"""Searches for violations breadth first, so that the first counterexample found is among the shortest.
 
-Each state is reached anew by its events, and counts as seen by its fingerprint. From each new state time is
-also let pass without events, to check what has to hold once everything has ended.
+Each state is reached by replaying its events from the start, and its fingerprint tells whether it is new.
+After every replay, time also passes without events, to check the properties that must hold once everything
+has ended.
 """
 
 import time
@@ -13,9 +14,9 @@
 from maplestile.tools.explore import fingerprint, properties
 from maplestile.tools.explore.cases import Case
 from maplestile.tools.explore.events import Event
-from maplestile.tools.explore.example_files import Example, encode
+from maplestile.tools.explore.example_files import Example, encode_event
 from maplestile.tools.explore.records import Violation
-from maplestile.tools.explore.simulation import SHIPPED, Components, Simulation
+from maplestile.tools.explore.simulation import SHIPPED_COMPONENTS, Components, Simulation
 
 
 @dataclass(slots=True)
@@ -23,16 +24,16 @@
     """The result of exploring a case."""
 
     case: str
-    visited: int = 0  # distinct states
-    played: int = 0  # runs of an event, with what led to it
-    depth: int = 0  # events of the longest list
-    bound: int = 0  # on that length; 0 for none
-    complete: bool = True  # nothing was cut off by the bounds on depth, states or time
-    seconds: float = 0.0
-    example: Example | None = None
+    visited: int = 0  # number of distinct states
+    played: int = 0  # number of non-empty event lists tried
+    depth: int = 0  # number of events in the longest list that led to a new state
+    bound: int = 0  # maximum number of events in a list; 0 for no maximum
+    complete: bool = True  # False if a bound on depth, states or time cut the search off
+    seconds: float = 0.0  # duration of the search
+    example: Example | None = None  # the counterexample; None if all properties held
 
     def as_json(self) -> dict[str, Any]:
-        """The report as a JSON object."""
+        """Return the report as a JSON object."""
         return {
             "case": self.case,
             "visited": self.visited,
@@ -47,69 +48,69 @@
 
 
 def _example_json(example: Example) -> dict[str, Any]:
-    events = [encode(event) for event in example.events]
+    events = [encode_event(event) for event in example.events]
     return {"property": example.property, "told": example.detail, "events": events}
 
 
 @dataclass(slots=True)
 class PlayResult:
-    """The outcome of a list of events."""
+    """The result of playing a list of events."""
 
-    problems: list[Violation]
-    digest: bytes = b""  # of the state that they lead to
-    enabled: list[Event] = field(default_factory=list)  # there
+    violations: list[Violation]
+    digest: bytes = b""  # fingerprint of the state after the events
+    enabled: list[Event] = field(default_factory=list)  # events that may happen in that state
 
 
 def play(
-    case: Case, events: Sequence[Event], components: Components = SHIPPED, until_idle: bool = True
+    case: Case, events: Sequence[Event], components: Components = SHIPPED_COMPONENTS, until_idle: bool = True
 ) -> PlayResult:
-    """Play the events from the start, then (with `until_idle`) let time pass until nothing more happens."""
+    """Play the events from the start, then, with `until_idle`, let time pass until everything has ended."""
     simulation = Simulation(case, properties, components)
     try:
         for event in events:
             simulation.play(event)
             properties.check_after_event(simulation)
-            if simulation.problems:
-                return PlayResult(simulation.problems)
-        result = PlayResult(simulation.problems, fingerprint.digest(simulation), simulation.enabled())
+            if simulation.violations:
+                return PlayResult(simulation.violations)
+        result = PlayResult(simulation.violations, fingerprint.digest(simulation), simulation.enabled())
         if until_idle:
             properties.check_when_idle(simulation)
-    except Exception as error:  # of any type: the components must not raise
-        simulation.violate("no-crash", f"{type(error).__name__}: {error}")
-        return PlayResult(simulation.problems)
+    except Exception as error:  # any exception of the components violates a property
+        simulation.record_violation("no-crash", f"{type(error).__name__}: {error}")
+        return PlayResult(simulation.violations)
     return result
 
 
 @dataclass(slots=True, frozen=True)
 class _State:
-    """A state of the search."""
+    """A state that the search has found."""
 
-    events: tuple[Event, ...]  # that lead to it
-    enabled: list[Event]  # that may follow
+    events: tuple[Event, ...]  # the events that lead to the state
+    enabled: list[Event]  # the events that may happen next
 
 
 class _Search:
-    """The state of one search."""
+    """The progress of one search."""
 
     def __init__(self, case: Case, components: Components, report: Report) -> None:
         self.case = case
         self.components = components
         self.report = report
-        self.seen: set[bytes] = set()  # digests
+        self.seen: set[bytes] = set()  # fingerprints of the states found
         self.frontier: deque[_State] = deque()  # states whose events are still to be played
 
     def visit(self, events: tuple[Event, ...]) -> None:
-        """Play a list of events; a new state is put into the frontier, a violation into the report."""
+        """Play a list of events; add a new state to the frontier, or a violation to the report."""
         result = play(self.case, events, self.components)
-        if result.problems:
-            self.report.example = shrink(self.case, events, result.problems[0], self.components)
+        if result.violations:
+            self.report.example = shrink(self.case, events, result.violations[0], self.components)
         elif result.digest not in self.seen:
             self.seen.add(result.digest)
             self.report.depth = max(self.report.depth, len(events))
             self.frontier.append(_State(events, result.enabled))
 
     def expand(self, state: _State) -> None:
-        """Visit the states that follow a state, up to the first violation."""
+        """Visit each state that one event leads to from a state, until the first violation."""
         for event in state.enabled:
             self.visit((*state.events, event))
             self.report.played += 1
@@ -118,9 +119,13 @@
 
 
 def explore(
-    case: Case, depth: int = 0, states: int = 0, seconds: float = 0.0, components: Components = SHIPPED
+    case: Case,
+    depth: int = 0,
+    states: int = 0,
+    seconds: float = 0.0,
+    components: Components = SHIPPED_COMPONENTS,
 ) -> Report:
-    """Search until nothing new is found, a property is violated, or a bound is met (0 for none)."""
+    """Search until no state is new, a property is violated, or a bound is reached (0 for no bound)."""
     started_s = time.monotonic()
     report = Report(case.name, bound=depth)
     search = _Search(case, components, report)
@@ -140,9 +145,9 @@
 
 
 def shrink(
-    case: Case, events: Sequence[Event], violation: Violation, components: Components = SHIPPED
+    case: Case, events: Sequence[Event], violation: Violation, components: Components = SHIPPED_COMPONENTS
 ) -> Example:
-    """Make an example without any event that the violation of the same property does not need."""
+    """Return an example without the events that are not needed to violate the same property."""
     name = violation.property
     kept = list(events)
     has_shrunk = True
@@ -158,6 +163,6 @@
 
 
 def _violation_detail(case: Case, events: Sequence[Event], name: str, components: Components) -> str | None:
-    """How the events violate the property of this name; None where they do not."""
-    problems = play(case, events, components).problems
-    return next((problem.detail for problem in problems if problem.property == name), None)
+    """Return how the events violate the named property; None if they do not."""
+    violations = play(case, events, components).violations
+    return next((violation.detail for violation in violations if violation.property == name), None)
--- a/maplestile/tools/explore/simulated_workers.py
+++ b/maplestile/tools/explore/simulated_workers.py
@@ -1,4 +1,4 @@
-"""The workers of a simulation as the endpoint list has them."""
+"""The workers of a simulation, as the endpoint list shows them."""
 
 from maplestile.common.address import Address
 from maplestile.dispatch.api import WorkerEntry, WorkerState
@@ -13,20 +13,20 @@
     EventKind.RETURN: WorkerState.RUNNING,
 }
 FIRST_PORT = 9000
-WARM_AGE_US = 20_000 * US_PER_MS  # how long workers have run at the start: past their slow start
+WARM_AGE_US = 20_000 * US_PER_MS  # age of the workers at the start of a run, past their slow start
 
 
 class SimulatedWorkers:
-    """The state of each worker by its name, and when it became unavailable."""
+    """The state of each worker, by name, and the time at which it became unavailable."""
 
     def __init__(self, case: Case) -> None:
         self._case = case
         self.incarnations = {f"w{number}": 0 for number in range(case.workers)}
         self.states = dict.fromkeys(self.incarnations, WorkerState.RUNNING)
-        self.unavailable_since_us: dict[str, int] = {}  # of those that drain or have gone
+        self.unavailable_since_us: dict[str, int] = {}  # of workers that are draining or gone
 
-    def change(self, number: int, kind: EventKind, now_us: int) -> None:
-        """Have a worker drain, go, or return as a new process at its address."""
+    def apply_event(self, number: int, kind: EventKind, now_us: int) -> None:
+        """Make a worker drain, leave the list, or return as a new process at the same address."""
         worker = f"w{number}"
         self.states[worker] = STATES[kind]
         if kind is EventKind.RETURN:
@@ -35,8 +35,8 @@
         else:
             self.unavailable_since_us.setdefault(worker, now_us)
 
-    def listed(self, now_us: int) -> list[tuple[WorkerEntry, Address]]:
-        """The entries of the endpoint list, with the addresses."""
+    def endpoint_list(self, now_us: int) -> list[tuple[WorkerEntry, Address]]:
+        """Return the entries of the endpoint list, with their addresses."""
         return [
             (self._entry(number, worker, now_us), ("127.0.0.1", FIRST_PORT + number))
             for number, worker in enumerate(self.incarnations)
@@ -44,7 +44,7 @@
         ]
 
     def _entry(self, number: int, worker: str, now_us: int) -> WorkerEntry:
-        # The first process of a worker is past its slow start; a new one is not.
+        # The initial process of a worker is past its slow start; one that replaced it is not.
         started_us = now_us - 1 if self.incarnations[worker] else scenario.START_US - WARM_AGE_US
         zone = self._case.zones[number]
         cell = self._case.cells[number]
--- a/maplestile/tools/explore/socket_checks.py
+++ b/maplestile/tools/explore/socket_checks.py
@@ -1,4 +1,4 @@
-"""The properties of `properties.py`, checked by what workers and clients have seen on sockets."""
+"""Checks the properties of `properties.py` on what workers and clients observed in a replay on sockets."""
 
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
@@ -9,39 +9,42 @@
 from maplestile.tools.explore.scripted_workers import ReceivedCall
 
 US_PER_S = 1e6
-REFUSED_STATUS = 503
+REJECTED_STATUS = 503
 
 
 @dataclass(slots=True)
-class Clients:
-    """What the clients of a replay have seen, by the numbers of their calls."""
+class ClientObservations:
+    """What the clients of a replay have observed, by the numbers of their calls."""
 
-    statuses: dict[int, list[int]] = field(default_factory=dict)
-    late: set[int] = field(default_factory=set)  # answered after the deadline
-    withdrawn: set[int] = field(default_factory=set)  # which wait no longer
+    statuses: dict[int, list[int]] = field(default_factory=dict)  # HTTP statuses of the answers
+    late_calls: set[int] = field(default_factory=set)  # calls answered after the deadline
+    withdrawn: set[int] = field(default_factory=set)  # calls whose clients have stopped waiting
 
 
-def violations(
-    case: Case, clients: Clients, calls: Collection[ReceivedCall], draining_since_s: Mapping[str, float]
+def find_violations(
+    case: Case,
+    clients: ClientObservations,
+    calls: Collection[ReceivedCall],
+    draining_since_s: Mapping[str, float],
 ) -> Iterator[Violation]:
-    """All violations, those of each call first."""
+    """Yield all violations, those of single calls first."""
     for number, statuses in clients.statuses.items():
         name = case.classes[number]
-        received = [call for call in calls if call.call == f"c{number}"]
+        received = [call for call in calls if call.name == f"c{number}"]
         yield from _answer_violations(number, name, clients)
         yield from _attempt_violations(case, name, statuses, received)
     grace_s = scenario.settings().drain_grace_us / US_PER_S
     for call in calls:
         since_s = draining_since_s.get(call.worker)
-        if since_s is not None and call.at_s > since_s + grace_s:
-            yield Violation("nothing-after-drain", f"{call.call} at {call.worker}")
+        if since_s is not None and call.received_s > since_s + grace_s:
+            yield Violation("nothing-after-drain", f"{call.name} at {call.worker}")
 
 
-def _answer_violations(number: int, name: str, clients: Clients) -> Iterator[Violation]:
+def _answer_violations(number: int, name: str, clients: ClientObservations) -> Iterator[Violation]:
     statuses = clients.statuses[number]
     if len(statuses) > 1:
         yield Violation("one-answer", f"{name}: {len(statuses)} answers")
-    if number not in clients.withdrawn and (not statuses or number in clients.late):
+    if number not in clients.withdrawn and (not statuses or number in clients.late_calls):
         yield Violation("answer-by-deadline", f"{name}: {statuses or 'no answer'}")
 
 
@@ -53,14 +56,17 @@
         yield Violation("unsafe-once", f"at {', '.join(call.worker for call in ran)}")
     if len(received) > scenario.MAX_ATTEMPTS:
         yield Violation("attempt-limit", f"{name}: {len(received)} attempts")
-    if REFUSED_STATUS in statuses and ran and name not in ("safe", "keyed-all"):
+    if REJECTED_STATUS in statuses and ran and name not in ("safe", "keyed-all"):
         yield Violation("harmless-refusal", f"{name}: refused, and it may have run")
     if name.startswith("keyed") and ran:
         yield from _repeat_violations(case, name, ran)
 
 
 def _repeat_violations(case: Case, name: str, ran: list[ReceivedCall]) -> Iterator[Violation]:
-    """Repeats of a call with a key where, or when, the first run does not have them dropped."""
+    """Yield a violation for each repeat of a call with a key that is not dropped as a duplicate.
+
+    That is a repeat outside the deduplication scope or window of the first run.
+    """
     first, *repeats = ran
     places: dict[str, tuple[object, ...]] = {"zone": case.zones, "cell": case.cells}
     places_of_scope = places.get(name.partition("-")[2])
@@ -71,5 +77,5 @@
                 yield Violation("keyed-in-scope", f"{name}: at {call.worker} as well")
     window_s = scenario.CLASSES[name].deduplication_window_us / US_PER_S
     for call in repeats:
-        if call.at_s > first.at_s + window_s:
+        if call.received_s > first.received_s + window_s:
             yield Violation("keyed-in-scope", f"{name}: after its window")
--- a/maplestile/tools/explore/socket_clients.py
+++ b/maplestile/tools/explore/socket_clients.py
@@ -1,4 +1,4 @@
-"""The clients of a replay on sockets: each makes one call over HTTP and records the answers' statuses."""
+"""The clients of a replay on sockets; each makes one call over HTTP and records the answers' statuses."""
 
 import asyncio
 import contextlib
@@ -7,38 +7,38 @@
 from maplestile.common.address import Address
 from maplestile.tools.explore import scenario
 from maplestile.tools.explore.cases import Case
-from maplestile.tools.explore.socket_checks import US_PER_S, Clients
+from maplestile.tools.explore.socket_checks import US_PER_S, ClientObservations
 
 STATUS_LINE_START = b"HTTP/1.1 "
 
 
 class SocketClients:
-    """Makes the calls of a case in their order; `observed` has what the clients have seen."""
+    """Makes the calls of a case in order, and records in `observed` what the clients receive."""
 
     def __init__(self, case: Case) -> None:
-        self.observed = Clients()
+        self.observed = ClientObservations()
         self._case = case
         self._tasks: list[asyncio.Task[None]] = []
-        self.submissions = 0  # of calls, repeated ones included
+        self.submissions = 0  # number of submitted calls, including repeated ones
 
     def submit(self, front: Address) -> None:
-        """Make the next call of the case, at an invoke front."""
+        """Submit the next call of the case to an invoke front."""
         self._tasks.append(self._start(len(self._tasks), front))
 
     async def submit_again(self, front: Address) -> None:
-        """Repeat the last call, as a client may that was refused; its first answer does not count."""
+        """Submit the last call again, as a client may after a rejection, and discard its first answer."""
         self._tasks[-1].cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._tasks[-1]
         self._tasks[-1] = self._start(len(self._tasks) - 1, front)
 
     def withdraw(self, number: int) -> None:
-        """Have a client wait no longer."""
+        """Make a client stop waiting for its answer."""
         self.observed.withdrawn.add(number)
         self._tasks[number].cancel()
 
     def stop(self) -> None:
-        """End all clients."""
+        """Stop all clients."""
         for task in self._tasks:
             task.cancel()
 
@@ -58,7 +58,7 @@
                     continue
                 self.observed.statuses[number].append(int(line.split()[1]))
                 if time.monotonic() > due_s + scenario.STEP_US / US_PER_S:
-                    self.observed.late.add(number)
+                    self.observed.late_calls.add(number)
         finally:
             writer.close()
 
--- a/maplestile/tools/model/__init__.py
+++ b/maplestile/tools/model/__init__.py
@@ -1,1 +1,1 @@
-"""The model: shipped decisions of membership, rollouts and policy changes on a discrete-event engine."""
+"""Models of membership, rollouts and policy changes: the shipped decision code on a discrete-event engine."""
--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -1,6 +1,6 @@
-"""`maplestile model`: run an experiment on the model and print its metrics.
+"""`maplestile model`: simulate an experiment and print its metrics.
 
-Exits with 0, or with 2 for a file that cannot be used, with the field named.
+Exits with 0, or with 2 for an invalid file, after printing which field is wrong.
 """
 
 import argparse
@@ -14,14 +14,15 @@
     from maplestile.tools.model.experiment import Experiment
     from maplestile.tools.model.report import Spread
 
-# The modules of the model are imported by the functions that need them: simpy and the agent's controllers
+# The model's modules are imported inside the functions below, since loading simpy and the agent's controllers
 # would delay the start of every other command.
 
-CONTROL_KINDS = ("rollout", "policy")  # the `kind` of a file; one of the membership protocol has none
+# The `kind` in an experiment's file; a file for the membership model has none.
+CONTROL_KINDS = ("rollout", "policy")
 
 
 def add(commands: Any) -> None:
-    """Add the command to argparse's sub-parsers."""
+    """Add the command to the argparse sub-parsers."""
     command = commands.add_parser("model", help="run an experiment of the membership protocol on the model")
     command.add_argument("file", type=Path)
     command.add_argument("--format", choices=("json", "csv"), default="json")
@@ -31,7 +32,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run the experiment of the file, once or with several seeds."""
+    """Run the command: simulate the experiment in the file, once or with several seeds."""
     from maplestile.tools.model import experiment
 
     try:
@@ -47,7 +48,7 @@
 
 
 def _run_control(tables: dict[str, Any], arguments: argparse.Namespace) -> None:
-    """Run an experiment of rollouts or of policy changes. Raises `ScheduleError`."""
+    """Run a rollout or policy experiment. Raises `ScheduleError` if the tables are invalid."""
     from maplestile.tools.model import policy, policy_experiment, report, rollout, rollout_experiment
     from maplestile.tools.model.control_experiment import with_seeds
 
--- a/maplestile/tools/model/control_experiment.py
+++ b/maplestile/tools/model/control_experiment.py
@@ -1,6 +1,6 @@
-"""What the experiments of rollouts and of policy changes share: common settings, and how a file's are read.
+"""The settings that rollout and policy experiments share, and functions that read settings from a file.
 
-Times are whole microseconds; files have them in milliseconds or seconds, as the fields' names say.
+Times are whole microseconds here. In files they are in milliseconds or seconds, as each field's suffix says.
 """
 
 from dataclasses import dataclass, replace
@@ -14,33 +14,33 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlExperiment:
-    """The settings that every run of the replicated control state has."""
+    """The settings of every simulated run of the replicated control state."""
 
-    seed: int
-    agents: int
-    duration_us: int  # at most; the run ends earlier when all is done
-    commit_us: int  # mean time without jitter until a command is committed
+    seed: int  # of the random number generator
+    agents: int  # number of agents
+    duration_us: int  # maximum simulated time; the run ends earlier if all work is done
+    commit_us: int  # delay until a command is committed, plus an exponential jitter with the same mean
 
 
 ExperimentT = TypeVar("ExperimentT", bound=ControlExperiment)
 
 
 def seed_from(table: TomlTable) -> int:
-    """Take the seed. Raises the table's error."""
+    """Read the seed from a table. Raises the table's error if it is invalid."""
     return table.whole("seed", maximum=MAX_SEED)
 
 
 def microseconds_from_ms(table: TomlTable, name: str, default: float) -> int:
-    """Take a duration in milliseconds. Raises the table's error."""
+    """Read a duration in milliseconds from a table. Raises the table's error if it is invalid."""
     return int(table.number(name, default, maximum=MAX_DURATION_S * MS_PER_S) * US_PER_MS)
 
 
 def microseconds_from_s(table: TomlTable, name: str, default: float) -> int:
-    """Take a duration in seconds. Raises the table's error."""
-    # The same limit by number as in milliseconds: a larger duration than other experiments may have.
+    """Read a duration in seconds from a table. Raises the table's error if it is invalid."""
+    # The maximum is the same number as for milliseconds, so the longest duration is 1000 times as long.
     return int(table.number(name, default, maximum=MAX_DURATION_S * MS_PER_S) * US_PER_S)
 
 
 def with_seeds(experiment: ExperimentT, count: int) -> list[ExperimentT]:
-    """Return the experiment with so many seeds, counted up from its own."""
+    """Return `count` copies of the experiment with consecutive seeds, starting at its own."""
     return [replace(experiment, seed=experiment.seed + offset) for offset in range(count)]
--- a/maplestile/tools/model/control_model.py
+++ b/maplestile/tools/model/control_model.py
@@ -1,6 +1,6 @@
-"""What the models of rollouts and of policy changes share: a simulated clock and the shipped control state.
+"""The base of the rollout and policy models: a simulated clock and the shipped control state.
 
-A command is applied to one `ControlState` after the time that a commit takes; Raft itself is left out.
+Each command is applied to a single `ControlState` after the time that a commit takes; Raft is not simulated.
 """
 
 import random
@@ -13,19 +13,20 @@
 
 
 def agent_name(agent: int) -> str:
-    """The name of an agent by its index."""
+    """Return the name of the agent with this index."""
     return f"a{agent}"
 
 
 class ControlModel:
-    """A run on simpy's clock (microseconds) in which agents manage instances by one control state.
+    """A simulated run in which agents manage instances through one control state.
 
-    Instance `n` belongs to agent `n % agents`. One generator of random numbers, seeded by the experiment, is
-    drawn from in the order of simulated events, so that the same experiment gives the same run.
+    The clock is simpy's, in microseconds. Instance `n` belongs to agent `n % agents`. All random numbers come
+    from one generator, seeded by the experiment, in the order of simulated events, so the same experiment
+    always gives the same run.
     """
 
     def __init__(self, experiment: ControlExperiment, instances: int) -> None:
-        """Register the instances with their agents."""
+        """Create the control state and register each agent's instances in it."""
         self._agents = experiment.agents
         self._commit_us = experiment.commit_us
         self._env = simpy.Environment()
@@ -38,23 +39,23 @@
 
     @property
     def now_us(self) -> int:
-        """The simulated time."""
+        """The simulated time, in microseconds."""
         return int(self._env.now)
 
     def instances_of(self, agent: int) -> list[str]:
-        """The names of an agent's instances."""
+        """Return the names of an agent's instances."""
         return self.names[agent :: self._agents]
 
     def _exponential_us(self, mean_us: int) -> int:
         return int(self._random.expovariate(1.0) * mean_us)
 
-    def _uniform_us(self, most_us: int) -> int:
-        return int(self._random.random() * most_us)
+    def _uniform_us(self, max_us: int) -> int:
+        return int(self._random.random() * max_us)
 
     def _jittered_us(self, mean_us: int) -> int:
-        """A duration with an exponential jitter of the same mean."""
+        """Return `mean_us` plus an exponential jitter whose mean is as long."""
         return mean_us + self._exponential_us(mean_us)
 
     def _commit(self) -> simpy.events.Timeout:
-        """The time until a command is committed."""
+        """Return a simulated wait until a command is committed."""
         return self._env.timeout(self._jittered_us(self._commit_us))
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -1,14 +1,14 @@
-"""Experiments of the membership model.
+"""Reads the experiments of the membership model.
 
-A file has a schedule of faults (`faults/schedule.py`, the same that the relay plays) and:
+A file holds a fault schedule (`faults/schedule.py`, in the format that the relay plays) and these fields:
 
     duration_s = 120
-    lifeguard = true             # off: plain SWIM
-    period_ms = 1000             # the protocol's period; the rest of its tuning is the program's own
-    duties = 20                  # shared periodic duties, such as the probes of so many runners; 0 for none
+    lifeguard = true             # false: plain SWIM
+    period_ms = 1000             # the protocol period; all other tuning has the program's defaults
+    duties = 20                  # targets of shared periodic health checks; 0 for none
 
-The same file and seed give the same metrics, byte for byte. A file that cannot be used raises
-`ScheduleError` naming the field.
+The same file and seed give the same metrics, byte for byte. An invalid file raises `ScheduleError` naming the
+field.
 """
 
 import tomllib
@@ -30,28 +30,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Experiment:
-    """A schedule of faults, and for how long and with which settings it is played."""
+    """A fault schedule, and the duration and settings of the run that plays it."""
 
     schedule: Schedule
-    duration_us: int
-    lifeguard: bool = True
-    period_us: int = 1_000_000
-    duties: int = 0
+    duration_us: int  # simulated
+    lifeguard: bool = True  # False for plain SWIM
+    period_us: int = 1_000_000  # the protocol period
+    duties: int = 0  # number of targets of shared health checks
 
 
 @dataclass(slots=True, frozen=True)
 class TimeRange:
-    """A fault that lasts for a time, of one instance, router or agent."""
+    """The start and duration of a fault, and the instance, router or agent that it affects."""
 
-    at_us: int
-    for_us: int
-    index: int = 0  # of what it concerns
+    at_us: int  # start, from the start of the run
+    for_us: int  # duration
+    index: int = 0  # of the affected instance, router or agent; unused for an election
 
 
 def time_range_from(table: TomlTable, name: str = "", count: int = 0) -> TimeRange:
-    """Read `at_s`, `for_s`, and the field `name`, an index below `count`, if any.
+    """Read `at_s`, `for_s` and, if a name is given, the field of that name, an index below `count`.
 
-    Raises the table's error.
+    Raises the table's error if a field is invalid.
     """
     at_us = required_time_us(table, "at_s")
     for_us = required_time_us(table, "for_s")
@@ -61,12 +61,12 @@
 
 
 def load(path: Path) -> Experiment:
-    """Read a file. Raises `ScheduleError`."""
+    """Read an experiment from a file. Raises `ScheduleError` if the file is invalid."""
     return parse(read(path))
 
 
 def read(path: Path) -> dict[str, Any]:
-    """Read a file's tables. Raises `ScheduleError` where it is no TOML."""
+    """Read the tables of a TOML file. Raises `ScheduleError` if the file cannot be read or is not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -76,7 +76,7 @@
 
 
 def parse(tables: dict[str, Any]) -> Experiment:
-    """Read an experiment out of a file's tables. Raises `ScheduleError` naming the field."""
+    """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     experiment = Experiment(
         schedule_from(top),
--- a/maplestile/tools/model/membership_metrics.py
+++ b/maplestile/tools/model/membership_metrics.py
@@ -1,4 +1,4 @@
-"""What is measured in a run of the membership model: detection, false positives, traffic and convergence."""
+"""Measurements and metrics of the membership model: detection, false positives, traffic, convergence."""
 
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass, field
@@ -14,27 +14,27 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipMetrics:
-    """The metrics of one run; None where there is nothing to measure. A period is the protocol's."""
+    """The metrics of one run; None if there was nothing to measure. A period is a protocol period."""
 
     members: int
-    seconds: float  # simulated
+    seconds: float  # simulated duration
     lifeguard: bool
-    loss: float  # share of datagrams
-    detection_median_periods: float | None  # from a kill until a live member declared the victim dead
+    loss: float  # share of datagrams that the network loses
+    detection_median_periods: float | None  # from a kill until a live member declares the victim dead
     detection_p99_periods: float | None
-    undetected: int  # pairs of a victim and a live member that did not declare it dead
-    false_positives: int  # declared dead without a fault that excuses it
+    undetected: int  # number of pairs of a killed member and a live member that did not declare it dead
+    false_positives: int  # declarations of death that no recent fault explains
     false_positives_per_1000_member_minutes: float
     messages_per_member_per_period: float
-    probes_per_duty_per_period: float | None  # a duty is a shared health check
-    longest_gap_of_a_duty_periods: float | None
-    ever_isolated: int  # members
-    isolated_at_end: int
-    converged_after_heal_s: float | None  # the longest of all splits
-    not_converged: int  # splits
+    probes_per_duty_per_period: float | None  # a duty is a target of shared health checks
+    longest_gap_of_a_duty_periods: float | None  # between two checks of one target
+    ever_isolated: int  # number of members
+    isolated_at_end: int  # number of members
+    converged_after_heal_s: float | None  # the longest time after any split
+    not_converged: int  # number of splits after which the views did not converge
 
     def by_name(self) -> Metrics:
-        """The metrics as they are printed: rounded numbers by name."""
+        """Return the metrics as they are printed: rounded numbers, by name."""
         return {
             name: None if value is None else round(float(value), DIGITS)
             for name, value in asdict(self).items()
@@ -43,43 +43,44 @@
 
 @dataclass(slots=True)
 class Measurements:
-    """What has been measured in a run so far."""
+    """The measurements of a run so far."""
 
-    sent: int = 0  # messages
-    health_checks: int = 0
+    sent: int = 0  # number of messages
+    health_checks: int = 0  # number of checks made
     longest_gap_us: int = 0  # between two checks of one target
-    checked_us: dict[str, int] = field(default_factory=dict)  # when each target was checked last
-    confirmed_us: dict[tuple[int, int], int] = field(default_factory=dict)  # (observer, member) to first time
+    checked_us: dict[str, int] = field(default_factory=dict)  # time of the last check of each target
+    # When an observer first declared a member dead, by (observer, member).
+    confirmed_us: dict[tuple[int, int], int] = field(default_factory=dict)
     false_positives: int = 0
-    isolated: int = 0
-    ever_isolated: set[int] = field(default_factory=set)
-    converged_us: list[int] = field(default_factory=list)  # from the healing of each split
+    isolated: int = 0  # number of members that are isolated now
+    ever_isolated: set[int] = field(default_factory=set)  # numbers of the members
+    converged_us: list[int] = field(default_factory=list)  # from the healing of each split to convergence
     series: TimeSeries = field(default_factory=TimeSeries)
 
     def record_check(self, target: str, now_us: int) -> None:
-        """Count a health check of a shared target."""
+        """Record a health check of a shared target."""
         self.health_checks += 1
         gap_us = now_us - self.checked_us.get(target, now_us)
         self.longest_gap_us = max(self.longest_gap_us, gap_us)
         self.checked_us[target] = now_us
 
     def record_isolation(self, observer: int, is_isolated: bool) -> None:
-        """Count a member that finds itself isolated, or no longer."""
+        """Record that a member has become isolated, or no longer is."""
         self.isolated += 1 if is_isolated else -1
         self.ever_isolated.add(observer)
 
 
 def is_excused(schedule: Schedule, tuning: Tuning, observer: int, member: int, now_us: int) -> bool:
-    """Whether a recent fault between an observer and a member explains that it declared the member dead."""
+    """Return whether a recent fault explains that an observer declared a member dead."""
     detection_us = tuning.suspicion_us(schedule.members, 0) * tuning.local_health_max
     return any(
-        _concerns(fault, observer, member)
+        _affects(fault, observer, member)
         for fault in schedule.faults
         if fault.at_us <= now_us <= fault.until_us + detection_us
     )
 
 
-def _concerns(fault: Fault, observer: int, member: int) -> bool:
+def _affects(fault: Fault, observer: int, member: int) -> bool:
     match fault.kind:
         case FaultKind.KILL | FaultKind.PAUSE:
             return member in fault.members
@@ -91,7 +92,7 @@
 def compute_metrics(
     experiment: Experiment, measured: Measurements, live_members: Sequence[int]
 ) -> MembershipMetrics:
-    """The metrics of a run that has ended."""
+    """Compute the metrics of a finished run."""
     schedule = experiment.schedule
     kills = [fault for fault in schedule.faults if fault.kind is FaultKind.KILL]
     splits = [fault for fault in schedule.faults if fault.kind is FaultKind.SPLIT]
@@ -122,7 +123,7 @@
 def _detection_periods(
     experiment: Experiment, measured: Measurements, kills: Sequence[Fault], live_members: Sequence[int]
 ) -> list[float]:
-    """The times from each kill until each live member declared the victim dead, in protocol periods."""
+    """Return the periods from each kill until each live member that detected it declared the victim dead."""
     detection = []
     for fault in kills:
         (victim,) = fault.members
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -1,8 +1,8 @@
-"""Changes of policy on the model: the shipped `ControlState`, `PolicyPlanner` and `Follower` on simpy.
+"""The model of policy changes: the shipped `ControlState`, `PolicyPlanner` and `Follower` on simpy.
 
-Experiments are in `policy_experiment.py`, what is measured in `policy_metrics.py`. Left out are Raft itself,
-messages (a command is committed after its time, or its reply is lost), and the calls, which are counted by
-their rate.
+`policy_experiment.py` reads the experiments, and `policy_metrics.py` computes the metrics. Raft and messages
+are not simulated: a command is committed after a delay, and its reply may be lost. Calls are not simulated
+either, but counted by their rate.
 """
 
 from dataclasses import asdict
@@ -43,14 +43,17 @@
 
 
 class Fence(NamedTuple):
-    """The last agreed read that covers a router, which must not be given an older epoch."""
+    """The latest read of the committed policy that covers a router.
 
-    epoch: int = 0
-    sent_us: int = 0
+    The router must not be given an older epoch than the one read.
+    """
+
+    epoch: int = 0  # the committed epoch that was read
+    sent_us: int = 0  # when the agent sent the read
 
 
 class PolicyModel(ControlModel):
-    """One run of policy changes, with the shipped decisions."""
+    """One run of policy changes, decided by the shipped code."""
 
     def __init__(self, experiment: PolicyExperiment) -> None:
         super().__init__(experiment, experiment.routers)
@@ -59,48 +62,48 @@
         self._planner = PolicyPlanner()
         self._agent_of = {name: number % experiment.agents for number, name in enumerate(self.names)}
         self._routers = {name: Follower(FollowerTimeouts(), 0, 0) for name in self.names}
-        self._fences: dict[str, Fence] = {}
-        self._replica_epochs = dict.fromkeys(range(experiment.agents), 0)
-        self._cut = set[int]()  # agents that are cut off
-        self._down = set[str]()  # routers that are down
+        self._fences: dict[str, Fence] = {}  # by router
+        self._replica_epochs = dict.fromkeys(range(experiment.agents), 0)  # by agent
+        self._agents_cut_off = set[int]()  # by index
+        self._routers_down = set[str]()  # by name
 
     def run(self) -> PolicyMetrics:
-        """Play the run to its end, and return its metrics."""
+        """Simulate the run to its end and return its metrics."""
         experiment = self.experiment
         for agent in range(experiment.agents):
-            self._env.process(self._read_policy(agent))
+            self._env.process(self._run_policy_reads(agent))
         for cut in experiment.cuts:
-            self._env.process(self._play_cut(cut))
-        for down in experiment.downs:
-            self._env.process(self._play_down(down))
-        self._env.process(self._tick_routers())
-        self._env.process(self._lead())
+            self._env.process(self._cut_off_agent(cut))
+        for outage in experiment.downs:
+            self._env.process(self._take_router_down(outage))
+        self._env.process(self._run_router_timers())
+        self._env.process(self._run_leader())
         operator = self._env.process(self._propose_changes())
         self._env.run(until=self._env.any_of([operator, self._env.timeout(experiment.duration_us)]))
-        return self.measured.metrics(self.names, experiment.rate, self._behind())
+        return self.measured.metrics(self.names, experiment.rate, self._count_behind())
 
-    def _behind(self) -> int:
-        """The number of routers that are neither cut off nor down and lack the last epoch."""
+    def _count_behind(self) -> int:
+        """Return the number of routers that lack the last epoch and are neither cut off nor down."""
         epoch = self.control.policy.epoch.number
-        unreachable = self._routers_cut_off() | self._down
+        unreachable = self._routers_cut_off() | self._routers_down
         return sum(router.epoch != epoch for name, router in self._routers.items() if name not in unreachable)
 
     def _routers_cut_off(self) -> set[str]:
-        return {name for name, agent in self._agent_of.items() if agent in self._cut}
+        return {name for name, agent in self._agent_of.items() if agent in self._agents_cut_off}
 
     def _is_delivered(self, agent: int) -> bool:
-        """Draw whether this agent gets the reply to a command."""
-        return agent not in self._cut and self._random.random() >= self.experiment.loss
+        """Decide at random whether this agent receives the reply to a command; never while it is cut off."""
+        return agent not in self._agents_cut_off and self._random.random() >= self.experiment.loss
 
-    # An agent reads the policy, announces it to its routers, and submits their verdicts.
+    # Agents: each reads the policy, announces it to its routers and submits their verdicts.
 
-    def _read_policy(self, agent: int) -> simpy.events.ProcessGenerator:
+    def _run_policy_reads(self, agent: int) -> simpy.events.ProcessGenerator:
         names = self.instances_of(agent)
         yield self._env.timeout(self._uniform_us(READ_INTERVAL_US))
-        self._env.process(self._control_routers(agent, names))
+        self._env.process(self._run_router_control(agent, names))
         while True:
             sent_us = self.now_us
-            running = [name for name in names if name not in self._down]
+            running = [name for name in names if name not in self._routers_down]
             yield self._commit()
             if self._is_delivered(agent):
                 read = self.control.apply(ReadPolicy(agent=agent_name(agent), instances=tuple(running)))
@@ -110,42 +113,51 @@
             interval_us = READ_INTERVAL_CHECKING_US if checking else READ_INTERVAL_US
             yield self._env.timeout(max(1, interval_us - (self.now_us - sent_us)))
 
-    def _control_routers(self, agent: int, names: list[str]) -> simpy.events.ProcessGenerator:
-        """Have each change checked once by each router, and announce each new epoch and read."""
+    def _run_router_control(self, agent: int, names: list[str]) -> simpy.events.ProcessGenerator:
+        """Ask each router once to check each change, and announce each new epoch and policy read."""
         announced: dict[str, PolicyAnnouncement] = {}
         checked = 0
         while True:
             change = self.control.policy.checking()
-            if change is not None and change.number != checked and agent not in self._cut:
+            if change is not None and change.number != checked and agent not in self._agents_cut_off:
                 checked = change.number
                 for name in names:
-                    self._env.process(self._check(agent, name, change))
-            self._announce_new(agent, names, announced)
+                    self._env.process(self._check_change(agent, name, change))
+            self._announce_to_routers(agent, names, announced)
             yield self._env.timeout(POLL_INTERVAL_US)
 
-    def _announce_new(self, agent: int, names: list[str], announced: dict[str, PolicyAnnouncement]) -> None:
-        """Announce to each router the epoch and read that it lacks, unless its fence is newer."""
+    def _announce_to_routers(
+        self, agent: int, names: list[str], announced: dict[str, PolicyAnnouncement]
+    ) -> None:
+        """Announce the latest epoch and read to each router that lacks them, unless its fence is newer."""
         epoch = self._replica_epochs[agent]
         for name in names:
             fence = self._fences.get(name, Fence())
             announcement = PolicyAnnouncement(epoch, fence.sent_us, has_document=True)
-            if epoch >= fence.epoch and announced.get(name) != announcement and name not in self._down:
+            if (
+                epoch >= fence.epoch
+                and announced.get(name) != announcement
+                and name not in self._routers_down
+            ):
                 announced[name] = announcement
                 self._env.process(self._announce(name, announcement))
 
     def _announce(self, name: str, announcement: PolicyAnnouncement) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._jittered_us(self.experiment.call_us))
         router = self._routers[name]
-        if name not in self._down and router.take_announcement(announcement, self.now_us) is Step.ADOPT:
+        if (
+            name not in self._routers_down
+            and router.take_announcement(announcement, self.now_us) is Step.ADOPT
+        ):
             router.adopted(announcement, self.now_us)
             self.measured.record_applied(name, announcement.epoch, self.now_us)
 
-    def _check(self, agent: int, name: str, change: Change) -> simpy.events.ProcessGenerator:
-        """Have a router check a change, and submit its verdict."""
+    def _check_change(self, agent: int, name: str, change: Change) -> simpy.events.ProcessGenerator:
+        """Ask a router to check a change, and submit its verdict."""
         experiment = self.experiment
         replica_us = self._uniform_us(experiment.replica_us)
         yield self._env.timeout(replica_us + self._jittered_us(experiment.call_us) + experiment.check_us)
-        if name in self._down:
+        if name in self._routers_down:
             return
         yield from self._commit_with_retries(agent)
         is_refused = self._random.random() < experiment.refuse / experiment.routers
@@ -158,26 +170,26 @@
         self.control.apply(verdict)
 
     def _commit_with_retries(self, agent: int) -> simpy.events.ProcessGenerator:
-        """Wait until a command of this agent is committed and the reply delivered."""
+        """Wait until a command of this agent is committed and its reply is delivered."""
         while True:
             yield self._commit()
             if self._is_delivered(agent):
                 return
             yield self._env.timeout(self.experiment.retry_us)
 
-    def _tick_routers(self) -> simpy.events.ProcessGenerator:
+    def _run_router_timers(self) -> simpy.events.ProcessGenerator:
         while True:
             stale = 0
             for name, router in self._routers.items():
-                if name not in self._down:
+                if name not in self._routers_down:
                     router.tick(self.now_us)
                     stale += router.status is PolicyStatus.STALE
             self.measured.record_stale(stale)
             yield self._env.timeout(TICK_INTERVAL_US)
 
-    # The leader, and an operator.
+    # The leader and an operator.
 
-    def _lead(self) -> simpy.events.ProcessGenerator:
+    def _run_leader(self) -> simpy.events.ProcessGenerator:
         while True:
             yield self._env.timeout(POLL_INTERVAL_US)
             command = self._planner.next_command(self.control.policy, self.control.instances, self.now_us)
@@ -186,14 +198,14 @@
             yield self._commit()
             reply = self.control.apply(command)
             if isinstance(reply, PolicyCommitted):
-                unreachable = self._routers_cut_off() | self._down
+                unreachable = self._routers_cut_off() | self._routers_down
                 self.measured.record_commit(reply.epoch, self.now_us, unreachable)
                 for agent in range(self.experiment.agents):
                     self._env.process(self._replicate(agent, reply.epoch))
 
     def _replicate(self, agent: int, epoch: int) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self._uniform_us(self.experiment.replica_us))
-        while agent in self._cut:
+        while agent in self._agents_cut_off:
             yield self._env.timeout(POLL_INTERVAL_US)
         self._replica_epochs[agent] = max(self._replica_epochs[agent], epoch)
 
@@ -208,35 +220,35 @@
             while policy.checking() is not None:
                 yield self._env.timeout(POLL_INTERVAL_US)
             assert policy.change is not None
-            self.measured.record_end(policy.change.phase is Phase.COMMITTED)
+            self.measured.record_decision(policy.change.phase is Phase.COMMITTED)
             yield self._env.timeout(self.experiment.pause_us)
         yield self._env.timeout(2 * READ_INTERVAL_US)
 
     # Faults.
 
-    def _play_cut(self, cut: TimeRange) -> simpy.events.ProcessGenerator:
+    def _cut_off_agent(self, cut: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(cut.at_us)
-        self._cut.add(cut.index)
+        self._agents_cut_off.add(cut.index)
         names = self.instances_of(cut.index)
         self.measured.record_unreachable(names, self.control.policy.epoch.number)
         yield self._env.timeout(cut.for_us)
-        self._cut.discard(cut.index)
+        self._agents_cut_off.discard(cut.index)
 
-    def _play_down(self, down: TimeRange) -> simpy.events.ProcessGenerator:
-        yield self._env.timeout(down.at_us)
-        name = self.names[down.index]
-        self._down.add(name)
+    def _take_router_down(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
+        yield self._env.timeout(outage.at_us)
+        name = self.names[outage.index]
+        self._routers_down.add(name)
         self.measured.record_unreachable([name], self.control.policy.epoch.number)
-        yield self._env.timeout(down.for_us)
-        self._down.discard(name)
+        yield self._env.timeout(outage.for_us)
+        self._routers_down.discard(name)
         self._routers[name] = Follower(FollowerTimeouts(), self._routers[name].epoch, self.now_us)
 
 
 def run(experiment: PolicyExperiment) -> PolicyMetrics:
-    """Run an experiment, and return its metrics."""
+    """Run an experiment and return its metrics."""
     return PolicyModel(experiment).run()
 
 
 def metrics(experiment: PolicyExperiment) -> Metrics:
-    """Run an experiment, and return its metrics by name."""
+    """Run an experiment and return its metrics by name."""
     return asdict(run(experiment))
--- a/maplestile/tools/model/policy_experiment.py
+++ b/maplestile/tools/model/policy_experiment.py
@@ -1,32 +1,34 @@
-"""Experiments of policy changes: the file's format, and its settings.
+"""Reads the experiments of the policy model.
+
+A file has these fields:
 
 kind = "policy"
 seed = 5
 routers = 200                # 1 to 2000
-agents = 20                  # each has as many of them; one leads
-changes = 20                 # one after the other, `pause_ms` after the one before is decided
+agents = 20                  # they share the routers evenly; one is the leader
+changes = 20                 # each is proposed `pause_ms` after the previous one is decided
 pause_ms = 500
-duration_s = 600             # the run ends with the changes, or here
-rate = 20                    # calls a second at each router
-commit_ms = 20               # until a command is committed, plus an exponential jitter of the same mean
-replica_ms = 100             # an agent's replica is behind the log by up to so long (evenly)
-call_ms = 3                  # a call to a router on loopback, plus an exponential jitter of the same mean
-check_ms = 5                 # a router's check
-loss = 0.0                   # share of commands whose reply is lost: sent again after `retry_ms`
+duration_s = 600             # the run ends after the last change, or at this time
+rate = 20                    # calls per second at each router
+commit_ms = 20               # until a command is committed, plus an exponential jitter with the same mean
+replica_ms = 100             # maximum lag of an agent's replica behind the log, uniformly distributed
+call_ms = 3                  # a call to a router on loopback, plus an exponential jitter with the same mean
+check_ms = 5                 # for a router to check a change
+loss = 0.0                   # share of commands whose reply is lost; they are sent again after `retry_ms`
 retry_ms = 500
-refuse = 0.0                 # chance that some router refuses a change
+refuse = 0.0                 # mean number of routers that refuse a change
 
-[[cut]]                      # an agent is cut off, with its routers, and healed after `for_s`
+[[cut]]                      # an agent and its routers are cut off for `for_s`
 at_s = 10
 for_s = 8
 agent = 3
 
-[[down]]                     # a router is down, and starts again after `for_s`
+[[down]]                     # a router is down, and restarts after `for_s`
 at_s = 20
 for_s = 5
 router = 17
 
-Times are whole microseconds in the settings.
+In the parsed settings, times are whole microseconds.
 """
 
 from dataclasses import dataclass
@@ -49,12 +51,12 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyExperiment(ControlExperiment):
-    """The settings of one run; the module describes each field as the file has it."""
+    """The settings of one run; the module docstring describes the corresponding fields of the file."""
 
     routers: int
     changes: int
     pause_us: int
-    rate: float  # calls a second at each router
+    rate: float  # calls per second at each router
     replica_us: int
     call_us: int
     check_us: int
@@ -66,7 +68,7 @@
 
 
 def parse(tables: dict[str, Any]) -> PolicyExperiment:
-    """Read an experiment out of a file's tables. Raises `ScheduleError` naming the field."""
+    """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("policy",))
     routers = top.whole("routers", minimum=1, maximum=MAX_ROUTERS)
--- a/maplestile/tools/model/policy_metrics.py
+++ b/maplestile/tools/model/policy_metrics.py
@@ -1,4 +1,4 @@
-"""What is measured in a run of policy changes: epochs, and when each router applied them."""
+"""The measurements and metrics of the policy model: epochs, and when each router applied them."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -11,33 +11,35 @@
 
 @dataclass(slots=True, frozen=True)
 class PolicyMetrics:
-    """The metrics of one run; None where there is nothing to measure.
+    """The metrics of one run; None if there was nothing to measure.
 
-    Epochs count only where every router that was neither cut off nor down has applied them.
+    Delays and old calls cover only epochs that every router that was neither cut off nor down applied.
     """
 
-    routers: int
-    changes: int  # committed or aborted
-    committed: int
-    abort_rate: float | None  # share of the changes
-    last_applied_p50_ms: float | None  # from a commit until the last router applied it
+    routers: int  # number of routers
+    changes: int  # number of changes committed or aborted
+    committed: int  # number of changes committed
+    abort_rate: float | None  # share of the changes that were aborted
+    last_applied_p50_ms: float | None  # from the commit of an epoch until the last router applied it
     last_applied_p99_ms: float | None
-    old_calls_per_change: float | None  # under an older epoch than the committed one, in the mean
-    old_share_of_a_second: float | None  # those calls as a share of all calls of a second
-    stale_most: int  # routers that were stale at the same time
-    behind_at_the_end: int  # routers neither cut off nor down that lack the last epoch
+    old_calls_per_change: float | None  # mean number of calls under an epoch older than the committed one
+    old_share_of_a_second: float | None  # those calls as a share of all calls made in one second
+    stale_most: int  # maximum number of routers that were stale at the same time
+    behind_at_the_end: int  # number of routers that lack the last epoch and are neither cut off nor down
 
 
 @dataclass(slots=True)
 class PolicyMeasurements:
-    """What has been measured in a run so far."""
+    """The measurements of a run so far."""
 
-    committed_us: dict[int, int] = field(default_factory=lambda: {0: 0})  # by epoch
-    unreachable: dict[int, set[str]] = field(default_factory=dict)  # by epoch: cut off or down before it came
-    applied_us: dict[tuple[str, int], int] = field(default_factory=dict)  # by router and epoch
-    committed: int = 0
-    aborted: int = 0
-    stale_most: int = 0
+    committed_us: dict[int, int] = field(default_factory=lambda: {0: 0})  # time of the commit, by epoch
+    # Routers that were cut off or down before they applied an epoch, by epoch.
+    unreachable: dict[int, set[str]] = field(default_factory=dict)
+    # When a router applied an epoch, by (router, epoch).
+    applied_us: dict[tuple[str, int], int] = field(default_factory=dict)
+    committed: int = 0  # number of changes
+    aborted: int = 0  # number of changes
+    stale_most: int = 0  # maximum number of routers that were stale at the same time
 
     def record_commit(self, epoch: int, now_us: int, unreachable: set[str]) -> None:
         """Record when an epoch was committed, and which routers could not be reached then."""
@@ -45,17 +47,17 @@
         self.unreachable[epoch] = unreachable
 
     def record_applied(self, name: str, epoch: int, now_us: int) -> None:
-        """Record when a router applied an epoch, and with it the epochs before that it had missed."""
+        """Record when a router applied an epoch, and with it any earlier epochs that it had missed."""
         for applied in range(1, epoch + 1):
             self.applied_us.setdefault((name, applied), now_us)
 
     def record_unreachable(self, names: Iterable[str], epoch: int) -> None:
-        """Leave out routers that become unreachable before they have applied the last epoch."""
-        waiting = (name for name in names if (name, epoch) not in self.applied_us)
-        self.unreachable.setdefault(epoch, set()).update(waiting)
+        """Exclude routers that become unreachable before they have applied the latest epoch."""
+        lagging = (name for name in names if (name, epoch) not in self.applied_us)
+        self.unreachable.setdefault(epoch, set()).update(lagging)
 
-    def record_end(self, is_committed: bool) -> None:
-        """Count a change that is decided."""
+    def record_decision(self, is_committed: bool) -> None:
+        """Count a change that has been committed or aborted."""
         if is_committed:
             self.committed += 1
         else:
@@ -66,7 +68,7 @@
         self.stale_most = max(self.stale_most, count)
 
     def metrics(self, names: Sequence[str], rate: float, behind: int) -> PolicyMetrics:
-        """The metrics of the run, given all routers' names, their calls a second, and how many are behind."""
+        """Compute the metrics from the routers' names, each one's calls per second, and the number behind."""
         delays_us = self._delays_us(names)
         last_ms = [max(delays) / US_PER_MS for delays in delays_us]
         old_calls = [sum(delays) / US_PER_S * rate for delays in delays_us]
@@ -86,7 +88,7 @@
         )
 
     def _delays_us(self, names: Sequence[str]) -> list[list[int]]:
-        """For each epoch that all reachable routers applied, each one's delay after the commit."""
+        """Return the routers' delays after the commit, for each epoch that all reachable routers applied."""
         delays_us = []
         for epoch, committed_us in self.committed_us.items():
             unreachable = self.unreachable.get(epoch, set())
--- a/maplestile/tools/model/report.py
+++ b/maplestile/tools/model/report.py
@@ -1,4 +1,4 @@
-"""The model's metrics as JSON or CSV, and its time series as a plot (matplotlib, without a screen)."""
+"""Formats the model's metrics as JSON or CSV, and plots its time series with matplotlib without a display."""
 
 import csv
 import io
@@ -13,57 +13,58 @@
 
 from maplestile.tools.plots import load_pyplot
 
-DIGITS = 6  # after the decimal point of a median
+MEDIAN_DIGITS = 6  # after the decimal point
 
-Metrics = dict[str, float | None]  # of one run, by name
+Metrics = dict[str, float | None]  # metrics of one run, by name; None if there was nothing to measure
 Experiment = TypeVar("Experiment")
 
 
 @dataclass(slots=True)
 class TimeSeries:
-    """The course of a run, with one value a period in each list."""
+    """The time series of a run; each list has one value per protocol period."""
 
     at_s: list[float] = field(default_factory=list)  # simulated time
-    view: list[float] = field(default_factory=list)  # mean view of the sampled members
-    suspects: list[float] = field(default_factory=list)  # mean number that a sampled member suspects
-    isolated: list[int] = field(default_factory=list)  # members that find themselves isolated
+    # Mean numbers of members that a sampled member considers live, and that it suspects.
+    view: list[float] = field(default_factory=list)
+    suspects: list[float] = field(default_factory=list)
+    isolated: list[int] = field(default_factory=list)  # number of isolated members
 
 
 @dataclass(slots=True, frozen=True)
 class MetricSpread:
-    """One metric over several runs; the names of the fields are printed."""
+    """The spread of one metric over several runs; the field names are printed."""
 
     min: float
     median: float
     max: float
-    runs: int  # that have the metric
+    runs: int  # number of runs that have the metric
 
 
-Spread = dict[str, MetricSpread | None]  # by metric; None where no run has it
+Spread = dict[str, MetricSpread | None]  # by metric name; None if no run has the metric
 
 
 def as_json(metrics: Metrics) -> str:
-    """The metrics of one run as JSON."""
+    """Format the metrics of one run as JSON."""
     return json.dumps(metrics, indent=2, sort_keys=True)
 
 
 def as_csv(metrics: Metrics) -> str:
-    """The metrics of one run as CSV, one a line."""
+    """Format the metrics of one run as CSV, one metric per line."""
     rows = ((name, "" if metrics[name] is None else metrics[name]) for name in sorted(metrics))
     return _csv(("figure", "value"), rows)
 
 
 def spread_of_runs(run: Callable[[Experiment], Metrics], experiments: Sequence[Experiment]) -> Spread:
-    """Run experiments, as many at a time as there are cores, and return the spread of their metrics.
+    """Run experiments, at most one per CPU core at a time, and return the spread of their metrics.
 
-    `run` is a function of a module: other processes import it by its name.
+    `run` must be a module-level function, since worker processes import it by name.
     """
     with ProcessPoolExecutor(min(len(experiments), os.cpu_count() or 1)) as pool:
         return spread(list(pool.map(run, experiments)))
 
 
 def spread(runs: Sequence[Metrics]) -> Spread:
-    """The spread of each metric over runs with different seeds."""
+    """Return the spread of each metric over several runs."""
     return {
         name: _spread_of_values([value for metrics in runs if (value := metrics[name]) is not None])
         for name in sorted(runs[0])
@@ -73,18 +74,18 @@
 def _spread_of_values(values: Sequence[float]) -> MetricSpread | None:
     if not values:
         return None
-    median = round(statistics.median(values), DIGITS)
+    median = round(statistics.median(values), MEDIAN_DIGITS)
     return MetricSpread(min(values), median, max(values), len(values))
 
 
 def spread_json(spread: Spread) -> str:
-    """The spread as JSON."""
+    """Format the spread as JSON."""
     rows = {name: None if row is None else asdict(row) for name, row in spread.items()}
     return json.dumps(rows, indent=2)
 
 
 def spread_csv(spread: Spread) -> str:
-    """The spread as CSV, one metric a line."""
+    """Format the spread as CSV, one metric per line."""
     empty = ("", "", "", 0)
     rows = ((name, *(empty if row is None else astuple(row))) for name, row in spread.items())
     return _csv(("figure", "min", "median", "max", "runs"), rows)
@@ -99,7 +100,7 @@
 
 
 def plot(series: TimeSeries, title: str, path: Path) -> None:
-    """Draw the mean view of the sampled members with their suspects, and below it the isolated members."""
+    """Plot the mean numbers of live and suspected members, and below them the number of isolated members."""
     pyplot = load_pyplot()
     figure, (top, bottom) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 5))
     _plot_views(top, series)
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -1,7 +1,7 @@
-"""Rollouts on the model: the shipped `ControlState` and `RolloutPlanner` on simpy, with many instances.
+"""The model of rollouts: the shipped `ControlState` and `RolloutPlanner` on simpy, with many instances.
 
-Experiments are in `rollout_experiment.py`, what is measured in `rollout_metrics.py`. Left out are Raft itself
-(a command is committed after its time), lost messages, and the calls.
+`rollout_experiment.py` reads the experiments, and `rollout_metrics.py` computes the metrics. Raft, lost
+messages and calls are not simulated; a command is committed after a delay.
 """
 
 from dataclasses import asdict
@@ -32,20 +32,21 @@
 
 
 class RolloutModel(ControlModel):
-    """One run of a rollout, with the shipped decisions."""
+    """One run of a rollout, decided by the shipped code."""
 
     def __init__(self, experiment: RolloutExperiment) -> None:
         super().__init__(experiment, experiment.instances)
         self.experiment = experiment
         self.measured = RolloutMeasurements()
-        self._out_of_service = set[str]()  # instances, by a step or by an outage
-        self._in_outage = set[str]()
-        self._started_leases = set[int]()  # leases whose agents have started the step
-        self._planner: RolloutPlanner | None = RolloutPlanner(RolloutRules(), 0)  # None without a leader
+        self._out_of_service = set[str]()  # instances out of service for a step or an outage
+        self._in_outage = set[str]()  # instances in an outage
+        self._started_leases = set[int]()  # numbers of the leases whose step has started
+        # The planner of the leader; None while there is no leader.
+        self._planner: RolloutPlanner | None = RolloutPlanner(RolloutRules(), 0)
         self._is_command_pending = False
 
     def run(self) -> RolloutMetrics:
-        """Play the run to its end, and return its metrics."""
+        """Simulate the run to its end and return its metrics."""
         experiment = self.experiment
         start = StartRollout(action=experiment.action, targets=(), budget=experiment.budget)
         reply = self.control.apply(start)
@@ -62,13 +63,13 @@
         assert self.control.rollout is not None
         return self.measured.metrics(self.control.rollout, len(self.names))
 
-    # The agents and their leader.
+    # Agents and the leader.
 
     def _control_rollout(self) -> simpy.events.ProcessGenerator:
-        """Start the steps of new leases, and submit the leader's commands, until the rollout ends."""
+        """Start the steps of new leases and submit the leader's commands until the rollout ends."""
         while True:
             self._start_steps()
-            self._plan()
+            self._submit_next_command()
             rollout = self.control.rollout
             if rollout is not None and rollout.phase not in ACTIVE:
                 self.measured.ended_us = self.now_us
@@ -79,9 +80,9 @@
         for lease in list(self.control.leases.values()):
             if lease.stage is Stage.GRANTED and lease.number not in self._started_leases:
                 self._started_leases.add(lease.number)
-                self._env.process(self._step(lease))
+                self._env.process(self._run_step(lease))
 
-    def _plan(self) -> None:
+    def _submit_next_command(self) -> None:
         if self._planner is None or self._is_command_pending:
             return
         command = self._planner.next_command(self.control, frozenset(), 1, self.now_us)
@@ -95,7 +96,7 @@
         is_rejected = isinstance(self.control.apply(command), Rejected)
         if isinstance(command, HaltRollout) and not is_rejected:
             self.measured.halts += 1
-            yield self._env.timeout(self.experiment.halt_for_us)  # until an operator resumes it
+            yield self._env.timeout(self.experiment.halt_for_us)  # until an operator resumes the rollout
             self.control.apply(ResumeRollout())
 
     def _report_health(self) -> simpy.events.ProcessGenerator:
@@ -105,14 +106,14 @@
                 self._planner.record_reports(reports, self.now_us)
             yield self._env.timeout(REPORT_INTERVAL_US)
 
-    def _step(self, lease: Lease) -> simpy.events.ProcessGenerator:
-        """Drain the lease's instance and start it again."""
+    def _run_step(self, lease: Lease) -> simpy.events.ProcessGenerator:
+        """Drain the lease's instance and restart it."""
         begin = BeginStep(agent=lease.holder, instance=lease.instance, lease=lease.number)
         yield self._commit()
         if isinstance(self.control.apply(begin), Rejected):
             return
         self.measured.step_starts_us.append(self.now_us)
-        self._take_out(lease.instance)
+        self._take_out_of_service(lease.instance)
         yield self._env.timeout(self._drain_us() + self.experiment.start_us)
         if lease.instance not in self._in_outage:
             self._out_of_service.discard(lease.instance)
@@ -124,19 +125,19 @@
         is_stuck = self._random.random() < self.experiment.stuck
         return self.experiment.stuck_us if is_stuck else self.experiment.drain_us + jitter_us
 
-    def _take_out(self, name: str) -> None:
+    def _take_out_of_service(self, name: str) -> None:
         self._out_of_service.add(name)
         self.measured.record_out_of_service(
             len(self._out_of_service), len(self._out_of_service - self._in_outage)
         )
 
-    # Faults, and an operator.
+    # Faults and an operator.
 
     def _play_outage(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(outage.at_us)
         name = self.names[outage.index]
         self._in_outage.add(name)
-        self._take_out(name)
+        self._take_out_of_service(name)
         yield self._env.timeout(outage.for_us)
         self._in_outage.discard(name)
         if name not in self.control.leases:
@@ -160,10 +161,10 @@
 
 
 def run(experiment: RolloutExperiment) -> RolloutMetrics:
-    """Run an experiment, and return its metrics."""
+    """Run an experiment and return its metrics."""
     return RolloutModel(experiment).run()
 
 
 def metrics(experiment: RolloutExperiment) -> Metrics:
-    """Run an experiment, and return its metrics by name."""
+    """Run an experiment and return its metrics by name."""
     return asdict(run(experiment))
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -1,31 +1,33 @@
-"""Experiments of rollouts: the file's format, and its settings.
+"""Reads the experiments of the rollout model.
+
+A file has these fields:
 
 kind = "rollout"
 seed = 11
 instances = 40               # 2 to 2000
-agents = 10                  # each manages as many, and votes or not; one leads
+agents = 10                  # they share the instances evenly, with or without a vote; one is the leader
 action = "restart"           # or replace
 budget = "10%"
-duration_s = 600             # the run ends with the rollout, or here
-commit_ms = 20               # until a command is committed, plus an exponential jitter of the same mean
-drain_ms = 1000              # from SIGTERM to the end of an instance, plus a jitter of `drain_jitter_ms`
-drain_jitter_ms = 300
-start_ms = 300               # until it serves again
-stuck = 0.0                  # share of drains that take `stuck_s`
+duration_s = 600             # the run ends with the rollout, or at this time
+commit_ms = 20               # until a command is committed, plus an exponential jitter with the same mean
+drain_ms = 1000              # from SIGTERM to the exit of an instance, plus the jitter
+drain_jitter_ms = 300        # mean of the exponential jitter of a drain
+start_ms = 300               # from the exit until the instance serves again
+stuck = 0.0                  # share of drains that take `stuck_s` instead
 stuck_s = 30
-halt_at_s = 5                # an operator halts then, and resumes after `halt_for_s`; 0 for never
+halt_at_s = 5                # an operator halts the rollout, and resumes it after `halt_for_s`; 0 for never
 halt_for_s = 2
 
-[[outage]]                   # an instance is out by itself, planned by nobody
+[[outage]]                   # an unplanned outage of an instance
 at_s = 20
 for_s = 5
 instance = 7
 
-[[election]]                 # the leader is lost; another leads after `for_s`, without its memory
+[[election]]                 # the leader is lost; after `for_s` a new one leads, without the old one's memory
 at_s = 10
 for_s = 1.2
 
-Times are whole microseconds in the settings.
+In the parsed settings, times are whole microseconds.
 """
 
 from dataclasses import dataclass
@@ -49,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutExperiment(ControlExperiment):
-    """The settings of one run; the module describes each field as the file has it."""
+    """The settings of one run; the module docstring describes the corresponding fields of the file."""
 
     instances: int
     action: str
@@ -66,7 +68,7 @@
 
 
 def parse(tables: dict[str, Any]) -> RolloutExperiment:
-    """Read an experiment out of a file's tables. Raises `ScheduleError` naming the field."""
+    """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("rollout",))
     instances = top.whole("instances", minimum=2, maximum=MAX_INSTANCES)
@@ -96,7 +98,7 @@
 
 
 def _budget_from(table: TomlTable, instances: int) -> Any:
-    """Take the budget, a count or a share. Raises `ScheduleError`."""
+    """Read the budget, a count or a share of the instances. Raises `ScheduleError` if it is invalid."""
     budget = table.values.pop("budget", 1)
     try:
         budget_of(budget, instances)
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -1,7 +1,7 @@
-"""The membership model: the `Swim` members that the program ships, on simpy's clock (microseconds).
+"""The membership model: the `Swim` members that the program ships, on simpy's clock in microseconds.
 
-What it leaves out is on `docs/membership.md`: a member's own processing time, the sizes of datagrams, the
-system's buffers, and any limit on a socket. What is measured is in `membership_metrics.py`.
+The model leaves out a member's processing time, the sizes of datagrams, kernel buffers and socket limits (see
+`docs/membership.md`). `membership_metrics.py` computes the metrics.
 """
 
 import functools
@@ -27,27 +27,27 @@
 )
 from maplestile.tools.model.report import Metrics, TimeSeries
 
-HOST = "model"  # members' addresses are (HOST, number): nothing is sent anywhere
-MAX_INBOX = 1024  # datagrams a paused member's socket keeps; the rest are lost, as in the system's buffer
-SAMPLED_MEMBERS = 64  # of the time series
-CONVERGENCE_CHECKS_PER_PERIOD = 4  # after a split
-SEED_STRIDE = 1_000_003  # between the seeds of two runs' members
+HOST = "model"  # host in the members' addresses, which are never connected to
+MAX_INBOX_MESSAGES = 1024  # datagrams kept for a paused member; more are lost, as in a full kernel buffer
+SAMPLED_MEMBERS = 64  # approximate number of members in the time series
+CONVERGENCE_CHECKS_PER_PERIOD = 4  # after a split has healed
+SEED_STRIDE = 1_000_003  # keeps the members' seeds of different runs apart
 
 
 @dataclass(slots=True)
 class Member:
-    """One member, with the state that its process would have."""
+    """A member and the state that its process would have."""
 
     number: int
     swim: Swim
-    checks: SharedHealthChecks | None
+    checks: SharedHealthChecks | None  # None if the experiment has no shared health checks
     killed: bool = False
     paused_until_us: int = 0
-    inbox: list[Message] = field(default_factory=list)
-    wake: simpy.Event | None = None
+    inbox: list[Message] = field(default_factory=list)  # messages received during a pause
+    wake: simpy.Event | None = None  # wakes the member before its next timer; None before the first wait
 
     def due_us(self) -> int:
-        """When the member has to act next."""
+        """Return the time at which the member has to act next."""
         due_us = self.swim.due_us()
         check_due_us = self.checks.due_us() if self.checks is not None else None
         return due_us if check_due_us is None else min(due_us, check_due_us)
@@ -63,13 +63,13 @@
         self._env = simpy.Environment()
         self._random = random.Random(self.schedule.seed)
         self._tuning = _tuning(experiment)
-        self._members = [self._member(number) for number in range(self.schedule.members)]
+        self._members = [self._create_member(number) for number in range(self.schedule.members)]
 
     @property
     def _now_us(self) -> int:
-        return int(self._env.now)  # whole microseconds: every delay given to the engine is whole
+        return int(self._env.now)  # exact, since every delay is a whole number of microseconds
 
-    def _member(self, number: int) -> Member:
+    def _create_member(self, number: int) -> Member:
         name = f"m{number}"
         checks = None
         if self.experiment.duties:
@@ -79,16 +79,16 @@
 
     def run(self) -> MembershipMetrics:
         """Run the experiment to its end and return its metrics."""
-        self._introduce()
+        self._introduce_members()
         for fault in self.schedule.faults:
-            self._env.process(self._play(fault))
-        self._env.process(self._sample())
+            self._env.process(self._play_fault(fault))
+        self._env.process(self._sample_time_series())
         self._env.run(until=self.experiment.duration_us)
         live_members = [member.number for member in self._live_members()]
         return compute_metrics(self.experiment, self.measured, live_members)
 
-    def _introduce(self) -> None:
-        """Have all members know each other at the start, since joins are not measured."""
+    def _introduce_members(self) -> None:
+        """Make all members known to each other at the start, since joins are not measured."""
         everyone: list[tuple[str, Address]] = [
             (f"m{member.number}", (HOST, member.number)) for member in self._members
         ]
@@ -103,10 +103,10 @@
     def _live_members(self) -> list[Member]:
         return [member for member in self._members if not member.killed]
 
-    # Members and the network between them.
+    # Members and the network.
 
     def _run_member(self, member: Member) -> simpy.events.ProcessGenerator:
-        self._flush(member)
+        self._flush_output(member)
         while not member.killed:
             member.wake = self._env.event()
             yield self._env.timeout(max(0, member.due_us() - self._now_us)) | member.wake
@@ -116,32 +116,32 @@
                 yield self._env.timeout(member.paused_until_us - self._now_us)
                 self._read_inbox(member)
             member.swim.tick(self._now_us)
-            self._flush(member)
+            self._flush_output(member)
             self._check_health(member)
 
     def _read_inbox(self, member: Member) -> None:
-        """Have a member receive what waited in its socket, after the timers that are due."""
+        """Deliver the messages that arrived during a pause, after running the timers that are due."""
         inbox, member.inbox = member.inbox, []
         for message in inbox:
             member.swim.tick(self._now_us)
             member.swim.receive(message, self._now_us)
 
     def _check_health(self, member: Member) -> None:
-        """Make the member's shared health checks that are due; each is answered at once."""
+        """Make the member's shared health checks that are due; each succeeds at once."""
         if member.checks is None:
             return
         for target in member.checks.due(self._now_us):
             member.checks.record_result(target, True)
             self.measured.record_check(target, self._now_us)
 
-    def _flush(self, member: Member) -> None:
-        """Send the member's messages, and measure by its events."""
+    def _flush_output(self, member: Member) -> None:
+        """Send the member's pending messages and measure its pending events."""
         swim = member.swim
         for address, message in swim.outbox:
             self._send(member.number, address[1], message)
         swim.outbox.clear()
         for event in swim.events:
-            self._measure(member.number, event)
+            self._measure_event(member.number, event)
         swim.events.clear()
         swim.faults.clear()
 
@@ -149,22 +149,22 @@
         self.measured.sent += 1
         for delay_us in self.schedule.delivery_delays_us(origin, target, self._now_us, self._random):
             arrival = self._env.timeout(delay_us)
-            arrival.callbacks.append(functools.partial(self._arrive, target, message))
+            arrival.callbacks.append(functools.partial(self._deliver, target, message))
 
-    def _arrive(self, target: int, message: Message, _: object = None) -> None:
+    def _deliver(self, target: int, message: Message, _: object = None) -> None:
         member = self._members[target]
         if member.killed:
             return
         if member.paused_until_us > self._now_us:
-            if len(member.inbox) < MAX_INBOX:
+            if len(member.inbox) < MAX_INBOX_MESSAGES:
                 member.inbox.append(message)
             return
         member.swim.receive(message, self._now_us)
-        self._flush(member)
+        self._flush_output(member)
         if member.wake is not None and not member.wake.triggered:
             member.wake.succeed()
 
-    def _play(self, fault: Fault) -> simpy.events.ProcessGenerator:
+    def _play_fault(self, fault: Fault) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(fault.at_us)
         for number in fault.members:
             member = self._members[number]
@@ -176,9 +176,9 @@
             yield self._env.timeout(max(0, fault.until_us - self._now_us))
             self._env.process(self._measure_convergence(fault.until_us))
 
-    # What is measured.
+    # Measurements.
 
-    def _measure(self, observer: int, event: MembershipEvent) -> None:
+    def _measure_event(self, observer: int, event: MembershipEvent) -> None:
         if event.kind in (EventKind.ISOLATED, EventKind.HEALED):
             self.measured.record_isolation(observer, event.kind == EventKind.ISOLATED)
         elif event.kind == EventKind.CONFIRM:
@@ -187,8 +187,8 @@
             if not is_excused(self.schedule, self._tuning, observer, member, self._now_us):
                 self.measured.false_positives += 1
 
-    def _sample(self) -> simpy.events.ProcessGenerator:
-        """Add a value to the time series in each period."""
+    def _sample_time_series(self) -> simpy.events.ProcessGenerator:
+        """Add one value per period to the time series."""
         sampled = self._members[:: max(1, len(self._members) // SAMPLED_MEMBERS)]
         series = self.measured.series
         while True:
@@ -200,7 +200,7 @@
             series.isolated.append(self.measured.isolated)
 
     def _measure_convergence(self, healed_us: int) -> simpy.events.ProcessGenerator:
-        """Measure the time from the healing until every live member sees all live members and no other."""
+        """Measure the time from the healing until every live member sees exactly the live members."""
         while True:
             live_members = self._live_members()
             names = sorted(f"m{member.number}" for member in live_members)
@@ -224,18 +224,18 @@
 
 
 def run(experiment: Experiment) -> tuple[MembershipMetrics, TimeSeries]:
-    """Run an experiment, and return its metrics and its time series."""
+    """Run an experiment and return its metrics and its time series."""
     model = MembershipModel(experiment)
     return model.run(), model.measured.series
 
 
 def metrics(experiment: Experiment) -> Metrics:
-    """Run an experiment, and return its metrics by name."""
+    """Run an experiment and return its metrics by name."""
     return run(experiment)[0].by_name()
 
 
 def with_seeds(experiment: Experiment, count: int) -> list[Experiment]:
-    """Return the experiment with so many seeds, counted up from its own."""
+    """Return `count` copies of the experiment with consecutive seeds, starting at its own."""
     schedule = experiment.schedule
     schedules = (replace(schedule, seed=schedule.seed + offset) for offset in range(count))
     return [replace(experiment, schedule=seeded) for seeded in schedules]
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,4 +1,4 @@
-"""Components with one deliberate fault each, by the property that it breaks and the case that shows it."""
+"""Components with one deliberate fault each, for testing that the explorer finds the fault."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -17,21 +17,21 @@
 from maplestile.wire.runner import Answer
 
 
-def replace_method(part: object, name: str, method: Callable[..., object]) -> None:
-    """Put a fault into one part of a dispatcher, or of a core."""
-    assert callable(getattr(part, name))
-    setattr(part, name, method)
+def replace_method(component: object, name: str, method: Callable[..., object]) -> None:
+    """Replace a method of one component of a dispatcher or of a core by a faulty one."""
+    assert callable(getattr(component, name))
+    setattr(component, name, method)
 
 
 class AnswersTwice(Core):
-    """A call stays open after its answer."""
+    """Keeps a call open after its answer."""
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
         self.original_finish = self.requests.finish
         replace_method(self.requests, "finish", self.finish)
 
-    def finish(self, call: int, outcome: Outcome) -> None:  # the call stays in the table
+    def finish(self, call: int, outcome: Outcome) -> None:  # puts the call back into the table
         pending = self.open.get(call)
         self.original_finish(call, outcome)
         if pending is not None and outcome.ran:
@@ -39,7 +39,7 @@
 
 
 class WithholdsFailures(Core):
-    """A failed call gets no answer."""
+    """Does not answer a failed call."""
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
@@ -47,14 +47,14 @@
 
 
 class SendsAnythingAgain(Dispatcher):
-    """Calls are sent again also where they may have run and are not idempotent."""
+    """Sends calls again even if they may have run and are not idempotent."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.retry, "may_repeat", self.may_repeat)
         replace_method(self.router, "retry_after", self.retry_after)
 
-    def may_repeat(self, call: Call, worker: Worker) -> bool:  # without the check of idempotency
+    def may_repeat(self, call: Call, worker: Worker) -> bool:  # omits the idempotency check
         return len(call.attempts) < call.settings.max_attempts and self.fleet.is_running(worker)
 
     def retry_after(self, call: Call, result: Result) -> None:
@@ -62,7 +62,7 @@
 
 
 class IgnoresDeduplicationScope(Dispatcher):
-    """A call with a key is sent again outside the scope in which its key is known."""
+    """Sends a call with a key again outside the scope in which workers recognise the key."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -73,14 +73,16 @@
 
 
 class IgnoresDeduplicationWindow(Dispatcher):
-    """An attempt with a key is sent however late its connection comes up."""
+    """Sends an attempt with a key however late its connection is established."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.original_send = self.router.send
         replace_method(self.router, "send", self.send)
 
-    def send(self, call: Call, worker: Worker) -> None:  # the window is checked at the decision alone
+    def send(
+        self, call: Call, worker: Worker
+    ) -> None:  # the window is checked at the decision only, not when the line is written
         self.original_send(call, worker)
         actions = self.context.actions
         actions[:] = [
@@ -90,7 +92,7 @@
 
 
 class WritesToDraining(SimulatedPool):
-    """Draining workers take new attempts."""
+    """Sends new attempts to draining workers."""
 
     def update(self, fleet: EndpointList) -> None:
         super().update(fleet)
@@ -99,7 +101,7 @@
 
 
 class CountsNoAttempts(Dispatcher):
-    """Any number of attempts is made."""
+    """Makes any number of attempts."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -110,7 +112,7 @@
 
 
 class DecidesByLatestSettings(Dispatcher):
-    """A new policy changes calls that came under the one before."""
+    """Applies a new policy to calls that were submitted under the previous one."""
 
     def apply_settings(self, settings: api.Settings) -> None:
         super().apply_settings(settings)
@@ -119,7 +121,7 @@
 
 
 class RejectsAnything(Dispatcher):
-    """Calls of every class are rejected, also those that may have run."""
+    """Rejects calls of every class, even if they may have run."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -127,7 +129,7 @@
 
 
 class LosesCancelledAttempts(Dispatcher):
-    """A cancelled attempt is dropped, and its worker's counts stay."""
+    """Drops a cancelled attempt without decreasing the counts of its worker."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -142,7 +144,7 @@
 
 
 class LeaksRequestBytes(Core):
-    """The bytes of a withdrawn call are counted for good."""
+    """Never stops counting the bytes of a withdrawn call."""
 
     def withdraw(self, call: int) -> None:
         pending = self.open.get(call)
@@ -152,7 +154,7 @@
 
 
 class KeepsDeadlinesAtDrain(Core):
-    """Calls from before the stop keep their deadlines."""
+    """Leaves calls open until their deadlines instead of answering them at the process's exit time."""
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
@@ -160,14 +162,14 @@
 
 
 class SendsForDisconnectedClients(SimulatedPool):
-    """Attempts begin also for clients that have disconnected."""
+    """Starts attempts for clients that have disconnected."""
 
     def withhold(self, attempt: AttemptId) -> bool:
         return False
 
 
 class RetriesForDisconnectedClients(Dispatcher):
-    """A call is tried again after its client has disconnected."""
+    """Retries a call after its client has disconnected."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -175,7 +177,7 @@
 
 
 class KeepsCancelledAttempts(SimulatedPool):
-    """A cancelled attempt can still change its state."""
+    """Keeps a cancelled attempt, whose state can then still change."""
 
     def cancel(self, attempt: AttemptId) -> None:
         found = self.locations.get(attempt)
@@ -186,7 +188,7 @@
 
 
 class RaisesOnUnknownAnswers(SimulatedPool):
-    """An answer to no open attempt is an error."""
+    """Raises an error on an answer that belongs to no open request."""
 
     def answer_received(self, connection: Any, answer: Answer) -> None:
         if answer.call not in connection.open and answer.call not in connection.control_tags:
@@ -194,6 +196,7 @@
         super().answer_received(connection, answer)
 
 
+# The violated property, the case that shows it, and the faulty components.
 FAULTS: tuple[tuple[str, str, Components], ...] = (
     ("one-answer", "safe", Components(core=AnswersTwice)),
     ("answer-by-deadline", "unsafe", Components(core=WithholdsFailures)),
--- a/tests/record_explorer.py
+++ b/tests/record_explorer.py
@@ -1,4 +1,4 @@
-"""Records the explorer's saved examples, and how damaged ones are refused."""
+"""Records the explorer's saved examples, and the errors for invalid ones."""
 
 import json
 import tempfile
@@ -6,13 +6,13 @@
 from typing import Any
 
 from maplestile.tools.explore.cases import CASES
-from maplestile.tools.explore.example_files import read
+from maplestile.tools.explore.example_files import read_example
 from maplestile.tools.explore.search import explore, play
 from tests.faulty import FAULTS
 from tests.recording import Recorder, run
 from tests.standins import ROOT
 
-SAVED = (  # properties whose violations are described without names of the code
+RECORDED_PROPERTIES = (  # their violations are described without identifiers of the code
     "unsafe-once",
     "keyed-in-scope",
     "attempt-limit",
@@ -21,21 +21,21 @@
 
 
 def saved_examples() -> str:
-    """The counterexamples of deliberate faults, as they are saved, and how they replay."""
+    """Return the counterexamples of deliberate faults as they are saved, and the results of their replays."""
     saved: list[str] = []
-    for _, case, components in (fault for fault in FAULTS if fault[0] in SAVED):
+    for _, case, components in (fault for fault in FAULTS if fault[0] in RECORDED_PROPERTIES):
         example = explore(CASES[case], depth=7, components=components).example
         assert example is not None
-        problems = play(CASES[case], example.events, components).problems
-        replayed = "".join(f"replayed: {name}: {text}\n" for name, text in problems)
+        violations = play(CASES[case], example.events, components).violations
+        replayed = "".join(f"replayed: {name}: {text}\n" for name, text in violations)
         saved.append(example.text() + replayed)
     return "\n".join(saved)
 
 
 def example_files() -> str:
-    """A saved example is written as it was read; a damaged one is refused with its place."""
+    """Return a saved example written again after reading, and the errors for invalid examples."""
     original = ROOT / "examples" / "explore" / "keyed-window.json"
-    results = [read(original).text()]
+    results = [read_example(original).text()]
     tables: JsonTables = json.loads(original.read_text())
     changes: tuple[JsonTables, ...] = (
         {"version": 2},
--- a/tests/test_model_outputs.py
+++ b/tests/test_model_outputs.py
@@ -1,4 +1,4 @@
-"""The model's outputs byte for byte: a file and seed give what they gave when these digests were taken."""
+"""Tests that the model's output for a file and seed still has the recorded digest."""
 
 import contextlib
 import hashlib
@@ -93,7 +93,7 @@
         pytest.param(ROLLOUT_CUT_SHORT, (), "ba84788773f60203", id="rollout cut short"),
     ],
 )
-def test_an_experiment_gives_the_same_bytes_as_before(
+def test_output_matches_recorded_digest(
     experiment: str, options: tuple[str, ...], digest: str, tmp_path: Path
 ) -> None:
     file = tmp_path / "experiment.toml"
