--- a/maplestile/tools/explore/example_files.py
+++ b/maplestile/tools/explore/example_files.py
@@ -15,7 +15,7 @@
 
 VERSION = 1
 MAX_EVENTS = 200
-MAX_NUMBER = 999  # largest client, worker, link or line number in an event
+MAX_NUMBER = 999  # largest number of a client, worker, link or line in an event
 EVENT_KINDS = {kind.value: kind for kind in EventKind}  # by name
 
 
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -25,22 +25,22 @@
 
 def digest(simulation: Simulation) -> bytes:
     """Return the fingerprint of a simulation's state."""
-    state = _state(simulation, NormalForm(simulation))
+    state = _normalize_state(simulation, NormalForm(simulation))
     return hashlib.blake2b(repr(state).encode(), digest_size=DIGEST_BYTES).digest()
 
 
-def _state(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
+def _normalize_state(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
     """Return the whole state: the components under test, their environment, and the event counts."""
     return (
         form.record(simulation.core.requests),
         form.record(simulation.core.attempts),
         form.record(simulation.core.control),
         form.record(simulation.core.intake),
-        _dispatcher(simulation.core.dispatcher, form),
+        _normalize_dispatcher(simulation.core.dispatcher, form),
         form.record(simulation.pool),
-        [_link(link, form) for link in simulation.links if link.open],
-        *_environment(simulation, form),
-        _timers(simulation.core, form),
+        [_normalize_link(link, form) for link in simulation.links if link.open],
+        *_normalize_environment(simulation, form),
+        _normalize_timers(simulation.core, form),
         simulation.fault_count,
         simulation.time_steps,
         simulation.stopped,
@@ -50,19 +50,19 @@
     )
 
 
-def _dispatcher(dispatcher: Dispatcher, form: NormalForm) -> list[Any]:
+def _normalize_dispatcher(dispatcher: Dispatcher, form: NormalForm) -> list[Any]:
     """Return the state of each component; references to other components appear as type names."""
     return [(name, form.record(component)) for name, component in sorted(vars(dispatcher).items())]
 
 
-def _link(link: Link, form: NormalForm) -> Any:
+def _normalize_link(link: Link, form: NormalForm) -> Any:
     """Return a connection to a worker: the lines in flight on it and the state of both ends."""
     lines = [(line.command.kind.value, line.command.tag, line.answers) for line in link.lines]
     connection = form.connection(link.connection)
     return link.number, form.value(link.worker), link.accepts_part, link.unaccepted, lines, connection
 
 
-def _environment(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
+def _normalize_environment(simulation: Simulation, form: NormalForm) -> tuple[Any, ...]:
     """Return the clients, the workers of the endpoint list, and the calls that workers have received."""
     clients = [
         (
@@ -89,14 +89,14 @@
 # Timers. A callback is identified by its qualified name and the variables that it captures.
 
 
-def _timers(core: Core, form: NormalForm) -> list[Any]:
+def _normalize_timers(core: Core, form: NormalForm) -> list[Any]:
     """Return the due time and effect of each timer that would do something."""
     tick_us = core.settings.tick_us
     timers = [
         (form.value(tick * tick_us), effect)
         for tick, actions in core.timers.items()
         for action in actions
-        if (effect := _effect(action, core, form)) is not None
+        if (effect := _normalize_effect(action, core, form)) is not None
     ]
     return sorted(timers, key=repr)
 
@@ -126,7 +126,7 @@
         return self.name, sorted((key, form.value(value)) for key, value in relevant)
 
 
-def _callback(action: Action) -> _Callback:
+def _describe_callback(action: Action) -> _Callback:
     code = getattr(action, "__code__", None)
     closure = getattr(action, "__closure__", None)
     if code is None or closure is None:
@@ -135,12 +135,12 @@
     return _Callback(action.__qualname__, dict(zip(code.co_freevars, contents, strict=True)))
 
 
-def _effect(action: Action, core: Core, form: NormalForm) -> Any:
+def _normalize_effect(action: Action, core: Core, form: NormalForm) -> Any:
     """Return the normal form of what a timer would do; None if it would do nothing."""
-    callback = _callback(action)
+    callback = _describe_callback(action)
     if "token" in callback.variables:  # the dispatcher set the timer, and keeps the callback under this token
         inner = core.dispatcher.context.timers.get(callback.variables["token"])
-        return None if inner is None else _effect(inner, core, form)
+        return None if inner is None else _normalize_effect(inner, core, form)
     return None if callback.is_obsolete(core) else callback.normal_form(form)
 
 
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -28,7 +28,7 @@
     "no-crash": "nothing raises",
 }
 # Commands that start new work at a worker.
-NEW_WORK = (CommandKind.CALL, CommandKind.LOAD, CommandKind.STATS, CommandKind.UNLOAD)
+NEW_WORK_KINDS = (CommandKind.CALL, CommandKind.LOAD, CommandKind.STATS, CommandKind.UNLOAD)
 
 
 def on_answer(simulation: Simulation, client: Client, outcome: Outcome) -> None:
@@ -68,7 +68,7 @@
 
 def on_write(simulation: Simulation, link: Link, command: Command) -> None:
     """Check a command whose first byte is about to be written."""
-    if command.kind in NEW_WORK and link.worker in simulation.workers.unavailable_since_us:
+    if command.kind in NEW_WORK_KINDS and link.worker in simulation.workers.unavailable_since_us:
         simulation.record_violation("nothing-after-drain", f"{command.kind} to {link.worker}")
     if command.kind is CommandKind.CALL and simulation.client_of(command.tag).half_closed:
         simulation.record_violation("nothing-for-the-gone", f"an attempt at {link.worker}")
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -76,8 +76,8 @@
         self.root = root
         self.file = folder / "router.toml"
         self.process: Process | None = None
-        self.reader: asyncio.Task[None] | None = None
-        self.fronts: dict[str, Address] = {}
+        self.log_reader: asyncio.Task[None] | None = None
+        self.fronts: dict[str, Address] = {}  # addresses, by front
         self.answers = SignalAnswers()
 
     def write_settings(self, workers: Iterable[ScriptedWorker], unlisted: Collection[str]) -> None:
@@ -104,12 +104,12 @@
                 if not line:
                     raise CaseError("the program ended at its start")
                 self._record_front(line.decode())
-        self.reader = asyncio.get_running_loop().create_task(self._read(stderr))
+        self.log_reader = asyncio.get_running_loop().create_task(self._read_log(stderr))
 
     def _record_front(self, line: str) -> None:
         for front in FRONTS:
-            _, listens, rest = line.partition(f"{front} front listens on ")
-            if listens:
+            _, separator, rest = line.partition(f"{front} front listens on ")
+            if separator:
                 self.fronts[front] = parse_address(rest.split(",")[0].strip())
 
     def reload(self) -> None:
@@ -148,10 +148,10 @@
             except TimeoutError:
                 process.kill()
                 await process.wait()
-        if self.reader is not None:
-            self.reader.cancel()
+        if self.log_reader is not None:
+            self.log_reader.cancel()
 
-    async def _read(self, stderr: asyncio.StreamReader) -> None:
+    async def _read_log(self, stderr: asyncio.StreamReader) -> None:
         """Read the log until it ends, keeping only the lines that answer signals."""
         while line := await stderr.readline():
             self.answers.accept(line)
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -18,8 +18,8 @@
 LOAD_TIMEOUT_US = 300 * US_PER_MS  # of each load request
 DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # during which a worker drops calls that repeat an idempotency key
 LATENCY_OBJECTIVE_US = 200 * US_PER_MS  # of every call class
-RUNNER_SILENT_US = 150 * US_PER_MS  # without an answer, after which a connection may be dead
-IDLE_STEPS = 12  # without events before the check for leftovers; longer than any call, load or health check
+RUNNER_SILENT_US = 150 * US_PER_MS  # a connection without an answer for this long may be dead
+IDLE_STEPS = 12  # before the check for leftovers; longer than any call, load or health check
 MAX_ATTEMPTS = 2  # per call under even policy epochs; one fewer under odd epochs
 SEED = 7
 FUNCTION = "f"  # the only function that is called
@@ -40,7 +40,8 @@
         *(_call_class(f"keyed-{scope.value}", Idempotency.WITH_KEY, scope) for scope in DeduplicationScope),
     )
 }
-ANSWER_KINDS = {  # answer kind on the wire, by the event in which a worker sends it
+# Answer kinds on the wire, by the event in which a worker sends them.
+ANSWER_KINDS = {
     EventKind.OK: "200",
     EventKind.ERROR: "500",
     EventKind.FULL: "503",
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -43,7 +43,7 @@
 EVENT_TIMEOUT_S = 10.0  # for an event to take effect
 POLL_INTERVAL_S = 0.005  # between checks of whether an event has taken effect
 FINAL_WAIT_S = 1.5  # after the last event, before the properties are checked
-SETTLE_S = 0.03  # pause after each event
+PAUSE_AFTER_EVENT_S = 0.03  # lets the router react before the next event
 SHED_PAUSE_S = 0.1  # before a shed call is submitted again
 ROOT = Path(maplestile.__file__).parent.parent
 
@@ -83,7 +83,7 @@
         self.router = RouterUnderTest(self.case, folder, root)
         self.clients = SocketClients(self.case)
         self.shed_calls = 0  # number of calls that the router has shed so far
-        self.draining_since_s: dict[str, float] = {}
+        self.draining_since_s: dict[str, float] = {}  # by worker, on the monotonic clock
         self.unlisted: set[str] = set()  # workers that are not in the router's settings file
         self.left_out: list[str] = []  # events that cannot be played on sockets
         self.refused_links = [event.numbers[0] for event in example.events if event.kind is EventKind.REFUSE]
@@ -139,7 +139,7 @@
                 await self._change_worker(f"w{numbers[0]}", kind)
             case _:
                 await self._play_at_link(kind, *numbers)
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(PAUSE_AFTER_EVENT_S)
 
     async def _submit(self) -> None:
         """Submit the next call until the router accepts it. Raises `CaseError` if it is shed every time."""
--- a/maplestile/tools/model/control_model.py
+++ b/maplestile/tools/model/control_model.py
@@ -32,7 +32,7 @@
         self._env = simpy.Environment()
         self._random = random.Random(experiment.seed)
         self.control = ControlState()
-        self.names = [f"r{number}" for number in range(instances)]
+        self.instance_names = [f"r{number}" for number in range(instances)]
         for agent in range(experiment.agents):
             register = Register(agent=agent_name(agent), instances=tuple(self.instances_of(agent)))
             assert not isinstance(self.control.apply(register), Rejected)
@@ -44,18 +44,18 @@
 
     def instances_of(self, agent: int) -> list[str]:
         """Return the names of an agent's instances."""
-        return self.names[agent :: self._agents]
+        return self.instance_names[agent :: self._agents]
 
-    def _exponential_us(self, mean_us: int) -> int:
+    def _random_exponential_us(self, mean_us: int) -> int:
         return int(self._random.expovariate(1.0) * mean_us)
 
-    def _uniform_us(self, max_us: int) -> int:
+    def _random_uniform_us(self, max_us: int) -> int:
         return int(self._random.random() * max_us)
 
-    def _jittered_us(self, mean_us: int) -> int:
+    def _random_jittered_us(self, mean_us: int) -> int:
         """Return `mean_us` plus an exponential jitter whose mean is as long."""
-        return mean_us + self._exponential_us(mean_us)
+        return mean_us + self._random_exponential_us(mean_us)
 
-    def _commit(self) -> simpy.events.Timeout:
+    def _wait_for_commit(self) -> simpy.events.Timeout:
         """Return a simulated wait until a command is committed."""
-        return self._env.timeout(self._jittered_us(self._commit_us))
+        return self._env.timeout(self._random_jittered_us(self._commit_us))
--- a/maplestile/tools/model/membership_metrics.py
+++ b/maplestile/tools/model/membership_metrics.py
@@ -90,13 +90,13 @@
 
 
 def compute_metrics(
-    experiment: Experiment, measured: Measurements, live_members: Sequence[int]
+    experiment: Experiment, measurements: Measurements, live_members: Sequence[int]
 ) -> MembershipMetrics:
     """Compute the metrics of a finished run."""
     schedule = experiment.schedule
     kills = [fault for fault in schedule.faults if fault.kind is FaultKind.KILL]
     splits = [fault for fault in schedule.faults if fault.kind is FaultKind.SPLIT]
-    detection = _detection_periods(experiment, measured, kills, live_members)
+    detection_periods = _detection_periods(experiment, measurements, kills, live_members)
     member_minutes = schedule.members * experiment.duration_us / US_PER_MINUTE
     periods = experiment.duration_us / experiment.period_us
     duties = experiment.duties
@@ -105,33 +105,35 @@
         seconds=experiment.duration_us / US_PER_S,
         lifeguard=experiment.lifeguard,
         loss=schedule.net.loss,
-        detection_median_periods=_quantile(detection, 0.5),
-        detection_p99_periods=_quantile(detection, 0.99),
-        undetected=len(live_members) * len(kills) - len(detection),
-        false_positives=measured.false_positives,
-        false_positives_per_1000_member_minutes=1000 * measured.false_positives / member_minutes,
-        messages_per_member_per_period=measured.sent / schedule.members / periods,
-        probes_per_duty_per_period=measured.health_checks / duties / periods if duties else None,
-        longest_gap_of_a_duty_periods=measured.longest_gap_us / experiment.period_us if duties else None,
-        ever_isolated=len(measured.ever_isolated),
-        isolated_at_end=measured.isolated,
-        converged_after_heal_s=max(measured.converged_us) / US_PER_S if measured.converged_us else None,
-        not_converged=len(splits) - len(measured.converged_us),
+        detection_median_periods=_quantile(detection_periods, 0.5),
+        detection_p99_periods=_quantile(detection_periods, 0.99),
+        undetected=len(live_members) * len(kills) - len(detection_periods),
+        false_positives=measurements.false_positives,
+        false_positives_per_1000_member_minutes=1000 * measurements.false_positives / member_minutes,
+        messages_per_member_per_period=measurements.sent / schedule.members / periods,
+        probes_per_duty_per_period=measurements.health_checks / duties / periods if duties else None,
+        longest_gap_of_a_duty_periods=measurements.longest_gap_us / experiment.period_us if duties else None,
+        ever_isolated=len(measurements.ever_isolated),
+        isolated_at_end=measurements.isolated,
+        converged_after_heal_s=max(measurements.converged_us) / US_PER_S
+        if measurements.converged_us
+        else None,
+        not_converged=len(splits) - len(measurements.converged_us),
     )
 
 
 def _detection_periods(
-    experiment: Experiment, measured: Measurements, kills: Sequence[Fault], live_members: Sequence[int]
+    experiment: Experiment, measurements: Measurements, kills: Sequence[Fault], live_members: Sequence[int]
 ) -> list[float]:
     """Return the periods from each kill until each live member that detected it declared the victim dead."""
-    detection = []
+    detection_periods = []
     for fault in kills:
         (victim,) = fault.members
         for observer in live_members:
-            confirmed_us = measured.confirmed_us.get((observer, victim))
+            confirmed_us = measurements.confirmed_us.get((observer, victim))
             if confirmed_us is not None:
-                detection.append((confirmed_us - fault.at_us) / experiment.period_us)
-    return detection
+                detection_periods.append((confirmed_us - fault.at_us) / experiment.period_us)
+    return detection_periods
 
 
 def _quantile(values: Sequence[float], share: float) -> float | None:
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -39,11 +39,11 @@
 POLL_INTERVAL_US = int(POLL_INTERVAL_S * US_PER_S)
 READ_INTERVAL_US = int(READ_INTERVAL_S * US_PER_S)
 READ_INTERVAL_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
-TICK_INTERVAL_US = 500_000
+TICK_INTERVAL_US = 500_000  # between two runs of the routers' timers
 
 
 class Fence(NamedTuple):
-    """The latest read of the committed policy that covers a router.
+    """The latest read of the committed policy that an agent made for a router.
 
     The router must not be given an older epoch than the one read.
     """
@@ -58,10 +58,10 @@
     def __init__(self, experiment: PolicyExperiment) -> None:
         super().__init__(experiment, experiment.routers)
         self.experiment = experiment
-        self.measured = PolicyMeasurements()
+        self.measurements = PolicyMeasurements()
         self._planner = PolicyPlanner()
-        self._agent_of = {name: number % experiment.agents for number, name in enumerate(self.names)}
-        self._routers = {name: Follower(FollowerTimeouts(), 0, 0) for name in self.names}
+        self._agent_of = {name: number % experiment.agents for number, name in enumerate(self.instance_names)}
+        self._routers = {name: Follower(FollowerTimeouts(), 0, 0) for name in self.instance_names}
         self._fences: dict[str, Fence] = {}  # by router
         self._replica_epochs = dict.fromkeys(range(experiment.agents), 0)  # by agent
         self._agents_cut_off = set[int]()  # by index
@@ -74,13 +74,13 @@
             self._env.process(self._run_policy_reads(agent))
         for cut in experiment.cuts:
             self._env.process(self._cut_off_agent(cut))
-        for outage in experiment.downs:
+        for outage in experiment.router_outages:
             self._env.process(self._take_router_down(outage))
         self._env.process(self._run_router_timers())
         self._env.process(self._run_leader())
         operator = self._env.process(self._propose_changes())
         self._env.run(until=self._env.any_of([operator, self._env.timeout(experiment.duration_us)]))
-        return self.measured.metrics(self.names, experiment.rate, self._count_behind())
+        return self.measurements.metrics(self.instance_names, experiment.rate, self._count_behind())
 
     def _count_behind(self) -> int:
         """Return the number of routers that lack the last epoch and are neither cut off nor down."""
@@ -91,7 +91,7 @@
     def _routers_cut_off(self) -> set[str]:
         return {name for name, agent in self._agent_of.items() if agent in self._agents_cut_off}
 
-    def _is_delivered(self, agent: int) -> bool:
+    def _is_reply_delivered(self, agent: int) -> bool:
         """Decide at random whether this agent receives the reply to a command; never while it is cut off."""
         return agent not in self._agents_cut_off and self._random.random() >= self.experiment.loss
 
@@ -99,13 +99,13 @@
 
     def _run_policy_reads(self, agent: int) -> simpy.events.ProcessGenerator:
         names = self.instances_of(agent)
-        yield self._env.timeout(self._uniform_us(READ_INTERVAL_US))
+        yield self._env.timeout(self._random_uniform_us(READ_INTERVAL_US))
         self._env.process(self._run_router_control(agent, names))
         while True:
             sent_us = self.now_us
             running = [name for name in names if name not in self._routers_down]
-            yield self._commit()
-            if self._is_delivered(agent):
+            yield self._wait_for_commit()
+            if self._is_reply_delivered(agent):
                 read = self.control.apply(ReadPolicy(agent=agent_name(agent), instances=tuple(running)))
                 assert isinstance(read, PolicyRead), read
                 self._fences.update(dict.fromkeys(running, Fence(read.epoch, sent_us)))
@@ -129,7 +129,7 @@
     def _announce_to_routers(
         self, agent: int, names: list[str], announced: dict[str, PolicyAnnouncement]
     ) -> None:
-        """Announce the latest epoch and read to each router that lacks them, unless its fence is newer."""
+        """Announce the epoch and last read to each router that lacks them, unless its fence is newer."""
         epoch = self._replica_epochs[agent]
         for name in names:
             fence = self._fences.get(name, Fence())
@@ -143,23 +143,25 @@
                 self._env.process(self._announce(name, announcement))
 
     def _announce(self, name: str, announcement: PolicyAnnouncement) -> simpy.events.ProcessGenerator:
-        yield self._env.timeout(self._jittered_us(self.experiment.call_us))
+        yield self._env.timeout(self._random_jittered_us(self.experiment.call_us))
         router = self._routers[name]
         if (
             name not in self._routers_down
             and router.take_announcement(announcement, self.now_us) is Step.ADOPT
         ):
             router.adopted(announcement, self.now_us)
-            self.measured.record_applied(name, announcement.epoch, self.now_us)
+            self.measurements.record_applied(name, announcement.epoch, self.now_us)
 
     def _check_change(self, agent: int, name: str, change: Change) -> simpy.events.ProcessGenerator:
         """Ask a router to check a change, and submit its verdict."""
         experiment = self.experiment
-        replica_us = self._uniform_us(experiment.replica_us)
-        yield self._env.timeout(replica_us + self._jittered_us(experiment.call_us) + experiment.check_us)
+        replica_us = self._random_uniform_us(experiment.replica_us)
+        yield self._env.timeout(
+            replica_us + self._random_jittered_us(experiment.call_us) + experiment.check_us
+        )
         if name in self._routers_down:
             return
-        yield from self._commit_with_retries(agent)
+        yield from self._wait_for_commit_with_retries(agent)
         is_refused = self._random.random() < experiment.refuse / experiment.routers
         verdict = SubmitVerdict(
             agent=agent_name(agent),
@@ -169,11 +171,11 @@
         )
         self.control.apply(verdict)
 
-    def _commit_with_retries(self, agent: int) -> simpy.events.ProcessGenerator:
+    def _wait_for_commit_with_retries(self, agent: int) -> simpy.events.ProcessGenerator:
         """Wait until a command of this agent is committed and its reply is delivered."""
         while True:
-            yield self._commit()
-            if self._is_delivered(agent):
+            yield self._wait_for_commit()
+            if self._is_reply_delivered(agent):
                 return
             yield self._env.timeout(self.experiment.retry_us)
 
@@ -184,7 +186,7 @@
                 if name not in self._routers_down:
                     router.tick(self.now_us)
                     stale += router.status is PolicyStatus.STALE
-            self.measured.record_stale(stale)
+            self.measurements.record_stale(stale)
             yield self._env.timeout(TICK_INTERVAL_US)
 
     # The leader and an operator.
@@ -195,16 +197,16 @@
             command = self._planner.next_command(self.control.policy, self.control.instances, self.now_us)
             if command is None:
                 continue
-            yield self._commit()
+            yield self._wait_for_commit()
             reply = self.control.apply(command)
             if isinstance(reply, PolicyCommitted):
                 unreachable = self._routers_cut_off() | self._routers_down
-                self.measured.record_commit(reply.epoch, self.now_us, unreachable)
+                self.measurements.record_commit(reply.epoch, self.now_us, unreachable)
                 for agent in range(self.experiment.agents):
                     self._env.process(self._replicate(agent, reply.epoch))
 
     def _replicate(self, agent: int, epoch: int) -> simpy.events.ProcessGenerator:
-        yield self._env.timeout(self._uniform_us(self.experiment.replica_us))
+        yield self._env.timeout(self._random_uniform_us(self.experiment.replica_us))
         while agent in self._agents_cut_off:
             yield self._env.timeout(POLL_INTERVAL_US)
         self._replica_epochs[agent] = max(self._replica_epochs[agent], epoch)
@@ -220,7 +222,7 @@
             while policy.checking() is not None:
                 yield self._env.timeout(POLL_INTERVAL_US)
             assert policy.change is not None
-            self.measured.record_decision(policy.change.phase is Phase.COMMITTED)
+            self.measurements.record_decision(policy.change.phase is Phase.COMMITTED)
             yield self._env.timeout(self.experiment.pause_us)
         yield self._env.timeout(2 * READ_INTERVAL_US)
 
@@ -230,15 +232,15 @@
         yield self._env.timeout(cut.at_us)
         self._agents_cut_off.add(cut.index)
         names = self.instances_of(cut.index)
-        self.measured.record_unreachable(names, self.control.policy.epoch.number)
+        self.measurements.record_unreachable(names, self.control.policy.epoch.number)
         yield self._env.timeout(cut.for_us)
         self._agents_cut_off.discard(cut.index)
 
     def _take_router_down(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(outage.at_us)
-        name = self.names[outage.index]
+        name = self.instance_names[outage.index]
         self._routers_down.add(name)
-        self.measured.record_unreachable([name], self.control.policy.epoch.number)
+        self.measurements.record_unreachable([name], self.control.policy.epoch.number)
         yield self._env.timeout(outage.for_us)
         self._routers_down.discard(name)
         self._routers[name] = Follower(FollowerTimeouts(), self._routers[name].epoch, self.now_us)
--- a/maplestile/tools/model/policy_experiment.py
+++ b/maplestile/tools/model/policy_experiment.py
@@ -64,7 +64,7 @@
     retry_us: int
     refuse: float
     cuts: tuple[TimeRange, ...]
-    downs: tuple[TimeRange, ...]
+    router_outages: tuple[TimeRange, ...]
 
 
 def parse(tables: dict[str, Any]) -> PolicyExperiment:
@@ -89,7 +89,9 @@
         retry_us=microseconds_from_ms(top, "retry_ms", 500.0),
         refuse=top.number("refuse", 0.0, maximum=1.0),
         cuts=tuple(time_range_from(cut, "agent", agents) for cut in top.tables("cut", needed=False)),
-        downs=tuple(time_range_from(down, "router", routers) for down in top.tables("down", needed=False)),
+        router_outages=tuple(
+            time_range_from(down, "router", routers) for down in top.tables("down", needed=False)
+        ),
     )
     top.end()
     return experiment
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -37,7 +37,7 @@
     def __init__(self, experiment: RolloutExperiment) -> None:
         super().__init__(experiment, experiment.instances)
         self.experiment = experiment
-        self.measured = RolloutMeasurements()
+        self.measurements = RolloutMeasurements()
         self._out_of_service = set[str]()  # instances out of service for a step or an outage
         self._in_outage = set[str]()  # instances in an outage
         self._started_leases = set[int]()  # numbers of the leases whose step has started
@@ -61,7 +61,7 @@
             self._env.process(self._halt_and_resume())
         self._env.run(until=experiment.duration_us)
         assert self.control.rollout is not None
-        return self.measured.metrics(self.control.rollout, len(self.names))
+        return self.measurements.metrics(self.control.rollout, len(self.instance_names))
 
     # Agents and the leader.
 
@@ -72,7 +72,7 @@
             self._submit_next_command()
             rollout = self.control.rollout
             if rollout is not None and rollout.phase not in ACTIVE:
-                self.measured.ended_us = self.now_us
+                self.measurements.ended_us = self.now_us
                 return
             yield self._env.timeout(PLAN_INTERVAL_US)
 
@@ -91,43 +91,45 @@
             self._env.process(self._submit(command))
 
     def _submit(self, command: GrantLease | HaltRollout) -> simpy.events.ProcessGenerator:
-        yield self._commit()
+        yield self._wait_for_commit()
         self._is_command_pending = False
         is_rejected = isinstance(self.control.apply(command), Rejected)
         if isinstance(command, HaltRollout) and not is_rejected:
-            self.measured.halts += 1
+            self.measurements.halts += 1
             yield self._env.timeout(self.experiment.halt_for_us)  # until an operator resumes the rollout
             self.control.apply(ResumeRollout())
 
     def _report_health(self) -> simpy.events.ProcessGenerator:
         while True:
             if self._planner is not None:
-                reports = {name: HealthReport(name not in self._out_of_service) for name in self.names}
+                reports = {
+                    name: HealthReport(name not in self._out_of_service) for name in self.instance_names
+                }
                 self._planner.record_reports(reports, self.now_us)
             yield self._env.timeout(REPORT_INTERVAL_US)
 
     def _run_step(self, lease: Lease) -> simpy.events.ProcessGenerator:
         """Drain the lease's instance and restart it."""
         begin = BeginStep(agent=lease.holder, instance=lease.instance, lease=lease.number)
-        yield self._commit()
+        yield self._wait_for_commit()
         if isinstance(self.control.apply(begin), Rejected):
             return
-        self.measured.step_starts_us.append(self.now_us)
+        self.measurements.step_starts_us.append(self.now_us)
         self._take_out_of_service(lease.instance)
-        yield self._env.timeout(self._drain_us() + self.experiment.start_us)
+        yield self._env.timeout(self._random_drain_us() + self.experiment.start_us)
         if lease.instance not in self._in_outage:
             self._out_of_service.discard(lease.instance)
-        yield self._commit()
+        yield self._wait_for_commit()
         self.control.apply(FinishStep(agent=lease.holder, instance=lease.instance, lease=lease.number))
 
-    def _drain_us(self) -> int:
-        jitter_us = self._exponential_us(self.experiment.drain_jitter_us)
+    def _random_drain_us(self) -> int:
+        jitter_us = self._random_exponential_us(self.experiment.drain_jitter_us)
         is_stuck = self._random.random() < self.experiment.stuck
         return self.experiment.stuck_us if is_stuck else self.experiment.drain_us + jitter_us
 
     def _take_out_of_service(self, name: str) -> None:
         self._out_of_service.add(name)
-        self.measured.record_out_of_service(
+        self.measurements.record_out_of_service(
             len(self._out_of_service), len(self._out_of_service - self._in_outage)
         )
 
@@ -135,7 +137,7 @@
 
     def _play_outage(self, outage: TimeRange) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(outage.at_us)
-        name = self.names[outage.index]
+        name = self.instance_names[outage.index]
         self._in_outage.add(name)
         self._take_out_of_service(name)
         yield self._env.timeout(outage.for_us)
@@ -152,11 +154,11 @@
     def _halt_and_resume(self) -> simpy.events.ProcessGenerator:
         yield self._env.timeout(self.experiment.halt_at_us)
         sent_us = self.now_us
-        yield self._commit()
+        yield self._wait_for_commit()
         if isinstance(self.control.apply(HaltRollout(reason="by the plan")), Rejected):
             return
         yield self._env.timeout(self.experiment.halt_for_us)
-        self.measured.record_halt(sent_us)
+        self.measurements.record_halt(sent_us)
         self.control.apply(ResumeRollout())
 
 
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -59,7 +59,7 @@
     def __init__(self, experiment: Experiment) -> None:
         self.experiment = experiment
         self.schedule = experiment.schedule
-        self.measured = Measurements()
+        self.measurements = Measurements()
         self._env = simpy.Environment()
         self._random = random.Random(self.schedule.seed)
         self._tuning = _tuning(experiment)
@@ -85,7 +85,7 @@
         self._env.process(self._sample_time_series())
         self._env.run(until=self.experiment.duration_us)
         live_members = [member.number for member in self._live_members()]
-        return compute_metrics(self.experiment, self.measured, live_members)
+        return compute_metrics(self.experiment, self.measurements, live_members)
 
     def _introduce_members(self) -> None:
         """Make all members known to each other at the start, since joins are not measured."""
@@ -132,7 +132,7 @@
             return
         for target in member.checks.due(self._now_us):
             member.checks.record_result(target, True)
-            self.measured.record_check(target, self._now_us)
+            self.measurements.record_check(target, self._now_us)
 
     def _flush_output(self, member: Member) -> None:
         """Send the member's pending messages and measure its pending events."""
@@ -146,7 +146,7 @@
         swim.faults.clear()
 
     def _send(self, origin: int, target: int, message: Message) -> None:
-        self.measured.sent += 1
+        self.measurements.sent += 1
         for delay_us in self.schedule.delivery_delays_us(origin, target, self._now_us, self._random):
             arrival = self._env.timeout(delay_us)
             arrival.callbacks.append(functools.partial(self._deliver, target, message))
@@ -180,24 +180,24 @@
 
     def _measure_event(self, observer: int, event: MembershipEvent) -> None:
         if event.kind in (EventKind.ISOLATED, EventKind.HEALED):
-            self.measured.record_isolation(observer, event.kind == EventKind.ISOLATED)
+            self.measurements.record_isolation(observer, event.kind == EventKind.ISOLATED)
         elif event.kind == EventKind.CONFIRM:
             member = int(str(event.fields["member"])[1:])
-            self.measured.confirmed_us.setdefault((observer, member), self._now_us)
+            self.measurements.confirmed_us.setdefault((observer, member), self._now_us)
             if not is_excused(self.schedule, self._tuning, observer, member, self._now_us):
-                self.measured.false_positives += 1
+                self.measurements.false_positives += 1
 
     def _sample_time_series(self) -> simpy.events.ProcessGenerator:
         """Add one value per period to the time series."""
         sampled = self._members[:: max(1, len(self._members) // SAMPLED_MEMBERS)]
-        series = self.measured.series
+        series = self.measurements.series
         while True:
             yield self._env.timeout(self.experiment.period_us)
             live = [member.swim for member in sampled if not member.killed]
             series.at_s.append(self._now_us / US_PER_S)
             series.view.append(_mean([len(swim.live()) for swim in live]))
             series.suspects.append(_mean([_count(swim, Status.SUSPECT) for swim in live]))
-            series.isolated.append(self.measured.isolated)
+            series.isolated.append(self.measurements.isolated)
 
     def _measure_convergence(self, healed_us: int) -> simpy.events.ProcessGenerator:
         """Measure the time from the healing until every live member sees exactly the live members."""
@@ -205,7 +205,7 @@
             live_members = self._live_members()
             names = sorted(f"m{member.number}" for member in live_members)
             if all(member.swim.live() == names and not member.swim.isolated for member in live_members):
-                self.measured.converged_us.append(self._now_us - healed_us)
+                self.measurements.converged_us.append(self._now_us - healed_us)
                 return
             yield self._env.timeout(self.experiment.period_us // CONVERGENCE_CHECKS_PER_PERIOD)
 
@@ -226,7 +226,7 @@
 def run(experiment: Experiment) -> tuple[MembershipMetrics, TimeSeries]:
     """Run an experiment and return its metrics and its time series."""
     model = MembershipModel(experiment)
-    return model.run(), model.measured.series
+    return model.run(), model.measurements.series
 
 
 def metrics(experiment: Experiment) -> Metrics:
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -26,8 +26,8 @@
 class AnswersTwice(Core):
     """Keeps a call open after its answer."""
 
-    def __init__(self, *parts: Any) -> None:
-        super().__init__(*parts)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self.original_finish = self.requests.finish
         replace_method(self.requests, "finish", self.finish)
 
@@ -41,8 +41,8 @@
 class WithholdsFailures(Core):
     """Does not answer a failed call."""
 
-    def __init__(self, *parts: Any) -> None:
-        super().__init__(*parts)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         replace_method(self.requests, "fail", lambda call: None)
 
 
@@ -73,16 +73,17 @@
 
 
 class IgnoresDeduplicationWindow(Dispatcher):
-    """Sends an attempt with a key however late its connection is established."""
+    """Sends an attempt with a key however late its connection is established.
+
+    The deduplication window is checked only when the attempt is decided, not when it is written.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.original_send = self.router.send
         replace_method(self.router, "send", self.send)
 
-    def send(
-        self, call: Call, worker: Worker
-    ) -> None:  # the window is checked at the decision only, not when the line is written
+    def send(self, call: Call, worker: Worker) -> None:
         self.original_send(call, worker)
         actions = self.context.actions
         actions[:] = [
@@ -156,8 +157,8 @@
 class KeepsDeadlinesAtDrain(Core):
     """Leaves calls open until their deadlines instead of answering them at the process's exit time."""
 
-    def __init__(self, *parts: Any) -> None:
-        super().__init__(*parts)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         replace_method(self.intake, "end_all", lambda: None)
 
 
--- a/tests/record_explorer.py
+++ b/tests/record_explorer.py
@@ -12,7 +12,8 @@
 from tests.recording import Recorder, run
 from tests.standins import ROOT
 
-RECORDED_PROPERTIES = (  # their violations are described without identifiers of the code
+# Properties whose violations are described without identifiers from the code.
+RECORDED_PROPERTIES = (
     "unsafe-once",
     "keyed-in-scope",
     "attempt-limit",
@@ -27,7 +28,7 @@
         example = explore(CASES[case], depth=7, components=components).example
         assert example is not None
         violations = play(CASES[case], example.events, components).violations
-        replayed = "".join(f"replayed: {name}: {text}\n" for name, text in violations)
+        replayed = "".join(f"replayed: {name}: {detail}\n" for name, detail in violations)
         saved.append(example.text() + replayed)
     return "\n".join(saved)
 
