--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -36,7 +36,7 @@
     duration_us: int  # simulated
     lifeguard: bool = True  # False for plain SWIM
     period_us: int = 1_000_000  # the protocol period
-    duties: int = 0  # number of targets of shared health checks
+    health_check_targets: int = 0  # number of targets of shared health checks; 0 for no checks
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,7 +83,7 @@
         duration_us=required_time_us(top, "duration_s", MIN_DURATION_S),
         lifeguard=top.flag("lifeguard", True),
         period_us=int(top.number("period_ms", 1000, minimum=10, maximum=60_000) * US_PER_MS),
-        duties=top.whole("duties", 0, maximum=10_000),
+        health_check_targets=top.whole("duties", 0, maximum=10_000),
     )
     top.end()
     return experiment
--- a/maplestile/tools/model/membership_metrics.py
+++ b/maplestile/tools/model/membership_metrics.py
@@ -70,7 +70,9 @@
         self.ever_isolated.add(observer)
 
 
-def is_excused(schedule: Schedule, tuning: Tuning, observer: int, member: int, now_us: int) -> bool:
+def is_explained_by_fault(
+    schedule: Schedule, tuning: Tuning, observer: int, member: int, now_us: int
+) -> bool:
     """Return whether a recent fault explains that an observer declared a member dead."""
     detection_us = tuning.suspicion_us(schedule.members, 0) * tuning.local_health_max
     return any(
@@ -99,7 +101,7 @@
     detection_periods = _detection_periods(experiment, measurements, kills, live_members)
     member_minutes = schedule.members * experiment.duration_us / US_PER_MINUTE
     periods = experiment.duration_us / experiment.period_us
-    duties = experiment.duties
+    targets = experiment.health_check_targets
     return MembershipMetrics(
         members=schedule.members,
         seconds=experiment.duration_us / US_PER_S,
@@ -111,8 +113,8 @@
         false_positives=measurements.false_positives,
         false_positives_per_1000_member_minutes=1000 * measurements.false_positives / member_minutes,
         messages_per_member_per_period=measurements.sent / schedule.members / periods,
-        probes_per_duty_per_period=measurements.health_checks / duties / periods if duties else None,
-        longest_gap_of_a_duty_periods=measurements.longest_gap_us / experiment.period_us if duties else None,
+        probes_per_duty_per_period=measurements.health_checks / targets / periods if targets else None,
+        longest_gap_of_a_duty_periods=measurements.longest_gap_us / experiment.period_us if targets else None,
         ever_isolated=len(measurements.ever_isolated),
         isolated_at_end=measurements.isolated,
         converged_after_heal_s=max(measurements.converged_us) / US_PER_S
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -23,11 +23,11 @@
     Measurements,
     MembershipMetrics,
     compute_metrics,
-    is_excused,
+    is_explained_by_fault,
 )
 from maplestile.tools.model.report import Metrics, TimeSeries
 
-HOST = "model"  # host in the members' addresses, which are never connected to
+HOST = "model"  # host part of the members' addresses; nothing is sent over a real network
 MAX_INBOX_MESSAGES = 1024  # datagrams kept for a paused member; more are lost, as in a full kernel buffer
 SAMPLED_MEMBERS = 64  # approximate number of members in the time series
 CONVERGENCE_CHECKS_PER_PERIOD = 4  # after a split has healed
@@ -62,7 +62,7 @@
         self.measurements = Measurements()
         self._env = simpy.Environment()
         self._random = random.Random(self.schedule.seed)
-        self._tuning = _tuning(experiment)
+        self._tuning = _tuning_for(experiment)
         self._members = [self._create_member(number) for number in range(self.schedule.members)]
 
     @property
@@ -72,7 +72,7 @@
     def _create_member(self, number: int) -> Member:
         name = f"m{number}"
         checks = None
-        if self.experiment.duties:
+        if self.experiment.health_check_targets:
             checks = SharedHealthChecks(name, self.experiment.period_us)
         seed = self.schedule.seed * SEED_STRIDE + number
         return Member(number, Swim(name, (HOST, number), self._tuning, seed, 0, checks), checks)
@@ -92,7 +92,7 @@
         everyone: list[tuple[str, Address]] = [
             (f"m{member.number}", (HOST, member.number)) for member in self._members
         ]
-        targets = [f"duty-{number}" for number in range(self.experiment.duties)]
+        targets = [f"duty-{number}" for number in range(self.experiment.health_check_targets)]
         for member in self._members:
             member.swim.add_known(everyone)
             if member.checks is not None:
@@ -184,7 +184,7 @@
         elif event.kind == EventKind.CONFIRM:
             member = int(str(event.fields["member"])[1:])
             self.measurements.confirmed_us.setdefault((observer, member), self._now_us)
-            if not is_excused(self.schedule, self._tuning, observer, member, self._now_us):
+            if not is_explained_by_fault(self.schedule, self._tuning, observer, member, self._now_us):
                 self.measurements.false_positives += 1
 
     def _sample_time_series(self) -> simpy.events.ProcessGenerator:
@@ -196,7 +196,7 @@
             live = [member.swim for member in sampled if not member.killed]
             series.at_s.append(self._now_us / US_PER_S)
             series.view.append(_mean([len(swim.live()) for swim in live]))
-            series.suspects.append(_mean([_count(swim, Status.SUSPECT) for swim in live]))
+            series.suspects.append(_mean([_count_with_status(swim, Status.SUSPECT) for swim in live]))
             series.isolated.append(self.measurements.isolated)
 
     def _measure_convergence(self, healed_us: int) -> simpy.events.ProcessGenerator:
@@ -210,12 +210,12 @@
             yield self._env.timeout(self.experiment.period_us // CONVERGENCE_CHECKS_PER_PERIOD)
 
 
-def _tuning(experiment: Experiment) -> Tuning:
+def _tuning_for(experiment: Experiment) -> Tuning:
     tuning = replace(Tuning(), period_us=experiment.period_us, lifeguard=experiment.lifeguard)
     return replace(tuning, ack_us=min(tuning.ack_us, experiment.period_us * 2 // 5))
 
 
-def _count(swim: Swim, status: Status) -> int:
+def _count_with_status(swim: Swim, status: Status) -> int:
     return sum(1 for member in swim.members.values() if member.status is status)
 
 
