--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -83,36 +83,36 @@
     earlier = _arrivals_of(simulation, client)
     if len(earlier) >= scenario.max_attempts(client.epoch):
         simulation.record_violation("attempt-limit", f"{client.class_name}: attempt {len(earlier) + 1}")
-    earlier_run = next((arrival for arrival in earlier if arrival.may_have_run()), None)
-    if earlier_run is None:
+    possible_run = next((arrival for arrival in earlier if arrival.may_have_run()), None)
+    if possible_run is None:
         return
     match scenario.CLASSES[client.class_name].idempotency:
         case Idempotency.NOT_IDEMPOTENT:
-            workers = f"at {earlier_run.link.worker}, then at {line.link.worker}"
+            workers = f"at {possible_run.link.worker}, then at {line.link.worker}"
             simulation.record_violation("unsafe-once", workers)
         case Idempotency.WITH_KEY:
-            _check_repeat(simulation, client.class_name, earlier_run, line)
+            _check_repeat(simulation, client.class_name, possible_run, line)
 
 
-def _check_repeat(simulation: Simulation, class_name: str, first: ReceivedLine, again: ReceivedLine) -> None:
+def _check_repeat(simulation: Simulation, class_name: str, first: ReceivedLine, repeat: ReceivedLine) -> None:
     """Check that the worker that receives a repeated call with a key drops it as a duplicate."""
     call_class = scenario.CLASSES[class_name]
     age_us = simulation.now_us - first.received_us
-    if not _in_scope(simulation, call_class.deduplication_scope, first.link.worker, again.link.worker):
-        workers = f"at {first.link.worker}, then at {again.link.worker}"
+    if not _is_in_scope(simulation, call_class.deduplication_scope, first.link.worker, repeat.link.worker):
+        workers = f"at {first.link.worker}, then at {repeat.link.worker}"
         simulation.record_violation("keyed-in-scope", f"{class_name}: {workers}")
     elif age_us >= call_class.deduplication_window_us:
         simulation.record_violation("keyed-in-scope", f"{class_name}: again after {age_us / US_PER_MS:g} ms")
 
 
-def _in_scope(simulation: Simulation, scope: DeduplicationScope, first: str, second: str) -> bool:
+def _is_in_scope(simulation: Simulation, scope: DeduplicationScope, first: str, second: str) -> bool:
     """Return whether each of two workers drops repeats of calls that the other has received."""
-    one, other = int(first[1:]), int(second[1:])
+    first_number, second_number = int(first[1:]), int(second[1:])
     match scope:
         case DeduplicationScope.ZONE:
-            return simulation.case.zones[one] == simulation.case.zones[other]
+            return simulation.case.zones[first_number] == simulation.case.zones[second_number]
         case DeduplicationScope.CELL:
-            return simulation.case.cells[one] == simulation.case.cells[other]
+            return simulation.case.cells[first_number] == simulation.case.cells[second_number]
     return True
 
 
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -71,7 +71,7 @@
 
 
 class SocketReplay:
-    """One replay of an example; `dialled` holds the worker of each link, taken from the simulation."""
+    """One replay of an example; `link_workers` holds the worker of each link, taken from the simulation."""
 
     def __init__(self, example: Example, folder: Path, root: Path) -> None:
         self.example = example
@@ -87,7 +87,7 @@
         self.unlisted: set[str] = set()  # workers that are not in the router's settings file
         self.left_out: list[str] = []  # events that cannot be played on sockets
         self.refused_links = [event.numbers[0] for event in example.events if event.kind is EventKind.REFUSE]
-        self.dialled = _dialled_workers(example)
+        self.link_workers = _link_workers(example)
 
     async def run(self) -> ReplayResult:
         """Play all events and check the properties. Raises `CaseError` if an event cannot be played."""
@@ -192,8 +192,8 @@
         """
         accepts: dict[str, bool] = {}
         for event in upcoming:
-            if event.kind in (EventKind.UP, EventKind.REFUSE) and event.numbers[0] < len(self.dialled):
-                accepts.setdefault(self.dialled[event.numbers[0]], event.kind is EventKind.UP)
+            if event.kind in (EventKind.UP, EventKind.REFUSE) and event.numbers[0] < len(self.link_workers):
+                accepts.setdefault(self.link_workers[event.numbers[0]], event.kind is EventKind.UP)
         for name, worker in self.workers.items():
             await worker.set_listening(accepts.get(name, True) and name not in self.unlisted)
 
@@ -241,7 +241,7 @@
         await self.router.send_operator_request("PUT", f"/v1/runners/{worker}/resume")
 
 
-def _dialled_workers(example: Example) -> list[str]:
+def _link_workers(example: Example) -> list[str]:
     """Return the worker of each link of an example, in the order in which the links are opened."""
     simulation = Simulation(CASES[example.case], properties)
     for event in example.events:
