--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What pytest does with all tests: known failures are expected, and no test may leave a process behind."""
+"""Hooks and fixtures for all tests: mark known failures as expected, and fail tests that leave processes."""
 
 from tests.known_red import pytest_collection_modifyitems, pytest_terminal_summary
 from tests.left_processes import no_process_is_left_behind
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of agents that vote, each with routers of its own, and the fault relay between all of them."""
+"""Starts a fleet of voting agents, each with its own routers, that are connected through the fault relay."""
 
 import contextlib
 import os
@@ -29,18 +29,18 @@
     "free_ports",
     "kill_processes",
 ]
-START_PATIENCE_S = 60.0  # with the start of a dozen processes, on a busy machine
+START_PATIENCE_S = 60.0  # for a dozen processes to start on a busy machine
 
 
 class NonVoter(NamedTuple):
-    """An agent without a vote, and the port at which it takes commands."""
+    """An agent without a vote, and the port on which it accepts commands."""
 
     program: Program
     port: int
 
 
 class Fleet(FleetCommandLine):
-    """Three agents that vote, with two routers each; the relay between the voters and between the routers."""
+    """Three voting agents with two routers each, and the relay that connects the voters and the routers."""
 
     def __init__(self, test: unittest.TestCase, options: FleetOptions | None = None) -> None:
         options = options or FleetOptions()
@@ -61,25 +61,25 @@
             self.relay.send_command("udp", member=number, address=f"127.0.0.1:{port}")
         self.agents = [self.start_agent(number) for number in range(AGENTS)]
 
-    # Its processes.
+    # Processes of the fleet.
 
     def start_agent(self, number: int) -> Program:
-        """Start an agent with its routers; also anew, after it has ended."""
+        """Start an agent with its routers, for the first time or after it has ended."""
         return self._start(self.files.write_agent_file(number))
 
     def restart_agent(self, number: int) -> None:
-        """Start an agent that has ended again, and keep what it has logged before."""
+        """Restart an agent that has ended, and keep the log lines of its earlier process."""
         log = list(self.agents[number].log)
         self.agents[number] = self.start_agent(number)
         self.agents[number].log[:0] = log
 
     def start_non_voter(self) -> NonVoter:
-        """Start a fourth agent, which has no vote, with a router of its own."""
-        written = self.files.write_non_voter_files()
-        program = self._start(written.file)
+        """Start a fourth agent, which has no vote, with one router."""
+        non_voter_files = self.files.write_non_voter_files()
+        program = self._start(non_voter_files.file)
         self.agents.append(program)
-        self.agent_ports.append(written.port)
-        return NonVoter(program, written.port)
+        self.agent_ports.append(non_voter_files.port)
+        return NonVoter(program, non_voter_files.port)
 
     def _start(self, file: Path) -> Program:
         program = Program("agent", str(file))
@@ -87,18 +87,18 @@
         return program
 
     def kill_agent(self, number: int) -> None:
-        """Kill an agent alone: its routers are left behind."""
+        """Kill an agent but not its routers, which go on running."""
         self.agents[number].process.kill()
         self.agents[number].process.wait()
 
     def kill_machine(self, number: int) -> None:
-        """Kill an agent and its routers, as when the machine that they share is lost."""
+        """Kill an agent and its routers, as if the machine that they share had failed."""
         orphans = self.live_router_pids(self.agents[number])
         self.kill_agent(number)
         kill_processes(orphans)
 
     def _end(self, program: Program) -> None:
-        """End an agent with its routers, also those that an agent that was killed has left."""
+        """End an agent and its routers, including those that a killed agent left running."""
         if program.process.poll() is None:
             program.process.send_signal(signal.SIGCONT)
             program.process.terminate()
@@ -108,73 +108,79 @@
         program.kill()
 
     def live_router_pids(self, program: Program) -> list[int]:
-        """Processes that this agent has logged as started, and that still run with their router's file."""
-        found = []
+        """Return the ids of the processes that this agent has logged as started and that still run a router.
+
+        An id whose command line does not have the router's file does not count: the router has ended.
+        """
+        pids = []
         for instance, pid in started_processes(program):
             with contextlib.suppress(OSError):
                 command = Path(f"/proc/{pid}/cmdline").read_bytes().decode().split("\0")
                 if str(self.folder / f"{instance}.toml") in command:
-                    found.append(pid)
-        return found
+                    pids.append(pid)
+        return pids
 
     def routers_of_agent(self, number: int) -> list[str]:
-        """The names of an agent's routers."""
+        """Return the names of an agent's routers."""
         return self.files.routers_of_agent(number)
 
     def routers_of_agents(self, numbers: list[int]) -> list[str]:
-        """The names of the routers of several agents."""
+        """Return the names of the routers of several agents."""
         return [name for number in numbers for name in self.routers_of_agent(number)]
 
     def relay_members(self, number: int) -> list[int]:
-        """The members of the relay that are an agent and its routers: one side of a split."""
+        """Return the relay's member numbers of an agent and its routers: one side of a network partition."""
         routers = [self.names.index(name) for name in self.routers_of_agent(number)]
         return [*routers, AGENTS * ROUTERS_PER_AGENT + number]
 
-    # Whether all of it runs.
+    # Readiness of the fleet.
 
     def wait_until_ready(self) -> None:
-        """Wait for a leader, all instances known and ready, and one view of membership."""
+        """Wait for ready routers, registered instances, a leader, and a view in which all are alive."""
         numbers = range(AGENTS)
-        for condition, what in (
-            (lambda: all(self._ready(number) for number in numbers), "routers ready"),
-            (lambda: all(self._registered(number) for number in numbers), "all instances registered"),
+        for condition, description in (
+            (lambda: all(self._routers_ready(number) for number in numbers), "all routers to be ready"),
+            (
+                lambda: all(self._knows_all_instances(number) for number in numbers),
+                "all instances to be registered",
+            ),
             (lambda: self.leader() is not None, "a leader"),
-            (lambda: all(self._views_agree(number) for number in numbers), "views that agree"),
-            (lambda: all(self._alive(number) for number in numbers), "all seen alive"),
+            (lambda: all(self._views_agree(number) for number in numbers), "one view of membership"),
+            (lambda: all(self._sees_all_alive(number) for number in numbers), "all routers to be seen alive"),
         ):
-            eventually(condition, what, START_PATIENCE_S)
+            eventually(condition, description, START_PATIENCE_S)
 
     def _views_agree(self, number: int) -> bool:
-        """Whether the routers of an agent have one view of the membership."""
+        """Whether all routers of an agent have the same view of the membership."""
         return self.run(number, "members").exit_code == 0
 
-    def _ready(self, number: int) -> bool:
+    def _routers_ready(self, number: int) -> bool:
         """Whether all routers of an agent are ready."""
         return self.run(number, "ready", *self.routers_of_agent(number)).exit_code == 0
 
-    def _registered(self, number: int) -> bool:
-        """Whether an agent knows the instances of all."""
+    def _knows_all_instances(self, number: int) -> bool:
+        """Whether an agent knows the instances of all agents."""
         return len(self.status(number).get("instances", {})) == len(self.names)
 
-    def _alive(self, number: int) -> bool:
-        """Whether every router of an agent sees every router alive."""
+    def _sees_all_alive(self, number: int) -> bool:
+        """Whether every router of an agent sees every router of the fleet alive."""
         rows = [line.split("\t") for line in self.run(number, "members").output.splitlines()[1:]]
-        cells = len(self.routers_of_agent(number)) * len(self.names)
-        return sum(cell.startswith("alive") for row in rows for cell in row) == cells
+        expected_cells = len(self.routers_of_agent(number)) * len(self.names)
+        return sum(cell.startswith("alive") for row in rows for cell in row) == expected_cells
 
-    # What its processes logged.
+    # Logged events.
 
     def events(self) -> list[Json]:
-        """The events of the control plane at all agents, in order of time."""
+        """Return the control-plane events of all agents, in order of time."""
         return control_events(self.agents)
 
     def max_instances_out(self) -> int:
-        """The most instances that rollouts had out at once, by the events of all agents."""
+        """Return the highest number of instances that were out of service at once, by the agents' events."""
         return max_instances_out(self.events())
 
 
 def kill_processes(pids: list[int]) -> None:
-    """Kill these processes; one that has ended already is passed over."""
+    """Send SIGKILL to these processes, and ignore those that have already ended."""
     for pid in pids:
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
--- a/tests/fleet_events.py
+++ b/tests/fleet_events.py
@@ -1,4 +1,4 @@
-"""The events that the processes of a fleet log, and what is read from them."""
+"""Parses the events that the processes of a fleet log, and counts the instances that were out of service."""
 
 import json
 import re
@@ -9,53 +9,53 @@
 from tests.relay_process import Json
 from tests.standins import Program
 
-STARTED = re.compile(r"(\w+): started, pid (\d+)")
-ROUTER_OR_AGENT_EVENT = re.compile(r"(?:\[(\w+)\] )?(\{.*\"t_us\".*)")
+STARTED_LINE = re.compile(r"(\w+): started, pid (\d+)")
+EVENT_LINE = re.compile(r"(?:\[(\w+)\] )?(\{.*\"t_us\".*)")
 
 
 class LoggedEvent(NamedTuple):
-    """An event, and the instance or agent that logged it."""
+    """An event, and the name of the instance or agent that logged it."""
 
     source: str
     event: Json
 
 
 class StartedProcess(NamedTuple):
-    """A process that an agent has logged as started."""
+    """An instance and the id of the process that an agent started for it, according to its log."""
 
     instance: str
     pid: int
 
 
 def control_events(agents: Iterable[Program]) -> list[Json]:
-    """The events of the control plane at these agents, in order of the machine's monotonic clock."""
-    found = []
+    """Return the control-plane events of these agents, in order of the machine's monotonic clock."""
+    events = []
     for agent in agents:
         for line in list(agent.log):
             if line.startswith("{") and '"t_us"' in line:
-                found.append(json.loads(line))
-    return sorted(found, key=lambda event: event["t_us"])
+                events.append(json.loads(line))
+    return sorted(events, key=lambda event: event["t_us"])
 
 
 def events_of_all(agents: Iterable[Program], names: Iterable[str]) -> list[LoggedEvent]:
-    """The events of these names at the agents and at their instances, in order of time."""
-    found = []
+    """Return the events with these names from the agents and their instances, in order of time."""
+    logged_events = []
     for number, agent in enumerate(agents):
         for line in list(agent.log):
-            match = ROUTER_OR_AGENT_EVENT.match(line)
+            match = EVENT_LINE.match(line)
             if match is not None and (event := json.loads(match[2]))["event"] in names:
-                found.append(LoggedEvent(match[1] or f"a{number}", event))
-    return sorted(found, key=lambda logged: logged.event["t_us"])
+                logged_events.append(LoggedEvent(match[1] or f"a{number}", event))
+    return sorted(logged_events, key=lambda logged: logged.event["t_us"])
 
 
 def started_processes(agent: Program) -> list[StartedProcess]:
-    """The processes that an agent has logged as started."""
-    matches = (STARTED.search(line) for line in list(agent.log))
+    """Return the processes that an agent has logged as started."""
+    matches = (STARTED_LINE.search(line) for line in list(agent.log))
     return [StartedProcess(match[1], int(match[2])) for match in matches if match is not None]
 
 
 class OutageChange(NamedTuple):
-    """The begin (+1) or end (-1) of an instance's outage, sorted by its time."""
+    """The start (+1) or end (-1) of an instance's time out of service; sorts by time."""
 
     at_us: int
     change: int
@@ -63,16 +63,19 @@
 
 
 def max_instances_out(events: Iterable[Json]) -> int:
-    """The most instances out at once: from `begin` of a step to its `back`, or for good after a drain."""
+    """Return the highest number of instances that were out of service at once.
+
+    An instance is out from the event `begin` of its step until `back`; after a drain it stays out.
+    """
     changes = list[OutageChange]()
     for event in events:
         if event["event"] in ("begin", "take up") and event.get("action") != "start":
             changes.append(OutageChange(event["t_us"], 1, event["instance"]))
         elif event["event"] == "back":
             changes.append(OutageChange(event["t_us"], -1, event["instance"]))
-    out = Counter[str]()
-    most = 0
+    outages = Counter[str]()
+    maximum = 0
     for _, change, instance in sorted(changes):
-        out[instance] = max(0, out[instance] + change)
-        most = max(most, sum(count > 0 for count in out.values()))
-    return most
+        outages[instance] = max(0, outages[instance] + change)
+        maximum = max(maximum, sum(count > 0 for count in outages.values()))
+    return maximum
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -1,4 +1,4 @@
-"""The configuration files of a fleet: those of its agents, with and without a vote, and of their routers."""
+"""Writes the configuration files of a fleet: of its agents, with and without a vote, and of their routers."""
 
 import json
 import sys
@@ -13,11 +13,11 @@
 
 AGENTS = 3  # all of them voters
 ROUTERS_PER_AGENT = 2
-ROLLOUT_S = 60.0  # a test's patience with a rollout: six steps with faults between, on a busy machine
-NON_VOTER = AGENTS  # the number of the agent without a vote, where a test starts one
+ROLLOUT_S = 60.0  # a test's timeout for a rollout of six steps with faults between them, on a busy machine
+NON_VOTER = AGENTS  # the number of the agent without a vote, which only some tests start
 NON_VOTER_NAME = f"a{NON_VOTER}"
 NON_VOTER_ROUTER = "r6"
-CONTROL = """[agent]
+AGENT_TABLES = """[agent]
 listen = "127.0.0.1:{listen}"
 backoff_s = 0.2
 [control]
@@ -31,30 +31,30 @@
 
 @dataclass(frozen=True)
 class FleetOptions:
-    """What a test may choose of its fleet."""
+    """The options that a test may set for its fleet."""
 
-    step_s: float = ROLLOUT_S  # how long a step of a rollout may take before the rollout halts
+    step_s: float = ROLLOUT_S  # seconds that a step of a rollout may take before the rollout halts
     routers: int = AGENTS * ROUTERS_PER_AGENT
-    toy: bool = False  # whether the runner w2 is a process of the first agent, else a stand-in of the test
-    policy: str = ""  # the settings under the routers' `[policy]`; they have no such table if empty
-    older_build: str = ""  # a folder with another build of the program, which the last router runs
-    with_registry: bool = False  # whether agents have a folder, by which their successors adopt processes
+    toy: bool = False  # whether runner w2 is a process of the first agent; if not, it is a test double
+    policy: str = ""  # the settings in the routers' `[policy]` table; empty: no such table
+    older_build: str = ""  # the folder of the build that the last router runs; empty: this build
+    with_registry: bool = False  # whether agents keep a process registry, so that successors adopt processes
 
 
 @dataclass(frozen=True)
 class FleetPorts:
-    """The ports of a fleet's processes: one for each agent, or one for each router."""
+    """The ports of a fleet's processes: each list has one for each agent or one for each router."""
 
     agents: list[int]
     raft: list[int]
-    gossip: list[int]  # of the routers' UDP sockets, the same after a restart
+    gossip: list[int]  # UDP ports of the routers, which keep them after a restart
     invoke: list[int]
     operator: list[int]
     toy_runner: int
 
     @classmethod
     def allocate(cls, routers: int) -> "FleetPorts":
-        """Choose free ports for three agents and this many routers."""
+        """Choose free ports for three agents, this many routers and the toy runner."""
         ports = free_ports(2 * AGENTS + 3 * routers + 1)
         router_ports = ports[2 * AGENTS : -1]
         gossip, invoke, operator = (router_ports[first::3] for first in range(3))
@@ -63,16 +63,16 @@
 
 @dataclass(frozen=True)
 class NonVoterFiles:
-    """The file of an agent without a vote, and the port at which it takes commands."""
+    """The file of an agent without a vote, and the port on which it accepts commands."""
 
     file: Path
     port: int
 
 
 class FleetFiles:
-    """Writes a fleet's configuration files into a folder of its own.
+    """Writes a fleet's configuration files into a new temporary folder.
 
-    The members of the relay are the routers, 0 to 5, and then the agents, 6 to 8.
+    The members of the relay are the routers, with the numbers 0 to 5, and the agents, with 6 to 8.
     """
 
     def __init__(
@@ -86,12 +86,12 @@
         self.router_names = [f"r{number}" for number in range(options.routers)]
 
     def routers_of_agent(self, number: int) -> list[str]:
-        """The names of an agent's routers."""
+        """Return the names of an agent's routers."""
         first = number * ROUTERS_PER_AGENT
         return self.router_names[first : first + ROUTERS_PER_AGENT]
 
     def write_router_file(self, number: int) -> None:
-        """Write the file of a router: the operators' example with ports, peers and policy of its own."""
+        """Write a router's file: the example for operators with the router's own ports, peers and policy."""
         text = (ROOT / "deploy" / "operator.toml").read_text()
         for old, new in (
             ("127.0.0.1:8080", f"127.0.0.1:{self.ports.invoke[number]}"),
@@ -117,14 +117,14 @@
         return f'[policy]\nfolder = "{self.folder / f"policy{number}"}"\n{self.options.policy}'
 
     def write_agent_file(self, number: int) -> Path:
-        """Write the file of an agent that votes."""
+        """Write the file of a voting agent."""
         file = self.folder / f"agent{number}.toml"
         text = self._control_tables(number) + self._voter_tables(number) + self._instance_tables(number)
         file.write_text(text)
         return file
 
     def _control_tables(self, number: int) -> str:
-        text = CONTROL.format(
+        text = AGENT_TABLES.format(
             number=number,
             listen=self.ports.agents[number],
             raft=self.ports.raft[number],
@@ -136,9 +136,9 @@
         return text
 
     def _voter_tables(self, number: int) -> str:
-        """All voters; the others are reached through the relay."""
+        """Return the tables of all voters, where an agent reaches the other voters through the relay."""
         text = ""
-        first_agent = AGENTS * ROUTERS_PER_AGENT  # its number in the relay
+        first_agent = AGENTS * ROUTERS_PER_AGENT  # the member number of agent 0 at the relay
         for other in range(AGENTS):
             address = f"127.0.0.1:{self.ports.raft[other]}"
             text += f'[[voter]]\nname = "a{other}"\naddress = "{address}"\n'
@@ -148,20 +148,20 @@
         return text
 
     def _instance_tables(self, number: int) -> str:
-        """The agent's routers, and with `toy` the runner of the first agent."""
+        """Return the tables of the agent's routers; with `toy`, also that of the first agent's runner w2."""
         text = ""
         for name in self.routers_of_agent(number):
             text += f'[[instance]]\nname = "{name}"\nfile = "{name}.toml"\n'
             if self.options.older_build and name == self.router_names[-1]:
                 text += f'env = {{ PYTHONPATH = "{self.options.older_build}", PYTHONSAFEPATH = "1" }}\n'
         if self.options.toy and not number:
-            toy = [sys.executable, str(ROOT / "examples" / "toy_worker.py")]
-            command = json.dumps([*toy, "--port", str(self.runner_ports[1])])
+            toy_worker = [sys.executable, str(ROOT / "examples" / "toy_worker.py")]
+            command = json.dumps([*toy_worker, "--port", str(self.runner_ports[1])])
             text += f'[[instance]]\nname = "w2"\ncommand = {command}\n'
         return text
 
     def write_non_voter_files(self) -> NonVoterFiles:
-        """Write the files of an agent without a vote and of its router, which is like r0."""
+        """Write the files of an agent without a vote and of its router, which is configured like r0."""
         port, invoke, operator, gossip = free_ports(4)
         text = (self.folder / "r0.toml").read_text().replace('name = "r0"', f'name = "{NON_VOTER_ROUTER}"')
         for old, new in (
@@ -173,7 +173,7 @@
         text = text.replace(str(self.folder / "policy0"), str(self.folder / "policy6"))
         text = text.replace(self.relay.fronts[0], f"127.0.0.1:{gossip}", 1)
         (self.folder / f"{NON_VOTER_ROUTER}.toml").write_text(text)
-        voters = ", ".join(f'"127.0.0.1:{voter}"' for voter in self.ports.agents)
+        voters = ", ".join(f'"127.0.0.1:{agent_port}"' for agent_port in self.ports.agents)
         file = self.folder / "non-voter.toml"
         file.write_text(
             f'[agent]\nlisten = "127.0.0.1:{port}"\n'
--- a/tests/record_fronts.py
+++ b/tests/record_fronts.py
@@ -1,6 +1,8 @@
-"""Records fronts, files and lines: `python -m tests.record_fronts` writes them under `tests/recorded`.
+"""Records the program's external behaviour: `python -m tests.record_fronts` writes it to `tests/recorded`.
 
-Each recorder gives one file's text; `tests/test_recorded_fronts.py` compares it with the file."""
+Each recorder returns the text of one file: answers of the fronts, files read and written, or protocol lines.
+`tests/test_recorded_fronts.py` compares these texts with the recorded files.
+"""
 
 from tests import (
     record_agent_lines,
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -1,4 +1,4 @@
-"""What recorders share: running the command line, masking what varies, and the recorded files."""
+"""Shared code of the recorders: runs the command line, masks variable values, reads and writes recordings."""
 
 import contextlib
 import dataclasses
@@ -20,57 +20,57 @@
 
 RECORDED = ROOT / "tests" / "recorded"
 Recorder = Callable[[], str]
-COLUMNS = "100"  # argparse folds its help to the width of the terminal
+COLUMNS = "100"  # the terminal width in characters, to which argparse wraps its help
 
 
 class Mask(NamedTuple):
-    """What may vary from run to run, and what is recorded in its place."""
+    """A pattern of text that varies from run to run, and the fixed text that replaces it in recordings."""
 
     pattern: re.Pattern[str]
     replacement: str
 
 
-# Everything that may vary from run to run is masked here and nowhere else.
+# Every value that varies from run to run is masked here and nowhere else.
 MASKS: tuple[Mask, ...] = (
-    # Before the root: the interpreter of an environment may stand below it.
+    # Before the mask for ROOT, because a virtual environment with the interpreter may be below the root.
     Mask(re.compile(re.escape(sys.executable) + r"(?![\w.])"), "PYTHON"),
     Mask(re.compile(re.escape(str(ROOT))), "ROOT"),
-    Mask(re.compile(r"is not a valid \w+"), "is not a valid CLASS"),  # of an enumeration: a name of the code
+    Mask(re.compile(r"is not a valid \w+"), "is not a valid CLASS"),  # the internal name of an enum class
     Mask(re.compile(re.escape(tempfile.gettempdir()) + r"/tmp[a-z0-9_]+"), "TEMPORARY"),
     Mask(re.compile(r"127\.0\.0\.1:[1-9]\d{4}\b"), "127.0.0.1:PORT"),
     Mask(re.compile(r"\('127\.0\.0\.1', [1-9]\d{4}\)"), "('127.0.0.1', PORT)"),
 )
 
-# For the output of a real process; the answers of doubles are fixed and need none of these.
+# For the output of real processes; the answers of test doubles are fixed and need only `MASKS`.
 PROCESS_MASKS = (
     *MASKS,
     Mask(re.compile(r'"incarnation": \d+'), '"incarnation": NUMBER'),
     Mask(re.compile(r'"fenced_us": \d+'), '"fenced_us": TIME'),
     Mask(re.compile(r'"pid": \d+'), '"pid": PID'),
     Mask(re.compile(r'"for_s": [\d.]+'), '"for_s": SECONDS'),
-    # The length of a body with an incarnation and a port in it.
+    # The length of a body that contains an incarnation and a port, whose digits vary in number.
     Mask(re.compile(r'Content-Length: \d+(?=\n(?:.+\n)*\n\{"member":)'), "Content-Length: LENGTH"),
 )
 
 
 def masked(text: str, masks: Iterable[Mask] = MASKS) -> str:
-    """The text with each mask applied, in their order."""
+    """Return the text with each mask applied in order."""
     for mask in masks:
         text = mask.pattern.sub(mask.replacement, text)
     return text
 
 
 def run(*arguments: str, mask: bool = True) -> str:
-    """One use of the command line: the arguments, the exit code, and both streams."""
-    out, err = io.StringIO(), io.StringIO()
-    width = mock.patch.dict("os.environ", {"COLUMNS": COLUMNS})
-    with width, contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
+    """Run the command line, and return a transcript: the arguments, the exit code and both output streams."""
+    output, error_output = io.StringIO(), io.StringIO()
+    terminal_width = mock.patch.dict("os.environ", {"COLUMNS": COLUMNS})
+    with terminal_width, contextlib.redirect_stdout(output), contextlib.redirect_stderr(error_output):
         try:
-            code: object = main(list(arguments))
-        except SystemExit as end:
-            code = end.code
-    lines = ["$ maplestile " + " ".join(arguments), f"exit {code}"]
-    for name, stream in (("stdout", out), ("stderr", err)):
+            exit_code: object = main(list(arguments))
+        except SystemExit as error:
+            exit_code = error.code
+    lines = ["$ maplestile " + " ".join(arguments), f"exit {exit_code}"]
+    for name, stream in (("stdout", output), ("stderr", error_output)):
         if stream.getvalue():
             lines += [f"-- {name}", stream.getvalue().rstrip("\n")]
     text = "\n".join(lines) + "\n"
@@ -78,42 +78,42 @@
 
 
 def relative(path: Path) -> str:
-    """A path from the root of the repository."""
+    """Return a path relative to the root of the repository."""
     return str(path.relative_to(ROOT))
 
 
 def plain(value: object) -> Any:
-    """Any value in JSON's types.
+    """Convert a value to types that JSON can encode.
 
-    Dataclasses become lists of their values in the order of their fields, so that recordings have no names of
-    classes or attributes in them.
+    Dataclasses become lists of their values in field order, so that recordings do not depend on the names of
+    classes and attributes.
     """
     if isinstance(value, Enum):
         return plain(value.value)
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, Mapping):
-        return {str(plain(key)): plain(each) for key, each in value.items()}
+        return {str(plain(key)): plain(item) for key, item in value.items()}
     if isinstance(value, set | frozenset):
-        return sorted((plain(each) for each in value), key=str)
+        return sorted((plain(item) for item in value), key=str)
     if isinstance(value, list | tuple):
-        return [plain(each) for each in value]
+        return [plain(item) for item in value]
     if isinstance(value, bytes | memoryview):
         return bytes(value).decode("latin-1")
     if value is None or isinstance(value, str | int | float | bool):
         return value
     if isinstance(value, Path):
         return str(value)
-    raise TypeError(f"no plain form of {type(value)}")
+    raise TypeError(f"cannot convert {type(value)} to a type that JSON can encode")
 
 
 def as_json(value: object) -> str:
-    """The value as masked JSON, in plain types."""
+    """Return the value as JSON text with `MASKS` applied."""
     return masked(json.dumps(plain(value), indent=1)) + "\n"
 
 
 class FixedReplyAgent:
-    """An agent that answers each request with the same reply, and records the lines of the requests."""
+    """A fake agent that sends the same reply to every request, and records each request line."""
 
     def __init__(self, reply: object) -> None:
         self.reply = json.dumps(reply).encode() + b"\n"
@@ -141,7 +141,7 @@
 
 @contextlib.contextmanager
 def serving_agent(reply: object) -> Iterator[FixedReplyAgent]:
-    """An agent with this reply, closed at the end."""
+    """Run a fake agent with this reply until the context ends."""
     agent = FixedReplyAgent(reply)
     try:
         yield agent
@@ -150,12 +150,12 @@
 
 
 def record(recorders: Mapping[str, Recorder]) -> None:
-    """Write the files that the tests compare with."""
+    """Write the output of each recorder to its file under `tests/recorded`."""
     RECORDED.mkdir(exist_ok=True)
     for name, recorder in recorders.items():
         (RECORDED / name).write_text(recorder())
 
 
 def recorded(name: str) -> str:
-    """The text of a recorded file."""
+    """Return the text of a recorded file."""
     return (RECORDED / name).read_text()
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""What the tests of rollouts by real processes share: a fleet, the load on it, and calls that hang."""
+"""Shared code of the rollout tests with real processes: a fleet, load on it, and calls that hang."""
 
 import base64
 import contextlib
@@ -17,23 +17,25 @@
 
 CALLS_PER_SECOND = 40
 LOAD_SEED = 4
-LOAD_RESULT_S = 60.0  # patience with the load tool's report
-UNSAFE_FUNCTION = "keep-result"  # its calls may not run twice
-MIN_UNSAFE_CALLS = 10  # of a load, for its check to mean anything
+LOAD_RESULT_TIMEOUT_S = 60.0  # for the load tool to end and print its report
+UNSAFE_FUNCTION = "keep-result"  # no call of it may run twice
+MIN_UNSAFE_CALLS = 10  # fewer would make the check for calls that ran twice meaningless
 MIN_SERVED_SHARE = 0.9
-REFUSED = 503  # the HTTP status of a call that may be sent again
+REJECTED_STATUS = 503  # the HTTP status of a rejected call, which may be sent again
 
 
 class Calls:
-    """The load tool as a process, at the invoke fronts of a fleet, for so many seconds."""
+    """A process of the load tool, which sends calls to the invoke fronts of a fleet for the given seconds."""
 
     def __init__(self, fleet: Fleet, seconds: float) -> None:
         fronts = [f"127.0.0.1:{port}" for port in fleet.invoke_ports]
         functions = [f"--function={name}" for name in ("score-bangla=3", "make-cards", UNSAFE_FUNCTION)]
-        pace = [f"--rate={CALLS_PER_SECOND}", f"--seconds={seconds}", f"--seed={LOAD_SEED}"]
-        load = [sys.executable, "-m", "maplestile", "load"]
+        schedule = [f"--rate={CALLS_PER_SECOND}", f"--seconds={seconds}", f"--seed={LOAD_SEED}"]
+        command = [sys.executable, "-m", "maplestile", "load"]
         self.process = subprocess.Popen(
-            [*load, *fronts, *functions, "--tenant=shapla-tutors", *pace], stdout=subprocess.PIPE, cwd=ROOT
+            [*command, *fronts, *functions, "--tenant=shapla-tutors", *schedule],
+            stdout=subprocess.PIPE,
+            cwd=ROOT,
         )
         fleet.test.addCleanup(self._end)
 
@@ -42,15 +44,15 @@
         self.process.communicate()
 
     def result(self) -> dict[str, Any]:
-        """The report of the load tool, once it has ended."""
-        result: dict[str, Any] = json.loads(self.process.communicate(timeout=LOAD_RESULT_S)[0])
+        """Wait until the load tool ends, and return its report."""
+        result: dict[str, Any] = json.loads(self.process.communicate(timeout=LOAD_RESULT_TIMEOUT_S)[0])
         return result
 
 
 class FleetTest(unittest.TestCase):
-    """Starts a fleet before each test, and waits until all of it is ready."""
+    """Starts a fleet before each test, and waits until all its processes are ready."""
 
-    step_s = ROLLOUT_S  # no rollout halts for a slow machine before the test's patience is over
+    step_s = ROLLOUT_S  # so long that a rollout does not halt on a slow machine before the test times out
     toy = False
 
     def setUp(self) -> None:
@@ -58,20 +60,20 @@
         self.fleet.wait_until_ready()
 
     def start_rollout(self, number: int, *options: str) -> None:
-        """Start a rollout at an agent, which has to accept it."""
-        code, _, err = self.fleet.run(number, "rollout", "start", *options)
-        self.assertEqual((code, err), (0, ""))
+        """Start a rollout at an agent, and check that it is accepted."""
+        exit_code, _, error = self.fleet.run(number, "rollout", "start", *options)
+        self.assertEqual((exit_code, error), (0, ""))
 
     def assert_within_budget(self, budget: int) -> None:
-        """Check by the agents' events that some instance was out, and never more than the budget."""
+        """Check by the agents' events that instances were out of service, but never more than the budget."""
         self.assertLessEqual(self.fleet.max_instances_out(), budget)
         self.assertGreater(self.fleet.max_instances_out(), 0)
 
     def assert_no_call_lost_or_run_twice(self, result: dict[str, Any]) -> None:
-        """Check the load's result, and that no call of the unsafe function ran twice."""
+        """Check that most calls were served, all others rejected, and that no unsafe call ran twice."""
         self.assertLessEqual(set(result["ends"]), {"served", "refused"}, result)
         self.assertGreater(result["served_share"], MIN_SERVED_SHARE)
-        # A safe call may go out twice, such as when its worker is late on a busy machine; this one never.
+        # A safe call may run twice, for instance if a busy machine delays its worker; an unsafe call may not.
         ran = [
             call
             for worker in self.fleet.workers
@@ -83,47 +85,47 @@
         self.assertEqual([call for call, count in runs.items() if count > 1], [])
 
     def rollout_status(self) -> dict[str, Any]:
-        """The rollout as the first agent's replica has it; that may be a little behind its start."""
+        """Return the rollout in the first agent's replica, which may not have it yet just after the start."""
         return self.fleet.status(0).get("rollout") or {"done": []}
 
     def start_hanging_call(self, number: int) -> "HangingCall":
-        """Start a call at a router that its worker never answers, and wait until it is there."""
+        """Send a router a call that no worker answers, and wait until the call has reached a worker."""
         call = HangingCall(self.fleet.invoke_ports[number])
-        eventually(self._hanging_call_arrived, "the call that hangs")
+        eventually(self._has_hanging_call_arrived, "the hanging call to reach a worker")
         return call
 
-    def _hanging_call_arrived(self) -> bool:
+    def _has_hanging_call_arrived(self) -> bool:
         return any(b"hang" in request_body(call) for worker in self.fleet.workers for call in worker.ran)
 
     def events_named(self, name: str) -> list[dict[str, Any]]:
-        """The events of this name at all agents, in order of time."""
+        """Return the events with this name from all agents, in order of time."""
         return [event for event in self.fleet.events() if event["event"] == name]
 
     def wait_for_event(self, name: str, instance: str = "") -> None:
-        """Wait for an event, of one instance if it is named."""
+        """Wait until an event with this name is logged, for this instance if one is given."""
 
         def is_logged() -> bool:
             return any(instance in ("", event["instance"]) for event in self.events_named(name))
 
-        eventually(is_logged, f"{name} {instance}")
+        eventually(is_logged, f"the event {name} {instance}")
 
     def wait_until_no_lease(self, number: int) -> None:
-        """By the replica of that agent, which may be a little behind what it was answered."""
-        eventually(lambda: self.fleet.status(number)["leases"] == [], "no lease")
+        """Wait until the agent's replica has no lease; it may lag behind what a command answered."""
+        eventually(lambda: self.fleet.status(number)["leases"] == [], "the end of all leases")
 
 
 def request_body(call: dict[str, Any]) -> bytes:
-    """The body of a call as a worker received it."""
+    """Decode the body of a call that a worker received."""
     return base64.b64decode(call["bytes"])
 
 
 class HangingCall(threading.Thread):
-    """A call that no worker answers by its default body, and that is pending until its deadline.
+    """A call that, with the default body, no worker answers and that stays pending until its deadline.
 
-    One that is refused at once, as for lag on a busy machine, is sent again.
+    It is sent again if it is rejected early, as happens when a busy machine makes the router lag.
     """
 
-    REFUSED_WITHIN_S = 1.0
+    EARLY_REJECTION_S = 1.0  # a later rejection counts as the answer
 
     def __init__(self, port: int, body: bytes = b"hang:") -> None:
         super().__init__(daemon=True)
@@ -133,15 +135,15 @@
         self.start()
 
     def run(self) -> None:
-        """Send the call until it is answered otherwise than by an early refusal."""
+        """Send the call, and send it again after each early rejection."""
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=PATIENCE_S)
         headers = {"Maplestile-Tenant": "shapla-tutors", "Maplestile-Deadline-Ms": "5000"}
-        with contextlib.suppress(OSError, http.client.HTTPException):  # where a test kills its router
+        with contextlib.suppress(OSError, http.client.HTTPException):  # if a test kills the router
             while True:
-                called_s = time.monotonic()
+                sent_s = time.monotonic()
                 connection.request("POST", "/v1/functions/score-bangla/invocations", self.body, headers)
                 answer = connection.getresponse()
                 answer.read()
-                if answer.status != REFUSED or time.monotonic() - called_s > self.REFUSED_WITHIN_S:
+                if answer.status != REJECTED_STATUS or time.monotonic() - sent_s > self.EARLY_REJECTION_S:
                     break
             self.answered.set()
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Test doubles of what surrounds the program (workers, name server, clients), and the program itself."""
+"""Test doubles for the peers of the program (workers, name server, clients), and the program as a process."""
 
 from tests.standins.client import ITEM, REFUSED, Client, connect_idle_clients
 from tests.standins.name_server import NameServer, name_bytes, record
--- a/tests/standins/program.py
+++ b/tests/standins/program.py
@@ -1,4 +1,4 @@
-"""The program as a child process of a test."""
+"""Runs the program as a child process of a test."""
 
 import json
 import os
@@ -16,11 +16,11 @@
 from tests.standins.waiting import PATIENCE_S, eventually
 
 ROOT = Path(__file__).parents[2]
-DESCRIPTOR_LIMIT = 256  # the hard limit where a test lowers the soft one
+DESCRIPTOR_LIMIT = 256  # the hard limit on open descriptors once a test has lowered the soft limit
 
 
 class Program:
-    """The real program as a process; a thread collects its log."""
+    """A process of the real program; a thread collects the lines of its log."""
 
     def __init__(self, *arguments: str, **environment: str) -> None:
         self.log: list[str] = []
@@ -41,7 +41,7 @@
         self.log.extend(iter(self.process.stderr.readline, ""))
 
     def find(self, pattern: str) -> str:
-        """Wait for a line of the log that matches, and return the first group of the match."""
+        """Wait for a line of the log that matches the pattern, and return the first group of the match."""
 
         def first_match() -> str | None:
             matches = (re.search(pattern, line) for line in list(self.log))
@@ -50,25 +50,25 @@
         return str(eventually(first_match, f"{pattern} in {self.log}"))
 
     def port(self, front: str) -> int:
-        """Return the port on which a front listens, from the log."""
-        if front not in self.ports:  # the log may have been cleared since
+        """Return the port on which a front listens, according to the log."""
+        if front not in self.ports:  # cached, since `log` may be cleared later
             self.ports[front] = int(self.find(rf"{front} front listens on 127\.0\.0\.1:(\d+)"))
         return self.ports[front]
 
     def counters(self) -> dict[str, int]:
-        """Have the program log its counters, and return them; clears the log."""
+        """Clear `log`, have the program log its counters, and return them."""
         self.log.clear()
         self.process.send_signal(signal.SIGUSR1)
         counters: dict[str, int] = json.loads(self.find(r'^(\{"counters".*)'))["counters"]
         return counters
 
     def stop(self) -> int:
-        """Send SIGTERM, wait for the end, and return the exit code."""
+        """Send SIGTERM, wait until the process ends, and return its exit code."""
         self.process.terminate()
         return self.process.wait(PATIENCE_S)
 
     def reload(self, change: Callable[[str], str]) -> dict[str, Any]:
-        """Replace the configuration, send SIGHUP and return the program's report; clears the log."""
+        """Clear `log`, change the configuration file, send SIGHUP, and return the reported result."""
         self.log.clear()
         self.file.write_text(change(self.file.read_text()))
         self.process.send_signal(signal.SIGHUP)
@@ -76,17 +76,17 @@
         return report
 
     def terminate_and_wait(self) -> tuple[int, float]:
-        """Send SIGTERM; return the exit code, and the seconds until the end."""
+        """Send SIGTERM; return the exit code, and the seconds until the process ended."""
         started_s = time.monotonic()
         return self.stop(), time.monotonic() - started_s
 
     def forbid_new_descriptors(self) -> None:
-        """Lower the limit of open descriptors to the number of those that are open."""
+        """Lower the limit on open descriptors to the number that is open now, so that none can be added."""
         open_count = len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (open_count, DESCRIPTOR_LIMIT))
 
     def kill(self) -> None:
-        """Send SIGKILL and wait for the end."""
+        """Send SIGKILL, and wait until the process ends."""
         self.process.kill()
         self.process.wait()
         if self.process.stderr is not None:
--- a/tests/standins/router_config.py
+++ b/tests/standins/router_config.py
@@ -1,4 +1,4 @@
-"""A router's configuration in the platform's form, and a router started with it."""
+"""Builds a router's configuration in the platform's format, and starts a router with it."""
 
 import json
 import os
@@ -12,11 +12,11 @@
 
 
 def params(**changes: Any) -> dict[str, Any]:
-    """Return settings in the platform's form; made up here, nothing comes from a deployment."""
-    grade = {"aimUs": 4_000_000, "deadlineUs": 15_000_000, "keyScope": "all", "windowUs": 4_000_000}
-    kinds = {"review": "free", "deck-make": "guarded", "test-submit": "single_shot"}
+    """Return router settings in the platform's format, with invented values from no real deployment."""
+    common = {"aimUs": 4_000_000, "deadlineUs": 15_000_000, "keyScope": "all", "windowUs": 4_000_000}
+    classes = {"review": "free", "deck-make": "guarded", "test-submit": "single_shot"}
     return {
-        "grades": [grade | {"name": name, "semantics": kind} for name, kind in kinds.items()],
+        "grades": [common | {"name": name, "semantics": semantics} for name, semantics in classes.items()],
         "instances": 1,
         "granularityUs": 4000,
         "discovery": "push",
@@ -64,14 +64,17 @@
 def start_router(
     workers: list[Worker], names: NameServer, folder: str = "", port: int = 0, **changes: Any
 ) -> Program:
-    """Start a router as the platform does; with a folder of its own it has an operators' front, too."""
-    targets = [target(f"s-{n}", worker.port) for n, worker in enumerate(workers)]
-    known = {"index": 1, "updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]}
+    """Start a router as the platform does.
+
+    If `folder` is given, it is the router's temporary folder, and the router has an operators' front as well.
+    """
+    targets = [target(f"s-{number}", worker.port) for number, worker in enumerate(workers)]
+    endpoint_list = {"index": 1, "updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]}
     config = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "seed": os.urandom(8).hex(),
-        "known": known,
+        "known": endpoint_list,
         "limits": {"sockets": 256},
         "dns": f"127.0.0.1:{names.port}",
         "settings": params(**changes),
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -1,27 +1,30 @@
-"""Bounded waits for what a test expects to happen."""
+"""Waits with a timeout for a condition that a test expects to become true."""
 
 import asyncio
 import time
 from collections.abc import Callable
 from typing import Any
 
-PATIENCE_S = 20.0  # how long a test waits for an expected event; never a measure of speed
-THREAD_POLL_S = 0.01
-LOOP_POLL_S = 0.005
+PATIENCE_S = 20.0  # how long a test waits for an expected event; no requirement on speed
+THREAD_POLL_S = 0.01  # between two checks of a blocking wait
+LOOP_POLL_S = 0.005  # between two checks of a wait on the event loop
 
 
 def eventually(condition: Callable[[], Any], what: str = "it", patience_s: float = PATIENCE_S) -> Any:
-    """Call `condition` until its result is true, and return that; `AssertionError` after the time."""
+    """Call `condition` until its result is true, and return the result.
+
+    Raises `AssertionError` with the text `what` after `patience_s`.
+    """
     end_s = time.monotonic() + patience_s
     while not (result := condition()):
         if time.monotonic() > end_s:
-            raise AssertionError(f"waited in vain for {what}")
+            raise AssertionError(f"timed out waiting for {what}")
         time.sleep(THREAD_POLL_S)
     return result
 
 
 async def wait_until(condition: Callable[[], Any], timeout_s: float = PATIENCE_S) -> None:
-    """Wait on the event loop until the condition holds; `TimeoutError` after the time."""
+    """Wait on the event loop until the condition holds; raise `TimeoutError` after `timeout_s`."""
     async with asyncio.timeout(timeout_s):
         while not condition():
             await asyncio.sleep(LOOP_POLL_S)
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -1,4 +1,4 @@
-"""A fake worker: a TCP server that speaks the lines of a runner, and records what it gets."""
+"""A fake worker: a TCP server that speaks the runners' line protocol and records what it receives."""
 
 import base64
 import json
@@ -13,17 +13,17 @@
 
 
 def in_base64(data: bytes) -> str:
-    """Encode as clients and workers encode bodies and results."""
+    """Encode bytes in base64, as clients and workers encode bodies and results."""
     return base64.b64encode(data).decode()
 
 
 class Worker:
-    """Accepts connections of routers in threads of its own, and answers their messages.
+    """Accepts connections of routers, each in a thread, and answers their messages.
 
-    What it does with a call is the part of the body before the first colon: `full` rejects it, `error`
-    fails it, `hang` never answers, `die` ends as a killed process does, `long` answers `LONG_ANSWER_BYTES`,
-    and `raw` sends the rest of the body as it is, with the call's tag for `TAG`. Any other body is sent back
-    in reverse. `ran` lists the calls that were run, `lines` every message.
+    The part of a call's body before the first colon says what to do: `full` rejects the call, `error` fails
+    it, `hang` never answers, `die` closes all sockets as if the process had been killed, `long` answers with
+    `LONG_ANSWER_BYTES` bytes, and `raw` sends the rest of the body, with the call's tag in place of `TAG`.
+    Any other body is sent back reversed. `ran` lists the calls that were run, `lines` all messages.
     """
 
     def __init__(self) -> None:
@@ -32,17 +32,17 @@
         self.ran: list[dict[str, Any]] = []
         self.lines: list[dict[str, Any]] = []
         self.open: list[socket.socket] = []
-        self._may_read = threading.Event()
-        self._may_read.set()
+        self._reading_allowed = threading.Event()
+        self._reading_allowed.set()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def pause(self) -> None:
-        """Handle no further line, and read nothing from the next read on."""
-        self._may_read.clear()
+        """Stop handling lines, and stop reading once the reads in progress have returned."""
+        self._reading_allowed.clear()
 
     def resume(self) -> None:
-        """Read on after a pause."""
-        self._may_read.set()
+        """Handle and read lines again after `pause`."""
+        self._reading_allowed.set()
 
     def _accept(self) -> None:
         while True:
@@ -56,7 +56,7 @@
     def _serve(self, peer: socket.socket) -> None:
         try:
             for line in self._read_lines(peer):
-                self._may_read.wait()
+                self._reading_allowed.wait()
                 message = json.loads(line)
                 self.lines.append(message)
                 answer = self._answer(message)
@@ -68,21 +68,21 @@
             return
 
     def _read_lines(self, peer: socket.socket) -> Iterator[bytes]:
-        """Yield the whole lines of a connection, up to its end."""
-        parts = list[bytes]()  # of a line that is not whole yet
+        """Yield each complete line of a connection until the connection ends."""
+        parts = list[bytes]()  # of a line that is not complete yet
         while True:
-            self._may_read.wait()
+            self._reading_allowed.wait()
             data = self._receive(peer)
             if not data:
                 return
-            *line_ends, rest = data.split(b"\n")
-            for line_end in line_ends:
-                yield b"".join((*parts, line_end))
+            *line_tails, rest = data.split(b"\n")
+            for line_tail in line_tails:
+                yield b"".join((*parts, line_tail))
                 parts.clear()
             parts.append(rest)
 
     def _receive(self, peer: socket.socket) -> bytes:
-        """Return the next bytes of a connection, none at its end."""
+        """Return the next bytes of a connection, empty at its end."""
         return peer.recv(READ_BYTES)
 
     def _answer(self, message: dict[str, Any]) -> dict[str, Any] | bytes | None:
@@ -110,7 +110,7 @@
         return {"kind": 200, "head": {"ahead": "1"}, "bytes": in_base64(body[::-1])}
 
     def die(self) -> None:
-        """Leave what a killed process leaves: no listener, and its connections reset."""
+        """Close the listener and reset all connections, as the system does when a process is killed."""
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         for peer in self.open:
@@ -120,24 +120,25 @@
 
 
 class HoldingWorker(Worker):
-    """Holds each connection before its handshake, until `accept_connections` is called."""
+    """A worker that lets no TCP handshake complete until `accept_connections` is called."""
 
     def __init__(self) -> None:
-        self._may_accept = threading.Event()
+        self._accepting_allowed = threading.Event()
         super().__init__()
 
     def accept_connections(self) -> None:
-        """Let the handshakes of the connections that wait go on."""
-        self._may_accept.set()
-        self._queued.close()
+        """Let the waiting connections complete their handshakes."""
+        self._accepting_allowed.set()
+        self._queue_filler.close()
 
     def _accept(self) -> None:
         self.listener.listen(0)
-        self._queued = socket.create_connection(("127.0.0.1", self.port))  # the queue is full with this one
-        self._may_accept.wait()
+        # This connection fills the accept queue, which has a backlog of 0.
+        self._queue_filler = socket.create_connection(("127.0.0.1", self.port))
+        self._accepting_allowed.wait()
         super()._accept()
 
 
 def call_lines(*workers: Worker) -> list[dict[str, Any]]:
-    """Return the calls that the workers received, run or not."""
+    """Return the call messages that the workers received, including those of calls that were not run."""
     return [line for worker in workers for line in list(worker.lines) if line["kind"] == "CALL"]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail are expected to, and printed; all other failures count."""
+"""Tests of the list of known failures: listed tests must fail and are printed; any other failure counts."""
 
 import subprocess
 import sys
@@ -9,45 +9,47 @@
 
 from tests.standins import ROOT
 
-RED = "test_a.py::test_fails | it is broken | Issue nine"
-TESTS = "def test_fails():\n    assert False\n\ndef test_passes():\n    pass\n"
+LISTED_FAILURE = "test_a.py::test_fails | it is broken | Issue nine"
+TEST_FILE = "def test_fails():\n    assert False\n\ndef test_passes():\n    pass\n"
 
 
 class PytestRun(NamedTuple):
-    """The exit code of pytest, and its output on both streams."""
+    """The exit code of pytest, and its standard output followed by its standard error."""
 
     exit_code: int
     output: str
 
 
 def run_pytest(folder: Path, lines: list[str]) -> PytestRun:
-    """Run pytest with a test that fails, one that passes, and these lines as known failures."""
+    """Run pytest on one test that fails and one that passes, with these lines in `KNOWN-RED.txt`."""
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "conftest.py").write_text((ROOT / "tests" / "known_red.py").read_text())
-    (folder / "test_a.py").write_text(TESTS)
+    (folder / "test_a.py").write_text(TEST_FILE)
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    found = subprocess.run(command, cwd=folder, text=True, capture_output=True)
-    return PytestRun(found.returncode, found.stdout + found.stderr)
+    finished = subprocess.run(command, cwd=folder, text=True, capture_output=True)
+    return PytestRun(finished.returncode, finished.stdout + finished.stderr)
 
 
-def test_known_failure_is_expected_and_printed(tmp_path: Path) -> None:
-    code, output = run_pytest(tmp_path, [RED])
+def test_listed_failure_is_expected_and_printed(tmp_path: Path) -> None:
+    code, output = run_pytest(tmp_path, [LISTED_FAILURE])
     assert code == 0 and "1 passed, 1 xfailed" in output
     assert "known red: test_a.py::test_fails: it is broken (Issue nine)" in output
 
 
 @pytest.mark.parametrize(
-    ("lines", "why"),
+    ("lines", "expected_output"),
     [
         ([], "1 failed"),
-        ([RED, "test_a.py::test_passes | mended | Issue nine"], "XPASS(strict)"),
-        ([RED] * 4, "4 lines, 3 at most"),
-        (["test_a.py::test_gone | x | y"], "no test test_a.py::test_gone"),
-        (["test_gone.py::test_fails | x | y"], "no test test_gone.py::test_fails"),
-        (["test_a.py::test_fails | x"], "line 1: must be test | cause | issue"),
+        ([LISTED_FAILURE, "test_a.py::test_passes | fixed | Issue nine"], "XPASS(strict)"),
+        ([LISTED_FAILURE] * 4, "4 entries, at most 3 are allowed"),
+        (["test_a.py::test_gone | x | y"], "test test_a.py::test_gone does not exist"),
+        (["test_gone.py::test_fails | x | y"], "test test_gone.py::test_fails does not exist"),
+        (["test_a.py::test_fails | x"], "entry 1: expected test | cause | issue"),
     ],
 )
-def test_everything_else_fails_the_run(tmp_path: Path, lines: list[str], why: str) -> None:
+def test_unlisted_failure_or_bad_entry_fails_run(
+    tmp_path: Path, lines: list[str], expected_output: str
+) -> None:
     code, output = run_pytest(tmp_path, lines)
-    assert code != 0 and why in output
+    assert code != 0 and expected_output in output
--- a/tests/test_recorded_fronts.py
+++ b/tests/test_recorded_fronts.py
@@ -1,4 +1,4 @@
-"""The fronts, files and lines are as recorded: statuses, headers, bodies, values read, and errors."""
+"""Compares fronts, files and protocol lines with recordings: statuses, headers, bodies, values, errors."""
 
 import pytest
 
@@ -8,6 +8,6 @@
 
 
 @pytest.mark.parametrize("name", RECORDERS)
-def test_the_fronts_files_and_lines_are_as_recorded(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_output_equals_recorded_file(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(ROOT)
     assert RECORDERS[name]() == recorded(name)
