--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Hooks and fixtures for all tests: mark known failures as expected, and fail tests that leave processes."""
+"""Hooks and fixtures of all tests: expect known failures, and fail tests that leave processes behind."""
 
 from tests.known_red import pytest_collection_modifyitems, pytest_terminal_summary
 from tests.left_processes import no_process_is_left_behind
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -110,7 +110,7 @@
     def live_router_pids(self, program: Program) -> list[int]:
         """Return the ids of the processes that this agent has logged as started and that still run a router.
 
-        An id whose command line does not have the router's file does not count: the router has ended.
+        A process counts only while its command line names the router's file.
         """
         pids = []
         for instance, pid in started_processes(program):
--- a/tests/fleet_events.py
+++ b/tests/fleet_events.py
@@ -65,7 +65,8 @@
 def max_instances_out(events: Iterable[Json]) -> int:
     """Return the highest number of instances that were out of service at once.
 
-    An instance is out from the event `begin` of its step until `back`; after a drain it stays out.
+    An instance is out from the event `begin` or `take up` of its step until the event `back`, and for good
+    after a drain.
     """
     changes = list[OutageChange]()
     for event in events:
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -34,7 +34,7 @@
     """The options that a test may set for its fleet."""
 
     step_s: float = ROLLOUT_S  # seconds that a step of a rollout may take before the rollout halts
-    routers: int = AGENTS * ROUTERS_PER_AGENT
+    routers: int = AGENTS * ROUTERS_PER_AGENT  # the number of routers of all agents together
     toy: bool = False  # whether runner w2 is a process of the first agent; if not, it is a test double
     policy: str = ""  # the settings in the routers' `[policy]` table; empty: no such table
     older_build: str = ""  # the folder of the build that the last router runs; empty: this build
@@ -45,12 +45,12 @@
 class FleetPorts:
     """The ports of a fleet's processes: each list has one for each agent or one for each router."""
 
-    agents: list[int]
-    raft: list[int]
+    agents: list[int]  # for commands to the agents
+    raft: list[int]  # for the messages between the voters
     gossip: list[int]  # UDP ports of the routers, which keep them after a restart
-    invoke: list[int]
-    operator: list[int]
-    toy_runner: int
+    invoke: list[int]  # of the routers' invoke fronts
+    operator: list[int]  # of the routers' operator fronts
+    toy_runner: int  # of runner w2, if it is a process of the first agent
 
     @classmethod
     def allocate(cls, routers: int) -> "FleetPorts":
--- a/tests/free_ports.py
+++ b/tests/free_ports.py
@@ -4,9 +4,9 @@
 import random
 import socket
 
-FIRST_PORT = 12_000  # all ranges are below the ports that the system assigns to connections
+FIRST_PORT = 12_000  # all ranges are below the ephemeral ports, which the system assigns to connections
 PORTS_PER_PROCESS = 1_000
-MAX_TEST_PROCESSES = 18
+MAX_TEST_PROCESSES = 18  # with more pytest processes, some share a range
 
 
 def ports_of_this_process() -> range:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -44,11 +44,11 @@
     """Mark the tests that are known to fail; raise `pytest.UsageError` if one of them does not exist."""
     failures = config.stash[KNOWN_FAILURES] = read_known_failures(config.rootpath)
     files = {item.nodeid.partition("::")[0] for item in items}
-    is_selection = bool(config.option.keyword) or any("::" in chosen for chosen in config.args)
+    is_partial_run = bool(config.option.keyword) or any("::" in chosen for chosen in config.args)
     for failure in failures:
         matches = [item for item in items if item.nodeid == failure.test]
         file = failure.test.partition("::")[0]
-        if not matches and ((file in files and not is_selection) or not (config.rootpath / file).exists()):
+        if not matches and ((file in files and not is_partial_run) or not (config.rootpath / file).exists()):
             raise pytest.UsageError(f"{FILE_NAME}: test {failure.test} does not exist")
         for item in matches:
             item.add_marker(
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -32,7 +32,7 @@
 
 # Every value that varies from run to run is masked here and nowhere else.
 MASKS: tuple[Mask, ...] = (
-    # Before the mask for ROOT, because a virtual environment with the interpreter may be below the root.
+    # Before the mask for ROOT, because the virtual environment of the interpreter may be below the root.
     Mask(re.compile(re.escape(sys.executable) + r"(?![\w.])"), "PYTHON"),
     Mask(re.compile(re.escape(str(ROOT))), "ROOT"),
     Mask(re.compile(r"is not a valid \w+"), "is not a valid CLASS"),  # the internal name of an enum class
@@ -48,7 +48,7 @@
     Mask(re.compile(r'"fenced_us": \d+'), '"fenced_us": TIME'),
     Mask(re.compile(r'"pid": \d+'), '"pid": PID'),
     Mask(re.compile(r'"for_s": [\d.]+'), '"for_s": SECONDS'),
-    # The length of a body that contains an incarnation and a port, whose digits vary in number.
+    # The length of a body varies with the number of digits of the incarnation and the port in it.
     Mask(re.compile(r'Content-Length: \d+(?=\n(?:.+\n)*\n\{"member":)'), "Content-Length: LENGTH"),
 )
 
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -25,7 +25,7 @@
 
 
 class Calls:
-    """A process of the load tool, which sends calls to the invoke fronts of a fleet for the given seconds."""
+    """A process of the load tool, which calls a fleet's invoke fronts for the given number of seconds."""
 
     def __init__(self, fleet: Fleet, seconds: float) -> None:
         fronts = [f"127.0.0.1:{port}" for port in fleet.invoke_ports]
@@ -65,7 +65,7 @@
         self.assertEqual((exit_code, error), (0, ""))
 
     def assert_within_budget(self, budget: int) -> None:
-        """Check by the agents' events that instances were out of service, but never more than the budget."""
+        """Check by the agents' events that instances were out of service, at most `budget` at once."""
         self.assertLessEqual(self.fleet.max_instances_out(), budget)
         self.assertGreater(self.fleet.max_instances_out(), 0)
 
@@ -120,9 +120,9 @@
 
 
 class HangingCall(threading.Thread):
-    """A call that, with the default body, no worker answers and that stays pending until its deadline.
+    """A thread that makes a call; with the default body, no worker answers it before its deadline.
 
-    It is sent again if it is rejected early, as happens when a busy machine makes the router lag.
+    The call is sent again if it is rejected early, as happens when a busy machine makes the router lag.
     """
 
     EARLY_REJECTION_S = 1.0  # a later rejection counts as the answer
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -29,8 +29,8 @@
         """Send a request, and return its id."""
         self.id += 1
         body = {"jsonrpc": "2.0", "id": id_ or self.id, "method": method, "params": params or {}}
-        text = json.dumps(body).encode()
-        self._unsent_bytes += b"Content-Length: %d\r\n\r\n%b" % (len(text), text)
+        content = json.dumps(body).encode()
+        self._unsent_bytes += b"Content-Length: %d\r\n\r\n%b" % (len(content), content)
         if not self._is_buffering:
             self.flush()
         return id_ or self.id
@@ -64,7 +64,7 @@
         return self.send(class_name, defaults | params)
 
     def call_until_served(self, class_name: str, body: bytes, **params: Any) -> dict[str, Any]:
-        """Send a call, again after each rejection (as for lag on a busy machine), and return its response."""
+        """Send a call, again while it is rejected (as for lag on a busy machine), and return its response."""
 
         def try_call() -> dict[str, Any] | None:
             self.call(class_name, body, **params)
@@ -76,9 +76,9 @@
         return answer
 
     def call_until_sent(self, program: Program, class_name: str, body: bytes, **params: Any) -> int:
-        """Send a call, again after each rejection (as for lag on a busy machine), until a worker is sent it.
+        """Send a call, wait until the program has sent it to a worker, and return its id.
 
-        Returns the id of the call.
+        A call that is rejected, as for lag on a busy machine, is repeated with a new id.
         """
 
         def try_call() -> int | None:
--- a/tests/standins/name_server.py
+++ b/tests/standins/name_server.py
@@ -1,4 +1,4 @@
-"""A fake DNS server that answers with the list of workers, and the encoding of its records."""
+"""A fake DNS server that answers with the list of workers, and functions that encode its records."""
 
 import socket
 import struct
@@ -21,9 +21,9 @@
     return b"".join(bytes([len(label)]) + label.encode() for label in name.split(".")) + b"\0"
 
 
-def record(name: bytes, kind: int, data: bytes) -> bytes:
+def record(name: bytes, record_type: int, data: bytes) -> bytes:
     """Encode a resource record of class IN with a TTL of 0, which forbids caching."""
-    return name + struct.pack("!HHIH", kind, 1, 0, len(data)) + data
+    return name + struct.pack("!HHIH", record_type, 1, 0, len(data)) + data
 
 
 class NameServer:
--- a/tests/standins/program.py
+++ b/tests/standins/program.py
@@ -51,7 +51,7 @@
 
     def port(self, front: str) -> int:
         """Return the port on which a front listens, according to the log."""
-        if front not in self.ports:  # cached, since `log` may be cleared later
+        if front not in self.ports:  # kept, since `log` may be cleared later
             self.ports[front] = int(self.find(rf"{front} front listens on 127\.0\.0\.1:(\d+)"))
         return self.ports[front]
 
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-PATIENCE_S = 20.0  # how long a test waits for an expected event; no requirement on speed
+PATIENCE_S = 20.0  # how long a test waits for an expected event; not a requirement on the program's speed
 THREAD_POLL_S = 0.01  # between two checks of a blocking wait
 LOOP_POLL_S = 0.005  # between two checks of a wait on the event loop
 
@@ -13,7 +13,7 @@
 def eventually(condition: Callable[[], Any], what: str = "it", patience_s: float = PATIENCE_S) -> Any:
     """Call `condition` until its result is true, and return the result.
 
-    Raises `AssertionError` with the text `what` after `patience_s`.
+    Raises `AssertionError`, which names `what`, if this takes longer than `patience_s`.
     """
     end_s = time.monotonic() + patience_s
     while not (result := condition()):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of known failures: listed tests must fail and are printed; any other failure counts."""
+"""Tests of the list of known failures: listed tests must fail and are printed; others must pass."""
 
 import subprocess
 import sys
@@ -32,8 +32,8 @@
 
 
 def test_listed_failure_is_expected_and_printed(tmp_path: Path) -> None:
-    code, output = run_pytest(tmp_path, [LISTED_FAILURE])
-    assert code == 0 and "1 passed, 1 xfailed" in output
+    exit_code, output = run_pytest(tmp_path, [LISTED_FAILURE])
+    assert exit_code == 0 and "1 passed, 1 xfailed" in output
     assert "known red: test_a.py::test_fails: it is broken (Issue nine)" in output
 
 
@@ -51,5 +51,5 @@
 def test_unlisted_failure_or_bad_entry_fails_run(
     tmp_path: Path, lines: list[str], expected_output: str
 ) -> None:
-    code, output = run_pytest(tmp_path, lines)
-    assert code != 0 and expected_output in output
+    exit_code, output = run_pytest(tmp_path, lines)
+    assert exit_code != 0 and expected_output in output
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -43,9 +43,9 @@
 
 
 def imported_modules(file: Path, with_type_checking: bool = True) -> Iterator[str]:
-    """Yield the project's modules that a file imports, also inside functions.
+    """Yield the project's modules that a file imports, including imports inside functions.
 
-    Imports in `if TYPE_CHECKING:` blocks count only with `with_type_checking`.
+    Imports in `if TYPE_CHECKING:` blocks are left out unless `with_type_checking` is true.
     """
     tree = ast.parse(file.read_text())
     skippable = {inner for node in ast.walk(tree) if is_type_checking_block(node) for inner in ast.walk(node)}
