--- a/tests/fleet_command_line.py
+++ b/tests/fleet_command_line.py
@@ -62,7 +62,7 @@
         return int(self.command(agent_of(router), "status", router).answer["instances"][router]["pid"])
 
     def status(self, number: int) -> Json:
-        """Return this agent's answer to `rollout status`; {} if it has none."""
+        """Return the `rollout` object of this agent's answer to `rollout status`; {} if it cannot tell."""
         status: Json = self.command(number, "rollout", "status").answer.get("rollout", {})
         return status
 
--- a/tests/recording.py
+++ b/tests/recording.py
@@ -63,8 +63,8 @@
 def run(*arguments: str, mask: bool = True) -> str:
     """Run the command line, and return a transcript: the arguments, the exit code and both output streams."""
     output, error_output = io.StringIO(), io.StringIO()
-    terminal_width = mock.patch.dict("os.environ", {"COLUMNS": COLUMNS})
-    with terminal_width, contextlib.redirect_stdout(output), contextlib.redirect_stderr(error_output):
+    width_patch = mock.patch.dict("os.environ", {"COLUMNS": COLUMNS})
+    with width_patch, contextlib.redirect_stdout(output), contextlib.redirect_stderr(error_output):
         try:
             exit_code: object = main(list(arguments))
         except SystemExit as error:
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -85,7 +85,10 @@
         self.assertEqual([call for call, count in runs.items() if count > 1], [])
 
     def rollout_status(self) -> dict[str, Any]:
-        """Return the rollout in the first agent's replica, which may not have it yet just after the start."""
+        """Return the rollout as the first agent's replica has it, or one with nothing done if there is none.
+
+        The replica may lag a little behind the start of a rollout.
+        """
         return self.fleet.status(0).get("rollout") or {"done": []}
 
     def start_hanging_call(self, number: int) -> "HangingCall":
