--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -136,7 +136,11 @@
     # Readiness of the fleet.
 
     def wait_until_ready(self) -> None:
-        """Wait for ready routers, registered instances, a leader, and a view in which all are alive."""
+        """Wait until the fleet is ready.
+
+        Then all routers are ready, all instances registered and a leader elected, and all routers have the
+        same view of the membership, in which every router is alive.
+        """
         numbers = range(AGENTS)
         for condition, description in (
             (lambda: all(self._routers_ready(number) for number in numbers), "all routers to be ready"),
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -37,7 +37,7 @@
     routers: int = AGENTS * ROUTERS_PER_AGENT  # the number of routers of all agents together
     toy: bool = False  # whether runner w2 is a process of the first agent; if not, it is a test double
     policy: str = ""  # the settings in the routers' `[policy]` table; empty: no such table
-    older_build: str = ""  # the folder of the build that the last router runs; empty: this build
+    older_build: str = ""  # the folder of another build, for the last router; empty: it runs this build
     with_registry: bool = False  # whether agents keep a process registry, so that successors adopt processes
 
 
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -64,7 +64,10 @@
         return self.send(class_name, defaults | params)
 
     def call_until_served(self, class_name: str, body: bytes, **params: Any) -> dict[str, Any]:
-        """Send a call, again while it is rejected (as for lag on a busy machine), and return its response."""
+        """Send a call, again after each rejection, and return the response.
+
+        A router that lags on a busy machine rejects calls.
+        """
 
         def try_call() -> dict[str, Any] | None:
             self.call(class_name, body, **params)
@@ -78,7 +81,7 @@
     def call_until_sent(self, program: Program, class_name: str, body: bytes, **params: Any) -> int:
         """Send a call, wait until the program has sent it to a worker, and return its id.
 
-        A call that is rejected, as for lag on a busy machine, is repeated with a new id.
+        A call that is rejected, as by a router that lags on a busy machine, is sent again with a new id.
         """
 
         def try_call() -> int | None:
