--- a/maplestile/common/errors.py
+++ b/maplestile/common/errors.py
@@ -2,4 +2,4 @@
 
 
 class CommandRejected(Exception):
-    """A command that the replicated state does not accept; the text is the reason, for its issuer."""
+    """Raised when the replicated state rejects a command; the message is the reason, for its sender."""
