--- a/maplestile/net/answer_writer.py
+++ b/maplestile/net/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writes answers to clients, within limits on what they leave unread."""
+"""Writes answers to clients, and limits how many bytes of answers they may leave unread."""
 
 import logging
 
@@ -9,15 +9,15 @@
 
 
 class AnswerWriter:
-    """Bounds the memory of unread answers, for each client and for all of them together."""
+    """The writer of answers to all clients; it limits unread answers, per client and for all together."""
 
     def __init__(self, table: ClientTable) -> None:
         self.table = table
 
     def write(self, client: Client, data: bytes) -> None:
-        """Write an answer; a client over a limit is disconnected."""
+        """Write an answer; disconnect a client if a limit on unread answers is exceeded."""
         transport = client.writer.transport
-        if transport.is_closing() or client.write_closed:  # nobody is left to be answered
+        if transport.is_closing() or client.write_closed:  # no answer can be sent any more
             client.all_answered.set()
             return
         table = self.table
@@ -29,15 +29,15 @@
         if unsent > table.limits.clients.unread_bytes:
             self._disconnect(client)
         elif unsent and table.unsent_bytes() > table.limits.clients.all_unread_bytes:
-            self._disconnect(self._longest_unread(now_us))
+            self._disconnect(self._longest_blocked_client(now_us))
 
-    def _longest_unread(self, now_us: int) -> Client:
-        """Return the client that has read nothing for the longest time, however much others leave unread."""
+    def _longest_blocked_client(self, now_us: int) -> Client:
+        """Return the client that has read nothing for the longest time, regardless of its unread bytes."""
         blocked = (client for client in self.table.clients if client.unsent_bytes(now_us))
         return min(blocked, key=lambda client: client.unread_since_us)
 
     def _disconnect(self, client: Client) -> None:
         self.table.counters["clients.too_slow"] += 1
-        log.warning("client: reads too slowly; connection closed")
+        log.warning("platform client: reads its answers too slowly; closing the connection")
         client.writer.transport.abort()
         client.all_answered.set()
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -1,7 +1,7 @@
-"""The driver of a router's part in the fleet's policy: its record on disk, its configuration, its events.
+"""Lets a router follow the fleet's agreed policy: stores the adopted epoch, applies it, and logs events.
 
-The decisions are made by `control.policy.follower.Follower`. What the agent sends comes by the operators'
-front (`operation.policy.PolicyOperations`), which decodes it.
+`control.policy.follower.Follower` makes the decisions. The agent's messages arrive at the operators' front,
+where `operation.policy.PolicyOperations` decodes them.
 """
 
 import asyncio
@@ -21,106 +21,114 @@
 from maplestile.operation.policy import PolicyCheck, PolicyMetrics, PolicyReport
 from maplestile.requests.core import AttemptId
 from maplestile.router.config import Config
-from maplestile.router.policy_configuration import Build, PolicyConfiguration
-from maplestile.router.policy_jobs import RunJob, at_once
+from maplestile.router.policy_configuration import ConfigBuilder, PolicyConfiguration
+from maplestile.router.policy_jobs import RunJob, run_inline
 
 log = logging.getLogger("maplestile.policy")
-TICK_INTERVAL_S = 0.1
+TICK_INTERVAL_S = 0.1  # between two updates of the status
 US_PER_S = 1e6
 
-Reply = Callable[[PolicyReport], None]
+Reply = Callable[[PolicyReport], None]  # sends the report as the reply to an announcement
 
 
 def monotonic_us() -> int:
-    """Return the machine's monotonic clock, which a router shares with its agent, in microseconds."""
+    """Return the monotonic time of the machine, which the router and its agent share, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class PolicyDriver:
-    """Follows the fleet's policy on behalf of one router.
+    """The driver that follows the fleet's policy for one router.
 
-    The router sets `counters`, `calls_by_epoch`, `put_in_force` and `run_job` once it is composed.
+    `attach_policy` and `start_policy` set `counters`, `calls_by_epoch`, `apply_config` and `run_job` once the
+    router's components exist.
     """
 
-    def __init__(self, settings: PolicySettings, tables: Tables, build: Build) -> None:
-        """Raises PolicyError where the file's own policy is invalid."""
+    def __init__(self, settings: PolicySettings, tables: Tables, build: ConfigBuilder) -> None:
+        """Read the adopted policy from disk. Raises PolicyError if the file's own policy is invalid."""
         self.settings = settings
         self.configuration = PolicyConfiguration(tables, build)
         self.events = logs.events("policy")
         self.counters: Counter[str] = Counter()
-        self.put_in_force: Callable[[Config], None] = lambda _config: None
+        self.apply_config: Callable[[Config], None] = lambda _config: None
         self.calls_by_epoch: dict[int, Counter[str]] = {}
-        self.run_job: RunJob = at_once
-        self.writing = False  # a record is being written
-        self.logged_refusal = (NO_EPOCH, "")
-        record = store.read(settings.folder)
-        self.document = None if record is None else record.document
-        recorded_epoch = NO_EPOCH if record is None else record.epoch
-        self.follower = Follower(settings.timeouts, recorded_epoch, monotonic_us())
-        self.logged_status = PolicyStatus.WAITING
-        self.configured = False
+        self.run_job: RunJob = run_inline
+        self.is_writing = False  # an adopted policy is being written to disk
+        self.last_logged_refusal = (NO_EPOCH, "")  # epoch and reason
+        stored = store.read(settings.folder)
+        self.document = None if stored is None else stored.document  # None for the file's own policy
+        stored_epoch = NO_EPOCH if stored is None else stored.epoch
+        self.follower = Follower(settings.timeouts, stored_epoch, monotonic_us())
+        self.last_logged_status = PolicyStatus.WAITING
+        self.has_built_config = False  # `build_config` has been called
 
     @property
     def epoch(self) -> int:
-        """The epoch in force; 0 where none is on record."""
+        """The adopted epoch; 0 if none is stored."""
         return max(0, self.follower.epoch)
 
     # The configuration.
 
-    def configure(self, tables: Tables) -> Config:
-        """Return the file's configuration with the policy in force in place of its own.
+    def build_config(self, tables: Tables) -> Config:
+        """Return the configuration of the file, with the adopted policy in place of the file's own.
 
-        Called at the start, and at each reload. Raises ConfigError, and then changes nothing.
+        Called at the start and at each reload. If it raises ConfigError, nothing has changed.
         """
-        if not self.configured:
-            self.configured = True
-            return self._first_configuration()
-        return self._reloaded_configuration(tables)
+        if not self.has_built_config:
+            self.has_built_config = True
+            return self._build_first_config()
+        return self._build_reloaded_config(tables)
 
-    def _first_configuration(self) -> Config:
+    def _build_first_config(self) -> Config:
         if self.follower.epoch == NO_EPOCH:
-            return self.configuration.build_own()
+            return self.configuration.build_from_file()
         try:
-            return self.configuration.build_with(self.epoch, self.document)
-        except ConfigError as fault:
-            reason = str(fault)
-        log.error("policy: epoch %d does not fit this build or file: %s", self.follower.epoch, reason)
+            return self.configuration.build_with_policy(self.epoch, self.document)
+        except ConfigError as error:
+            reason = str(error)
+        log.error(
+            "policy: the stored epoch %d does not fit this build or file, so no new calls are taken: %s",
+            self.follower.epoch,
+            reason,
+        )
         self.follower.refused(reason)
-        return self.configuration.build_own()
+        return self.configuration.build_from_file()
 
-    def _reloaded_configuration(self, tables: Tables) -> Config:
-        config = self.configuration.build_with(self.epoch, self.document, tables)
+    def _build_reloaded_config(self, tables: Tables) -> Config:
+        config = self.configuration.build_with_policy(self.epoch, self.document, tables)
         self._check_prepared(tables)
         if Document.from_file(tables) != self.configuration.file_policy:
             self.counters["policy.reloads_refused"] += 1
             log.warning(
-                "policy: the file's policy has changed and is not taken: the fleet decides, "
-                "and its epoch is %d; `maplestile policy propose`",
+                "policy: the file's policy has changed and is ignored: the fleet's epoch %d applies; "
+                "use `maplestile policy propose` to change it",
                 self.follower.epoch,
             )
         self.configuration.apply_reload(tables)
         return config
 
     def _check_prepared(self, tables: Tables) -> None:
-        """Check that the change being agreed on still fits: this router has reported that it does.
+        """Check that the policy change being agreed on still fits the reloaded file.
 
-        Raises PolicyError.
+        The change may be committed at any time, because this router has reported that it fits. Raises
+        PolicyError if it no longer does.
         """
         prepared = self.follower.prepared
         if prepared is None:
             return
         try:
-            self.configuration.build_with(self.follower.epoch + 1, prepared.document, tables)
-        except ConfigError as fault:
-            place = f"change {prepared.change}"
-            raise PolicyError(f"does not fit the policy that is being agreed on ({place}): {fault}") from None
+            self.configuration.build_with_policy(self.follower.epoch + 1, prepared.document, tables)
+        except ConfigError as error:
+            change = f"change {prepared.change}"
+            raise PolicyError(
+                f"does not fit the policy that is being agreed on ({change}): {error}"
+            ) from None
 
-    # What the agent sends to the operators' front.
+    # Messages of the agent, received at the operators' front.
 
     def take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
-        """Take an announcement of what is committed, and reply once, now or later."""
+        """Handle an announcement of the committed epoch, and reply once, either now or later."""
         step = self.follower.take_announcement(announcement, monotonic_us())
-        if step is Step.ADOPT and not self.writing:
+        if step is Step.ADOPT and not self.is_writing:
             self._adopt(announcement, reply)
             return
         if step is Step.OLDER:
@@ -129,14 +137,14 @@
         reply(self.report(lacks_document=step is Step.FETCH))
 
     def _adopt(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
-        """Write the record first, off the loop since a disk may be slow; then put it in force."""
+        """Store the announced policy with `run_job`, since a disk may be slow, and then apply it."""
         finish = partial(self._finish_adoption, announcement, reply)
         try:
-            self.configuration.build_with(announcement.epoch, announcement.document)
-        except ConfigError as fault:
-            finish(fault)
+            self.configuration.build_with_policy(announcement.epoch, announcement.document)
+        except ConfigError as error:
+            finish(error)
             return
-        self.writing = True
+        self.is_writing = True
         record = AdoptedPolicy(announcement.epoch, announcement.document)
         self.run_job(lambda: store.write(self.settings.folder, record), finish)
 
@@ -144,14 +152,14 @@
         self,
         announcement: PolicyAnnouncement,
         reply: Reply,
-        fault: BaseException | None,
+        error: BaseException | None,
     ) -> None:
-        self.writing = False
+        self.is_writing = False
         try:
-            if fault is not None:
-                raise fault
-            # Built again: a reload may have come meanwhile.
-            config = self.configuration.build_with(announcement.epoch, announcement.document)
+            if error is not None:
+                raise error
+            # Build it again, since a reload may have changed the file's tables in the meantime.
+            config = self.configuration.build_with_policy(announcement.epoch, announcement.document)
         except (ConfigError, OSError) as cause:
             self._refuse(announcement.epoch, str(cause))
         else:
@@ -161,37 +169,37 @@
 
     def _complete_adoption(self, announcement: PolicyAnnouncement, config: Config) -> None:
         self.document = announcement.document
-        self.put_in_force(config)
+        self.apply_config(config)
         self.follower.adopted(announcement, monotonic_us())
         self.counters["policy.adopted"] += 1
         self.events.info("applied", epoch=announcement.epoch, digest=digest_of(announcement.document))
 
     def _refuse(self, epoch: int, reason: str) -> None:
         self.counters["policy.refused"] += 1
-        if (epoch, reason) != self.logged_refusal:  # it is tried again and again
-            self.logged_refusal = epoch, reason
-            log.error("policy: epoch %d is not taken, and so no new call: %s", epoch, reason)
+        if (epoch, reason) != self.last_logged_refusal:  # log once: the agent keeps announcing the epoch
+            self.last_logged_refusal = epoch, reason
+            log.error("policy: epoch %d is refused, so no new calls are taken: %s", epoch, reason)
         self.follower.refused(reason)
 
     def check(self, change: PolicyCheck) -> None:
-        """Check that a change fits this build and file. Raises PolicyError, which names the field."""
+        """Check that a policy change fits this build and file. Raises PolicyError, which names the field."""
         try:
-            self.configuration.build_with(self.epoch + 1, change.document)
+            self.configuration.build_with_policy(self.epoch + 1, change.document)
         except PolicyError:
             raise
-        except ConfigError as fault:
-            raise PolicyError(str(fault)) from None
+        except ConfigError as error:
+            raise PolicyError(str(error)) from None
         self.follower.prepare(change.change, change.document)
         self.events.info("checked", change=change.change, digest=digest_of(change.document))
 
-    # What the router and its operators see.
+    # Queries by the router and its operators.
 
     def admits(self) -> bool:
-        """Return whether new calls are taken."""
+        """Return whether new calls are admitted."""
         return self.follower.admits(monotonic_us())
 
     def not_ready_reason(self) -> str:
-        """Return why no new calls are taken; empty if they are."""
+        """Return the reason why no new calls are admitted; empty if they are."""
         if self.admits():
             return ""
         if self.follower.status is PolicyStatus.REFUSED:
@@ -199,7 +207,10 @@
         return "the fleet has not told its policy yet"
 
     def report(self, lacks_document: bool = False) -> PolicyReport:
-        """Return the router's report of its policy."""
+        """Return the router's report on its policy.
+
+        `lacks_document` asks the agent to send the document of the announced epoch.
+        """
         now_us = monotonic_us()
         self.follower.tick(now_us)
         return PolicyReport(
@@ -214,7 +225,7 @@
         )
 
     def metrics(self) -> PolicyMetrics:
-        """Return the metrics at this moment."""
+        """Return the current policy metrics."""
         return PolicyMetrics(
             epoch=self.epoch,
             stale=int(self.follower.status is PolicyStatus.STALE),
@@ -228,22 +239,22 @@
         return round(self.follower.stale_us(now_us) / US_PER_S, 1)
 
     def log_attempt(self, attempt: AttemptId, epoch: int) -> None:
-        """Log an attempt and the epoch that it was sent by, where the settings ask for that trace."""
+        """Log an attempt with the policy epoch under which it was sent; called if `trace` is set."""
         self.events.info("attempt", call=attempt[0], attempt=attempt[1], epoch=epoch)
 
     async def run(self) -> None:
-        """Let the status follow the clock until cancelled."""
+        """Update and log the status at regular intervals until cancelled."""
         while True:
             self.follower.tick(monotonic_us())
             self._log_status()
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _log_status(self) -> None:
-        """Log each change of the status once."""
+        """Log the status if it has changed since it was last logged."""
         status = self.follower.status
-        if status is self.logged_status:
+        if status is self.last_logged_status:
             return
-        before = self.logged_status
-        self.logged_status = status
+        before = self.last_logged_status
+        self.last_logged_status = status
         reason = self.follower.reason
         self.events.info(status.value, epoch=self.epoch, before=before.value, reason=reason)
