--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -1,6 +1,6 @@
-"""`maplestile load`: call invoke fronts at a rate or as in a trace, and print the result as JSON.
+"""`maplestile load`: call invoke fronts at a set rate or as in a trace, and print the result as JSON.
 
-Exits with 0 whatever became of the calls, and with 2 for arguments that cannot be used.
+The exit code is 0 however the calls ended, and 2 for invalid arguments.
 """
 
 import argparse
@@ -18,12 +18,12 @@
     from maplestile.tools.load.arrivals import Arrival
     from maplestile.tools.load.client import CallTemplate
 
-# The modules of the load tool are imported by the functions that need them: the library of the histogram
-# would delay the start of every other command.
+# The modules of the load generator are imported by the functions that need them, because the histogram
+# library would delay the start of every other command.
 
 
 class ArgumentsError(ConfigError):
-    """Arguments of the command that cannot be used."""
+    """Raised for invalid arguments of the command."""
 
 
 def add(commands: Any) -> None:
@@ -38,28 +38,28 @@
 
 
 def _add_arrival_options(command: argparse.ArgumentParser) -> None:
-    add = command.add_argument
-    add("--function", action="append", default=[], metavar="NAME[=WEIGHT]", help="what to call")
-    add("--rate", type=float, default=0.0, help="calls a second, Poisson")
-    add("--trace", type=Path, action="append", default=[], help="a trace in CSV to replay")
-    add("--speed", type=float, default=1.0, help="replay so many times as fast")
-    add("--seconds", type=float, default=10.0, help="no call is made later (default 10)")
-    add("--count", type=int, default=100_000, help="no more calls than this")
-    add("--open", type=int, default=1000, help="no more calls in hand than this")
+    add_option = command.add_argument
+    add_option("--function", action="append", default=[], metavar="NAME[=WEIGHT]", help="what to call")
+    add_option("--rate", type=float, default=0.0, help="calls a second, Poisson")
+    add_option("--trace", type=Path, action="append", default=[], help="a trace in CSV to replay")
+    add_option("--speed", type=float, default=1.0, help="replay so many times as fast")
+    add_option("--seconds", type=float, default=10.0, help="no call is made later (default 10)")
+    add_option("--count", type=int, default=100_000, help="no more calls than this")
+    add_option("--open", type=int, default=1000, help="no more calls in hand than this")
 
 
 def _add_request_options(command: argparse.ArgumentParser) -> None:
-    add = command.add_argument
-    add("--wait-s", type=float, default=30.0, help="for an answer; then the call is lost")
-    add("--tenant", default="")
-    add("--class", dest="class_name", default="")
-    add("--deadline-ms", type=int, default=0)
-    add("--body-bytes", type=int, default=64)
-    add("--keys", action="store_true", help="an Idempotency-Key with each call")
+    add_option = command.add_argument
+    add_option("--wait-s", type=float, default=30.0, help="for an answer; then the call is lost")
+    add_option("--tenant", default="")
+    add_option("--class", dest="class_name", default="")
+    add_option("--deadline-ms", type=int, default=0)
+    add_option("--body-bytes", type=int, default=64)
+    add_option("--keys", action="store_true", help="an Idempotency-Key with each call")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Make the calls, print the result, and draw the plot if there is to be one."""
+    """Make the calls, print the result, and draw the plot if one is requested."""
     from maplestile.tools.load import arrivals, client, report
 
     try:
@@ -69,7 +69,7 @@
     except ArgumentsError as error:
         print(f"maplestile: load: {error}", file=sys.stderr)
         return 2
-    planned = arrivals.bounded(_arrivals(arguments, weights), arguments.seconds, arguments.count)
+    planned = arrivals.bounded(_plan_arrivals(arguments, weights), arguments.seconds, arguments.count)
     load = client.Load(targets, _call_template(arguments), arguments.wait_s)
     result = asyncio.run(load.run(planned, arguments.open))
     print(report.as_json(report.summarize(result)))
@@ -86,7 +86,7 @@
         tenant=arguments.tenant,
         class_name=arguments.class_name,
         deadline_ms=arguments.deadline_ms,
-        keys=arguments.keys,
+        has_idempotency_keys=arguments.keys,
     )
 
 
@@ -105,22 +105,22 @@
 
 
 def _parse_weights(texts: Sequence[str]) -> dict[str, float]:
-    """The weights of the functions by name. Raises `ArgumentsError` for the last text that is wrong."""
+    """Return the weights by function name. Raises `ArgumentsError` for the last text that is invalid."""
     weights: dict[str, float] = {}
-    wrong = None
+    invalid_text = None
     for text in texts:
         name, _, weight = text.partition("=")
         try:
             weights[name] = float(weight or 1)
         except ValueError:
-            wrong = text
-    if wrong is not None:
-        raise ArgumentsError(f"--function {wrong}: the weight is no number")
+            invalid_text = text
+    if invalid_text is not None:
+        raise ArgumentsError(f"--function {invalid_text}: the weight is no number")
     return weights
 
 
 def _check_numbers(arguments: argparse.Namespace) -> None:
-    """Raise `ArgumentsError` where the numbers do not fit together or are out of range."""
+    """Check that the options are consistent and in range. Raises `ArgumentsError`."""
     if bool(arguments.rate) == bool(arguments.trace):
         raise ArgumentsError("either --rate or --trace")
     if arguments.rate and not arguments.function:
@@ -130,8 +130,8 @@
         raise ArgumentsError("--rate, --speed, --seconds, --count, --open and --wait-s must be over 0")
 
 
-def _arrivals(arguments: argparse.Namespace, weights: dict[str, float]) -> "Iterable[Arrival]":
-    """Plan the calls, by a Poisson process or by the files of a trace. Raises `TraceError`."""
+def _plan_arrivals(arguments: argparse.Namespace, weights: dict[str, float]) -> "Iterable[Arrival]":
+    """Plan the calls, as a Poisson process or from the files of a trace. Raises `TraceError`."""
     from maplestile.tools.load import arrivals
 
     if arguments.rate:
@@ -139,4 +139,4 @@
     recorder = arrivals.Recorder(arguments.seed, arguments.count)
     trace = read_traces(arguments.trace, recorder.record)
     only_function = next(iter(weights), "")
-    return arrivals.replay(recorder, arrivals.names_of(trace, only_function), arguments.speed)
+    return arrivals.replay(recorder, arrivals.called_names(trace, only_function), arguments.speed)
