--- a/maplestile/dispatch/copy_records.py
+++ b/maplestile/dispatch/copy_records.py
@@ -5,7 +5,7 @@
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.estimates import update_load_time
 from maplestile.dispatch.load_requests import LoadRequests
-from maplestile.dispatch.loads import LoadsInProgress
+from maplestile.dispatch.loads_in_progress import LoadsInProgress
 from maplestile.dispatch.state import Attempt, Call, FunctionEntry, Worker
 from maplestile.dispatch.warm_copies import WarmCopies
 
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -20,7 +20,7 @@
 from maplestile.dispatch.keep_warm import KeepWarm
 from maplestile.dispatch.load_rate import LoadRate
 from maplestile.dispatch.load_requests import LoadRequests
-from maplestile.dispatch.loads import LoadsInProgress
+from maplestile.dispatch.loads_in_progress import LoadsInProgress
 from maplestile.dispatch.outcomes import OutcomeRecorder
 from maplestile.dispatch.outliers import OutlierDetector
 from maplestile.dispatch.placement import Placement
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -3,7 +3,7 @@
 from maplestile.dispatch import api
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
-from maplestile.dispatch.loads import LoadsInProgress
+from maplestile.dispatch.loads_in_progress import LoadsInProgress
 from maplestile.dispatch.slow_start import SlowStart
 from maplestile.dispatch.state import FunctionEntry, Window, Worker
 from maplestile.dispatch.tiers import FunctionTiers
--- a/maplestile/dispatch/ranking.py
+++ b/maplestile/dispatch/ranking.py
@@ -21,7 +21,7 @@
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
 from maplestile.dispatch.hashing import HASH_BITS, unit_hash
-from maplestile.dispatch.packed import PackedHashes
+from maplestile.dispatch.packed_hashes import PackedHashes
 
 # A rebuilt ranking holds twice as many workers as wanted and this many more. So many workers can leave before
 # it has to be rebuilt again.
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -5,12 +5,12 @@
 paper that the operators' design page names.
 """
 
+from maplestile.dispatch.age_heap import AgeHeap
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
 from maplestile.dispatch.hashing import digest
 from maplestile.dispatch.load_rate import LoadRate
-from maplestile.dispatch.loads import LoadsInProgress
-from maplestile.dispatch.recency import AgeHeap
+from maplestile.dispatch.loads_in_progress import LoadsInProgress
 from maplestile.dispatch.state import CACHING, MULTIPLE, SINGLE, FunctionEntry
 
 # Fraction of the fleet's memory for the copies of the caching tier; the rest is for all other copies in use.
--- a/maplestile/net/rejection.py
+++ b/maplestile/net/connection_rejector.py
@@ -7,7 +7,7 @@
 import logging
 from collections.abc import Callable
 
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.net.client_reader import ClientReader
 from maplestile.net.client_table import ClientTable
 from maplestile.wire import jsonrpc
@@ -55,18 +55,20 @@
         limits = self.table.limits
         max_bytes = limits.clients.read_bytes
         framer = jsonrpc.Framer(limits.messages)
-        reads.limit_read_size(writer.transport, max_bytes)
+        bounded_reads.limit_read_size(writer.transport, max_bytes)
         loop = asyncio.get_running_loop()
         end_s = loop.time() + limits.clients.grace_us / 1e6
         refused = 0
         while not refused or framer.rest:
-            data = await reads.read_within(end_s - loop.time(), lambda: reader.take(max_bytes))
+            data = await bounded_reads.read_within(end_s - loop.time(), lambda: reader.take(max_bytes))
             if not data:
                 return
             for view in framer.feed(data):
                 refused += 1
                 writer.write(self._refusal(view))
-        await reads.end_and_discard(writer, lambda: reader.take(max_bytes), limits.clients.linger_us / 1e6)
+        await bounded_reads.end_and_discard(
+            writer, lambda: reader.take(max_bytes), limits.clients.linger_us / 1e6
+        )
 
     def _refusal(self, view: memoryview) -> bytes:
         """Return the answer to one message; it is empty for a cancellation."""
--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from maplestile.common.address import Address
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.wire import dns
 from maplestile.wire.limits import NameServerLimits
 
@@ -67,10 +67,10 @@
                 lambda: self._socket, remote_addr=self.server
             )
         except OSError as error:
-            if error.errno in reads.NO_DESCRIPTOR:
+            if error.errno in bounded_reads.NO_DESCRIPTOR:
                 self.on_no_descriptor()
             raise
-        reads.limit_read_size(self.transport, self.limits.read_bytes)
+        bounded_reads.limit_read_size(self.transport, self.limits.read_bytes)
 
     def close(self) -> None:
         """Close the socket."""
--- a/maplestile/net/http.py
+++ b/maplestile/net/http.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.net.http_connection import (
     READ_BYTES,
     WRITE_TIMEOUT_S,
@@ -62,7 +62,7 @@
             state.count("rejected")  # each front has a fixed share of the file descriptors
             writer.transport.abort()
             return
-        reads.limit_read_size(writer.transport, READ_BYTES)
+        bounded_reads.limit_read_size(writer.transport, READ_BYTES)
         self.connections += 1
         state.count("connections")
         connection = HttpConnection(state, reader, writer)
--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.wire.http import Application, Bounds, HttpRequest, Response, problem
 
 log = logging.getLogger("maplestile.net.http")
@@ -151,7 +151,7 @@
         bounds = self.front.bounds
         self.front.idle[self] = None
         try:
-            data = await reads.read_within(bounds.idle_s, lambda: self.reader.read(READ_BYTES))
+            data = await bounded_reads.read_within(bounds.idle_s, lambda: self.reader.read(READ_BYTES))
         finally:
             self.front.idle.pop(self, None)
         self.front.receiving[self] = None
@@ -166,7 +166,7 @@
         """
         left_s = deadline_s - asyncio.get_running_loop().time()
         try:
-            return await reads.read_within(left_s, lambda: self.reader.read(READ_BYTES))
+            return await bounded_reads.read_within(left_s, lambda: self.reader.read(READ_BYTES))
         except TimeoutError:
             raise TooSlow from None
 
@@ -219,7 +219,7 @@
             return
         await self._write(response, True)
         linger_s = self.front.bounds.linger_us / 1e6
-        await reads.end_and_discard(self.writer, lambda: self.reader.read(READ_BYTES), linger_s)
+        await bounded_reads.end_and_discard(self.writer, lambda: self.reader.read(READ_BYTES), linger_s)
 
     async def _write(self, response: Response, close: bool) -> None:
         """Write a response. Raises TimeoutError if the client does not read it."""
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -9,14 +9,14 @@
 
 from maplestile.common.waiting import wait_until_set
 from maplestile.dispatch.api import Settings
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.net.answer_writer import AnswerWriter
 from maplestile.net.client import Client
 from maplestile.net.client_reader import ClientReader, ReceiveTimestamps
 from maplestile.net.client_table import ClientTable
+from maplestile.net.connection_rejector import ConnectionRejector
 from maplestile.net.graceful_close import GracefulClose
 from maplestile.net.listen import Listener, listen
-from maplestile.net.rejection import ConnectionRejector
 from maplestile.net.request_handler import RequestHandler
 from maplestile.requests.core import Core
 from maplestile.wire import jsonrpc
@@ -122,7 +122,7 @@
     def _open(self, reader: ClientReader, writer: asyncio.StreamWriter) -> Client:
         """Add a connection to the table, and subscribe to the end of its input."""
         limits = self.limits
-        reads.limit_read_size(writer.transport, limits.clients.read_bytes)
+        bounded_reads.limit_read_size(writer.transport, limits.clients.read_bytes)
         now_us = self.core.clock()
         client = Client(reader, writer, jsonrpc.Framer(limits.messages), now_us, last_active_us=now_us)
         self.clients[client] = None
@@ -162,7 +162,7 @@
         client.write_closed = True
         max_bytes = self.limits.clients.read_bytes
         linger_s = self.limits.clients.linger_us / 1e6
-        await reads.end_and_discard(client.writer, lambda: client.reader.take(max_bytes), linger_s)
+        await bounded_reads.end_and_discard(client.writer, lambda: client.reader.take(max_bytes), linger_s)
 
     async def _read_all(self, client: Client) -> None:
         """Handle messages until the client closes its write side or the router closes the connection.
@@ -222,7 +222,7 @@
         while True:
             left_us = client.message_wait_since_us + self.limits.clients.message_us - self.core.clock()
             try:
-                return await reads.read_within(left_us / 1e6, lambda: client.reader.take(max_bytes))
+                return await bounded_reads.read_within(left_us / 1e6, lambda: client.reader.take(max_bytes))
             except TimeoutError:
                 if not client.calls:
                     raise jsonrpc.FramingError("no whole message in time") from None
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from maplestile.dispatch.api import Result
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.requests.pool import Connection, Pool
 from maplestile.wire import runner as wire
 from maplestile.wire.limits import RunnerLimits
@@ -87,7 +87,7 @@
         try:
             reader, writer = await self._open_stream(connection)
             result = Result.RESET
-            reads.limit_read_size(writer.transport, self.limits.read_bytes)
+            bounded_reads.limit_read_size(writer.transport, self.limits.read_bytes)
             writer.transport.set_write_buffer_limits(high=0)
             self.connected(connection, StreamSocket(self, connection, writer))
             await self._read_answers(connection, reader)
@@ -97,7 +97,7 @@
                 "runner %s: unusable answer: %s; closing the connection", connection.runner.uid, error
             )
         except (OSError, TimeoutError) as error:
-            if isinstance(error, OSError) and error.errno in reads.NO_DESCRIPTOR:
+            if isinstance(error, OSError) and error.errno in bounded_reads.NO_DESCRIPTOR:
                 result = Result.SUPERSEDED  # not a failure of the runner: clients hold all file descriptors
                 self.on_no_descriptor()
             log.debug("runner %s: connection failed: %r", connection.runner.uid, error)
@@ -133,6 +133,8 @@
         # The rest of a partial line arrives soon or never, and every later answer waits behind it.
         try:
             max_bytes = self.limits.read_bytes
-            return await reads.read_within(self.limits.line_pause_us / 1e6, lambda: reader.read(max_bytes))
+            return await bounded_reads.read_within(
+                self.limits.line_pause_us / 1e6, lambda: reader.read(max_bytes)
+            )
         except TimeoutError:
             raise wire.LineError("the rest of a line did not arrive in time") from None
--- a/maplestile/requests/connection_closer.py
+++ b/maplestile/requests/connection_closer.py
@@ -7,8 +7,8 @@
 from maplestile.requests.connection_table import ConnectionTable
 from maplestile.requests.connections import Connection, Message, Runner
 from maplestile.requests.idle_timeout import BreakCause, IdleTimeout
-from maplestile.requests.line_ends import ResultReporter
-from maplestile.requests.line_sender import LineSender
+from maplestile.requests.message_sender import MessageSender
+from maplestile.requests.result_reporter import ResultReporter
 from maplestile.requests.states import AttemptState, ConnectionState, Transition
 
 
@@ -18,7 +18,7 @@
     def __init__(
         self,
         table: ConnectionTable,
-        sender: LineSender,
+        sender: MessageSender,
         reporter: ResultReporter,
         idle_timeout: IdleTimeout,
         disconnect: Callable[[Connection], None],
--- a/maplestile/requests/line_sender.py
+++ b/maplestile/requests/message_sender.py
@@ -4,11 +4,11 @@
 
 from maplestile.requests.connection_table import ConnectionTable
 from maplestile.requests.connections import Message, Runner
-from maplestile.requests.line_ends import ResultReporter
-from maplestile.requests.line_writer import LineWriter
+from maplestile.requests.message_writer import MessageWriter
+from maplestile.requests.result_reporter import ResultReporter
 
 
-class LineSender:
+class MessageSender:
     """Selects the connection for each message, and queues the message there."""
 
     def __init__(
@@ -16,7 +16,7 @@
         runners: dict[str, Runner],
         table: ConnectionTable,
         reporter: ResultReporter,
-        writer: LineWriter,
+        writer: MessageWriter,
         counters: Counter[str],
     ) -> None:
         self._runners = runners
--- a/maplestile/requests/line_writer.py
+++ b/maplestile/requests/message_writer.py
@@ -9,13 +9,13 @@
 
 from maplestile.dispatch.api import Result
 from maplestile.requests.connections import Connection, ControlTag, Message, Socket
-from maplestile.requests.line_ends import ResultReporter
 from maplestile.requests.records import Presence
+from maplestile.requests.result_reporter import ResultReporter
 from maplestile.requests.states import AttemptState, Transition
 from maplestile.wire import runner as wire
 
 
-class LineWriter:
+class MessageWriter:
     """Writes the messages that are queued at the connections of a pool."""
 
     def __init__(
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -14,10 +14,10 @@
 from maplestile.requests.connections import Connection, Message, Runner, Socket
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.idle_timeout import IdleTimeout
-from maplestile.requests.line_ends import PoolObserver, ResultReporter
-from maplestile.requests.line_sender import LineSender
-from maplestile.requests.line_writer import LineWriter
+from maplestile.requests.message_sender import MessageSender
+from maplestile.requests.message_writer import MessageWriter
 from maplestile.requests.records import AttemptId
+from maplestile.requests.result_reporter import PoolObserver, ResultReporter
 from maplestile.requests.runner_directory import RunnerDirectory
 from maplestile.requests.states import AttemptState, ConnectionState, Transition
 from maplestile.wire import runner as wire
@@ -40,8 +40,8 @@
         self.runners = self.directory.runners
         self.reporter = ResultReporter(transition, counters)
         self.locations = self.reporter.locations
-        self.writer = LineWriter(self.reporter, self.flush_soon, transition, clock, counters)
-        self.sender = LineSender(self.runners, self.table, self.reporter, self.writer, counters)
+        self.writer = MessageWriter(self.reporter, self.flush_soon, transition, clock, counters)
+        self.sender = MessageSender(self.runners, self.table, self.reporter, self.writer, counters)
         self.closer = ConnectionCloser(
             self.table,
             self.sender,
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 
 from maplestile.common.toml_table import ConfigError
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.router.components import Components
 from maplestile.router.config import Config
 from maplestile.router.discovery import Discovery
@@ -57,7 +57,7 @@
         try:
             config = self._read(result)
         except (ConfigError, OSError) as error:
-            if reads_left > 1 and isinstance(error, OSError) and error.errno in reads.NO_DESCRIPTOR:
+            if reads_left > 1 and isinstance(error, OSError) and error.errno in bounded_reads.NO_DESCRIPTOR:
                 self._reload_later(reads_left - 1)
                 return
             result.error = f"{type(error).__name__}: {error}"
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from maplestile.dispatch.age_heap import AgeHeap
 from maplestile.dispatch.hashing import digest, unit_hash
 from maplestile.dispatch.ranking import MAX_WEIGHT_GROUPS, MIN_WEIGHT, Ranking, RankingIndex
-from maplestile.dispatch.recency import AgeHeap
 
 
 @dataclass(frozen=True)
