--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -57,7 +57,7 @@
         probability = min(MAX_REJECTION_PROBABILITY, raw_probability) * (1 + repeat)
         return self.context.random.random() < probability
 
-    def may_refuse(self, call: Call) -> bool:
+    def may_reject(self, call: Call) -> bool:
         """Return whether the client may be told to retry, which requires that a repeat is harmless."""
         if call.call_class.idempotency is Idempotency.IDEMPOTENT:
             return True
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -67,7 +67,7 @@
         """
         entry = call.entry
         entry.waiting[call.id] = call
-        too_late = self.admission.is_late(call) and self.admission.may_refuse(call)
+        too_late = self.admission.is_late(call) and self.admission.may_reject(call)
         if too_late or not self.retry.may_repeat_anywhere(call):
             self.finish(call)
         elif self.context.now_us >= entry.next_retry_us:  # one timer per function, however many calls wait
@@ -115,7 +115,7 @@
 
     # Retries and hedged attempts.
 
-    def retry_after(self, call: Call, result: Result) -> None:
+    def retry_or_finish(self, call: Call, result: Result) -> None:
         """Retry a call that has no attempt left in flight, or give its final answer.
 
         A retry is taken from the retry budget. A call that is not idempotent is never sent again once one of
@@ -176,7 +176,7 @@
         objective_us = call.arrived_us + call.call_class.latency_objective_us
         if self.context.now_us >= min(call.due_us, objective_us):
             self.admission.record_answer(call, late=True)
-        if self.admission.may_refuse(call):
+        if self.admission.may_reject(call):
             self.context.actions.append(api.RejectCall(call.id, RETRY_AFTER_US))
         else:
             self.context.actions.append(api.FailCall(call.id))
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -81,9 +81,9 @@
         self.load_requests.apply_settings(settings)
         self.fleet.apply_settings(settings)
 
-    def avoids(self, worker: Worker) -> bool:
+    def is_avoided(self, worker: Worker) -> bool:
         """Return whether calls avoid the worker: it is ejected or unreachable, or its zone is lost."""
-        return self.health.avoids(worker)
+        return self.health.is_avoided(worker)
 
     def _create_records(self) -> None:
         """Create the records of workers, calls, functions and loads, and the estimates based on them."""
--- a/maplestile/dispatch/outcomes.py
+++ b/maplestile/dispatch/outcomes.py
@@ -59,7 +59,7 @@
         if event.call_ended:
             self.router.close(call)
         elif call.open and not call.attempts_in_flight():
-            self.router.retry_after(call, event.result)
+            self.router.retry_or_finish(call, event.result)
         self.router.wake(entry)
 
     def on_load_request_ended(self, event: api.LoadRequestEnded) -> None:
--- a/maplestile/dispatch/worker_health.py
+++ b/maplestile/dispatch/worker_health.py
@@ -33,6 +33,6 @@
             self.zones.record_silence(attempt)
         return is_silent
 
-    def avoids(self, worker: Worker) -> bool:
+    def is_avoided(self, worker: Worker) -> bool:
         """Return whether calls avoid the worker: it is ejected or unreachable, or its zone is lost."""
         return self.outliers.is_ejected(worker) or self.zones.is_lost(worker.entry.zone)
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -143,7 +143,7 @@
     def avoided(self) -> set[str]:
         """Return the workers that the dispatcher avoids at present, by its own decision."""
         known = self.dispatcher.workers
-        return {name for name, worker in known.items() if self.dispatcher.avoids(worker)}
+        return {name for name, worker in known.items() if self.dispatcher.is_avoided(worker)}
 
     # Changes of the policy, and the exit of the process.
 
--- a/tests/decision_trace.py
+++ b/tests/decision_trace.py
@@ -91,7 +91,7 @@
         actions = self.dispatcher.handle(now_us, event)
         if self.digest.recording.events % EVENTS_PER_AVOIDED == 0:
             workers = self.dispatcher.workers.items()
-            avoided = [name for name, worker in workers if self.dispatcher.avoids(worker)]
+            avoided = [name for name, worker in workers if self.dispatcher.is_avoided(worker)]
             self.digest.add_line(f"avoided {' '.join(avoided)}")
         self.digest.add(now_us, actions)
         return actions
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -52,12 +52,12 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.retry, "may_repeat", self.may_repeat)
-        replace_method(self.router, "retry_after", self.retry_after)
+        replace_method(self.router, "retry_or_finish", self.retry_or_finish)
 
     def may_repeat(self, call: Call, worker: Worker) -> bool:  # omits the idempotency check
         return len(call.attempts) < call.settings.max_attempts and self.fleet.is_running(worker)
 
-    def retry_after(self, call: Call, result: Result) -> None:
+    def retry_or_finish(self, call: Call, result: Result) -> None:
         self.router.route(call)
 
 
@@ -126,7 +126,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        replace_method(self.admission, "may_refuse", lambda call: True)
+        replace_method(self.admission, "may_reject", lambda call: True)
 
 
 class LosesCancelledAttempts(Dispatcher):
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -105,5 +105,5 @@
         dispatcher = driver.dispatcher
         (send,) = sends(driver.give(arrival(1)))
         driver.give(ended(1, 0, send.worker, api.Result.CONNECT_FAILED))
-        avoided = [name for name, worker in dispatcher.workers.items() if dispatcher.avoids(worker)]
+        avoided = [name for name, worker in dispatcher.workers.items() if dispatcher.is_avoided(worker)]
         self.assertEqual(avoided, [send.worker])
