--- a/maplestile/net/receive_timestamps.py
+++ b/maplestile/net/receive_timestamps.py
@@ -27,7 +27,7 @@
         self._paused_since_us = 0  # start of a pause of the process; 0 once the loop has caught up
         self._had_long_gap = False  # no select has waited since the last gap over `LONG_GAP_S`
 
-    def input_is_old(self) -> bool:
+    def may_have_stale_input(self) -> bool:
         """Return whether input may be unread that arrived more than `LONG_GAP_S` ago."""
         return self._had_long_gap or time.perf_counter() - self._returned_s > LONG_GAP_S
 
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -33,12 +33,12 @@
         If not, the pool is notified once it has.
         """
         self.writer.write(line)
-        if not self.holds():
+        if not self.has_unwritten_data():
             return True
         asyncio.get_running_loop().create_task(self._drain())
         return False
 
-    def holds(self) -> bool:
+    def has_unwritten_data(self) -> bool:
         """Return whether the transport still buffers some of what was written."""
         return bool(self.writer.transport.get_write_buffer_size())
 
--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -60,11 +60,11 @@
         """Cancel an attempt at its worker."""
         self._cancel((action.call, action.attempt), Result.CANCELLED)
 
-    def withhold(self, call: int, attempts: int) -> None:
+    def drop_unwritten(self, call: int, attempts: int) -> None:
         """End the attempts of a call that still wait for their connections, since its client has left."""
         for number in range(attempts):
             attempt = (call, number)
-            if attempt in self.in_flight and self._pool.withhold(attempt):
+            if attempt in self.in_flight and self._pool.drop_unwritten(attempt):
                 self.end(attempt, Result.SUPERSEDED)
 
     def end(
--- a/maplestile/requests/connection_closer.py
+++ b/maplestile/requests/connection_closer.py
@@ -83,7 +83,7 @@
     """
     unsent, connection.queue = connection.queue, deque()
     partial = connection.partial
-    if connection.socket is not None and partial is not None and connection.socket.holds():
+    if connection.socket is not None and partial is not None and connection.socket.has_unwritten_data():
         unsent.appendleft(partial)
         connection.open.pop(partial.tag, None)
         connection.control_tags.pop(partial.tag, None)
--- a/maplestile/requests/connections.py
+++ b/maplestile/requests/connections.py
@@ -22,7 +22,7 @@
         """
         ...
 
-    def holds(self) -> bool:
+    def has_unwritten_data(self) -> bool:
         """Return whether a part of what was written has not been accepted by the system yet."""
         ...
 
@@ -96,6 +96,6 @@
     uid: str
     address: Address
     started_us: int
-    takes_new: bool  # may be sent new work
+    accepts_new_work: bool  # may be sent new work
     listed: bool = True  # is on the endpoint list
     connections: list[Connection] = field(default_factory=list)
--- a/maplestile/requests/message_writer.py
+++ b/maplestile/requests/message_writer.py
@@ -33,7 +33,7 @@
         self._counters = counters
         self.calls_written = 0  # attempts written completely
         # Returns whether client input may have been unread for so long that clients may have left meanwhile.
-        self.input_is_old: Callable[[], bool] = _input_is_never_old
+        self.may_have_stale_input: Callable[[], bool] = _never_has_stale_input
 
     def write(self, connection: Connection, message: Message) -> None:
         """Queue a message, and write as many as the socket accepts."""
@@ -80,7 +80,7 @@
         The core is asked only if input may have been left unread while the event loop was busy or suspended;
         otherwise a disconnect has been reported to it already.
         """
-        if message.attempt is None or not self.input_is_old():
+        if message.attempt is None or not self.may_have_stale_input():
             return Presence.WAITING
         return self._reporter.core.presence(message.attempt)
 
@@ -93,7 +93,7 @@
         now = self._clock()
         window_passed = 0 < message.until_us <= now
         overdue = message.request is not None and message.due_us <= now
-        return message.is_new_work and (window_passed or overdue or not connection.runner.takes_new)
+        return message.is_new_work and (window_passed or overdue or not connection.runner.accepts_new_work)
 
     def _write_message(self, socket: Socket, connection: Connection, message: Message) -> None:
         """Write a message; it becomes the connection's `partial` if the system does not accept all of it."""
@@ -123,5 +123,5 @@
             self._transition(message, AttemptState.WRITTEN)
 
 
-def _input_is_never_old() -> bool:
+def _never_has_stale_input() -> bool:
     return False
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -133,7 +133,7 @@
         self._mark_unverified_if_silent(connection, message)
         self.writer.write(connection, Message(wire.cancel(message.tag), False))
 
-    def withhold(self, attempt: AttemptId) -> bool:
+    def drop_unwritten(self, attempt: AttemptId) -> bool:
         """Drop an attempt of which no byte has been written; return whether it was dropped."""
         connection, message = self.locations.get(attempt, (None, None))
         if connection is None or message is None:
--- a/maplestile/requests/records.py
+++ b/maplestile/requests/records.py
@@ -42,7 +42,7 @@
         """Drop an attempt, and cancel it at its worker if it may have started there."""
         ...
 
-    def withhold(self, attempt: AttemptId) -> bool:
+    def drop_unwritten(self, attempt: AttemptId) -> bool:
         """Drop an attempt of which no byte has been written; return whether it was dropped.
 
         One that is partly or completely written goes on, but is not resent over another connection.
--- a/maplestile/requests/request_intake.py
+++ b/maplestile/requests/request_intake.py
@@ -74,7 +74,7 @@
             return
         self._counters["requests.withdrawn"] += 1
         self._decisions.handle(api.CallExpired(call))
-        self._attempts.withhold(call, pending.attempts)  # in case the settings forbid cancelling
+        self._attempts.drop_unwritten(call, pending.attempts)  # in case the settings forbid cancelling
 
     def client_disconnected(self, call: int) -> None:
         """Start no further attempts for a call whose client has closed its connection or its sending side.
@@ -86,7 +86,7 @@
             return
         self._counters["requests.client_disconnected"] += 1
         self._decisions.handle(api.ClientDisconnected(call))
-        self._attempts.withhold(call, pending.attempts)
+        self._attempts.drop_unwritten(call, pending.attempts)
 
     def prepare_exit(self, exit_us: int) -> None:
         """Answer every request, open or yet to come, by the time at which the process exits."""
--- a/maplestile/requests/runner_directory.py
+++ b/maplestile/requests/runner_directory.py
@@ -24,7 +24,7 @@
         for uid in [uid for uid in self.runners if uid not in endpoints.entries]:
             runner = self.runners[uid]
             runner.listed = False
-            runner.takes_new = False
+            runner.accepts_new_work = False
             self._table.close_unused(runner)
             self.forget_if_unlisted(runner)
 
@@ -34,13 +34,13 @@
             self.runners.pop(runner.uid, None)
 
     def _update_runner(self, entry: WorkerEntry, address: Address) -> None:
-        takes_new = entry.state is WorkerState.RUNNING
+        accepts_new_work = entry.state is WorkerState.RUNNING
         runner = self.runners.get(entry.worker)
         if runner is None:
-            self.runners[entry.worker] = Runner(entry.worker, address, entry.started_us, takes_new)
+            self.runners[entry.worker] = Runner(entry.worker, address, entry.started_us, accepts_new_work)
             return
         runner.listed = True
-        runner.takes_new = takes_new
+        runner.accepts_new_work = accepts_new_work
         moved = address != runner.address
         if moved or entry.started_us > runner.started_us:
             runner.address = address
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -113,7 +113,7 @@
     def _build_runner_pool(self) -> RunnerPool:
         runners = RunnerPool(self.limits.runners, clock, self.counters)
         runners.on_no_descriptor = self.free_descriptor
-        runners.writer.input_is_old = self.selector.input_is_old
+        runners.writer.may_have_stale_input = self.selector.may_have_stale_input
         return runners
 
     def _build_core(self) -> Core:
--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -70,7 +70,7 @@
         self.lines.append(line)
         self._environment.on_line_received(line)
 
-    def holds(self) -> bool:
+    def has_unwritten_data(self) -> bool:
         """Return whether part of a line has not been accepted yet."""
         return bool(self.unaccepted)
 
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -38,7 +38,7 @@
     def cancel(self, attempt: AttemptId) -> None:
         self.cancelled.append(attempt)
 
-    def withhold(self, attempt: AttemptId) -> bool:
+    def drop_unwritten(self, attempt: AttemptId) -> bool:
         return attempt in self.unwritten
 
     def load(self, tag: int, worker: str, function: str, copies: int) -> None: ...
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -98,7 +98,7 @@
     def update(self, fleet: EndpointList) -> None:
         super().update(fleet)
         for runner in self.runners.values():
-            runner.takes_new = True
+            runner.accepts_new_work = True
 
 
 class CountsNoAttempts(Dispatcher):
@@ -165,7 +165,7 @@
 class SendsForDisconnectedClients(SimulatedPool):
     """Starts attempts for clients that have disconnected."""
 
-    def withhold(self, attempt: AttemptId) -> bool:
+    def drop_unwritten(self, attempt: AttemptId) -> bool:
         return False
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -246,7 +246,7 @@
         worker = Worker()
         counters = Counter[str]()
         pool = HoldingRunnerPool(LIMITS.runners, counters)
-        pool.writer.input_is_old = selector.input_is_old
+        pool.writer.may_have_stale_input = selector.may_have_stale_input
         core = self.start_core(pool, worker, counters)
         front = PlatformFront(core, LIMITS, counters, selector, lambda: True)
         listener = await front.start("127.0.0.1", 0, False)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -85,13 +85,13 @@
     async def test_withheld_attempt_is_never_sent_and_written_one_continues(self) -> None:
         self.send(1, b"x")
         self.send(2, b"y")
-        self.assertTrue(self.pool.withhold((1, 0)))
-        self.assertFalse(self.pool.withhold((1, 0)))  # it is dropped already
+        self.assertTrue(self.pool.drop_unwritten((1, 0)))
+        self.assertFalse(self.pool.drop_unwritten((1, 0)))  # it is dropped already
         await self.wait_until_ended(2)
         self.assertEqual([line["call"] for line in self.worker.lines], ["t2"])
         self.send(3, b"hang:")
         await self.wait_until_run(2)
-        self.assertFalse(self.pool.withhold((3, 0)))
+        self.assertFalse(self.pool.drop_unwritten((3, 0)))
         self.worker.die()
         await self.wait_until_ended(3)
         self.assertEqual((self.core.ended[3, 0], set(self.core.ended)), (Result.RESET, {(2, 0), (3, 0)}))
