--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -47,7 +47,7 @@
         self.core = core
         self.operator = operator
         self.counters = counters
-        self.store = InvocationStore(operator.records, operator.record_us, core.at, counters)
+        self.store = InvocationStore(operator.records, operator.record_us, core.call_at, counters)
         self.in_flight: Counter[str] = Counter()  # open calls by tenant
         self.bounds = self._bounds()
 
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -195,7 +195,7 @@
             if count == 1:
                 client.message_reads += 1
             self.request_handler.handle(client, message, received_us)
-            self.core.catch_up()
+            self.core.run_due_timers()
             if count % self.limits.clients.batch_messages == 0:
                 yield
             if client.write_closed:  # closed by a drain while this batch was handled
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -120,7 +120,7 @@
             self.input_received(connection)
             for line in lines.feed(data):
                 self.answer_received(connection, wire.parse(line))
-                self.core.catch_up()
+                self.core.run_due_timers()
             self.input_handled(connection)
 
     async def _read(self, reader: asyncio.StreamReader, lines: wire.LineFramer) -> bytes:
--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -53,7 +53,7 @@
             self._counters["policy.mixed_calls"] += 1
         if self.on_sent is not None:
             self.on_sent(attempt, action.epoch)
-        self._timers.at(now + max(0, wait_us), lambda: self._time_out(attempt))
+        self._timers.call_at(now + max(0, wait_us), lambda: self._time_out(attempt))
         self._pool.send(attempt, action.worker, pending.request, max(1, wait_us), action.until_us)
 
     def cancel(self, action: api.CancelAttempt) -> None:
--- a/maplestile/requests/control_requests.py
+++ b/maplestile/requests/control_requests.py
@@ -38,7 +38,7 @@
 
     def request_load(self, action: api.RequestLoad) -> None:
         """Send a load request for copies of a function to a worker."""
-        tag = self._start(action.worker, action.function, self.limits.load_timeout_us, self.load_ended)
+        tag = self._register(action.worker, action.function, self.limits.load_timeout_us, self.load_ended)
         self._counters["load_requests.sent"] += 1
         self._pool.load(tag, action.worker, action.function, action.copies)
 
@@ -56,7 +56,7 @@
 
     def check_health(self, worker: str) -> None:
         """Send a health check, without regard to the check assignment."""
-        tag = self._start(worker, "", self.limits.health_check_timeout_us, self.health_check_ended)
+        tag = self._register(worker, "", self.limits.health_check_timeout_us, self.health_check_ended)
         self._counters["health_checks.sent"] += 1
         self._pool.check_health(tag, worker)
 
@@ -81,14 +81,14 @@
         elapsed_us = max(0, self._clock() - request.sent_us)
         self._decisions.handle(api.HealthCheckEnded(request.worker, result, elapsed_us, report))
 
-    def _start(
+    def _register(
         self, worker: str, function: str, timeout_us: int, ended: Callable[[int, Result], None]
     ) -> int:
         """Record a control request and set its timeout; return its tag."""
         tag = self._numbers.next()
         now = self._clock()
         self.open[tag] = ControlRequest(worker, function, now)
-        self._timers.at(now + timeout_us, lambda: self._time_out(tag, ended))
+        self._timers.call_at(now + timeout_us, lambda: self._time_out(tag, ended))
         return tag
 
     def _time_out(self, tag: int, ended: Callable[[int, Result], None]) -> None:
--- a/maplestile/requests/core.py
+++ b/maplestile/requests/core.py
@@ -61,9 +61,9 @@
         self.timer_queue = timers = TimerQueue(settings.tick_us, clock, alarm)
         runtime = Runtime(clock, timers, counters)
         # Methods of the timer queue, for the code that sets timers and the driver that runs them.
-        self.at = timers.at
+        self.call_at = timers.call_at
         self.tick = timers.run_due
-        self.catch_up = timers.catch_up
+        self.run_due_timers = timers.run_due_timers
         self.decisions = DecisionLoop(Dispatcher(settings, seed), clock)
         self.requests = RequestTable(settings.tick_us, clock, counters)
         self.attempts = AttemptTable(self.requests, self.decisions, pool, self.epoch_counts, runtime)
@@ -237,7 +237,7 @@
 
     def _set_timer(self, action: api.SetTimer) -> None:
         token = action.token
-        self.at(action.due_us, lambda: self.decisions.handle(api.TimerFired(token)))
+        self.call_at(action.due_us, lambda: self.decisions.handle(api.TimerFired(token)))
 
     def _reject(self, action: api.RejectCall) -> None:
         self.requests.reject(action.call, action.retry_after_us)
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -33,7 +33,7 @@
     def __init__(self, limits: RunnerLimits, clock: Callable[[], int], counters: Counter[str]) -> None:
         self.clock = clock
         self.counters = counters
-        self.move = transition = Transition(counters)
+        self.transition = transition = Transition(counters)
         self.idle_timeout = IdleTimeout(limits.idle_timeout_us)
         self.table = ConnectionTable(limits, self.idle_timeout, self.dial, self.close, clock, counters)
         self.directory = RunnerDirectory(self.table, self.close)
@@ -122,7 +122,7 @@
         if connection is None or message is None:
             return
         was_queued = message.state is AttemptState.QUEUED
-        self.move(message, AttemptState.CANCELLED)
+        self.transition(message, AttemptState.CANCELLED)
         if was_queued:  # never written, so the runner does not know it
             connection.queue.remove(message)
             return
@@ -142,7 +142,7 @@
         if message.state is not AttemptState.QUEUED:
             return False
         del self.locations[attempt]
-        self.move(message, AttemptState.UNSENT)
+        self.transition(message, AttemptState.UNSENT)
         connection.queue.remove(message)
         return True
 
@@ -192,7 +192,7 @@
     def connected(self, connection: Connection, socket: Socket) -> None:
         """Write the messages that wait for a connection that is now established."""
         connection.socket = socket
-        self.move(connection, ConnectionState.UP)
+        self.transition(connection, ConnectionState.UP)
         self.writer.flush(connection)
 
     def input_received(self, connection: Connection) -> None:
@@ -202,7 +202,7 @@
             self.idle_timeout.record_survival(connection.last_input_us, connection.idle_us)
         connection.idle_us = 0
         if connection.state is ConnectionState.UNVERIFIED:
-            self.move(connection, ConnectionState.UP)
+            self.transition(connection, ConnectionState.UP)
 
     def answer_received(self, connection: Connection, answer: wire.Answer) -> None:
         """Report an answer to the core; one with an unknown tag is only counted."""
@@ -243,4 +243,4 @@
         silent_us = self.clock() - message.written_us
         is_silent = connection.last_input_us < message.written_us and silent_us > self.limits.silent_us
         if is_silent and connection.state is ConnectionState.UP:
-            self.move(connection, ConnectionState.UNVERIFIED)
+            self.transition(connection, ConnectionState.UNVERIFIED)
--- a/maplestile/requests/request_intake.py
+++ b/maplestile/requests/request_intake.py
@@ -63,7 +63,7 @@
             self._shed(call, exits_first)
             return call
         self._epochs.current["calls"] += 1
-        self._timers.at(due_us, lambda: self._on_deadline(call))
+        self._timers.call_at(due_us, lambda: self._on_deadline(call))
         self._decisions.handle(_call_arrived(call, request, max(0, due_us - now)))
         return call
 
@@ -91,9 +91,9 @@
     def prepare_exit(self, exit_us: int) -> None:
         """Answer every request, open or yet to come, by the time at which the process exits."""
         self.exit_us = exit_us
-        self._timers.at(exit_us, self.end_all)
+        self._timers.call_at(exit_us, self.answer_all)
 
-    def end_all(self) -> None:
+    def answer_all(self) -> None:
         """Answer every open request now."""
         for call in list(self._requests.open):
             self._fail(call)
--- a/maplestile/requests/result_reporter.py
+++ b/maplestile/requests/result_reporter.py
@@ -37,7 +37,7 @@
         """Handle the result of a health check."""
         ...
 
-    def catch_up(self) -> None:
+    def run_due_timers(self) -> None:
         """Run the timers that are due; called while much input is handled."""
         ...
 
--- a/maplestile/requests/timers.py
+++ b/maplestile/requests/timers.py
@@ -24,7 +24,7 @@
         self.callbacks: dict[int, list[Callback]] = {}  # by tick
         self.ticks: list[int] = []  # the keys of `callbacks`, as a heap
 
-    def at(self, due_us: int, callback: Callback) -> None:
+    def call_at(self, due_us: int, callback: Callback) -> None:
         """Run the callback in the first tick at or after `due_us`, as the simulator does."""
         tick = -(-due_us // self._tick_us)
         callbacks = self.callbacks.get(tick)
@@ -47,9 +47,9 @@
                 due.popleft()()
         finally:
             for callback in due:  # left over because a callback raised
-                self.at(self._clock(), callback)
+                self.call_at(self._clock(), callback)
 
-    def catch_up(self) -> None:
+    def run_due_timers(self) -> None:
         """Run the callbacks that are due; called while much input is handled, so that no deadline waits."""
         if self.ticks and self.ticks[0] * self._tick_us <= self._clock():
             self.run_due()
--- a/maplestile/tools/explore/fingerprint.py
+++ b/maplestile/tools/explore/fingerprint.py
@@ -116,7 +116,7 @@
             return self.variables.get("call") not in core.open
         if self.name.startswith("AttemptTable.send"):
             return self.variables.get("attempt") not in core.in_flight
-        if self.name.startswith("ControlRequests._start"):
+        if self.name.startswith("ControlRequests._register"):
             return self.variables.get("tag") not in core.control_requests
         return False
 
--- a/maplestile/tools/explore/normal_form.py
+++ b/maplestile/tools/explore/normal_form.py
@@ -42,7 +42,7 @@
     FunctionEntry: frozenset(("salt", "preferred", "workers_with_copies", "settled")),
     Worker: frozenset(("salt",)),
     Call: frozenset(("settings", "kind")),
-    Pool: frozenset(("limits", "clock", "counters", "move", "core", "environment", "calls_written")),
+    Pool: frozenset(("limits", "clock", "counters", "transition", "core", "environment", "calls_written")),
     Runner: frozenset(("connections",)),
     Message: frozenset(("line", "request")),
     # `NormalForm.connection` represents the socket, the queue and the partly written line.
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -218,7 +218,7 @@
         line = encode_answer(tag, kind)
         self.pool.input_received(link.connection)
         self.pool.answer_received(link.connection, wire.parse(memoryview(line)))
-        self.core.catch_up()
+        self.core.run_due_timers()
         self.pool.input_handled(link.connection)
 
     def _change_worker(self, number: int, kind: EventKind) -> None:
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -159,7 +159,7 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        replace_method(self.intake, "end_all", lambda: None)
+        replace_method(self.intake, "answer_all", lambda: None)
 
 
 class SendsForDisconnectedClients(SimulatedPool):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -66,7 +66,7 @@
     harness = CoreHarness()
     harness.submit("test-submit", budget_us=1_000_000)
     harness.now += 990_000  # the event loop is busy, and no alarm goes off
-    harness.core.catch_up()
+    harness.core.run_due_timers()
     assert [answer.verdict for answer in harness.answers] == [Verdict.EXPIRED]
 
 
@@ -107,7 +107,7 @@
 
 def test_failing_timer_does_not_stop_later_timers() -> None:
     harness = CoreHarness()
-    harness.core.at(harness.now + 10_000, fail)
+    harness.core.call_at(harness.now + 10_000, fail)
     harness.submit("test-submit", budget_us=1_000_000)
     with pytest.raises(ValueError, match="timer callback failed"):
         harness.run(20_000)
@@ -117,7 +117,7 @@
 
 def test_failing_timer_does_not_stop_timers_due_at_the_same_time() -> None:
     harness = CoreHarness()
-    harness.core.at(harness.now + 10_000, fail)
+    harness.core.call_at(harness.now + 10_000, fail)
     harness.submit("test-submit", budget_us=1_000_000)
     harness.now += 1_010_000  # the event loop was busy, and all timers are due at once
     with pytest.raises(ValueError, match="timer callback failed"):
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -27,7 +27,7 @@
         self.ended: dict[AttemptId, Result] = {}
         self.health_checks_ended: dict[int, Result] = {}
 
-    def catch_up(self) -> None: ...
+    def run_due_timers(self) -> None: ...
 
     def attempt_ended(self, attempt: AttemptId, result: Result, *_: Any) -> None:
         self.ended[attempt] = result
