--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -23,7 +23,7 @@
     HttpRequest,
     RequestRejected,
     Response,
-    nothing,
+    do_nothing,
     problem,
     require_method,
     retry_after,
@@ -105,7 +105,7 @@
             return self._route(request, respond_counted)
         except RequestRejected as rejection:
             respond_counted(rejection.response)
-            return nothing
+            return do_nothing
 
     def _respond_counted(self, respond: Respond, response: Response) -> None:
         self.counters[f"invoke.status.{response.status}"] += 1
@@ -120,7 +120,7 @@
             require_method(request, "GET", "DELETE")
             answer = self._cancel if request.method == "DELETE" else self._poll
             respond(answer(match[1]))
-            return nothing
+            return do_nothing
         raise RequestRejected(problem(404, "no such resource"))
 
     # Invocations.
@@ -138,10 +138,10 @@
         if invocation.deferred:
             record.deferred = True
             respond(_accepted(record))
-            return nothing
+            return do_nothing
         if record.answer is not None:
             respond(self.store.deliver(record))
-            return nothing
+            return do_nothing
         record.waiters.append(respond)
         return lambda: self._remove_waiter(record, respond)
 
--- a/maplestile/net/client.py
+++ b/maplestile/net/client.py
@@ -55,7 +55,7 @@
 
     def has_unhandled_input(self) -> bool:
         """Return whether a request was received, completely or in part, that is not open in the core yet."""
-        return self.is_handling or bool(self.framer.rest) or self.unread_input_bytes() > 0
+        return self.is_handling or bool(self.framer.incomplete) or self.unread_input_bytes() > 0
 
     def presence(self) -> Presence:
         """Return whether the client still waits, for an attempt that starts after the event loop was busy.
--- a/maplestile/net/client_table.py
+++ b/maplestile/net/client_table.py
@@ -14,9 +14,9 @@
     WRITE_CLOSED = 0  # the router has closed its write side
     SILENT = 1  # has sent no request within `ClientLimits.silent_us`
     ONE_REQUEST = 2  # has sent one request, or several that came in one read
-    WAITING = 3  # has sent no request within `ClientLimits.grace_us`
+    WAITING = 3  # has sent no request within `ClientLimits.first_request_us`
     RETURNING = 4  # has sent further requests later
-    NEW = 5  # has sent no request, but `ClientLimits.grace_us` is not over
+    NEW = 5  # has sent no request, but `ClientLimits.first_request_us` is not over
 
 
 class ClientTable:
@@ -76,7 +76,7 @@
         silent_us = now_us - client.message_wait_since_us
         if silent_us > self.limits.clients.silent_us:
             return EvictionRank.SILENT
-        return EvictionRank.WAITING if silent_us > self.limits.clients.grace_us else EvictionRank.NEW
+        return EvictionRank.WAITING if silent_us > self.limits.clients.first_request_us else EvictionRank.NEW
 
     def _evict_first_idle(self, candidates: list[Client]) -> bool:
         """Close the first candidate whose input has all been handled; return whether there was one."""
@@ -92,7 +92,7 @@
         now_us = self.clock()
         for client in self.flushing:
             unread_us = now_us - client.unread_since_us if client.unsent_bytes(now_us) else 0
-            if unread_us > self.limits.clients.unread_us:
+            if unread_us > self.limits.clients.unread_eviction_us:
                 self.counters["clients.idle_evicted"] += 1
                 del self.flushing[client]
                 client.writer.transport.abort()
@@ -101,9 +101,9 @@
 
     def _evict_unfinished(self, candidates: list[Client]) -> bool:
         """Close a connection whose incomplete request has stalled, if there is one."""
-        since_us = self.clock() - self.limits.clients.unfinished_us
+        since_us = self.clock() - self.limits.clients.unfinished_eviction_us
         for client in candidates:
-            is_unfinished = client.framer.rest and client.message_wait_since_us < since_us
+            is_unfinished = client.framer.incomplete and client.message_wait_since_us < since_us
             if is_unfinished and not client.is_handling and not client.unread_input_bytes():
                 self.counters["clients.unfinished_evicted"] += 1
                 self._evict(client)
--- a/maplestile/net/connection_rejector.py
+++ b/maplestile/net/connection_rejector.py
@@ -57,9 +57,9 @@
         framer = jsonrpc.Framer(limits.messages)
         bounded_reads.limit_read_size(writer.transport, max_bytes)
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + limits.clients.grace_us / 1e6
+        end_s = loop.time() + limits.clients.first_request_us / 1e6
         refused = 0
-        while not refused or framer.rest:
+        while not refused or framer.incomplete:
             data = await bounded_reads.read_within(end_s - loop.time(), lambda: reader.take(max_bytes))
             if not data:
                 return
--- a/maplestile/net/dns_discovery.py
+++ b/maplestile/net/dns_discovery.py
@@ -153,7 +153,7 @@
             )
         endpoints = self.endpoints
         list_before = (endpoints.version, dict(endpoints.entries), dict(endpoints.addresses))
-        if not endpoints.apply_whole(serial, listed, replaces):
+        if not endpoints.apply_list(serial, listed, replaces):
             return  # a newer list was applied while the hosts were queried
         self.is_complete = not errors
         if (endpoints.version, endpoints.entries, endpoints.addresses) != list_before:
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -212,7 +212,7 @@
         Raises FramingError if the next message is not complete in time.
         """
         max_bytes = self.limits.clients.read_bytes
-        between_requests = client.message_reads > 0 and not client.framer.rest
+        between_requests = client.message_reads > 0 and not client.framer.incomplete
         if between_requests:  # may stay idle without a time limit
             data = await client.reader.take(max_bytes)
             client.message_wait_since_us = self.core.clock()
--- a/maplestile/net/runners.py
+++ b/maplestile/net/runners.py
@@ -128,7 +128,7 @@
 
         Raises LineError if the rest of a line does not arrive in time, and OSError if the connection breaks.
         """
-        if not lines.rest:
+        if not lines.incomplete:
             return await reader.read(self.limits.read_bytes)
         # The rest of a partial line arrives soon or never, and every later answer waits behind it.
         try:
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -16,7 +16,7 @@
     HttpRequest,
     RequestRejected,
     Response,
-    nothing,
+    do_nothing,
     problem,
     require_method,
 )
@@ -102,7 +102,7 @@
             self._route(request, respond)
         except RequestRejected as rejection:
             respond(rejection.response)
-        return nothing
+        return do_nothing
 
     def _route(self, request: HttpRequest, respond: Respond) -> None:
         path = request.path.partition("?")[0]
--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -35,7 +35,7 @@
     addresses: dict[str, Address] = field(default_factory=dict)
     suspended: frozenset[str] = frozenset()
 
-    def apply_known(self, known: Mapping[str, Any]) -> None:
+    def apply_updates(self, known: Mapping[str, Any]) -> None:
         """Apply the update events in the settings: a complete list first, then changes to it.
 
         Raises EndpointListError if an event cannot be used.
@@ -53,7 +53,7 @@
         """Return whether the version is newer than a serial, in the serial number arithmetic of RFC 1982."""
         return self.version >= 0 and 0 < (self.version - serial) % SERIAL_NUMBERS < SERIAL_NUMBERS // 2
 
-    def apply_whole(
+    def apply_list(
         self, version: int, listed: Iterable[tuple[api.WorkerEntry, Address]], replaces: bool = False
     ) -> bool:
         """Apply a complete list; return false, and change nothing, if it is out of date.
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -130,7 +130,7 @@
 
     def _apply_limits(self) -> None:
         """Pass this process's share of the configured limits to each component."""
-        self.limits = self.config.limits.shared(self.process_count)
+        self.limits = self.config.limits.divided_among(self.process_count)
         self.core.limits = self.limits
         self.runners.limits = self.limits.runners
         if self.platform is not None:
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -100,7 +100,7 @@
     if operator is not None:
         settings = replace(settings, epoch=operator.epoch)
     endpoints = EndpointList()
-    endpoints.apply_known(payload.get("known", {"updates": []}))
+    endpoints.apply_updates(payload.get("known", {"updates": []}))
     sockets = int(budgets.get("sockets", DEFAULT_SOCKETS))
     memory_mb = float(budgets.get("memory_mb", DEFAULT_MEMORY_MB))
     return Config(
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -41,7 +41,7 @@
         self._announce()
         if await self._serve_until_done():
             assert components.platform is not None
-            wait_for_idle_until_us = clock() + components.limits.handover.quiet_wait_us
+            wait_for_idle_until_us = clock() + components.limits.handover.idle_wait_us
             await self._close_platform(components.platform, wait_for_idle_until_us)
         else:
             await asyncio.sleep(POLL_S)  # for the invoke front to write the last answers
@@ -139,7 +139,7 @@
             await listener.accept_queued_and_close(timeout_s, components.free_descriptor)
         while (self._has_unanswered() or platform.has_open_connections()) and clock() < self.exit_deadline_us:
             await asyncio.sleep(POLL_S)
-            platform.close_gracefully(limits.handover.quiet_us if clock() < wait_for_idle_until_us else 0)
+            platform.close_gracefully(limits.handover.idle_us if clock() < wait_for_idle_until_us else 0)
         platform.close_all()
         linger_until_us = clock() + limits.handover.linger_us
         # Until then, input that crosses the close is read and discarded.
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -227,7 +227,7 @@
 
     def _publish_list(self) -> None:
         """Pass the current endpoint list to the router."""
-        self.endpoints.apply_whole(self.endpoints.version + 1, self.workers.endpoint_list(self.now_us))
+        self.endpoints.apply_list(self.endpoints.version + 1, self.workers.endpoint_list(self.now_us))
         self.pool.update(self.endpoints)
         self.core.list_changed(self.endpoints.event())
 
--- a/maplestile/wire/http.py
+++ b/maplestile/wire/http.py
@@ -66,7 +66,7 @@
         self.response = response
 
 
-def nothing() -> None:
+def do_nothing() -> None:
     """Do nothing; `Application.handle` returns this if the request is answered already."""
 
 
--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -89,14 +89,14 @@
 
     def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
-        self.rest = b""  # start of a message that is not complete yet
+        self.incomplete = b""  # start of a message that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[memoryview]:
         """Yield the bodies of the messages that are now complete; raises `FramingError`."""
-        buffer = self.rest + data if self.rest else data
+        buffer = self.incomplete + data if self.incomplete else data
         view = memoryview(buffer)
         start = 0
-        self.rest = b""
+        self.incomplete = b""
         while (head_end := buffer.find(HEAD_END, start, start + self.limits.head_bytes)) >= 0:
             body = head_end + len(HEAD_END)
             size = self._body_size(buffer[start:head_end])
@@ -106,7 +106,7 @@
             start = body + size
         if head_end < 0 and len(buffer) - start >= self.limits.head_bytes:
             raise FramingError("a head without an end")
-        self.rest = bytes(view[start:])  # a copy, since the view is only valid until the next feed
+        self.incomplete = bytes(view[start:])  # a copy, since the view is only valid until the next feed
 
     def _body_size(self, head: bytes) -> int:
         """Return the body size given in a message head."""
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -31,11 +31,11 @@
     # waits for an answer.
     message_us: int = 1_500_000
     # Time for a new connection to send a request; until then it is the last to be evicted for another one.
-    grace_us: int = 200_000
+    first_request_us: int = 200_000
     # Time after which a connection that has sent no request is evicted before those that have.
     silent_us: int = 1_000_000
     # Time for a message to arrive completely; after that its connection may be evicted.
-    unfinished_us: int = 750_000
+    unfinished_eviction_us: int = 750_000
     surplus_connections: int = 16  # connections over the cap, whose first request is rejected
     bad_messages: int = 64  # invalid messages after which a connection is closed
     # Messages of one connection that are handled before others have their turn: 2 to 3 ms of work.
@@ -45,7 +45,7 @@
     all_unread_bytes: int = 16 * MB  # unread answers of all clients together
     close_us: int = 4_000_000  # time for a client to read its last answers when its connection is closing
     # Time after which a closing connection with unread answers may be evicted; clients that read need less.
-    unread_us: int = 1_000_000
+    unread_eviction_us: int = 1_000_000
     linger_us: int = 100_000  # time to read and discard input after a message that cannot be framed
     # Size of a socket read. A stream buffers up to twice as much, so under 50 KB of a client are read ahead.
     read_bytes: int = 16 * KB
@@ -161,8 +161,8 @@
 
     # Interval at which what the other process wrote is read: a small part of the drain grace of 2 s.
     poll_us: int = 100_000
-    quiet_us: int = 20_000  # time without activity after which a connection is closed
-    quiet_wait_us: int = 1_000_000  # how long the process waits for its connections to be quiet
+    idle_us: int = 20_000  # time without activity after which a connection is closed
+    idle_wait_us: int = 1_000_000  # how long the process waits for its connections to be idle
     spare_us: int = 250_000  # how long before SIGKILL the process exits
     min_budget_us: int = 250_000  # least remaining time with which a request is still accepted
     linger_us: int = 100_000  # how long input that crossed the close of a connection is read
@@ -225,14 +225,14 @@
             runners=runners,
             control_requests=ControlRequestLimits(load_timeout_us=load_timeout_us),
             process=ProcessLimits(descriptors, memory_mb),
-        ).shared(1)
+        ).divided_among(1)
 
     def kill_after_us(self, longest_us: int) -> int:
         """Return the time from SIGTERM to SIGKILL; `longest_us` is the longest deadline of a class."""
         shutdown = self.shutdown
         return min(longest_us, shutdown.kill_deadline_us) + shutdown.kill_spare_us
 
-    def shared(self, process_count: int) -> "Limits":
+    def divided_among(self, process_count: int) -> "Limits":
         """Return the limits of one process where `process_count` processes share descriptors and memory."""
         default = type(self)()
         descriptors = self.process.descriptors // process_count
--- a/maplestile/wire/runner.py
+++ b/maplestile/wire/runner.py
@@ -46,21 +46,21 @@
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes  # of one line
-        self.rest = b""  # start of a line that is not complete yet
+        self.incomplete = b""  # start of a line that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[memoryview]:
         """Yield the complete lines, without empty ones; raises `LineError` if a line is too long."""
-        buffer = self.rest + data if self.rest else data
+        buffer = self.incomplete + data if self.incomplete else data
         view = memoryview(buffer)
         start = 0
-        self.rest = b""
+        self.incomplete = b""
         while (end := buffer.find(b"\n", start)) >= 0:
             if end > start:
                 yield view[start:end]
             start = end + 1
         if len(buffer) - start > self.max_bytes:  # a line that never ends would exhaust memory
             raise LineError("a line is longer than the limit")
-        self.rest = bytes(view[start:])  # a copy, since the view is only valid until the next feed
+        self.incomplete = bytes(view[start:])  # a copy, since the view is only valid until the next feed
 
 
 def call(request: Request, wait_us: int) -> bytes:
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -82,7 +82,7 @@
     def test_suspended_runner_appears_as_draining(self) -> None:
         endpoints = EndpointList()
         targets = [target("a", 1), target("b", 2)]
-        endpoints.apply_known({"updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]})
+        endpoints.apply_updates({"updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]})
         endpoints.suspended = frozenset({"a", "not-listed"})
         states = {listed.worker: listed.state for listed in endpoints.event().entries}
         self.assertEqual(states, {"a": api.WorkerState.DRAINING, "b": api.WorkerState.RUNNING})
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -272,7 +272,7 @@
         pool.core = core
         endpoints = EndpointList()
         entry = api.WorkerEntry("s-0", "east", "std", 2, api.WorkerState.RUNNING, 4.0, 0)
-        endpoints.apply_whole(1, [(entry, ("127.0.0.1", worker.port))])
+        endpoints.apply_list(1, [(entry, ("127.0.0.1", worker.port))])
         pool.update(endpoints)
         core.list_changed(endpoints.event())
         return core
--- a/tests/test_front_closing.py
+++ b/tests/test_front_closing.py
@@ -33,7 +33,7 @@
             client.sendall(first)
             await self.wait_until_connected()
             if first:
-                await wait_until(lambda: next(iter(self.front.clients)).framer.rest)
+                await wait_until(lambda: next(iter(self.front.clients)).framer.incomplete)
             client.sendall(SHORT_CALL_FRAME[len(first) :])
             time.sleep(1.2 * CLIENT_LIMITS.message_us / 1e6)  # blocks the event loop
             await self.wait_until_calls_are_open()
--- a/tests/test_front_eviction.py
+++ b/tests/test_front_eviction.py
@@ -27,7 +27,7 @@
 
     async def test_refuses_requests_of_new_connections_over_limit(self) -> None:
         # Time limits that are long enough for the new clients to write, even on a busy machine.
-        self.front.limits = changed_limits(grace_us=20_000_000, message_us=20_000_000)
+        self.front.limits = changed_limits(first_request_us=20_000_000, message_us=20_000_000)
         await self.fill_to_connection_limit()
         new_clients = [await self.connect() for _ in range(5)]
         partial_frame = framed(message(limit=CALL_LIMIT_MS)[:-1] + b"}")[:40]
@@ -60,7 +60,7 @@
         await early.check()
         late = await self.connect()
         await self.wait_until_connected(2)
-        self.harness.now += CLIENT_LIMITS.grace_us + 1
+        self.harness.now += CLIENT_LIMITS.first_request_us + 1
         self.assertTrue(self.front.evict_idle())
         self.assertTrue(await early.is_closed())
         self.assertEqual((await late.check(2))["id"], 2)
@@ -89,13 +89,15 @@
         clients = [await self.connect() for _ in range(2)]
         for client in clients:
             client.send(CALL_FRAME[:50])
-        await wait_until(lambda: sum(bool(accepted.framer.rest) for accepted in self.front.clients) >= 2)
-        self.harness.now += self.front.limits.clients.grace_us + 1
+        await wait_until(
+            lambda: sum(bool(accepted.framer.incomplete) for accepted in self.front.clients) >= 2
+        )
+        self.harness.now += self.front.limits.clients.first_request_us + 1
         self.assertFalse(self.front.evict_idle())
         self.timestamps.earliest_event_us = self.harness.now
         clients[0].send(CALL_FRAME[50:])
         await self.wait_until_calls_are_open()
-        self.harness.now += self.front.limits.clients.unfinished_us
+        self.harness.now += self.front.limits.clients.unfinished_eviction_us
         self.assertTrue(self.front.evict_idle())  # the one whose request stays incomplete
         self.assertEqual((self.counters["clients.unfinished_evicted"], len(self.harness.core.open)), (1, 1))
 
--- a/tests/test_front_unread.py
+++ b/tests/test_front_unread.py
@@ -76,7 +76,7 @@
             self.assertEqual(error_code(await early.read_answer()), REFUSED)
             self.assertTrue(await early.is_closed())
             self.assert_flushing_and_evicted(2, 0)
-            self.harness.now += CLIENT_LIMITS.unread_us + 1
+            self.harness.now += CLIENT_LIMITS.unread_eviction_us + 1
             late = await self.connect()  # at the limit, so the first of the two is evicted
             await late.check()
             self.assert_flushing_and_evicted(1, 1)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -72,9 +72,9 @@
         router_settings = settings()
         for descriptors in (256, 384, 1024):
             alone = Limits.from_settings(router_settings, descriptors, 80)
-            both = alone.shared(2)
+            both = alone.divided_among(2)
             held = 2 * (both.clients.connections + both.runners.connections + both.operators.connections)
             self.assertLess(held, descriptors - 40)
             self.assertGreaterEqual(2 * both.clients.connections, descriptors // 3)
             self.assertLess(both.requests.open_bytes, alone.requests.open_bytes)
-            self.assertEqual(both.shared(1), alone)
+            self.assertEqual(both.divided_among(1), alone)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -32,16 +32,16 @@
     "clients.connections": 512,
     "clients.streams": 32,
     "clients.message_us": 1_500_000,
-    "clients.grace_us": 200_000,
+    "clients.first_request_us": 200_000,
     "clients.silent_us": 1_000_000,
-    "clients.unfinished_us": 750_000,
+    "clients.unfinished_eviction_us": 750_000,
     "clients.surplus_connections": 16,
     "clients.bad_messages": 64,
     "clients.batch_messages": 16,
     "clients.unread_bytes": 4_194_304,
     "clients.all_unread_bytes": 16_777_216,
     "clients.close_us": 4_000_000,
-    "clients.unread_us": 1_000_000,
+    "clients.unread_eviction_us": 1_000_000,
     "clients.linger_us": 100_000,
     "clients.read_bytes": 16_384,
     "listeners.accept_burst": 16,
@@ -84,8 +84,8 @@
     "names.restart_replies": 20,
     "names.start_wait_us": 3_500_000,
     "handover.poll_us": 100_000,
-    "handover.quiet_us": 20_000,
-    "handover.quiet_wait_us": 1_000_000,
+    "handover.idle_us": 20_000,
+    "handover.idle_wait_us": 1_000_000,
     "handover.spare_us": 250_000,
     "handover.min_budget_us": 250_000,
     "handover.linger_us": 100_000,
@@ -260,10 +260,10 @@
 @pytest.mark.parametrize("process_count", [1, 2, 3, 4])
 @pytest.mark.parametrize("name", CHANGES)
 def test_limits_of_each_process_that_shares(name: str, process_count: int) -> None:
-    limits = SINGLE_PROCESS_LIMITS[name].shared(process_count)
+    limits = SINGLE_PROCESS_LIMITS[name].divided_among(process_count)
     assert flat_values(limits) == DEFAULTS | CHANGES[name][process_count - 1]
-    # `shared` starts from the limits of the process, so sharing is never applied twice.
-    assert limits.shared(1) == SINGLE_PROCESS_LIMITS[name]
+    # `divided_among` starts from the limits of the process, so sharing is never applied twice.
+    assert limits.divided_among(1) == SINGLE_PROCESS_LIMITS[name]
 
 
 @pytest.mark.parametrize("name", CHANGES)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -161,7 +161,7 @@
 
 def test_endpoint_list_applies_changes_in_order_and_ignores_old_lists() -> None:
     endpoints = EndpointList()
-    endpoints.apply_known(
+    endpoints.apply_updates(
         {
             "index": 3,
             "updates": [
@@ -171,13 +171,13 @@
         }
     )
     assert list(endpoints.entries) == ["b"] and endpoints.version == 3
-    assert not endpoints.apply_whole(3, []) and endpoints.entries
+    assert not endpoints.apply_list(3, []) and endpoints.entries
     found = dns.parse(dns_reply())
-    assert endpoints.apply_whole(4, [dns.worker_entry(found, target) for target in found.targets])
+    assert endpoints.apply_list(4, [dns.worker_entry(found, target) for target in found.targets])
     assert list(endpoints.entries) == ["s-1"]
     with pytest.raises(EndpointListError):
         unknown_state = {"targets": [target("x", 1, "Odd")]}
-        endpoints.apply_known({"updates": [{"index": 5, "endpoints": unknown_state}]})
+        endpoints.apply_updates({"updates": [{"index": 5, "endpoints": unknown_state}]})
 
 
 def test_repeated_warnings_are_rate_limited_and_others_are_not(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -201,5 +201,5 @@
     for weight in (0.0, -1.0, float("nan"), float("inf")):
         endpoints = EndpointList()
         entry = api.WorkerEntry("s-1", "east", "std", 0, api.WorkerState.RUNNING, weight, 0)
-        assert endpoints.apply_whole(1, [(entry, ("127.0.0.1", 9))])
+        assert endpoints.apply_list(1, [(entry, ("127.0.0.1", 9))])
         assert 0 < endpoints.entries["s-1"].weight < 1
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Give the pool a new list that holds the worker in this state."""
         entry = api.WorkerEntry("s-0", "east", "std", 2, state, 4.0, started_us)
-        self.endpoints.apply_whole(
+        self.endpoints.apply_list(
             self.endpoints.version + 1, [(entry, ("127.0.0.1", port or self.worker.port))]
         )
         self.pool.update(self.endpoints)
@@ -178,7 +178,7 @@
             )
             for n, worker in enumerate(workers)
         ]
-        self.endpoints.apply_whole(self.endpoints.version + 1, entries)
+        self.endpoints.apply_list(self.endpoints.version + 1, entries)
         self.pool.update(self.endpoints)
         for number in range(4):
             self.now += 1_000
