--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -19,7 +19,7 @@
 from maplestile.invoke.store import InvocationRecord, InvocationStore
 from maplestile.requests.core import Core
 from maplestile.wire.http import (
-    Bounds,
+    FrontLimits,
     HttpRequest,
     RequestRejected,
     Response,
@@ -84,9 +84,9 @@
         self.store.retention_us = operator.record_us
         self.bounds = self._bounds()
 
-    def _bounds(self) -> Bounds:
+    def _bounds(self) -> FrontLimits:
         limits = self.core.limits
-        return Bounds(
+        return FrontLimits(
             self.operator.connections,
             self.operator.idle_s,
             limits.invoke.request_us,
@@ -188,7 +188,7 @@
 
     def _finish_recorded(self, tenant: str, record: InvocationRecord, outcome: Outcome) -> None:
         self.in_flight[tenant] -= 1
-        if record.abandoned and not record.waiters and not outcome.ran:
+        if record.abandoned and not record.waiters and not outcome.may_have_run:
             self.store.drop(record)  # nothing ran and no caller got an answer, so the key may be used again
         else:
             self.store.finish(record, problems.response_to(outcome))
--- a/maplestile/invoke/problems.py
+++ b/maplestile/invoke/problems.py
@@ -16,5 +16,5 @@
         case Verdict.EXPIRED:
             return problem(504, "the deadline lapsed")
         case Verdict.FAILED:
-            ran = "it may have run" if outcome.ran else "it did not run"
-            return problem(502, f"the call failed; {ran}")
+            execution = "it may have run" if outcome.may_have_run else "it did not run"
+            return problem(502, f"the call failed; {execution}")
--- a/maplestile/net/connection_rejector.py
+++ b/maplestile/net/connection_rejector.py
@@ -20,7 +20,7 @@
     """The handler of connections above the connection limit, which have a small limit of their own."""
 
     def __init__(
-        self, table: ClientTable, known_names: jsonrpc.KnownNames, is_ready: Callable[[], bool]
+        self, table: ClientTable, known_names: jsonrpc.AllowedNames, is_ready: Callable[[], bool]
     ) -> None:
         self.table = table
         self.known_names = known_names  # served classes and tenants
--- a/maplestile/net/http_connection.py
+++ b/maplestile/net/http_connection.py
@@ -9,7 +9,7 @@
 import h11
 
 from maplestile.net import bounded_reads
-from maplestile.wire.http import Application, Bounds, HttpRequest, Response, problem
+from maplestile.wire.http import Application, FrontLimits, HttpRequest, Response, problem
 
 log = logging.getLogger("maplestile.net.http")
 READ_BYTES = 16_384
@@ -49,7 +49,7 @@
         self.receiving: dict[HttpConnection, None] = {}  # connections with an incomplete request
 
     @property
-    def bounds(self) -> Bounds:
+    def bounds(self) -> FrontLimits:
         """The current limits of the front."""
         return self.app.bounds
 
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -73,7 +73,7 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Accept calls to the classes and tenants of these settings from now on."""
-        known_names = jsonrpc.KnownNames.from_settings(settings)
+        known_names = jsonrpc.AllowedNames.from_settings(settings)
         self.request_handler.known_names = known_names
         self.rejector.known_names = known_names
 
--- a/maplestile/net/request_handler.py
+++ b/maplestile/net/request_handler.py
@@ -30,7 +30,7 @@
         self.answer_writer = answer_writer
         self.graceful_close = graceful_close
         self.is_ready = is_ready
-        self.known_names = jsonrpc.KnownNames.from_settings(core.settings)  # served classes and tenants
+        self.known_names = jsonrpc.AllowedNames.from_settings(core.settings)  # served classes and tenants
 
     def handle(self, client: Client, view: memoryview, received_us: int) -> None:
         """Handle one message. Raises FramingError after too many invalid messages on one connection."""
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -12,7 +12,7 @@
 from maplestile.operation.policy import PolicyOperations, PolicyReport
 from maplestile.operation.runner_view import RunnerView
 from maplestile.wire.http import (
-    Bounds,
+    FrontLimits,
     HttpRequest,
     RequestRejected,
     Response,
@@ -77,7 +77,7 @@
 
     def __init__(self, router: RouterOperations, limits: Limits) -> None:
         self.router = router
-        self.bounds = Bounds(
+        self.bounds = FrontLimits(
             limits.operators.connections,
             limits.operators.request_us / 1e6,
             limits.operators.request_us,
--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -84,9 +84,9 @@
         call = attempt[0]
         pending = self._requests.open.get(call)
         if pending is not None and result not in NEVER_RAN:
-            pending.ran = True
+            pending.may_have_run = True
         if pending is not None and result is Result.OK:
-            self._requests.finish(call, Outcome(Verdict.SERVED, body, ran=True))
+            self._requests.finish(call, Outcome(Verdict.SERVED, body, may_have_run=True))
         elapsed_us = max(0, self._clock() - flight.sent_us)
         over = call not in self._requests.open
         warmth = api.Warmth.UNKNOWN
--- a/maplestile/requests/control_requests.py
+++ b/maplestile/requests/control_requests.py
@@ -33,8 +33,8 @@
         self.open: dict[int, ControlRequest] = {}  # by tag
         # Set where routers share health checks: whether this router checks a worker itself, and a callback
         # for the result of each check.
-        self.may_check: Callable[[str], bool] = _always_check
-        self.on_checked: Callable[[str, Result], None] = _ignore_result
+        self.may_check_health: Callable[[str], bool] = _always_check
+        self.on_health_check_result: Callable[[str, Result], None] = _ignore_result
 
     def request_load(self, action: api.RequestLoad) -> None:
         """Send a load request for copies of a function to a worker."""
@@ -49,7 +49,7 @@
 
     def check_health_if_assigned(self, action: api.SendHealthCheck) -> None:
         """Send a health check for the dispatcher, unless another router is assigned to check that worker."""
-        if self.may_check(action.worker):
+        if self.may_check_health(action.worker):
             self.check_health(action.worker)
         else:
             self._counters["health_checks.left_to_assignee"] += 1
@@ -72,12 +72,15 @@
         )
 
     def health_check_ended(self, tag: int, result: Result, report: Report = ()) -> None:
-        """Report the result of a health check to the dispatcher and `on_checked`, unless it has ended."""
+        """Report the result of a health check to the dispatcher and `on_health_check_result`.
+
+        A health check that has already ended is ignored.
+        """
         request = self.open.pop(tag, None)
         if request is None:
             return
         self._counters[f"health_checks.{result.value}"] += 1
-        self.on_checked(request.worker, result)
+        self.on_health_check_result(request.worker, result)
         elapsed_us = max(0, self._clock() - request.sent_us)
         self._decisions.handle(api.HealthCheckEnded(request.worker, result, elapsed_us, report))
 
--- a/maplestile/requests/records.py
+++ b/maplestile/requests/records.py
@@ -80,7 +80,7 @@
     presence: Callable[[], Presence]
     state: CallState = CallState.PENDING
     attempts: int = 0  # made so far
-    ran: bool = False  # an attempt may have run
+    may_have_run: bool = False  # an attempt may have run
     epoch: int = 0  # of the policy that it was accepted under
 
 
--- a/maplestile/requests/request_table.py
+++ b/maplestile/requests/request_table.py
@@ -55,7 +55,7 @@
         early_us = pending.request.budget_us // EARLY_FAILURE_DIVISOR + EARLY_FAILURE_TICKS * self._tick_us
         expired = self._clock() >= pending.due_us - early_us
         verdict = Verdict.EXPIRED if expired else Verdict.FAILED
-        self.finish(call, Outcome(verdict, ran=pending.ran))
+        self.finish(call, Outcome(verdict, may_have_run=pending.may_have_run))
 
     def finish(self, call: int, outcome: Outcome) -> None:
         """Give the final answer; does nothing if the request is not open. All final answers pass here."""
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -118,8 +118,8 @@
             components.core.control.check_health,
         )
         components.peers = peers
-        components.core.control.may_check = peers.may_check_health
-        components.core.control.on_checked = peers.record_health_check
+        components.core.control.may_check_health = peers.may_check_health
+        components.core.control.on_health_check_result = peers.record_health_check
         peers.set_runners(components.endpoints.entries)
         self.supervisor.start(peers.run)
 
--- a/maplestile/wire/http.py
+++ b/maplestile/wire/http.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class FrontLimits:
     """The limits of a front's connections."""
 
     connections: int
@@ -48,7 +48,7 @@
 class Application(Protocol):
     """An application that answers the requests of an HTTP front, without doing I/O."""
 
-    bounds: Bounds  # read at each use, since a reload may change them
+    bounds: FrontLimits  # read at each use, since a reload may change them
 
     def handle(self, request: HttpRequest, respond: Callable[[Response], None]) -> Callable[[], None]:
         """Answer a request by calling `respond` once.
--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -46,14 +46,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class KnownNames:
+class AllowedNames:
     """The names of classes and tenants that a request may use."""
 
     classes: Mapping[str, bool]  # by name, whether requests need an idempotency key
     tenants: frozenset[str]  # empty if tenants are not checked
 
     @classmethod
-    def from_settings(cls, settings: Settings) -> "KnownNames":
+    def from_settings(cls, settings: Settings) -> "AllowedNames":
         """Return the names in these settings."""
         classes = {
             call_class.name: call_class.idempotency is Idempotency.WITH_KEY for call_class in settings.classes
@@ -131,7 +131,7 @@
     return _frame_body(json.dumps(message, separators=(",", ":")).encode())
 
 
-def parse(view: memoryview, limits: MessageLimits, known: KnownNames) -> Call | Interrupt | Check:
+def parse(view: memoryview, limits: MessageLimits, known: AllowedNames) -> Call | Interrupt | Check:
     """Decode one message; raises `RpcError` with the code and the identifier for the error answer."""
     try:
         message = json.loads(str(view, "utf-8"))
@@ -202,7 +202,7 @@
 
 
 def _parse_request(
-    class_name: str, params: dict[str, Any], limits: MessageLimits, known: KnownNames
+    class_name: str, params: dict[str, Any], limits: MessageLimits, known: AllowedNames
 ) -> Request:
     """Return the request of a call; raises `ValueError` that names the first invalid field."""
     extras = _parse_extras(_string_param(params, "info", ""))
--- a/maplestile/wire/messages.py
+++ b/maplestile/wire/messages.py
@@ -47,4 +47,4 @@
     verdict: Verdict
     body: bytes = b""  # empty unless the request was served
     retry_after_us: int = 0  # for a rejection: how long the client should wait; 0 for no wait
-    ran: bool = False  # whether an attempt may have run
+    may_have_run: bool = False  # whether an attempt may have run
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -34,7 +34,7 @@
     def finish(self, call: int, outcome: Outcome) -> None:  # puts the call back into the table
         pending = self.open.get(call)
         self.original_finish(call, outcome)
-        if pending is not None and outcome.ran:
+        if pending is not None and outcome.may_have_run:
             self.open[call] = pending
 
 
--- a/tests/record_wire.py
+++ b/tests/record_wire.py
@@ -160,7 +160,7 @@
 
 def _parsed_messages(limits: MessageLimits) -> list[object]:
     """Return requests, each with its parsed form or the error that answers it."""
-    known = jsonrpc.KnownNames(classes={"review": False, "deck-make": True}, tenants=frozenset({"t"}))
+    known = jsonrpc.AllowedNames(classes={"review": False, "deck-make": True}, tenants=frozenset({"t"}))
     messages: list[object] = [
         {"id": 1, "method": "review", "params": CALL | change} for change in CALL_CHANGES
     ]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -48,7 +48,7 @@
     harness = CoreHarness()
     harness.submit("test-submit")
     harness.core.attempt_ended(harness.sent[0], Result.RESET)
-    assert [(a.verdict, a.ran) for a in harness.answers] == [(Verdict.FAILED, True)]
+    assert [(a.verdict, a.may_have_run) for a in harness.answers] == [(Verdict.FAILED, True)]
     harness.run(5_000_000)
     assert len(harness.sent) == 1
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from maplestile.net.http import HttpFront
-from maplestile.wire.http import Application, Bounds
+from maplestile.wire.http import Application, FrontLimits
 from tests.standins import PATIENCE_S, wait_until
 
 
@@ -16,7 +16,7 @@
 
     async def test_incomplete_request_gets_408_and_close_after_timeout(self) -> None:
         counters = Counter[str]()
-        bounds = Bounds(2, 60.0, 100_000, 100, 100_000, 16)
+        bounds = FrontLimits(2, 60.0, 100_000, 100, 100_000, 16)
         api = SimpleNamespace(bounds=bounds)
         server = await HttpFront("invoke", cast(Application, api), counters, lambda: 0).start("127.0.0.1", 0)
         async with asyncio.timeout(PATIENCE_S):
@@ -33,7 +33,7 @@
     async def test_request_that_crosses_graceful_close_is_not_handled(self) -> None:
         """One connection is idle and one has half a request; the rest arrives after the close."""
         handled = list[object]()
-        bounds = Bounds(4, 60.0, 10_000_000, 100, 100_000, 16)
+        bounds = FrontLimits(4, 60.0, 10_000_000, 100, 100_000, 16)
         api = SimpleNamespace(bounds=bounds, handle=lambda request, respond: handled.append(request))
         http = HttpFront("invoke", cast(Application, api), Counter[str](), lambda: 0)
         server = await http.start("127.0.0.1", 0)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -15,7 +15,7 @@
 from maplestile.wire.messages import Outcome, Verdict
 from tests.standins import name_bytes, record, target
 
-KNOWN = jsonrpc.KnownNames({"review": False, "deck-make": True}, frozenset({"acme"}))
+KNOWN = jsonrpc.AllowedNames({"review": False, "deck-make": True}, frozenset({"acme"}))
 TXN = "9b1f03aa5c7e2d41"
 ITEM = "7f3a9c21e0b4d655"
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
