--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -11,7 +11,7 @@
 from maplestile.wire import dns
 from maplestile.wire.limits import NameServerLimits
 
-HOST_TRIES = 4  # queries for one record type of a host, including the first
+MAX_HOST_QUERY_ATTEMPTS = 4  # queries for one record type of a host, including the first
 MAX_HOST_QUERIES = 16  # concurrent queries
 ID_VALUES = 1 << 16  # number of DNS message ids
 
@@ -126,7 +126,7 @@
         host.texts = host.texts or received.texts
 
     async def _query_with_retries(self, name: str, record_type: int) -> dns.Reply:
-        for _ in range(HOST_TRIES - 1):
+        for _ in range(MAX_HOST_QUERY_ATTEMPTS - 1):
             try:
                 return await self.query(name, record_type)
             except (dns.DnsError, TimeoutError):
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -42,7 +42,7 @@
         self.config = config
         self.name = config.name
         self.limits = config.limits  # this process's share, while several processes share the budgets
-        self.endpoints = config.fleet
+        self.endpoints = config.endpoints
         self.selector = selector
         self.counters: Counter[str] = Counter()
         self.runners = self._build_runner_pool()
--- a/maplestile/router/config.py
+++ b/maplestile/router/config.py
@@ -36,7 +36,7 @@
     limits: Limits
     listen: Address | None  # address of the platform front
     dns: Address | None  # address of the name server
-    fleet: EndpointList  # the endpoints known before the name server answers
+    endpoints: EndpointList  # the endpoints known before the name server answers
     seed: int  # of the random number generator
     operator_settings: "OperatorSettings | None" = None  # from an operator's file, with the invoke front
     operation: Address | None = None  # address of the operators' front; `folder` has no effect without it
@@ -109,7 +109,7 @@
         limits=Limits.from_settings(settings, sockets, memory_mb),
         listen=parse_address(payload["listen"]) if "listen" in payload else None,
         dns=parse_address(payload["dns"]) if "dns" in payload else None,
-        fleet=endpoints,
+        endpoints=endpoints,
         seed=int(str(payload.get("seed", "0")), 16) & SEED_MASK,
         operator_settings=operator,
         operation=parse_address(payload["operator"]) if payload.get("operator") else None,
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -100,7 +100,7 @@
             applied.append("dns")
             self.discovery.poll(config.dns)
         if self._has_newer_endpoints(config):
-            components.endpoints.replace(config.fleet)
+            components.endpoints.replace(config.endpoints)
             components.publish_endpoints()
             applied.append("known")
         invoke = components.invoke
@@ -119,7 +119,7 @@
         a worker that has gone. Without a name server, the file is the only source, and any change counts.
         """
         endpoints = self.components.endpoints
-        version = config.fleet.version
+        version = config.endpoints.version
         if version != endpoints.version and not endpoints.is_newer_than(version):
             return True
-        return config.dns is None and config.fleet.entries != endpoints.entries
+        return config.dns is None and config.endpoints.entries != endpoints.entries
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -16,10 +16,10 @@
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.now = START_US
-        self.due = 0  # time of the alarm that the core has set; 0 if it is not set
+        self.alarm_us = 0  # time of the alarm that the core has set; 0 if it is not set
         self.sent: list[AttemptId] = []
         self.cancelled: list[AttemptId] = []
-        self.unwritten = set[AttemptId]()  # attempts that still wait for their connection
+        self.unwritten_attempts = set[AttemptId]()  # attempts that still wait for their connection
         self.core = Core(
             settings_from(params()), limits or Limits(), SEED, self, lambda: self.now, self._set_alarm
         )
@@ -30,7 +30,7 @@
         self.answers: list[Outcome] = []
 
     def _set_alarm(self, due_us: int) -> None:
-        self.due = due_us
+        self.alarm_us = due_us
 
     def send(self, attempt: AttemptId, worker: str, request: Request, wait_us: int, until_us: int) -> None:
         self.sent.append(attempt)
@@ -39,7 +39,7 @@
         self.cancelled.append(attempt)
 
     def drop_unwritten(self, attempt: AttemptId) -> bool:
-        return attempt in self.unwritten
+        return attempt in self.unwritten_attempts
 
     def load(self, tag: int, worker: str, function: str, copies: int) -> None: ...
     def unload(self, worker: str, function: str) -> None: ...
@@ -55,8 +55,8 @@
     def run(self, duration_us: int) -> None:
         """Advance the clock, and run the timers of the core whenever its alarm is due."""
         end_us = self.now + duration_us
-        while self.due and self.due <= end_us:
-            self.now = max(self.now, self.due)
-            self.due = 0
+        while self.alarm_us and self.alarm_us <= end_us:
+            self.now = max(self.now, self.alarm_us)
+            self.alarm_us = 0
             self.core.tick()
         self.now = end_us
--- a/tests/record_files.py
+++ b/tests/record_files.py
@@ -130,7 +130,9 @@
     except ConfigError as error:
         return f"refused: {error}"
     addresses = [config.name, config.listen, config.dns, config.operation, config.seed]
-    return plain([addresses, config.settings, _limit_values(config.limits), config.fleet.visible_entries()])
+    return plain(
+        [addresses, config.settings, _limit_values(config.limits), config.endpoints.visible_entries()]
+    )
 
 
 def _limit_values(limits: Limits) -> list[float]:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -150,7 +150,7 @@
             client.send(call_frame(1))
             await self.wait_until_calls_are_open()
             (attempt,) = list(self.harness.core.in_flight)
-            self.harness.unwritten = {attempt} if unwritten else set()
+            self.harness.unwritten_attempts = {attempt} if unwritten else set()
             client.writer.close()
             await wait_until(self.core_knows_of_disconnect)
             if not unwritten:
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -10,7 +10,7 @@
 from typing import Any, cast
 
 from maplestile.dispatch.api import WorkerState
-from maplestile.net.dns_client import HOST_TRIES
+from maplestile.net.dns_client import MAX_HOST_QUERY_ATTEMPTS
 from maplestile.net.dns_discovery import DnsDiscovery
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.wire import dns
@@ -174,7 +174,7 @@
         unanswered = host_name(33)
         self.server.unanswered_hosts = {unanswered}
         # Two rounds of queries for its two records.
-        await self.wait_for(lambda: self.server.queries[unanswered] >= 4 * HOST_TRIES)
+        await self.wait_for(lambda: self.server.queries[unanswered] >= 4 * MAX_HOST_QUERY_ATTEMPTS)
         self.assert_list_is(FIRST_SERIAL, WORKERS - 1)
         self.assertEqual(self.counters["names.lists"], 1)
         self.assertNotIn("s-33", self.endpoints.entries)
