--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -107,8 +107,8 @@
         if self.status in (PolicyStatus.CURRENT, PolicyStatus.STALE):
             self.status = PolicyStatus.WAITING
 
-    def admits(self, now_us: int) -> bool:
-        """Return whether the router may take new calls."""
+    def accepts_calls(self, now_us: int) -> bool:
+        """Return whether the router may accept new calls."""
         self.tick(now_us)
         return self.status in (PolicyStatus.CURRENT, PolicyStatus.STALE)
 
--- a/maplestile/requests/request_intake.py
+++ b/maplestile/requests/request_intake.py
@@ -37,7 +37,7 @@
         self._counters = runtime.counters
         self.limits = limits
         # Returns whether new calls may be accepted now; None if the router does not follow a fleet policy.
-        self.admits: Callable[[], bool] | None = None
+        self.accepts_calls: Callable[[], bool] | None = None
         self.exit_us = 0  # Unix time at which the process exits; 0 if it is not exiting
         self.closed = False  # if true, every new request is rejected
 
@@ -108,7 +108,7 @@
         # Without this check a flood of requests would exhaust memory, and a lagging event loop would fall
         # further behind until the open requests miss their deadlines.
         lags = lag_us > limits.max_lag_us
-        policy_unknown = self.admits is not None and not self.admits()
+        policy_unknown = self.accepts_calls is not None and not self.accepts_calls()
         return policy_unknown or full or lags or self.closed
 
     def _shed(self, call: int, exits_first: bool) -> None:
--- a/maplestile/router/policy_attachment.py
+++ b/maplestile/router/policy_attachment.py
@@ -14,20 +14,20 @@
 
 
 def attach_policy(components: Components, policy: "PolicyDriver") -> None:
-    """Let the policy driver set the settings of the components, and decide whether calls are admitted."""
+    """Let the policy driver set the settings of the components, and decide whether new calls are accepted."""
     components.policy = policy
     policy.counters = components.counters
     policy.apply_config = components.adopt_policy
     policy.calls_by_epoch = components.core.epochs
-    components.core.intake.admits = policy.admits
+    components.core.intake.accepts_calls = policy.accepts_calls
     if policy.settings.trace:
         components.core.attempts.on_sent = policy.log_attempt
 
 
 async def start_policy(components: Components, policy: "PolicyDriver", supervisor: TaskSupervisor) -> None:
-    """Start the policy driver; return once calls are admitted or the process is asked to stop."""
+    """Start the policy driver; return once new calls are accepted or the process is asked to stop."""
     from maplestile.router.policy_jobs import run_in_thread
 
     policy.run_job = run_in_thread
     supervisor.start(policy.run)
-    await poll_until(lambda: policy.admits() or components.stopping.is_set())
+    await poll_until(lambda: policy.accepts_calls() or components.stopping.is_set())
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -194,13 +194,13 @@
 
     # Queries by the router and its operators.
 
-    def admits(self) -> bool:
-        """Return whether new calls are admitted."""
-        return self.follower.admits(monotonic_us())
+    def accepts_calls(self) -> bool:
+        """Return whether new calls are accepted."""
+        return self.follower.accepts_calls(monotonic_us())
 
     def not_ready_reason(self) -> str:
-        """Return the reason why no new calls are admitted; empty if they are."""
-        if self.admits():
+        """Return the reason why no new calls are accepted; empty if they are."""
+        if self.accepts_calls():
             return ""
         if self.follower.status is PolicyStatus.REFUSED:
             return f"the fleet's policy is refused here: {self.follower.reason}"
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -29,7 +29,7 @@
     assert rig.driver.counters["policy.older"] == 1
     rig.start()
     assert (rig.config.settings.max_attempts, rig.config.settings.epoch) == (2, 1)
-    assert not rig.driver.admits()
+    assert not rig.driver.accepts_calls()
     (tmp_path / store.NAME).write_bytes(b"{}")
     rig.start()
     assert rig.driver.follower.epoch == NO_EPOCH
--- a/tests/test_policy_follower.py
+++ b/tests/test_policy_follower.py
@@ -29,15 +29,18 @@
 
 def test_starting_router_takes_no_calls_until_announcement_from_after_start() -> None:
     router = new_follower()
-    assert not router.admits(101 * SECOND_US)
+    assert not router.accepts_calls(101 * SECOND_US)
     # The read behind this announcement was requested before the router's start.
     assert router.take_announcement(PolicyAnnouncement(3, 99 * SECOND_US), 101 * SECOND_US) is Step.NOTHING
-    assert not router.admits(101 * SECOND_US)
+    assert not router.accepts_calls(101 * SECOND_US)
     assert router.take_announcement(PolicyAnnouncement(5, 101 * SECOND_US), 102 * SECOND_US) is Step.FETCH
     announcement = PolicyAnnouncement(5, 101 * SECOND_US, has_document=True)
     assert router.take_announcement(announcement, 102 * SECOND_US) is Step.ADOPT
     router.adopted(announcement, 102 * SECOND_US)
-    assert router.admits(102 * SECOND_US) and (router.epoch, router.status) == (5, PolicyStatus.CURRENT)
+    assert router.accepts_calls(102 * SECOND_US) and (router.epoch, router.status) == (
+        5,
+        PolicyStatus.CURRENT,
+    )
     # A router never returns to an older epoch.
     assert (
         router.take_announcement(PolicyAnnouncement(4, 103 * SECOND_US, has_document=True), 103 * SECOND_US)
@@ -50,9 +53,9 @@
     for epoch, serves in ((3, True), (0, True), (NO_EPOCH, False)):
         router = new_follower(epoch)
         tick_until(router, 109 * SECOND_US)
-        assert not router.admits(109 * SECOND_US)
+        assert not router.accepts_calls(109 * SECOND_US)
         tick_until(router, 111 * SECOND_US)
-        assert router.admits(111 * SECOND_US) is serves
+        assert router.accepts_calls(111 * SECOND_US) is serves
         assert (router.status is PolicyStatus.STALE) is serves
     first = new_follower(NO_EPOCH)
     assert (
@@ -67,7 +70,7 @@
     tick_until(router, 106 * SECOND_US)
     assert router.stale_us(106 * SECOND_US) == 0
     tick_until(router, 108 * SECOND_US)
-    assert router.admits(108 * SECOND_US) and router.stale_us(108 * SECOND_US) == 7 * SECOND_US
+    assert router.accepts_calls(108 * SECOND_US) and router.stale_us(108 * SECOND_US) == 7 * SECOND_US
     # A late announcement does not confirm the epoch: a later one may have been committed since.
     router.take_announcement(PolicyAnnouncement(3, 102 * SECOND_US), 108 * SECOND_US)
     assert router.stale_us(108 * SECOND_US) == 7 * SECOND_US
@@ -80,12 +83,12 @@
 def test_paused_router_takes_no_calls_until_announcement_from_after_pause() -> None:
     router = new_follower()
     router.take_announcement(PolicyAnnouncement(3, 101 * SECOND_US), 101 * SECOND_US)
-    assert not router.admits(104 * SECOND_US) and router.status is PolicyStatus.WAITING
+    assert not router.accepts_calls(104 * SECOND_US) and router.status is PolicyStatus.WAITING
     # This announcement waited in the socket during the pause.
     assert router.take_announcement(PolicyAnnouncement(3, 103 * SECOND_US), 104 * SECOND_US) is Step.NOTHING
-    assert not router.admits(104 * SECOND_US)
+    assert not router.accepts_calls(104 * SECOND_US)
     router.take_announcement(PolicyAnnouncement(3, 105 * SECOND_US), 105 * SECOND_US)
-    assert router.admits(105 * SECOND_US)
+    assert router.accepts_calls(105 * SECOND_US)
 
 
 def test_router_that_refuses_committed_epoch_takes_no_calls_until_one_fits() -> None:
@@ -94,13 +97,13 @@
     announcement = PolicyAnnouncement(4, 102 * SECOND_US, has_document=True)
     assert router.take_announcement(announcement, 102 * SECOND_US) is Step.ADOPT
     router.refused("rules.new: is not known here")
-    assert not router.admits(102 * SECOND_US) and router.epoch == 3
+    assert not router.accepts_calls(102 * SECOND_US) and router.epoch == 3
     router.take_announcement(PolicyAnnouncement(3, 103 * SECOND_US), 103 * SECOND_US)
-    assert not router.admits(103 * SECOND_US)
+    assert not router.accepts_calls(103 * SECOND_US)
     announcement = PolicyAnnouncement(5, 103 * SECOND_US, has_document=True)
     router.take_announcement(announcement, 104 * SECOND_US)
     router.adopted(announcement, 104 * SECOND_US)
-    assert router.admits(104 * SECOND_US) and router.reason == ""
+    assert router.accepts_calls(104 * SECOND_US) and router.reason == ""
 
 
 def test_keeps_prepared_change_until_it_is_decided() -> None:
