--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -20,7 +20,7 @@
 from maplestile.dispatch.keep_warm import KeepWarm
 from maplestile.dispatch.load_rate import LoadRate
 from maplestile.dispatch.load_requests import LoadRequests
-from maplestile.dispatch.loads import LoadsInProgress
+from maplestile.dispatch.loads_in_progress import LoadsInProgress
 from maplestile.dispatch.outcomes import OutcomeRecorder
 from maplestile.dispatch.outliers import OutlierDetector
 from maplestile.dispatch.placement import Placement
@@ -81,9 +81,9 @@
         self.load_requests.apply_settings(settings)
         self.fleet.apply_settings(settings)
 
-    def avoids(self, worker: Worker) -> bool:
+    def is_avoided(self, worker: Worker) -> bool:
         """Return whether calls avoid the worker: it is ejected or unreachable, or its zone is lost."""
-        return self.health.avoids(worker)
+        return self.health.is_avoided(worker)
 
     def _create_records(self) -> None:
         """Create the records of workers, calls, functions and loads, and the estimates based on them."""
--- a/maplestile/net/dns_client.py
+++ b/maplestile/net/dns_client.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 
 from maplestile.common.address import Address
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.wire import dns
 from maplestile.wire.limits import NameServerLimits
 
-HOST_TRIES = 4  # queries for one record type of a host, including the first
+MAX_HOST_QUERY_ATTEMPTS = 4  # queries for one record type of a host, including the first
 MAX_HOST_QUERIES = 16  # concurrent queries
 ID_VALUES = 1 << 16  # number of DNS message ids
 
@@ -67,10 +67,10 @@
                 lambda: self._socket, remote_addr=self.server
             )
         except OSError as error:
-            if error.errno in reads.NO_DESCRIPTOR:
+            if error.errno in bounded_reads.NO_DESCRIPTOR:
                 self.on_no_descriptor()
             raise
-        reads.limit_read_size(self.transport, self.limits.read_bytes)
+        bounded_reads.limit_read_size(self.transport, self.limits.read_bytes)
 
     def close(self) -> None:
         """Close the socket."""
@@ -126,7 +126,7 @@
         host.texts = host.texts or received.texts
 
     async def _query_with_retries(self, name: str, record_type: int) -> dns.Reply:
-        for _ in range(HOST_TRIES - 1):
+        for _ in range(MAX_HOST_QUERY_ATTEMPTS - 1):
             try:
                 return await self.query(name, record_type)
             except (dns.DnsError, TimeoutError):
--- a/maplestile/requests/attempts.py
+++ b/maplestile/requests/attempts.py
@@ -53,18 +53,18 @@
             self._counters["policy.mixed_calls"] += 1
         if self.on_sent is not None:
             self.on_sent(attempt, action.epoch)
-        self._timers.at(now + max(0, wait_us), lambda: self._time_out(attempt))
+        self._timers.call_at(now + max(0, wait_us), lambda: self._time_out(attempt))
         self._pool.send(attempt, action.worker, pending.request, max(1, wait_us), action.until_us)
 
     def cancel(self, action: api.CancelAttempt) -> None:
         """Cancel an attempt at its worker."""
         self._cancel((action.call, action.attempt), Result.CANCELLED)
 
-    def withhold(self, call: int, attempts: int) -> None:
+    def drop_unwritten(self, call: int, attempts: int) -> None:
         """End the attempts of a call that still wait for their connections, since its client has left."""
         for number in range(attempts):
             attempt = (call, number)
-            if attempt in self.in_flight and self._pool.withhold(attempt):
+            if attempt in self.in_flight and self._pool.drop_unwritten(attempt):
                 self.end(attempt, Result.SUPERSEDED)
 
     def end(
@@ -84,9 +84,9 @@
         call = attempt[0]
         pending = self._requests.open.get(call)
         if pending is not None and result not in NEVER_RAN:
-            pending.ran = True
+            pending.may_have_run = True
         if pending is not None and result is Result.OK:
-            self._requests.finish(call, Outcome(Verdict.SERVED, body, ran=True))
+            self._requests.finish(call, Outcome(Verdict.SERVED, body, may_have_run=True))
         elapsed_us = max(0, self._clock() - flight.sent_us)
         over = call not in self._requests.open
         warmth = api.Warmth.UNKNOWN
--- a/maplestile/requests/pool.py
+++ b/maplestile/requests/pool.py
@@ -14,10 +14,10 @@
 from maplestile.requests.connections import Connection, Message, Runner, Socket
 from maplestile.requests.endpoint_list import EndpointList
 from maplestile.requests.idle_timeout import IdleTimeout
-from maplestile.requests.line_ends import PoolObserver, ResultReporter
-from maplestile.requests.line_sender import LineSender
-from maplestile.requests.line_writer import LineWriter
+from maplestile.requests.message_sender import MessageSender
+from maplestile.requests.message_writer import MessageWriter
 from maplestile.requests.records import AttemptId
+from maplestile.requests.result_reporter import PoolObserver, ResultReporter
 from maplestile.requests.runner_directory import RunnerDirectory
 from maplestile.requests.states import AttemptState, ConnectionState, Transition
 from maplestile.wire import runner as wire
@@ -33,15 +33,15 @@
     def __init__(self, limits: RunnerLimits, clock: Callable[[], int], counters: Counter[str]) -> None:
         self.clock = clock
         self.counters = counters
-        self.move = transition = Transition(counters)
+        self.transition = transition = Transition(counters)
         self.idle_timeout = IdleTimeout(limits.idle_timeout_us)
         self.table = ConnectionTable(limits, self.idle_timeout, self.dial, self.close, clock, counters)
         self.directory = RunnerDirectory(self.table, self.close)
         self.runners = self.directory.runners
         self.reporter = ResultReporter(transition, counters)
         self.locations = self.reporter.locations
-        self.writer = LineWriter(self.reporter, self.flush_soon, transition, clock, counters)
-        self.sender = LineSender(self.runners, self.table, self.reporter, self.writer, counters)
+        self.writer = MessageWriter(self.reporter, self.flush_soon, transition, clock, counters)
+        self.sender = MessageSender(self.runners, self.table, self.reporter, self.writer, counters)
         self.closer = ConnectionCloser(
             self.table,
             self.sender,
@@ -122,7 +122,7 @@
         if connection is None or message is None:
             return
         was_queued = message.state is AttemptState.QUEUED
-        self.move(message, AttemptState.CANCELLED)
+        self.transition(message, AttemptState.CANCELLED)
         if was_queued:  # never written, so the runner does not know it
             connection.queue.remove(message)
             return
@@ -133,7 +133,7 @@
         self._mark_unverified_if_silent(connection, message)
         self.writer.write(connection, Message(wire.cancel(message.tag), False))
 
-    def withhold(self, attempt: AttemptId) -> bool:
+    def drop_unwritten(self, attempt: AttemptId) -> bool:
         """Drop an attempt of which no byte has been written; return whether it was dropped."""
         connection, message = self.locations.get(attempt, (None, None))
         if connection is None or message is None:
@@ -142,7 +142,7 @@
         if message.state is not AttemptState.QUEUED:
             return False
         del self.locations[attempt]
-        self.move(message, AttemptState.UNSENT)
+        self.transition(message, AttemptState.UNSENT)
         connection.queue.remove(message)
         return True
 
@@ -192,7 +192,7 @@
     def connected(self, connection: Connection, socket: Socket) -> None:
         """Write the messages that wait for a connection that is now established."""
         connection.socket = socket
-        self.move(connection, ConnectionState.UP)
+        self.transition(connection, ConnectionState.UP)
         self.writer.flush(connection)
 
     def input_received(self, connection: Connection) -> None:
@@ -202,7 +202,7 @@
             self.idle_timeout.record_survival(connection.last_input_us, connection.idle_us)
         connection.idle_us = 0
         if connection.state is ConnectionState.UNVERIFIED:
-            self.move(connection, ConnectionState.UP)
+            self.transition(connection, ConnectionState.UP)
 
     def answer_received(self, connection: Connection, answer: wire.Answer) -> None:
         """Report an answer to the core; one with an unknown tag is only counted."""
@@ -243,4 +243,4 @@
         silent_us = self.clock() - message.written_us
         is_silent = connection.last_input_us < message.written_us and silent_us > self.limits.silent_us
         if is_silent and connection.state is ConnectionState.UP:
-            self.move(connection, ConnectionState.UNVERIFIED)
+            self.transition(connection, ConnectionState.UNVERIFIED)
--- a/maplestile/requests/request_intake.py
+++ b/maplestile/requests/request_intake.py
@@ -37,7 +37,7 @@
         self._counters = runtime.counters
         self.limits = limits
         # Returns whether new calls may be accepted now; None if the router does not follow a fleet policy.
-        self.admits: Callable[[], bool] | None = None
+        self.accepts_calls: Callable[[], bool] | None = None
         self.exit_us = 0  # Unix time at which the process exits; 0 if it is not exiting
         self.closed = False  # if true, every new request is rejected
 
@@ -63,7 +63,7 @@
             self._shed(call, exits_first)
             return call
         self._epochs.current["calls"] += 1
-        self._timers.at(due_us, lambda: self._on_deadline(call))
+        self._timers.call_at(due_us, lambda: self._on_deadline(call))
         self._decisions.handle(_call_arrived(call, request, max(0, due_us - now)))
         return call
 
@@ -74,7 +74,7 @@
             return
         self._counters["requests.withdrawn"] += 1
         self._decisions.handle(api.CallExpired(call))
-        self._attempts.withhold(call, pending.attempts)  # in case the settings forbid cancelling
+        self._attempts.drop_unwritten(call, pending.attempts)  # in case the settings forbid cancelling
 
     def client_disconnected(self, call: int) -> None:
         """Start no further attempts for a call whose client has closed its connection or its sending side.
@@ -86,14 +86,14 @@
             return
         self._counters["requests.client_disconnected"] += 1
         self._decisions.handle(api.ClientDisconnected(call))
-        self._attempts.withhold(call, pending.attempts)
+        self._attempts.drop_unwritten(call, pending.attempts)
 
     def prepare_exit(self, exit_us: int) -> None:
         """Answer every request, open or yet to come, by the time at which the process exits."""
         self.exit_us = exit_us
-        self._timers.at(exit_us, self.end_all)
+        self._timers.call_at(exit_us, self.answer_all)
 
-    def end_all(self) -> None:
+    def answer_all(self) -> None:
         """Answer every open request now."""
         for call in list(self._requests.open):
             self._fail(call)
@@ -108,7 +108,7 @@
         # Without this check a flood of requests would exhaust memory, and a lagging event loop would fall
         # further behind until the open requests miss their deadlines.
         lags = lag_us > limits.max_lag_us
-        policy_unknown = self.admits is not None and not self.admits()
+        policy_unknown = self.accepts_calls is not None and not self.accepts_calls()
         return policy_unknown or full or lags or self.closed
 
     def _shed(self, call: int, exits_first: bool) -> None:
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -42,7 +42,7 @@
         self.config = config
         self.name = config.name
         self.limits = config.limits  # this process's share, while several processes share the budgets
-        self.endpoints = config.fleet
+        self.endpoints = config.endpoints
         self.selector = selector
         self.counters: Counter[str] = Counter()
         self.runners = self._build_runner_pool()
@@ -113,7 +113,7 @@
     def _build_runner_pool(self) -> RunnerPool:
         runners = RunnerPool(self.limits.runners, clock, self.counters)
         runners.on_no_descriptor = self.free_descriptor
-        runners.writer.input_is_old = self.selector.input_is_old
+        runners.writer.may_have_stale_input = self.selector.may_have_stale_input
         return runners
 
     def _build_core(self) -> Core:
@@ -130,7 +130,7 @@
 
     def _apply_limits(self) -> None:
         """Pass this process's share of the configured limits to each component."""
-        self.limits = self.config.limits.shared(self.process_count)
+        self.limits = self.config.limits.divided_among(self.process_count)
         self.core.limits = self.limits
         self.runners.limits = self.limits.runners
         if self.platform is not None:
--- a/maplestile/router/reload.py
+++ b/maplestile/router/reload.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 
 from maplestile.common.toml_table import ConfigError
-from maplestile.net import reads
+from maplestile.net import bounded_reads
 from maplestile.router.components import Components
 from maplestile.router.config import Config
 from maplestile.router.discovery import Discovery
@@ -57,7 +57,7 @@
         try:
             config = self._read(result)
         except (ConfigError, OSError) as error:
-            if reads_left > 1 and isinstance(error, OSError) and error.errno in reads.NO_DESCRIPTOR:
+            if reads_left > 1 and isinstance(error, OSError) and error.errno in bounded_reads.NO_DESCRIPTOR:
                 self._reload_later(reads_left - 1)
                 return
             result.error = f"{type(error).__name__}: {error}"
@@ -100,7 +100,7 @@
             applied.append("dns")
             self.discovery.poll(config.dns)
         if self._has_newer_endpoints(config):
-            components.endpoints.replace(config.fleet)
+            components.endpoints.replace(config.endpoints)
             components.publish_endpoints()
             applied.append("known")
         invoke = components.invoke
@@ -119,7 +119,7 @@
         a worker that has gone. Without a name server, the file is the only source, and any change counts.
         """
         endpoints = self.components.endpoints
-        version = config.fleet.version
+        version = config.endpoints.version
         if version != endpoints.version and not endpoints.is_newer_than(version):
             return True
-        return config.dns is None and config.fleet.entries != endpoints.entries
+        return config.dns is None and config.endpoints.entries != endpoints.entries
--- a/maplestile/wire/jsonrpc.py
+++ b/maplestile/wire/jsonrpc.py
@@ -46,14 +46,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class KnownNames:
+class AllowedNames:
     """The names of classes and tenants that a request may use."""
 
     classes: Mapping[str, bool]  # by name, whether requests need an idempotency key
     tenants: frozenset[str]  # empty if tenants are not checked
 
     @classmethod
-    def from_settings(cls, settings: Settings) -> "KnownNames":
+    def from_settings(cls, settings: Settings) -> "AllowedNames":
         """Return the names in these settings."""
         classes = {
             call_class.name: call_class.idempotency is Idempotency.WITH_KEY for call_class in settings.classes
@@ -89,14 +89,14 @@
 
     def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
-        self.rest = b""  # start of a message that is not complete yet
+        self.incomplete = b""  # start of a message that is not complete yet
 
     def feed(self, data: bytes) -> Iterator[memoryview]:
         """Yield the bodies of the messages that are now complete; raises `FramingError`."""
-        buffer = self.rest + data if self.rest else data
+        buffer = self.incomplete + data if self.incomplete else data
         view = memoryview(buffer)
         start = 0
-        self.rest = b""
+        self.incomplete = b""
         while (head_end := buffer.find(HEAD_END, start, start + self.limits.head_bytes)) >= 0:
             body = head_end + len(HEAD_END)
             size = self._body_size(buffer[start:head_end])
@@ -106,7 +106,7 @@
             start = body + size
         if head_end < 0 and len(buffer) - start >= self.limits.head_bytes:
             raise FramingError("a head without an end")
-        self.rest = bytes(view[start:])  # a copy, since the view is only valid until the next feed
+        self.incomplete = bytes(view[start:])  # a copy, since the view is only valid until the next feed
 
     def _body_size(self, head: bytes) -> int:
         """Return the body size given in a message head."""
@@ -131,7 +131,7 @@
     return _frame_body(json.dumps(message, separators=(",", ":")).encode())
 
 
-def parse(view: memoryview, limits: MessageLimits, known: KnownNames) -> Call | Interrupt | Check:
+def parse(view: memoryview, limits: MessageLimits, known: AllowedNames) -> Call | Interrupt | Check:
     """Decode one message; raises `RpcError` with the code and the identifier for the error answer."""
     try:
         message = json.loads(str(view, "utf-8"))
@@ -202,7 +202,7 @@
 
 
 def _parse_request(
-    class_name: str, params: dict[str, Any], limits: MessageLimits, known: KnownNames
+    class_name: str, params: dict[str, Any], limits: MessageLimits, known: AllowedNames
 ) -> Request:
     """Return the request of a call; raises `ValueError` that names the first invalid field."""
     extras = _parse_extras(_string_param(params, "info", ""))
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -27,7 +27,7 @@
         self.ended: dict[AttemptId, Result] = {}
         self.health_checks_ended: dict[int, Result] = {}
 
-    def catch_up(self) -> None: ...
+    def run_due_timers(self) -> None: ...
 
     def attempt_ended(self, attempt: AttemptId, result: Result, *_: Any) -> None:
         self.ended[attempt] = result
@@ -60,7 +60,7 @@
     ) -> None:
         """Give the pool a new list that holds the worker in this state."""
         entry = api.WorkerEntry("s-0", "east", "std", 2, state, 4.0, started_us)
-        self.endpoints.apply_whole(
+        self.endpoints.apply_list(
             self.endpoints.version + 1, [(entry, ("127.0.0.1", port or self.worker.port))]
         )
         self.pool.update(self.endpoints)
@@ -85,13 +85,13 @@
     async def test_withheld_attempt_is_never_sent_and_written_one_continues(self) -> None:
         self.send(1, b"x")
         self.send(2, b"y")
-        self.assertTrue(self.pool.withhold((1, 0)))
-        self.assertFalse(self.pool.withhold((1, 0)))  # it is dropped already
+        self.assertTrue(self.pool.drop_unwritten((1, 0)))
+        self.assertFalse(self.pool.drop_unwritten((1, 0)))  # it is dropped already
         await self.wait_until_ended(2)
         self.assertEqual([line["call"] for line in self.worker.lines], ["t2"])
         self.send(3, b"hang:")
         await self.wait_until_run(2)
-        self.assertFalse(self.pool.withhold((3, 0)))
+        self.assertFalse(self.pool.drop_unwritten((3, 0)))
         self.worker.die()
         await self.wait_until_ended(3)
         self.assertEqual((self.core.ended[3, 0], set(self.core.ended)), (Result.RESET, {(2, 0), (3, 0)}))
@@ -178,7 +178,7 @@
             )
             for n, worker in enumerate(workers)
         ]
-        self.endpoints.apply_whole(self.endpoints.version + 1, entries)
+        self.endpoints.apply_list(self.endpoints.version + 1, entries)
         self.pool.update(self.endpoints)
         for number in range(4):
             self.now += 1_000
