--- a/maplestile/agent/router_steps.py
+++ b/maplestile/agent/router_steps.py
@@ -33,7 +33,7 @@
             return
         self.unconfirmed_begins.discard(lease.number)
         events = StepEvents(lease)
-        events.info("begin" if is_first else "take up", action=lease.action)
+        events.info("step begun" if is_first else "step resumed", action=lease.action)
         if lease.action == DRAIN:
             await self._drain(lease, router.process, events)
             return
@@ -59,6 +59,6 @@
     async def _return_to_service(self, lease: Lease, router: RouterHandle, events: StepEvents) -> None:
         router.process.start()
         await poll_until(router.client.is_ready)
-        events.info("back", action=lease.action)
+        events.info("back in service", action=lease.action)
         finished = FinishStep(instance=lease.instance, lease=lease.number, agent=self.agent)
         await self.log_client.submit_until_answered(finished)
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -51,7 +51,7 @@
         """Make the routers here use the runner again, and report it once all of them do."""
         assert lease.parts is not None
         if lease.parts.get(self.agent) != PART_IN and await self._set_used(lease.instance, True):
-            StepEvents(lease).info("in")
+            StepEvents(lease).info("runner in use")
             await self.log_client.submit_until_answered(self._part_report(lease, PART_IN))
 
     async def _suspend_runner(self, lease: Lease) -> bool:
@@ -65,7 +65,7 @@
             return False
         is_idle = await self._set_used(lease.instance, False)
         if is_idle and lease.parts.get(self.agent) == PART_BEGUN:
-            StepEvents(lease).info("out")
+            StepEvents(lease).info("runner out of use")
             await self.log_client.submit_until_answered(self._part_report(lease, PART_OUT))
         if lease.stage is Stage.AWAY and lease.holder == self.agent:
             await self._replace_process(lease)
@@ -74,7 +74,7 @@
     async def _begin(self, lease: Lease) -> bool:
         is_confirmed = await self.log_client.submit(self._part_report(lease, PART_BEGUN)) is not None
         if is_confirmed:
-            StepEvents(lease).info("begin", action="runner")
+            StepEvents(lease).info("step begun", action="runner")
         return is_confirmed
 
     def _part_report(self, lease: Lease, part: str) -> ReportPart:
@@ -116,6 +116,6 @@
         change_settings(lease.action, process, events)
         process.start()
         await poll_until(is_running)
-        events.info("renewed")
+        events.info("process replaced")
         replaced = ConfirmRenewed(instance=lease.instance, lease=lease.number, agent=self.agent)
         await self.log_client.submit_until_answered(replaced)
--- a/tests/fleet_events.py
+++ b/tests/fleet_events.py
@@ -63,12 +63,12 @@
 
 
 def max_instances_out(events: Iterable[Json]) -> int:
-    """The most instances out at once: from `begin` of a step to its `back`, or for good after a drain."""
+    """The most instances out at once: from `step begun` to `back in service`, or for good after a drain."""
     changes = list[OutageChange]()
     for event in events:
-        if event["event"] in ("begin", "take up") and event.get("action") != "start":
+        if event["event"] in ("step begun", "step resumed") and event.get("action") != "start":
             changes.append(OutageChange(event["t_us"], 1, event["instance"]))
-        elif event["event"] == "back":
+        elif event["event"] == "back in service":
             changes.append(OutageChange(event["t_us"], -1, event["instance"]))
     out = Counter[str]()
     most = 0
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -10,7 +10,7 @@
 from tests.rollout_fleet import Calls, HangingCall
 from tests.standins import PATIENCE_S, Program, eventually
 
-STEP_UNDER_WAY_S = 0.3  # after a step's `begin` event, the time by which the router is certainly draining
+STEP_UNDER_WAY_S = 0.3  # after the `step begun` event, the time by which the router is certainly draining
 
 
 class AdoptTest(PolicyTest):
@@ -26,7 +26,7 @@
 
     def wait_until_step_is_under_way(self) -> None:
         """Wait until an agent has begun a step and its router is draining."""
-        eventually(lambda: self.fleet.events_of("begin"), "the step's `begin` event")
+        eventually(lambda: self.fleet.events_of("step begun"), "the `step begun` event")
         time.sleep(STEP_UNDER_WAY_S)
 
     def test_routers_keep_serving_without_agent_and_are_adopted_by_next(self) -> None:
@@ -81,7 +81,7 @@
         self.assertNotEqual(self.fleet.pid(name), pid)
         eventually(lambda: self.fleet.status(1)["leases"] == [], "all leases to end")
         eventually(lambda: self.fleet.run(0, "ready", name).exit_code == 0, "r0 to be ready")
-        self.assertEqual(len([event for _, event in self.fleet.events_of("back")]), 1)
+        self.assertEqual(len([event for _, event in self.fleet.events_of("back in service")]), 1)
 
     def test_restarted_agent_runs_step_that_was_granted_but_not_begun(self) -> None:
         """The agent is paused before the grant and killed after it, so it never begins the step itself."""
@@ -96,13 +96,15 @@
             "the lease to be granted",
         )
         self.fleet.kill_agent(number)
-        self.assertEqual(self.fleet.events_of("begin"), [])
+        self.assertEqual(self.fleet.events_of("step begun"), [])
         self.fleet.restart_agent(number)
         self.fleet.wait_for_phase(peer, "done")
         self.assertNotEqual(self.fleet.pid(name), pid)
         eventually(lambda: self.fleet.status(peer)["leases"] == [], "all leases to end")
-        steps = [event["event"] for _, event in self.fleet.events_of("begin", "drained", "back")]
-        self.assertEqual(steps, ["begin", "drained", "back"])
+        steps = [
+            event["event"] for _, event in self.fleet.events_of("step begun", "drained", "back in service")
+        ]
+        self.assertEqual(steps, ["step begun", "drained", "back in service"])
         self.assertLessEqual(self.fleet.max_instances_out(), 3)
 
     def test_adopted_router_killed_during_drain_is_not_reported_as_drained(self) -> None:
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -90,9 +90,12 @@
         self.assertEqual(self.fleet.run(2, "rollout", "undo").exit_code, 0)
         self.fleet.wait_for_phase(0, "undone")
         eventually(
-            lambda: len(self.events_named("back")) == len(done), "a `back` event for each drained router"
+            lambda: len(self.events_named("back in service")) == len(done),
+            "a `back in service` event for each drained router",
+        )
+        self.assertEqual(
+            [event["instance"] for event in self.events_named("back in service")], list(reversed(done))
         )
-        self.assertEqual([event["instance"] for event in self.events_named("back")], list(reversed(done)))
         self.assert_within_budget(3)
         self.assert_no_call_lost_or_run_twice(calls.result())
         self.assertEqual(self.fleet.run(0, "ready").exit_code, 0)
@@ -101,7 +104,7 @@
         """Return the instances whose steps began more than HALT_KNOWN_US after `since_us`."""
         return [
             event["instance"]
-            for event in self.events_named("begin")
+            for event in self.events_named("step begun")
             if event["t_us"] > since_us + HALT_KNOWN_US
         ]
 
@@ -130,7 +133,7 @@
             holder.send_signal(signal.SIGCONT)
         eventually(lambda: self.fleet.phase(number) == "halted", "the holder to see the halt")
         time.sleep(1.0)
-        self.assertEqual((self.events_named("begin"), self.fleet.pid(name)), ([], pid))
+        self.assertEqual((self.events_named("step begun"), self.fleet.pid(name)), ([], pid))
         self.assertEqual(self.fleet.run(peer, "rollout", "resume").exit_code, 0)
         self.fleet.wait_for_phase(peer, "done")
         self.assertNotEqual(self.fleet.pid(name), pid)
@@ -141,7 +144,7 @@
         assert leader is not None
         others = other_agents(leader)
         self.start_rollout(others[0], "--budget", "3")
-        self.wait_for_event("begin")
+        self.wait_for_event("step begun")
         self.fleet.kill_machine(leader)
         self.wait_until_done(others[0], self.fleet.routers_of_agents(others))
         self.assertLessEqual(self.fleet.max_instances_out(), 3)
@@ -164,7 +167,7 @@
         others = other_agents(leader)
         calls = Calls(self.fleet, 10)
         self.start_rollout(others[0], "--budget", "3")
-        self.wait_for_event("begin")
+        self.wait_for_event("step begun")
         self.fleet.relay.start_faults(split=[{**FOREVER, "sides": [self.fleet.relay_members(leader)]}])
         split_us = time.monotonic_ns() // 1000
         eventually(lambda: self.fleet.leader(others) is not None, "a leader on the majority side")
@@ -203,7 +206,7 @@
         pid = self.fleet.pid("r0")
         call = self.start_hanging_call(0)
         self.start_rollout(1, "--budget", "1", "r0", "r3")
-        self.wait_for_event("begin")
+        self.wait_for_event("step begun")
         os.kill(pid, signal.SIGSTOP)
         try:
             self.fleet.wait_for_phase(1, "halted")
@@ -229,7 +232,7 @@
         other = self.fleet.routers_of_agent(peer)[0]
         self.start_hanging_call(self.fleet.names.index(name))
         self.start_rollout(peer, "--budget", "3", name, other)
-        self.wait_for_event("begin", name)
+        self.wait_for_event("step begun", name)
         orphans = self.fleet.live_router_pids(self.fleet.agents[number])
         self.fleet.kill_agent(number)
         self.fleet.wait_for_phase(peer, "halted")
--- a/tools/measure_rollout.py
+++ b/tools/measure_rollout.py
@@ -67,11 +67,13 @@
 def last_begin_after_halt_ms(fleet: Fleet) -> float:
     """Halt a rollout; return the milliseconds from the halt until the last step began, or 0 if none did."""
     assert fleet.run(0, "rollout", "start", "--budget", "2")[0] == 0
-    eventually(lambda: any(event["event"] == "back" for event in fleet.events()), "the end of a step")
+    eventually(
+        lambda: any(event["event"] == "back in service" for event in fleet.events()), "the end of a step"
+    )
     halted_us = time.monotonic_ns() // 1000
     assert fleet.run(1, "rollout", "halt")[0] == 0
     time.sleep(AFTER_HALT_S)
-    late_us = [event["t_us"] - halted_us for event in fleet.events() if event["event"] == "begin"]
+    late_us = [event["t_us"] - halted_us for event in fleet.events() if event["event"] == "step begun"]
     eventually(lambda: fleet.status(0)["leases"] == [], "the end of the steps in progress")
     assert fleet.run(1, "rollout", "resume")[0] == 0
     fleet.wait_for_phase(0, "done")
