--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -85,7 +85,7 @@
     def _poll(self) -> None:
         self._log_commit()
         running = self._running_routers()
-        change = self.agreed.checking()
+        change = self.agreed.change_being_checked()
         self._start_read(running, change)
         for policy in running:
             self._start_announcement(policy, change)
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -20,7 +20,7 @@
 from maplestile.control.commands import EncodedCommand, Register
 from maplestile.control.errors import LogError
 from maplestile.control.log_view import LogAnswer
-from maplestile.control.rollout import ACTIVE
+from maplestile.control.rollout import ACTIVE_PHASES
 from maplestile.control.settings import ControlSettings
 
 POLL_INTERVAL_S = 0.05  # between polls of the replicated state
@@ -95,7 +95,7 @@
     def _start_heartbeat(self) -> None:
         """Start sending a heartbeat if one is due and the previous one has been sent."""
         rollout = self.replicated_log.control.rollout
-        is_active = rollout is not None and rollout.phase in ACTIVE
+        is_active = rollout is not None and rollout.phase in ACTIVE_PHASES
         interval_s = HEARTBEAT_ACTIVE_S if is_active else HEARTBEAT_IDLE_S
         if time.monotonic() - self.last_heartbeat_s < interval_s:
             return
--- a/maplestile/control/fleet.py
+++ b/maplestile/control/fleet.py
@@ -4,7 +4,7 @@
 
 from maplestile.control.commands import RUNNERS
 from maplestile.control.rollout import (
-    ACTIVE,
+    ACTIVE_PHASES,
     DRAIN,
     KINDS,
     RESTART,
@@ -55,7 +55,7 @@
     def active_rollout(self) -> Rollout | None:
         """Return the rollout, or None if there is none or it has ended."""
         rollout = self.rollout
-        return rollout if rollout is not None and rollout.phase in ACTIVE else None
+        return rollout if rollout is not None and rollout.phase in ACTIVE_PHASES else None
 
     def allocate_number(self) -> int:
         """Allocate the number of a rollout or lease."""
--- a/maplestile/control/policy/agreed.py
+++ b/maplestile/control/policy/agreed.py
@@ -9,14 +9,14 @@
 
 from maplestile.control.policy.change import (
     Change,
+    ChangePhase,
     Epoch,
-    Phase,
     decode_change,
     decode_epoch,
 )
 from maplestile.control.record_codec import encode_record
 
-__all__ = ["AgreedPolicies", "Change", "Epoch", "Phase"]
+__all__ = ["AgreedPolicies", "Change", "ChangePhase", "Epoch"]
 
 MAX_EPOCHS = 8  # the current epoch, and earlier ones that a rollback can bring back
 MAX_PAST_CHANGES = 20  # past changes, shown to operators without their documents
@@ -46,10 +46,10 @@
         """
         return self.change is not None and self.members.get(name, 0) > self.change.reads
 
-    def checking(self) -> Change | None:
+    def change_being_checked(self) -> Change | None:
         """Return the change that is being checked; None if there is none."""
         change = self.change
-        return change if change is not None and change.phase is Phase.CHECKING else None
+        return change if change is not None and change.phase is ChangePhase.CHECKING else None
 
     def kept_epoch(self, number: int) -> Epoch | None:
         """Return the epoch with this number; None if it is no longer kept."""
--- a/maplestile/control/policy/change.py
+++ b/maplestile/control/policy/change.py
@@ -17,7 +17,7 @@
 from maplestile.control.policy.document import Tables
 
 
-class Phase(Enum):
+class ChangePhase(Enum):
     """The phase of a change."""
 
     CHECKING = "checking"
@@ -34,7 +34,7 @@
     base: int  # the number of the epoch that the change is based on
     by: str  # the agent that submitted it
     document: Tables | None  # None: the policy of each router's own file
-    phase: Phase
+    phase: ChangePhase
     rollback: int | None = None  # the number of the epoch that it brings back; None if it is not a rollback
     reason: str = ""  # of the abort; "" if it is not aborted
     verdicts: dict[str, str] = field(default_factory=dict)  # by instance: the reason to refuse; "" accepts
@@ -53,7 +53,7 @@
 
 def decode_change(encoded: Mapping[str, Any]) -> Change:
     """Decode a change. Raises KeyError, TypeError or ValueError; an unknown key raises TypeError."""
-    return Change(**{**encoded, "phase": Phase(encoded["phase"])})
+    return Change(**{**encoded, "phase": ChangePhase(encoded["phase"])})
 
 
 def decode_epoch(encoded: Mapping[str, Any]) -> Epoch:
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -31,8 +31,8 @@
     REFUSED = "refused"  # the router cannot apply the committed epoch; no new calls are taken
 
 
-class Step(Enum):
-    """What the caller of `take_announcement` must do with the announcement."""
+class AnnouncementAction(Enum):
+    """What the caller of `process_announcement` must do with the announcement."""
 
     NOTHING = "nothing"
     ADOPT = "adopt"  # store the announced epoch and put it in force
@@ -122,20 +122,20 @@
         """Record that the caller has checked that the change fits this build and file."""
         self.prepared = PreparedPolicy(change, document)
 
-    def take_announcement(self, announcement: PolicyAnnouncement, now_us: int) -> Step:
+    def process_announcement(self, announcement: PolicyAnnouncement, now_us: int) -> AnnouncementAction:
         """Process an announcement and return what the caller must do with it."""
         self.tick(now_us)
         if announcement.epoch < self.epoch:
-            return Step.OLDER
+            return AnnouncementAction.OLDER
         if self.prepared is not None and announcement.checking != self.prepared.change:
             self.prepared = None  # the change is decided; if committed, its document comes with the new epoch
         # A refused epoch may be the one on disk, which no longer fits this file or build.
         if announcement.epoch > self.epoch or self.status is PolicyStatus.REFUSED:
-            return Step.ADOPT if announcement.has_document else Step.FETCH
+            return AnnouncementAction.ADOPT if announcement.has_document else AnnouncementAction.FETCH
         self._confirm(announcement, now_us)
-        return Step.NOTHING
+        return AnnouncementAction.NOTHING
 
-    def adopted(self, announcement: PolicyAnnouncement, now_us: int) -> None:
+    def record_adoption(self, announcement: PolicyAnnouncement, now_us: int) -> None:
         """Record that the caller has stored the announced epoch and put it in force."""
         self.epoch = announcement.epoch
         self.reason = ""
@@ -143,7 +143,7 @@
             self.status = PolicyStatus.WAITING
         self._confirm(announcement, now_us)
 
-    def refused(self, reason: str) -> None:
+    def record_refusal(self, reason: str) -> None:
         """Record that the committed epoch does not fit this build or file, so that no new calls are taken."""
         self.status = PolicyStatus.REFUSED
         self.reason = reason
--- a/maplestile/control/policy/planner.py
+++ b/maplestile/control/policy/planner.py
@@ -33,7 +33,7 @@
 
         The caller waits for the reply before it asks for another command.
         """
-        change = agreed.checking()
+        change = agreed.change_being_checked()
         if change is None:
             return None
         if change.number != self.change:
--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -10,7 +10,7 @@
 log = logging.getLogger("maplestile.policy")
 
 RECORD_VERSION = 1
-NAME = "policy.json"
+FILE_NAME = "policy.json"
 
 
 def read(folder: Path) -> AdoptedPolicy | None:
@@ -18,7 +18,7 @@
 
     An invalid one is logged. Without a stored epoch the router waits for its agent to announce one.
     """
-    record = durable.read(folder / NAME, RECORD_VERSION)
+    record = durable.read(folder / FILE_NAME, RECORD_VERSION)
     if record is None:
         return None
     try:
@@ -39,4 +39,4 @@
 def write(folder: Path, adopted: AdoptedPolicy) -> None:
     """Store an epoch. Raises OSError, in which case the previous record stays."""
     tables = None if adopted.document is None else adopted.document.tables()
-    durable.write(folder / NAME, RECORD_VERSION, {"epoch": adopted.epoch, "document": tables})
+    durable.write(folder / FILE_NAME, RECORD_VERSION, {"epoch": adopted.epoch, "document": tables})
--- a/maplestile/control/policy/transitions.py
+++ b/maplestile/control/policy/transitions.py
@@ -26,7 +26,7 @@
     SubmitVerdict,
 )
 from maplestile.control.policy.agreed import NO_EPOCH, AgreedPolicies
-from maplestile.control.policy.change import Change, Epoch, Phase
+from maplestile.control.policy.change import Change, ChangePhase, Epoch
 from maplestile.control.policy.document import Document, digest_of, document_of
 
 MAX_REASON_LENGTH = 300
@@ -65,7 +65,7 @@
 
 def _check_base(agreed: AgreedPolicies, base: int) -> None:
     """Reject a change while another one is being checked, or if it is not based on the current epoch."""
-    checking = agreed.checking()
+    checking = agreed.change_being_checked()
     if checking is not None:
         raise CommandRejected(f"change {checking.number} is being checked: ask again once it is decided")
     if base != agreed.epoch.number:
@@ -88,7 +88,7 @@
         base=command.base,
         by=command.agent,
         document=None if document is None else document.tables(),
-        phase=Phase.CHECKING,
+        phase=ChangePhase.CHECKING,
         rollback=rollback,
     )
     agreed.replace_change(change)
@@ -106,7 +106,7 @@
     reason = command.reason[:MAX_REASON_LENGTH]
     change.verdicts[command.instance] = reason
     if reason:
-        change.phase = Phase.ABORTED
+        change.phase = ChangePhase.ABORTED
         change.reason = f"{command.instance} refuses it: {reason}"
     return ChangeUpdated(change.number)
 
@@ -140,7 +140,7 @@
         raise CommandRejected(f"not checked by {', '.join(missing)}")
     if not change.verdicts:
         raise CommandRejected("no router has checked it")
-    change.phase = Phase.COMMITTED
+    change.phase = ChangePhase.COMMITTED
     change.absent = list(command.absent)
     agreed.remove_unregistered_members(managers)
     epoch = agreed.add_epoch(change)
@@ -151,13 +151,13 @@
     """Abort the change for the whole fleet."""
     del managers
     change = _change_being_checked(agreed, command.change)
-    change.phase = Phase.ABORTED
+    change.phase = ChangePhase.ABORTED
     change.reason = command.reason[:MAX_REASON_LENGTH]
     return ChangeUpdated(change.number)
 
 
 def _change_being_checked(agreed: AgreedPolicies, number: int) -> Change:
-    change = agreed.checking()
+    change = agreed.change_being_checked()
     if change is None or change.number != number:
         raise CommandRejected(f"change {number} is not being checked")
     return change
--- a/maplestile/control/rollout.py
+++ b/maplestile/control/rollout.py
@@ -52,7 +52,7 @@
     UNDONE = "undone"
 
 
-ACTIVE = (Phase.RUNNING, Phase.HALTED, Phase.UNDOING)
+ACTIVE_PHASES = (Phase.RUNNING, Phase.HALTED, Phase.UNDOING)
 
 
 class Stage(Enum):
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -45,7 +45,7 @@
 from maplestile.control.registration import register
 from maplestile.control.rollout import (
     ACTIONS,
-    ACTIVE,
+    ACTIVE_PHASES,
     KINDS,
     Lease,
     Phase,
@@ -57,7 +57,7 @@
 
 __all__ = [
     "ACTIONS",
-    "ACTIVE",
+    "ACTIVE_PHASES",
     "KINDS",
     "ControlState",
     "Lease",
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -172,7 +172,7 @@
         policy.check(policy_json.decode_check(json.loads(request.body)))
         respond(_json_response(policy_json.encode_check_passed()))
     elif request.method == "PUT":
-        policy.take_announcement(policy_json.decode_announcement(json.loads(request.body)), respond_with)
+        policy.process_announcement(policy_json.decode_announcement(json.loads(request.body)), respond_with)
     else:
         require_method(request, "GET", "PUT")
         respond_with(policy.report())
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -50,7 +50,7 @@
         """Check that a proposed policy fits this router. Raises ConfigError."""
         ...
 
-    def take_announcement(
+    def process_announcement(
         self, announcement: "PolicyAnnouncement", reply: Callable[[PolicyReport], None], /
     ) -> None:
         """Process the agent's announcement of the committed epoch, and call `reply` once, now or later."""
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -16,7 +16,13 @@
 from maplestile.common.toml_table import ConfigError
 from maplestile.control.policy import store
 from maplestile.control.policy.document import AdoptedPolicy, Document, PolicyError, Tables, digest_of
-from maplestile.control.policy.follower import NO_EPOCH, Follower, PolicyAnnouncement, PolicyStatus, Step
+from maplestile.control.policy.follower import (
+    NO_EPOCH,
+    AnnouncementAction,
+    Follower,
+    PolicyAnnouncement,
+    PolicyStatus,
+)
 from maplestile.control.policy.settings import PolicySettings
 from maplestile.operation.policy import PolicyCheck, PolicyMetrics, PolicyReport
 from maplestile.requests.core import AttemptId
@@ -90,7 +96,7 @@
             self.follower.epoch,
             reason,
         )
-        self.follower.refused(reason)
+        self.follower.record_refusal(reason)
         return self.configuration.build_from_file()
 
     def _build_reloaded_config(self, tables: Tables) -> Config:
@@ -125,16 +131,16 @@
 
     # Messages of the agent, received at the operators' front.
 
-    def take_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
+    def process_announcement(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
         """Handle an announcement of the committed epoch, and reply once, either now or later."""
-        step = self.follower.take_announcement(announcement, monotonic_us())
-        if step is Step.ADOPT and not self.is_writing:
+        action = self.follower.process_announcement(announcement, monotonic_us())
+        if action is AnnouncementAction.ADOPT and not self.is_writing:
             self._adopt(announcement, reply)
             return
-        if step is Step.OLDER:
+        if action is AnnouncementAction.OLDER:
             self.counters["policy.older"] += 1
         self._log_status()
-        reply(self.report(lacks_document=step is Step.FETCH))
+        reply(self.report(lacks_document=action is AnnouncementAction.FETCH))
 
     def _adopt(self, announcement: PolicyAnnouncement, reply: Reply) -> None:
         """Store the announced policy with `run_job`, since a disk may be slow, and then apply it."""
@@ -170,7 +176,7 @@
     def _complete_adoption(self, announcement: PolicyAnnouncement, config: Config) -> None:
         self.document = announcement.document
         self.apply_config(config)
-        self.follower.adopted(announcement, monotonic_us())
+        self.follower.record_adoption(announcement, monotonic_us())
         self.counters["policy.adopted"] += 1
         self.events.info("applied", epoch=announcement.epoch, digest=digest_of(announcement.document))
 
@@ -179,7 +185,7 @@
         if (epoch, reason) != self.last_logged_refusal:  # log once: the agent keeps announcing the epoch
             self.last_logged_refusal = epoch, reason
             log.error("policy: epoch %d is refused, so no new calls are taken: %s", epoch, reason)
-        self.follower.refused(reason)
+        self.follower.record_refusal(reason)
 
     def check(self, change: PolicyCheck) -> None:
         """Check that a policy change fits this build and file. Raises PolicyError, which names the field."""
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -19,14 +19,14 @@
     Rejected,
     SubmitVerdict,
 )
-from maplestile.control.policy.change import Change, Phase
+from maplestile.control.policy.change import Change, ChangePhase
 from maplestile.control.policy.document import Document
 from maplestile.control.policy.follower import (
+    AnnouncementAction,
     Follower,
     FollowerTimeouts,
     PolicyAnnouncement,
     PolicyStatus,
-    Step,
 )
 from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.tools.faults.schedule import US_PER_S
@@ -109,7 +109,7 @@
                 read = self.control.apply(ReadPolicy(agent=agent_name(agent), instances=tuple(running)))
                 assert isinstance(read, PolicyRead), read
                 self._fences.update(dict.fromkeys(running, Fence(read.epoch, sent_us)))
-            checking = self.control.policy.checking() is not None
+            checking = self.control.policy.change_being_checked() is not None
             interval_us = READ_INTERVAL_CHECKING_US if checking else READ_INTERVAL_US
             yield self._env.timeout(max(1, interval_us - (self.now_us - sent_us)))
 
@@ -118,7 +118,7 @@
         announced: dict[str, PolicyAnnouncement] = {}
         checked = 0
         while True:
-            change = self.control.policy.checking()
+            change = self.control.policy.change_being_checked()
             if change is not None and change.number != checked and agent not in self._agents_cut_off:
                 checked = change.number
                 for name in names:
@@ -147,9 +147,9 @@
         router = self._routers[name]
         if (
             name not in self._routers_down
-            and router.take_announcement(announcement, self.now_us) is Step.ADOPT
+            and router.process_announcement(announcement, self.now_us) is AnnouncementAction.ADOPT
         ):
-            router.adopted(announcement, self.now_us)
+            router.record_adoption(announcement, self.now_us)
             self.measurements.record_applied(name, announcement.epoch, self.now_us)
 
     def _check_change(self, agent: int, name: str, change: Change) -> simpy.events.ProcessGenerator:
@@ -219,10 +219,10 @@
             propose = ProposePolicy(agent=agent_name(0), base=policy.epoch.number, document=document)
             reply = self.control.apply(propose)
             assert not isinstance(reply, Rejected), reply
-            while policy.checking() is not None:
+            while policy.change_being_checked() is not None:
                 yield self._env.timeout(POLL_INTERVAL_US)
             assert policy.change is not None
-            self.measurements.record_decision(policy.change.phase is Phase.COMMITTED)
+            self.measurements.record_decision(policy.change.phase is ChangePhase.COMMITTED)
             yield self._env.timeout(self.experiment.pause_us)
         yield self._env.timeout(2 * READ_INTERVAL_US)
 
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -19,7 +19,7 @@
     StartRollout,
 )
 from maplestile.control.rollout_planner import RolloutPlanner, RolloutRules
-from maplestile.control.state import ACTIVE, Lease, Stage
+from maplestile.control.state import ACTIVE_PHASES, Lease, Stage
 from maplestile.tools.model.control_model import ControlModel
 from maplestile.tools.model.experiment import TimeRange
 from maplestile.tools.model.report import Metrics
@@ -71,7 +71,7 @@
             self._start_steps()
             self._submit_next_command()
             rollout = self.control.rollout
-            if rollout is not None and rollout.phase not in ACTIVE:
+            if rollout is not None and rollout.phase not in ACTIVE_PHASES:
                 self.measurements.ended_us = self.now_us
                 return
             yield self._env.timeout(PLAN_INTERVAL_US)
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from maplestile.common.toml_table import ConfigError, TomlTable
-from maplestile.control.policy.agreed import AgreedPolicies, Change, Epoch, Phase
+from maplestile.control.policy.agreed import AgreedPolicies, Change, ChangePhase, Epoch
 from maplestile.control.policy.document import Document, digest_of, document_of
 from maplestile.invoke.operator_file import OperatorError, from_tables, read
 from maplestile.tools.agent_client import AgentReply, add_agent_options, request_agent
@@ -182,7 +182,7 @@
         if status is None:
             return EXIT_FAILED
         change = _find_change(AgreedPolicies.decode(status["agreed"]), number)
-        if change is not None and change.phase is not Phase.CHECKING:
+        if change is not None and change.phase is not ChangePhase.CHECKING:
             return _print_decision(arguments, change)
         time.sleep(POLL_INTERVAL_S)
     text = (
@@ -198,7 +198,7 @@
 
 
 def _print_decision(arguments: argparse.Namespace, change: Change) -> int:
-    is_committed = change.phase is Phase.COMMITTED
+    is_committed = change.phase is ChangePhase.COMMITTED
     epoch = change.base + 1 if is_committed else change.base
     if arguments.json:
         print(json.dumps(_decision_json(change, epoch)))
--- a/tests/policy_driver_rig.py
+++ b/tests/policy_driver_rig.py
@@ -46,14 +46,16 @@
         """Announce a committed epoch that was read just now, and return the driver's report."""
         answers: list[dict[str, Any]] = []
         message = {"epoch": epoch, "fenced_us": monotonic_us(), "checking": 0, **more}
-        self.take_announcement(message, answers.append)
+        self.process_announcement(message, answers.append)
         (answer,) = answers
         return answer
 
-    def take_announcement(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
+    def process_announcement(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
         """Decode an announcement and encode the driver's reply, as the operators' front does."""
         announcement = policy_json.decode_announcement(message)
-        self.driver.take_announcement(announcement, lambda report: reply(policy_json.encode_report(report)))
+        self.driver.process_announcement(
+            announcement, lambda report: reply(policy_json.encode_report(report))
+        )
 
     def check(self, message: object) -> dict[str, Any]:
         """Decode a policy change, check it, and encode the positive answer, as the operators' front does."""
--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -48,7 +48,7 @@
         files = {"durable.json": (folder / "durable.json").read_bytes()}
         for name, document in (("own", None), ("document", DOCUMENT)):
             store.write(folder / name, AdoptedPolicy(7, document_of(document)))
-            files[f"policy-{name}.json"] = (folder / name / store.NAME).read_bytes()
+            files[f"policy-{name}.json"] = (folder / name / store.FILE_NAME).read_bytes()
         markers = FileCordonStore(folder / "suspended")
         for runner in ("w0", LONG_NAME, "..", "r-w1", ""):
             markers.put(runner)
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -78,7 +78,7 @@
         ("rollback", {"base": 1, "to": None}),
     ):
         await controller.execute(operation, command)
-        change = replicated_log.control.policy.checking()
+        change = replicated_log.control.policy.change_being_checked()
         assert change is not None
         await controller.announce(router_policy, Announcement(router_policy.epoch, 600, change.number))
         await controller.check(router_policy, change)
@@ -145,7 +145,7 @@
             announcement | {"fenced_us": monotonic_us()} if isinstance(announcement, dict) else announcement
         )
         try:
-            rig.take_announcement(_fill_in_policy(fenced, rig), answers.append)
+            rig.process_announcement(_fill_in_policy(fenced, rig), answers.append)
         except PolicyError as error:
             answers.append({"refused": str(error)})
         announcements.append({"word": _fill_in_policy(announcement, rig), "answers": answers})
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -10,7 +10,7 @@
 
 from maplestile.control.commands import GrantLease, Rejected
 from maplestile.control.rollout_planner import HealthReport, RolloutPlanner, RolloutRules
-from maplestile.control.state import ACTIVE, ControlState, Phase, Stage
+from maplestile.control.state import ACTIVE_PHASES, ControlState, Phase, Stage
 from tests.control_rig import NAMES, SECOND_US, registered_control
 
 
@@ -151,7 +151,7 @@
             return
         if rollout.phase is Phase.DONE:
             assert set(rollout.done) >= set(rollout.targets)
-        if rollout.phase not in ACTIVE:
+        if rollout.phase not in ACTIVE_PHASES:
             assert all(lease.stage is Stage.OUT for lease in self.control.leases.values())
         if rollout.phase is Phase.UNDONE and rollout.action == "drain":
             assert not set(rollout.done) & set(self.control.leases)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from maplestile.control.commands import encode
-from maplestile.control.policy.agreed import Phase
+from maplestile.control.policy.agreed import ChangePhase
 from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.control.state import ControlState
 
@@ -95,7 +95,7 @@
     rig.submit_verdict(0)
     rig.submit_verdict(1, "rules.attempts: is not known here")
     change = rig.control.policy.change
-    assert change is not None and change.phase is Phase.ABORTED
+    assert change is not None and change.phase is ChangePhase.ABORTED
     assert change.reason == "r1 refuses it: rules.attempts: is not known here"
     rig.accept("policy propose", base=0, document=ONE_ATTEMPT)
     rig.submit_read(0)
--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -73,9 +73,9 @@
     for adopted in (AdoptedPolicy(0, None), AdoptedPolicy(3, Document.from_tables(ONE_ATTEMPT))):
         store.write(folder, adopted)
         assert store.read(folder) == adopted
-    undamaged = (folder / store.NAME).read_bytes()
+    undamaged = (folder / store.FILE_NAME).read_bytes()
     for damaged in (b"", undamaged[:-5], undamaged.replace(b'"epoch": 3', b'"epoch": 4'), b"[]", b"\xff"):
-        (folder / store.NAME).write_bytes(damaged)
+        (folder / store.FILE_NAME).write_bytes(damaged)
         assert store.read(folder) is None
 
 
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -30,7 +30,7 @@
     rig.start()
     assert (rig.config.settings.max_attempts, rig.config.settings.epoch) == (2, 1)
     assert not rig.driver.admits()
-    (tmp_path / store.NAME).write_bytes(b"{}")
+    (tmp_path / store.FILE_NAME).write_bytes(b"{}")
     rig.start()
     assert rig.driver.follower.epoch == NO_EPOCH
 
@@ -42,10 +42,10 @@
     assert (report["standing"], report["epoch"]) == ("refused", 0)
     assert "rules.newer: is not known here" in rig.driver.not_ready_reason()
     assert rig.announce(2, document=rig.policy(attempts=2))["standing"] == "current"
-    (tmp_path / f"{store.NAME}.new").mkdir()  # makes the next write fail
+    (tmp_path / f"{store.FILE_NAME}.new").mkdir()  # makes the next write fail
     report = rig.announce(3, document=rig.policy(attempts=3))
     assert (report["standing"], report["epoch"]) == ("refused", 2)
-    (tmp_path / f"{store.NAME}.new").rmdir()
+    (tmp_path / f"{store.FILE_NAME}.new").rmdir()
     assert rig.announce(3, document=rig.policy(attempts=3))["standing"] == "current"
     rig.text = rig.text.replace('class = "review"', 'class = "exam"')  # the stored policy no longer fits
     with pytest.raises(ConfigError):
@@ -94,7 +94,7 @@
 def test_rejects_malformed_announcement_and_names_field(message: object, tmp_path: Path) -> None:
     rig = PolicyDriverRig(tmp_path)
     with pytest.raises(PolicyError, match="must be a whole number"):
-        rig.take_announcement(message, lambda answer: None)
+        rig.process_announcement(message, lambda answer: None)
     with pytest.raises(PolicyError, match="must be a whole number"):
         rig.check(message)
 
@@ -111,8 +111,8 @@
         "checking": 0,
         "document": rig.policy(attempts=2),
     }
-    rig.take_announcement(announcement, answers.append)
-    rig.take_announcement(announcement, answers.append)
+    rig.process_announcement(announcement, answers.append)
+    rig.process_announcement(announcement, answers.append)
     assert [answer["epoch"] for answer in answers] == [0] and len(jobs) == 1
     ((job, on_done),) = jobs
     job()
--- a/tests/test_policy_random.py
+++ b/tests/test_policy_random.py
@@ -7,11 +7,11 @@
 from maplestile.control.commands import encode
 from maplestile.control.policy.follower import (
     NO_EPOCH,
+    AnnouncementAction,
     Follower,
     FollowerTimeouts,
     PolicyAnnouncement,
     PolicyStatus,
-    Step,
 )
 from maplestile.control.policy.planner import PolicyPlanner
 from maplestile.control.state import ControlState
@@ -62,7 +62,7 @@
         """An agent reads the policy for some of its routers."""
         instances = [name for name in sorted(named) if ROUTERS[name] == agent]
         reply = self.control.apply_encoded({"do": "policy read", "agent": agent, "instances": instances})
-        change = self.control.policy.checking()
+        change = self.control.policy.change_being_checked()
         for name in instances:
             self.announcements[name] = PolicyAnnouncement(
                 reply["epoch"], self.now_us, change.number if change else 0, True
@@ -73,15 +73,15 @@
         """A router gets the last announcement that its agent read, perhaps again."""
         router = self.routers[name]
         announcement = self.announcements[name]
-        if router.take_announcement(announcement, self.now_us) is Step.ADOPT:
-            router.adopted(announcement, self.now_us)
+        if router.process_announcement(announcement, self.now_us) is AnnouncementAction.ADOPT:
+            router.record_adoption(announcement, self.now_us)
             assert announcement.epoch >= self.recorded_epoch[name]
             self.recorded_epoch[name] = announcement.epoch
 
     @rule(name=st.sampled_from(tuple(ROUTERS)), refuses=st.integers(0, 9))
     def check(self, name: str, refuses: int) -> None:
         """A router submits its verdict on the change, and refuses one change in ten."""
-        if (change := self.control.policy.checking()) is not None:
+        if (change := self.control.policy.change_being_checked()) is not None:
             verdict = {"agent": ROUTERS[name], "instance": name, "reason": "no" if not refuses else ""}
             self.control.apply_encoded({"do": "policy verdict", "change": change.number, **verdict})
 
@@ -104,7 +104,7 @@
         """A new leader starts with an empty planner."""
         self.planner = PolicyPlanner()
 
-    @precondition(lambda self: self.control.policy.checking() is not None)
+    @precondition(lambda self: self.control.policy.change_being_checked() is not None)
     @rule()
     def decide(self) -> None:
         """The leader submits its next command, which the state must accept."""
