--- a/benchmarks/agreed_reads.py
+++ b/benchmarks/agreed_reads.py
@@ -74,7 +74,7 @@
     async def wait_until_ready(self) -> None:
         """Wait until all voters are ready."""
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while not all(raft.ready() for raft in self.rafts):
+            while not all(raft.is_ready() for raft in self.rafts):
                 await asyncio.sleep(POLL_S)
 
     async def stop(self) -> None:
--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -61,14 +61,14 @@
     @property
     def agreed(self) -> AgreedPolicies:
         """The replicated state of the policy."""
-        return self.replicated_log.control.policy
+        return self.replicated_log.state.policy
 
     async def run(self) -> None:
         """Run until cancelled."""
         try:
             while True:
                 await asyncio.sleep(POLL_INTERVAL_S)
-                if self.replicated_log.ready():
+                if self.replicated_log.is_ready():
                     self._poll()
         finally:
             self._cancel_tasks()
@@ -219,12 +219,12 @@
 
     def _status(self) -> FleetPolicyStatus:
         reported = self.replicated_log.router_status
-        instances = sorted(self.replicated_log.control.instances.items())
+        instances = sorted(self.replicated_log.state.instances.items())
         return FleetPolicyStatus(
             agreed=self.agreed,
             instances={name: _instance_policy(name, agent, reported.get(agent)) for name, agent in instances},
             voter=self.replicated_log.status(),
-            ready=self.replicated_log.ready(),
+            ready=self.replicated_log.is_ready(),
         )
 
 
--- a/maplestile/agent/policy_leader.py
+++ b/maplestile/agent/policy_leader.py
@@ -29,8 +29,8 @@
         """Do nothing: this planner decides by the replicated state alone."""
 
     def _next_command(self, planner: PolicyPlanner, now_us: int) -> CommitPolicy | AbortPolicy | None:
-        control = self.replicated_log.control
-        return planner.next_command(control.policy, control.instances, now_us)
+        state = self.replicated_log.state
+        return planner.next_command(state.policy, state.instances, now_us)
 
     async def _submit(self, command: CommitPolicy | AbortPolicy) -> None:
         name = name_of(command)
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -20,7 +20,7 @@
     """The replicated log and its state, reached through this agent's own voter or that of another agent."""
 
     @property
-    def control(self) -> ControlState:
+    def state(self) -> ControlState:
         """The replicated state, as this agent knows it; it may lag behind the leader's."""
         ...
 
@@ -34,7 +34,7 @@
         """The last report of each agent on the policy of its routers."""
         ...
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the state is up to date and a leader is known."""
         ...
 
--- a/maplestile/agent/rollout_controller.py
+++ b/maplestile/agent/rollout_controller.py
@@ -63,7 +63,7 @@
         try:
             while not log_task.done():
                 await asyncio.sleep(POLL_INTERVAL_S)
-                if self.replicated_log.ready():
+                if self.replicated_log.is_ready():
                     await self._poll()
             await log_task
         finally:
@@ -81,10 +81,10 @@
 
     async def _register(self) -> None:
         """Register this agent's instances and runners unless the replicated state already has them."""
-        control = self.replicated_log.control
+        state = self.replicated_log.state
         instances = sorted(self.routers)
-        registered = sorted(name for name, agent in control.instances.items() if agent == self.settings.name)
-        listed = control.listed.get(self.settings.name, [])
+        registered = sorted(name for name, agent in state.instances.items() if agent == self.settings.name)
+        listed = state.listed.get(self.settings.name, [])
         runners = self.health.listed_runners
         is_up_to_date = registered == instances and (not runners or listed == sorted(runners))
         if self.is_registered and is_up_to_date:
@@ -94,7 +94,7 @@
 
     def _start_heartbeat(self) -> None:
         """Start sending a heartbeat if one is due and the previous one has been sent."""
-        rollout = self.replicated_log.control.rollout
+        rollout = self.replicated_log.state.rollout
         is_active = rollout is not None and rollout.phase in ACTIVE_PHASES
         interval_s = HEARTBEAT_ACTIVE_S if is_active else HEARTBEAT_IDLE_S
         if time.monotonic() - self.last_heartbeat_s < interval_s:
@@ -110,14 +110,14 @@
 
         Raises CommandError if the log gives no reply to the command.
         """
-        ready = self.replicated_log.ready()  # as it was before the command is submitted
+        ready = self.replicated_log.is_ready()  # as it was before the command is submitted
         reply = None
         try:
             if isinstance(command, dict):
                 reply = await self.replicated_log.submit(command)
         except LogError as error:
             raise CommandError(str(error)) from None
-        return LogAnswer(ready, self.replicated_log.control, self.replicated_log.router_status, reply)
+        return LogAnswer(ready, self.replicated_log.state, self.replicated_log.router_status, reply)
 
     async def execute(self, operation: str, command: EncodedCommand) -> CommandResult:
         """Execute an operator's command about rollouts, or `status`, and return the result.
@@ -135,8 +135,8 @@
 
     def _status(self) -> RolloutStatus:
         return RolloutStatus(
-            control=self.replicated_log.control,
+            control=self.replicated_log.state,
             voter=self.replicated_log.status(),
-            ready=self.replicated_log.ready(),
+            ready=self.replicated_log.is_ready(),
             counters=self.counters,
         )
--- a/maplestile/agent/rollout_leader.py
+++ b/maplestile/agent/rollout_leader.py
@@ -40,7 +40,7 @@
                 planner.record_reports(heartbeat.reports, now_us)
 
     def _next_command(self, planner: RolloutPlanner, now_us: int) -> GrantLease | HaltRollout | None:
-        return planner.next_command(self.replicated_log.control, self.lost_members(), self.term, now_us)
+        return planner.next_command(self.replicated_log.state, self.lost_members(), self.term, now_us)
 
     async def _submit(self, command: GrantLease | HaltRollout) -> None:
         reply = await self.log_client.submit(command)
--- a/maplestile/agent/rollout_steps.py
+++ b/maplestile/agent/rollout_steps.py
@@ -27,7 +27,7 @@
     def start_tasks(self) -> None:
         """Start or resume the step of each lease that this agent has work in."""
         self._remove_finished_tasks()
-        for lease in self.replicated_log.control.leases.values():
+        for lease in self.replicated_log.state.leases.values():
             step = None if lease.number in self.tasks else self._create_step(lease)
             if step is not None:
                 self.tasks[lease.number] = asyncio.get_running_loop().create_task(step)
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -45,7 +45,7 @@
         return self._lease(runner) is not None or await self._set_used(runner, True)
 
     def _lease(self, runner: str) -> Lease | None:
-        return self.log_client.replicated_log.control.leases.get(runner)
+        return self.log_client.replicated_log.state.leases.get(runner)
 
     async def _resume_runner(self, lease: Lease) -> None:
         """Make the routers here use the runner again, and report it once all of them do."""
--- a/maplestile/control/raft_log.py
+++ b/maplestile/control/raft_log.py
@@ -76,7 +76,7 @@
     def __init__(self, own_node: TCPNode, other_nodes: list[TCPNode], conf: SyncObjConf) -> None:
         # The library's snapshots omit attributes that are set before its constructor runs, so they lack these
         # (see docs/ROADMAP.md).
-        self.control = ControlState()
+        self.state = ControlState()
         self.heartbeats: dict[str, ReceivedHeartbeat] = {}  # by agent
         self.router_status: dict[str, ReceivedRouterStatus] = {}  # by agent
         super().__init__(own_node, other_nodes, conf)
@@ -98,7 +98,7 @@
             self.router_status[decoded.agent] = ReceivedRouterStatus(
                 time.monotonic(), dict(decoded.router_status)
             )
-        return encode_reply(self.control.apply(decoded))
+        return encode_reply(self.state.apply(decoded))
 
 
 class RelayedNode(TCPNode):  # type: ignore[misc]  # the library has no types
@@ -163,10 +163,10 @@
         self.replica = Replica(own_node, other_nodes, conf)
 
     @property
-    def control(self) -> ControlState:
+    def state(self) -> ControlState:
         """The replicated state, as far as this voter has applied the log."""
-        control: ControlState = self.replica.control
-        return control
+        state: ControlState = self.replica.state
+        return state
 
     @property
     def heartbeats(self) -> Mapping[str, ReceivedHeartbeat]:
@@ -183,7 +183,7 @@
             for agent, status in self.replica.router_status.items()
         }
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the replica has caught up with a leader's committed entries since its start."""
         return bool(self.replica.isReady())
 
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -38,12 +38,12 @@
         self.settings = settings
         self.client = client
         self.counters = counters
-        self.control = ControlState()
+        self.state = ControlState()
         self.heartbeats: Mapping[str, ReceivedHeartbeat] = {}  # always empty: only a leader needs them
         self.router_status: Mapping[str, RouterStatus] = {}  # by agent
         self.is_voter_ready = False
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the last request was answered by a voter that was ready."""
         return self.is_voter_ready
 
@@ -83,7 +83,7 @@
         if "error" in answer:
             raise LogError(answer["error"])
         control: dict[str, Any] = answer["control"]
-        self.control = ControlState.decode(control["state"])
+        self.state = ControlState.decode(control["state"])
         self.is_voter_ready = bool(control["ready"])
         self.router_status = decode_router_status(control.get("told", {}))
         return control
--- a/tests/agent_doubles.py
+++ b/tests/agent_doubles.py
@@ -32,8 +32,8 @@
 class RecordingLog:
     """A replicated log without voters: it applies each command at once and records it."""
 
-    def __init__(self, control: ControlState) -> None:
-        self.control = control
+    def __init__(self, state: ControlState) -> None:
+        self.state = state
         self.heartbeats: dict[str, ReceivedHeartbeat] = {}
         self.router_status: dict[str, RouterStatus] = {
             "a0": RouterStatus(1.5, {"r0": {"epoch": 2, "standing": "current"}})
@@ -42,7 +42,7 @@
         self.is_leader = False
         self.error = ""  # text of the LogError that `submit` raises; "" for none
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return True: the log can always be used."""
         return True
 
@@ -69,7 +69,7 @@
             number = 1 if last is None else last.number + 1
             self.heartbeats[decoded.agent] = ReceivedHeartbeat(number, decoded.reports)
             return {"ok": True}
-        return self.control.apply_encoded(command)
+        return self.state.apply_encoded(command)
 
 
 def control_after_script() -> ControlState:
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -38,8 +38,8 @@
     async def execute(self, operation: str, command: dict[str, Any], phase: Phase) -> None:
         """Execute an operator's command, and wait until the rollout is in a phase."""
         await self.controller.execute(operation, command)
-        control = self.log.control
-        await wait_until(lambda: control.rollout is not None and control.rollout.phase is phase, PATIENCE_S)
+        state = self.log.state
+        await wait_until(lambda: state.rollout is not None and state.rollout.phase is phase, PATIENCE_S)
 
 
 async def submitted_by_rollout_controller(folder: Path) -> dict[str, bytes]:
@@ -47,7 +47,7 @@
     rig = RolloutRig(folder)
     controller_task = asyncio.get_running_loop().create_task(rig.controller.run())
     try:
-        await wait_until(lambda: bool(rig.log.control.runners), PATIENCE_S)
+        await wait_until(lambda: bool(rig.log.state.runners), PATIENCE_S)
         for action in ("restart", "replace", "drain"):
             await rig.execute("start", {"action": action, "targets": ["r0"], "budget": None}, Phase.DONE)
         await rig.execute("undo", {"reason": ""}, Phase.UNDONE)
@@ -66,7 +66,7 @@
     settings = control_settings(folder, f'ask = ["{NOBODY}"]')
     replicated_log = RecordingLog(ControlState())
     router = recording_router()
-    replicated_log.control.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
+    replicated_log.state.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
     replicated_log.is_leader = True
     controller = PolicyController(settings, replicated_log, {"r0": router})
     router_policy = controller.router_policies["r0"] = RouterPolicy("r0", router, 1)
@@ -78,7 +78,7 @@
         ("rollback", {"base": 1, "to": None}),
     ):
         await controller.execute(operation, command)
-        change = replicated_log.control.policy.change_being_checked()
+        change = replicated_log.state.policy.change_being_checked()
         assert change is not None
         await controller.announce(router_policy, Announcement(router_policy.epoch, 600, change.number))
         await controller.check(router_policy, change)
@@ -87,7 +87,7 @@
         await controller.leader.submission
         router.client.wants_document = operation == "rollback"
         await controller.announce(
-            router_policy, Announcement(replicated_log.control.policy.epoch.number, 700, 0)
+            router_policy, Announcement(replicated_log.state.policy.epoch.number, 700, 0)
         )
     return {
         "herald-submitted.jsonl": as_lines(replicated_log.submitted),
--- a/tests/record_voter.py
+++ b/tests/record_voter.py
@@ -40,7 +40,7 @@
     running = asyncio.get_running_loop().create_task(raft.run())
     try:
         async with asyncio.timeout(TIMEOUT_S):
-            await wait_until(raft.ready, TIMEOUT_S)
+            await wait_until(raft.is_ready, TIMEOUT_S)
             # All commands are submitted in this order before the first reply comes.
             await asyncio.gather(*(raft.submit(command) for command in commands))
     finally:
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -104,7 +104,7 @@
 
     def test_voter_on_recorded_folder_has_recorded_state(self) -> None:
         raft = asyncio.run(record_voter.run_voter(self.settings, []))
-        self.assertEqual(raft.control.encoded(), json.loads(recorded_bytes("state.json")))
+        self.assertEqual(raft.state.encoded(), json.loads(recorded_bytes("state.json")))
         self.assertEqual(dict(raft.heartbeats), {"a0": ReceivedHeartbeat(1, HEALTH_REPORTS)})
 
     def test_voter_on_recorded_journal_records_has_state_of_script(self) -> None:
@@ -122,7 +122,7 @@
         expected = ControlState()
         for command in (*SCRIPT, POLICY_READ):
             expected.apply_encoded(command)
-        self.assertEqual(raft.control.encoded(), expected.encoded())
+        self.assertEqual(raft.state.encoded(), expected.encoded())
         reported = {agent: status.routers for agent, status in raft.router_status.items()}
         self.assertEqual(reported, {"a0": POLICY_READ["told"]})
 
--- a/tests/test_recorded_remote_log.py
+++ b/tests/test_recorded_remote_log.py
@@ -40,20 +40,20 @@
                 continue
             answered += 1
             remote_log = await self.log_after(answer)
-            self.assertEqual(remote_log.control.encoded(), control["state"])
+            self.assertEqual(remote_log.state.encoded(), control["state"])
             self.assertEqual(self.reply, control["reply"])
             self.assertEqual(
                 remote_log.router_status,
                 {"a0": RouterStatus(1.5, {"r0": {"epoch": 2, "standing": "current"}})},
             )
-            self.assertTrue(remote_log.ready())
+            self.assertTrue(remote_log.is_ready())
         self.assertEqual(answered, 2)
 
     async def test_ignores_unknown_keys(self) -> None:
         answer = json.loads(self.answers()[-2])
         answer["control"]["foreign"] = answer["foreign"] = [1]
         remote_log = await self.log_after(json.dumps(answer).encode() + b"\n")
-        self.assertEqual(remote_log.control.encoded(), answer["control"]["state"])
+        self.assertEqual(remote_log.state.encoded(), answer["control"]["state"])
 
     async def test_reports_invalid_answer_with_its_error(self) -> None:
         answer = json.loads(self.answers()[-2])["control"]
