--- a/maplestile/agent/command_server.py
+++ b/maplestile/agent/command_server.py
@@ -28,17 +28,17 @@
 from maplestile.agent.instance import Instance
 from maplestile.agent.router_client import RESUME_PATH, SUSPEND_PATH
 from maplestile.control.log_view import LogAnswer
-from maplestile.operation.api import MEMBERS, METRICS, READY
+from maplestile.operation.api import MEMBERS_PATH, METRICS_PATH, READY_PATH
 
 log = logging.getLogger("maplestile.agent")
 MAX_LINE_BYTES = 65_536
 Answer = TypeVar("Answer")
 
 # By command: the HTTP method and path of the request to the operators' front of each chosen instance.
-OPERATE = {
-    "ready": ("GET", READY),
-    "figures": ("GET", METRICS),
-    "members": ("GET", MEMBERS),
+FRONT_REQUESTS = {
+    "ready": ("GET", READY_PATH),
+    "figures": ("GET", METRICS_PATH),
+    "members": ("GET", MEMBERS_PATH),
     "suspend": ("PUT", SUSPEND_PATH),
     "resume": ("PUT", RESUME_PATH),
 }
@@ -114,7 +114,7 @@
             "rollout": self._rollout,
             "policy": self._policy,
             "control": self._serve_log,
-            **dict.fromkeys(OPERATE, self._request_fronts),
+            **dict.fromkeys(FRONT_REQUESTS, self._request_fronts),
         }
 
     def enable_control(self, control: ControlCommands) -> None:
@@ -184,7 +184,7 @@
 
     async def _request_fronts(self, command: AgentCommand) -> FrontReplies:
         name = str(command.name)
-        method, path = OPERATE[name]
+        method, path = FRONT_REQUESTS[name]
         if isinstance(command.runner, str):
             path = path.format(quote(command.runner, safe=""))
         elif "{}" in path:
--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -13,7 +13,7 @@
 from maplestile.agent.router_client import OperatorReply
 from maplestile.common import logs
 from maplestile.control.policy.agreed import AgreedPolicies, Change, Epoch
-from maplestile.operation.api import POLICY, POLICY_CHECK
+from maplestile.operation.api import POLICY_CHECK_PATH, POLICY_PATH
 
 log = logging.getLogger("maplestile.policy")
 REPEAT_INTERVAL_S = 0.5  # between announcements to a router that does not answer or does not accept the epoch
@@ -124,7 +124,7 @@
             **({"document": epoch.document} if with_document else {}),
         }
         reply = await self.router.client.send_request(
-            "PUT", POLICY, json.dumps(content).encode(), ANSWER_TIMEOUT_S
+            "PUT", POLICY_PATH, json.dumps(content).encode(), ANSWER_TIMEOUT_S
         )
         self.is_answering = reply.status is not None
         if _has_no_policy(reply):
@@ -152,7 +152,7 @@
         answer.
         """
         content = json.dumps({"change": change.number, "document": change.document}).encode()
-        reply = await self.router.client.send_request("POST", POLICY_CHECK, content, ANSWER_TIMEOUT_S)
+        reply = await self.router.client.send_request("POST", POLICY_CHECK_PATH, content, ANSWER_TIMEOUT_S)
         self.is_answering = reply.status is not None
         if _has_no_policy(reply):
             return NO_POLICY
--- a/maplestile/agent/router_client.py
+++ b/maplestile/agent/router_client.py
@@ -12,14 +12,13 @@
 from maplestile.common.address import parse_address
 from maplestile.common.toml_table import TomlTable
 from maplestile.control.commands import HealthReport
-from maplestile.invoke.operator_file import OperatorError
-from maplestile.invoke.operator_file import read as read_operator
-from maplestile.operation.api import MEMBERS, METRICS, READY, RUNNERS
+from maplestile.invoke.operator_file import OperatorError, read_tables
+from maplestile.operation.api import MEMBERS_PATH, METRICS_PATH, READY_PATH, RUNNERS_PATH
 from maplestile.operation.client import CallError, call
 
 ANSWER_TIMEOUT_S = 3.0
-SUSPEND_PATH = RUNNERS + "/{}/suspend"
-RESUME_PATH = RUNNERS + "/{}/resume"
+SUSPEND_PATH = RUNNERS_PATH + "/{}/suspend"
+RESUME_PATH = RUNNERS_PATH + "/{}/resume"
 CALLS_METRIC = "svc_{}_total{{"  # start of a metric line: one line per outcome and class
 
 
@@ -88,11 +87,11 @@
 
     async def is_ready(self) -> bool:
         """Return whether the instance runs and accepts calls."""
-        return self.process.is_running() and (await self.send_request("GET", READY)).ok
+        return self.process.is_running() and (await self.send_request("GET", READY_PATH)).ok
 
     async def fetch_health_report(self) -> HealthReport:
         """Return the router's readiness, and its numbers of served and failed calls since its start."""
-        ready, metrics = await asyncio.gather(self.is_ready(), self.send_request("GET", METRICS))
+        ready, metrics = await asyncio.gather(self.is_ready(), self.send_request("GET", METRICS_PATH))
         text = metrics.text if metrics.ok else ""
         return HealthReport(ready, _count_calls(text, "success"), _count_calls(text, "failure"))
 
@@ -101,7 +100,7 @@
 
         The set is empty if the router does not answer or has no view of the members.
         """
-        reply = await self.send_request("GET", MEMBERS)
+        reply = await self.send_request("GET", MEMBERS_PATH)
         if not reply.ok:
             return set()
         try:
@@ -113,7 +112,7 @@
 
     async def fetch_runners(self) -> dict[str, ListedRunner] | None:
         """Return the runners that the router lists, by runner id, or None if the router does not answer."""
-        reply = await self.send_request("GET", RUNNERS)
+        reply = await self.send_request("GET", RUNNERS_PATH)
         if not reply.ok:
             return None
         try:
@@ -132,7 +131,7 @@
     """Return the `host:port` of the operators' front, or "" if there is none. Raises OperatorError."""
     if settings.operator_address or settings.router_file is None:
         return settings.operator_address
-    operation = TomlTable(read_operator(settings.router_file), "", OperatorError).table("operation")
+    operation = TomlTable(read_tables(settings.router_file), "", OperatorError).table("operation")
     return operation.loopback("listen") if operation.values else ""
 
 
--- a/maplestile/agent/supervisor.py
+++ b/maplestile/agent/supervisor.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from maplestile.agent.command_client import send_command
-from maplestile.agent.command_server import OPERATE, CommandServer
+from maplestile.agent.command_server import FRONT_REQUESTS, CommandServer
 from maplestile.agent.instance import Instance
 from maplestile.agent.process_registry import ProcessRegistry
 from maplestile.agent.router_client import RouterClient
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("maplestile.agent")
 __all__ = [
-    "OPERATE",
+    "FRONT_REQUESTS",
     "AgentSettings",
     "InstanceSettings",
     "Supervisor",
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -23,7 +23,15 @@
 )
 from maplestile.membership.settings import MembershipSettingsError, membership_settings_from
 
-__all__ = ["OperatorSettings", "OperatorError", "from_tables", "load", "parse", "read", "tables_of"]
+__all__ = [
+    "OperatorSettings",
+    "OperatorError",
+    "load_settings",
+    "parse_settings",
+    "parse_tables",
+    "read_tables",
+    "settings_from_tables",
+]
 
 DEFAULT_NAME = "maplestile"
 TIMER_TICK_US = 4_000
@@ -79,25 +87,25 @@
             getattr(self, table_field.name).end()
 
 
-def load(path: Path) -> OperatorSettings:
+def load_settings(path: Path) -> OperatorSettings:
     """Return the settings in a file. Raises ConfigError."""
-    return from_tables(read(path))
+    return settings_from_tables(read_tables(path))
 
 
-def parse(text: str) -> OperatorSettings:
+def parse_settings(text: str) -> OperatorSettings:
     """Return the settings in the text of a file. Raises ConfigError."""
-    return from_tables(tables_of(text))
+    return settings_from_tables(parse_tables(text))
 
 
-def read(path: Path) -> Tables:
+def read_tables(path: Path) -> Tables:
     """Return the tables of a file without checking their fields. Raises OperatorError."""
     try:
-        return tables_of(path.read_text(encoding="utf-8"))
+        return parse_tables(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
         raise OperatorError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
 
 
-def tables_of(text: str) -> Tables:
+def parse_tables(text: str) -> Tables:
     """Return the tables in the text of a file without checking their fields. Raises OperatorError."""
     try:
         return tomllib.loads(text)
@@ -105,7 +113,7 @@
         raise OperatorError(f"no TOML: {error}") from None
 
 
-def from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> OperatorSettings:
+def settings_from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> OperatorSettings:
     """Return the settings in the tables of a file. Raises ConfigError.
 
     An adopted policy replaces the policy of the file.
--- a/maplestile/invoke/store.py
+++ b/maplestile/invoke/store.py
@@ -69,7 +69,7 @@
         if record.scope is not None and self.by_scope.get(record.scope) is record:
             del self.by_scope[record.scope]
 
-    def uncollected(self, now_us: int) -> bool:
+    def has_uncollected_result(self, now_us: int) -> bool:
         """Return whether any deferred invocation has an answer that may still be collected."""
         return any(
             record.deferred
--- a/maplestile/operation/api.py
+++ b/maplestile/operation/api.py
@@ -25,12 +25,12 @@
 if TYPE_CHECKING:  # not loaded by a router without membership, to save start time and memory
     from maplestile.membership.view import MembershipView
 
-READY = "/v1/readyz"
-METRICS = "/v1/metrics"
-MEMBERS = "/v1/members"
-RUNNERS = "/v1/runners"
-POLICY = "/v1/policy"
-POLICY_CHECK = "/v1/policy/check"
+READY_PATH = "/v1/readyz"
+METRICS_PATH = "/v1/metrics"
+MEMBERS_PATH = "/v1/members"
+RUNNERS_PATH = "/v1/runners"
+POLICY_PATH = "/v1/policy"
+POLICY_CHECK_PATH = "/v1/policy/check"
 RUNNER_ACTION_PATH = re.compile(r"/v1/runners/([^/]+)/(suspend|resume)")
 TEXT_HEADERS = (("Content-Type", "text/plain; charset=utf-8"),)
 METRICS_HEADERS = (("Content-Type", exposition.CONTENT_TYPE),)
@@ -87,10 +87,10 @@
             one_call=True,
         )
         self._views: dict[str, Callable[[], Response]] = {
-            READY: self._ready,
-            METRICS: self._metrics,
-            MEMBERS: self._members,
-            RUNNERS: self._runners,
+            READY_PATH: self._ready,
+            METRICS_PATH: self._metrics,
+            MEMBERS_PATH: self._members,
+            RUNNERS_PATH: self._runners,
         }
 
     def handle(self, request: HttpRequest, respond: Respond) -> Callable[[], None]:
@@ -106,7 +106,7 @@
 
     def _route(self, request: HttpRequest, respond: Respond) -> None:
         path = request.path.partition("?")[0]
-        if path in (POLICY, POLICY_CHECK):
+        if path in (POLICY_PATH, POLICY_CHECK_PATH):
             self._policy(path, request, respond)
             return
         view = self._views.get(path)
@@ -167,7 +167,7 @@
     def respond_with(report: PolicyReport) -> None:
         respond(_json_response(policy_json.encode_report(report)))
 
-    if path == POLICY_CHECK:
+    if path == POLICY_CHECK_PATH:
         require_method(request, "POST")
         policy.check(policy_json.decode_check(json.loads(request.body)))
         respond(_json_response(policy_json.encode_check_passed()))
--- a/maplestile/operation/handover.py
+++ b/maplestile/operation/handover.py
@@ -54,7 +54,7 @@
     def __init__(self, locks: NamedLocks) -> None:
         self.stage = HandoverStage.WAITING
         self.has_successor = False  # another process is about to replace this one
-        self.successor_ready = False  # that process can serve
+        self.is_successor_ready = False  # that process can serve
         self._locks = locks
         self.poll()
 
@@ -68,7 +68,7 @@
         self._advance()
         if self.stage is HandoverStage.ALONE:
             self.has_successor = self._locks.is_held(NEXT_LOCK)
-            self.successor_ready = self.has_successor and self._locks.has_marker(NEXT_LOCK, READY_MARKER)
+            self.is_successor_ready = self.has_successor and self._locks.has_marker(NEXT_LOCK, READY_MARKER)
 
     def announce_ready(self) -> None:
         """Announce that this process can serve, so that its predecessor may hand over and exit."""
--- a/maplestile/router/components.py
+++ b/maplestile/router/components.py
@@ -64,7 +64,7 @@
     @property
     def is_successor_ready(self) -> bool:
         """Whether a successor process is ready to replace this one."""
-        return self.handover is not None and self.handover.successor_ready
+        return self.handover is not None and self.handover.is_successor_ready
 
     def received_us(self) -> int:
         """Return the earliest Unix time, in microseconds, at which input read now can have arrived.
--- a/maplestile/router/drain.py
+++ b/maplestile/router/drain.py
@@ -123,7 +123,7 @@
             return False
         if clock() >= self.last_pending_us + components.limits.shutdown.collect_us:
             return False
-        return components.invoke.api.store.uncollected(clock())
+        return components.invoke.api.store.has_uncollected_result(clock())
 
     async def _close_platform(self, platform: PlatformFront, wait_for_idle_until_us: int) -> None:
         """Stop accepting connections, and close each open one once it is idle.
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -10,7 +10,7 @@
 
 from maplestile.control.policy.document import AdoptedPolicy
 from maplestile.control.policy.settings import policy_settings_of
-from maplestile.invoke.operator_file import from_tables, read
+from maplestile.invoke.operator_file import read_tables, settings_from_tables
 from maplestile.router.config import Config, config_from
 
 if TYPE_CHECKING:  # imported at run time only if the file has a policy, to save start time and memory
@@ -27,7 +27,7 @@
         self.file = file
         self.policy: PolicyDriver | None = None
         self._seed = os.urandom(SEED_BYTES).hex()  # stays the same over reloads
-        tables = read(file)
+        tables = read_tables(file)
         if (settings := policy_settings_of(tables)) is not None:
             from maplestile.router import policy_driver
 
@@ -35,10 +35,10 @@
 
     def read(self) -> Config:
         """Read and check the file again, and return its configuration. Raises ConfigError."""
-        tables = read(self.file)
+        tables = read_tables(self.file)
         return self._build(tables) if self.policy is None else self.policy.build_config(tables)
 
     def _build(self, tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> Config:
         """Check the tables of the file; an adopted policy, if there is one, replaces the file's own."""
-        operator = from_tables(tables, adopted)
+        operator = settings_from_tables(tables, adopted)
         return config_from({**operator.node, "seed": self._seed}, operator)
--- a/maplestile/tools/instance_commands.py
+++ b/maplestile/tools/instance_commands.py
@@ -87,7 +87,7 @@
         return 1
     if arguments.json or name in JSON_COMMANDS:
         return _print_json(reply)
-    if name in supervisor.OPERATE:
+    if name in supervisor.FRONT_REQUESTS:
         return PRINTERS.get(name, _print_answers)(_decode_answers(reply[name]))
     for instance in _decode_statuses(reply["instances"]):
         _print_instance(instance)
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -17,7 +17,7 @@
 from maplestile.common.toml_table import ConfigError, TomlTable
 from maplestile.control.policy.agreed import AgreedPolicies, Change, ChangePhase, Epoch
 from maplestile.control.policy.document import Document, digest_of, document_of
-from maplestile.invoke.operator_file import OperatorError, from_tables, read
+from maplestile.invoke.operator_file import OperatorError, read_tables, settings_from_tables
 from maplestile.tools.agent_client import AgentReply, add_agent_options, request_agent
 
 DECISION_TIMEOUT_S = 30.0  # for a change: its check takes at most 6 s, a leader election 2 s
@@ -88,14 +88,14 @@
     The policy is checked together with a minimal router file that has one function. Raises ConfigError, which
     names the invalid field.
     """
-    document = Document.from_tables(read(path))
+    document = Document.from_tables(read_tables(path))
     router = {
         "invoke": {"listen": "127.0.0.1:0"},
         "kind": [{"name": "k", "memory_mb": 1}],
         "worker": [{"id": "w", "address": "127.0.0.1:1"}],
         "function": [{"name": "f", "class": _first_class_name(document) or "?", "memory_mb": 1}],
     }
-    from_tables(document.applied_to(router))
+    settings_from_tables(document.applied_to(router))
     return document
 
 
@@ -271,5 +271,5 @@
 
 def is_policy_file(path: Path) -> bool:
     """Return whether `maplestile check` takes a file for a policy: it has no `invoke` or `function` table."""
-    tables = TomlTable(read(path), "", OperatorError).values
+    tables = TomlTable(read_tables(path), "", OperatorError).values
     return bool(tables) and "invoke" not in tables and "function" not in tables
--- a/maplestile/tools/serving_commands.py
+++ b/maplestile/tools/serving_commands.py
@@ -8,7 +8,7 @@
 
 from maplestile.agent import supervisor
 from maplestile.common import logs
-from maplestile.invoke.operator_file import OperatorError, load, read
+from maplestile.invoke.operator_file import OperatorError, load_settings, read_tables
 from maplestile.tools import policy_command
 
 
@@ -29,8 +29,8 @@
     from maplestile.router.process import serve
 
     # A file with a [policy] table may be complete only together with the fleet's committed policy.
-    if "policy" not in read(arguments.file):
-        load(arguments.file)  # reports errors in the file before the log is set up
+    if "policy" not in read_tables(arguments.file):
+        load_settings(arguments.file)  # reports errors in the file before the log is set up
     return serve(arguments.file)
 
 
@@ -39,7 +39,7 @@
     if policy_command.is_policy_file(file):
         print(f"{file}: a policy, {policy_command.load_policy(file).digest()}")
         return 0
-    settings = load(file)
+    settings = load_settings(file)
     print(f"{file}: {len(settings.functions)} functions, {len(settings.tenants)} tenants")
     return 0
 
--- a/tests/policy_driver_rig.py
+++ b/tests/policy_driver_rig.py
@@ -25,7 +25,7 @@
 
     def start(self) -> None:
         """Start the driver, or restart it with the policy stored on disk."""
-        tables = operator.tables_of(self.text)
+        tables = operator.parse_tables(self.text)
         settings = policy_settings_of(tables)
         assert settings is not None
         self.driver = PolicyDriver(settings, tables, self.build)
@@ -35,12 +35,12 @@
     @staticmethod
     def build(tables: dict[str, Any], adopted: AdoptedPolicy | None) -> Config:
         """Build the configuration of a router from the tables of its file and the adopted policy."""
-        settings = operator.from_tables(tables, adopted)
+        settings = operator.settings_from_tables(tables, adopted)
         return config_from(settings.node, settings)
 
     def reload(self, old: str = "", new: str = "") -> Config:
         """Reload the file with `old` replaced by `new`, and return the configuration."""
-        return self.driver.build_config(operator.tables_of(self.text.replace(old, new)))
+        return self.driver.build_config(operator.parse_tables(self.text.replace(old, new)))
 
     def announce(self, epoch: int, **more: Any) -> dict[str, Any]:
         """Announce a committed epoch that was read just now, and return the driver's report."""
@@ -64,4 +64,4 @@
 
     def policy(self, **rules: Any) -> dict[str, Any]:
         """Return the tables of a policy with these rules and the file's classes."""
-        return {"rules": rules, "class": operator.tables_of(self.text)["class"]}
+        return {"rules": rules, "class": operator.parse_tables(self.text)["class"]}
--- a/tests/record_command_line.py
+++ b/tests/record_command_line.py
@@ -77,7 +77,7 @@
     results: dict[str, object] = {}
     for file in sorted((ROOT / "deploy").rglob("*.toml")):
         try:
-            results[relative(file)] = operator_file.load(file)
+            results[relative(file)] = operator_file.load_settings(file)
         except ConfigError as error:
             results[relative(file)] = f"refused: {error}"
     return as_json(results)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from maplestile.invoke.operator_file import OperatorError, parse
+from maplestile.invoke.operator_file import OperatorError, parse_settings
 from tests.standins import ROOT
 
 OPERATOR_FILE = (ROOT / "deploy" / "operator.toml").read_text()
@@ -25,9 +25,9 @@
     ],
 )
 def test_wrong_value_in_operators_file_is_reported_with_its_field(old: str, new: str, message: str) -> None:
-    assert parse(OPERATOR_FILE).functions["make-cards"].lanes == 2
+    assert parse_settings(OPERATOR_FILE).functions["make-cards"].lanes == 2
     with pytest.raises(OperatorError, match=message):
-        parse(OPERATOR_FILE.replace(old, new, 1))
+        parse_settings(OPERATOR_FILE.replace(old, new, 1))
 
 
 def test_command_line_reports_errors_without_a_traceback() -> None:
--- a/tests/test_policy_documents.py
+++ b/tests/test_policy_documents.py
@@ -22,20 +22,22 @@
 
 def test_document_replaces_whole_policy_of_file() -> None:
     text = OPERATOR.replace("[rules]", '[policy]\nfolder = "x"\n[rules]')
-    tables = operator.tables_of(text)
+    tables = operator.parse_tables(text)
     document = Document.from_tables(
         {"rules": {"attempts": 2}, "class": tables["class"], "limits": {"records": 7}}
     )
-    config = operator.from_tables(tables, AdoptedPolicy(4, document))
+    config = operator.settings_from_tables(tables, AdoptedPolicy(4, document))
     assert (config.epoch, config.records, config.node["settings"]["limits"]["attemptsCap"]) == (4, 7, 2)
     # The default applies, not the file's 9.7 s.
     assert config.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000
-    bare = operator.from_tables(tables, AdoptedPolicy(4, Document.from_tables({"class": tables["class"]})))
+    bare = operator.settings_from_tables(
+        tables, AdoptedPolicy(4, Document.from_tables({"class": tables["class"]}))
+    )
     assert bare.node["settings"]["familyInfo"]["lingerIdleUs"] == 10_000_000
     assert config.node["settings"]["limits"]["maxOpen"] == 2000 and config.body_bytes == 16384
     with pytest.raises(ConfigError, match=r"function\[0\].class: must be one of other"):
         other = {"name": "other", "aim_ms": 1, "deadline_ms": 1, "semantics": "safe"}
-        operator.from_tables(tables, AdoptedPolicy(4, Document.from_tables({"class": [other]})))
+        operator.settings_from_tables(tables, AdoptedPolicy(4, Document.from_tables({"class": [other]})))
     assert Document.from_file(tables).applied_to(tables) == tables | {"limits": tables["limits"]}
 
 
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -134,4 +134,4 @@
     ):
         text = OPERATOR + f'[policy]\nfolder = "{tmp_path}"\n'
         with pytest.raises(ConfigError, match=place):
-            operator.parse(text.replace(old, new))
+            operator.parse_settings(text.replace(old, new))
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any
 
-from maplestile.invoke.operator_file import parse
+from maplestile.invoke.operator_file import parse_settings
 from maplestile.tools import trace_output, traces
 from maplestile.tools.cli import main
 from tests.standins import ROOT
@@ -35,7 +35,8 @@
     assert (row.calls, row.rate_per_s, row.longest_gap_s) == (1440, 0.01667, 600.0)
     assert (row.mean_ms, row.most_ms, row.memory_mb) == (250.0, 900.0, 150.0)
     table = "\n".join(trace_output.format_function_tables(trace, "review", 64))
-    assert parse(OPERATOR_FILE.replace("[[kind]]", table + "\n[[kind]]", 1)).functions["f"].memory_mb == 150.0
+    settings = parse_settings(OPERATOR_FILE.replace("[[kind]]", table + "\n[[kind]]", 1))
+    assert settings.functions["f"].memory_mb == 150.0
 
 
 def test_reads_single_calls_and_rejects_file_of_unknown_format(tmp_path: Path, capsys: Any) -> None:
