--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -7,7 +7,7 @@
 
 from maplestile.common.address import parse_address
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.settings import ControlSettings, control_from
+from maplestile.control.settings import ControlSettings, parse_control_settings
 from maplestile.invoke.operator_file import OperatorError
 
 
@@ -80,7 +80,7 @@
 def _control_settings(root: TomlTable) -> ControlSettings | None:
     voters = root.tables("voter", needed=False)
     if "control" in root.values:
-        return control_from(root.table("control"), voters)
+        return parse_control_settings(root.table("control"), voters)
     if voters:
         raise OperatorError("voter: needs a [control] table")
     return None
--- a/maplestile/control/budget.py
+++ b/maplestile/control/budget.py
@@ -5,7 +5,7 @@
 PERCENT = 100
 
 
-def budget_of(value: object, instances: int) -> int:
+def parse_budget(value: object, instances: int) -> int:
     """Convert a budget to a number of instances.
 
     The budget is a count (`2` or `"2"`) or a share of the fleet (`"25%"`, rounded down, but at least 1).
--- a/maplestile/control/commands/codec.py
+++ b/maplestile/control/commands/codec.py
@@ -10,8 +10,7 @@
 from typing import Any
 
 from maplestile.common.errors import CommandRejected
-from maplestile.control.commands import fields as decoders
-from maplestile.control.commands import replies, types
+from maplestile.control.commands import decoders, replies, types
 from maplestile.control.commands.replies import Acceptance, Rejected, Reply
 from maplestile.control.commands.types import WIRE_KEY, Command, HealthReport, ReadPolicy
 from maplestile.control.policy.document import Document
--- a/maplestile/control/commands/fields.py
+++ b/maplestile/control/commands/decoders.py
@@ -12,7 +12,7 @@
 
 from maplestile.common.errors import CommandRejected
 from maplestile.control.commands import types
-from maplestile.control.policy.document import PolicyError, document_of
+from maplestile.control.policy.document import PolicyError, decode_document
 
 MAX_NAME_BYTES = 64
 
@@ -149,7 +149,7 @@
 def propose_policy(encoded: Mapping[str, Any]) -> types.ProposePolicy:
     """Decode the fields of a `policy propose` command."""
     try:
-        document = document_of(encoded["document"])
+        document = decode_document(encoded["document"])
     except PolicyError as error:
         raise CommandRejected(str(error)) from None
     return types.ProposePolicy(document=document, base=int(encoded["base"]), agent=str(encoded["agent"]))
--- a/maplestile/control/policy/document.py
+++ b/maplestile/control/policy/document.py
@@ -108,12 +108,12 @@
     document: Document | None  # None: the policy of the router's own file
 
 
-def digest_of(document: Document | None) -> str:
+def policy_digest(document: Document | None) -> str:
     """Return the digest of a document; "" for the policy of each router's own file."""
     return "" if document is None else document.digest()
 
 
-def document_of(tables: object) -> Document | None:
+def decode_document(tables: object) -> Document | None:
     """Decode the document of a message or a log entry; None stands for the policy of each router's own file.
 
     Raises PolicyError.
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -28,7 +28,7 @@
     trace: bool = False  # whether to log an event for each attempt with its epoch
 
 
-def policy_settings_of(tables: Mapping[str, Any]) -> PolicySettings | None:
+def parse_policy_settings(tables: Mapping[str, Any]) -> PolicySettings | None:
     """Parse the settings of an operator's file; return None if it has no `[policy]` table.
 
     Raises PolicyError, which names the invalid field.
--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from maplestile.common import durable_file as durable
-from maplestile.control.policy.document import AdoptedPolicy, PolicyError, document_of
+from maplestile.control.policy.document import AdoptedPolicy, PolicyError, decode_document
 
 log = logging.getLogger("maplestile.policy")
 
@@ -30,7 +30,7 @@
 
 def _decode(record: Any) -> AdoptedPolicy:
     epoch = record["epoch"]
-    document = document_of(record["document"])
+    document = decode_document(record["document"])
     if type(epoch) is not int or epoch < 0:
         raise ValueError("its epoch is no number")
     return AdoptedPolicy(epoch, document)
--- a/maplestile/control/policy/transitions.py
+++ b/maplestile/control/policy/transitions.py
@@ -27,7 +27,7 @@
 )
 from maplestile.control.policy.agreed import NO_EPOCH, AgreedPolicies
 from maplestile.control.policy.change import Change, ChangePhase, Epoch
-from maplestile.control.policy.document import Document, digest_of, document_of
+from maplestile.control.policy.document import Document, decode_document, policy_digest
 
 MAX_REASON_LENGTH = 300
 
@@ -48,7 +48,7 @@
     del managers
     _check_base(agreed, command.base)
     epoch = _rollback_target(agreed, command.to)
-    return _begin_change(agreed, command, document_of(epoch.document), rollback=epoch.number)
+    return _begin_change(agreed, command, decode_document(epoch.document), rollback=epoch.number)
 
 
 def _rollback_target(agreed: AgreedPolicies, number: int | None) -> Epoch:
@@ -80,7 +80,7 @@
     rollback: int | None,
 ) -> ChangeProposed:
     _check_base(agreed, command.base)
-    if digest_of(document) == digest_of(document_of(agreed.epoch.document)):
+    if policy_digest(document) == policy_digest(decode_document(agreed.epoch.document)):
         raise CommandRejected(f"epoch {command.base} is this policy already")
     change = Change(
         number=agreed.number + 1,
--- a/maplestile/control/rollout_transitions.py
+++ b/maplestile/control/rollout_transitions.py
@@ -1,7 +1,7 @@
 """Rollout transitions: operators start, halt, resume and undo a rollout."""
 
 from maplestile.common.errors import CommandRejected
-from maplestile.control.budget import budget_of
+from maplestile.control.budget import parse_budget
 from maplestile.control.commands import (
     RUNNERS,
     HaltRollout,
@@ -31,7 +31,7 @@
     if command.action not in ACTIONS:
         raise CommandRejected(f"action: must be one of {', '.join(ACTIONS)}")
     _check_targets(command, targets, managers)
-    budget = budget_of(command.budget, len(managers))
+    budget = parse_budget(command.budget, len(managers))
     _check_budget(fleet, command, targets, budget)
     rollout = Rollout(
         fleet.allocate_number(), command.action, targets, budget, Phase.RUNNING, kind=command.kind
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -24,7 +24,7 @@
 from maplestile.common.address import Address, parse_address
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.budget import budget_of
+from maplestile.control.budget import parse_budget
 from maplestile.control.rollout_planner import RolloutRules
 
 VOTER_COUNTS = (1, 3, 5)  # a single voter is for experiments only: it tolerates no failure
@@ -54,7 +54,7 @@
     rules: RolloutRules
 
 
-def control_from(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
+def parse_control_settings(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
     """Parse the settings. Raises the error type of the table, naming the invalid field."""
     rules = _parse_rules(table)
     budget = _parse_budget(table)
@@ -86,7 +86,7 @@
 def _parse_budget(table: TomlTable) -> int | str:
     budget: int | str = table.values.pop("budget", 1)
     try:
-        budget_of(budget, EXAMPLE_FLEET_SIZE)
+        parse_budget(budget, EXAMPLE_FLEET_SIZE)
     except CommandRejected as rejection:
         raise table.error(f"{table.place('budget')}: {rejection}") from None
     return budget
--- a/maplestile/control/state.py
+++ b/maplestile/control/state.py
@@ -15,7 +15,7 @@
 from maplestile.common.errors import CommandRejected
 from maplestile.control import lease_transitions as leases
 from maplestile.control import rollout_transitions as rollouts
-from maplestile.control.budget import budget_of
+from maplestile.control.budget import parse_budget
 from maplestile.control.commands import (
     Acceptance,
     BeginStep,
@@ -65,7 +65,7 @@
     "Rollout",
     "Stage",
     "Step",
-    "budget_of",
+    "parse_budget",
 ]
 
 # The transition for each type of command about instances, rollouts and leases.
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -12,7 +12,7 @@
 
 from maplestile.common.toml_table import TomlTable
 from maplestile.control.policy.document import AdoptedPolicy, Tables
-from maplestile.control.policy.settings import PolicySettings, policy_settings_of
+from maplestile.control.policy.settings import PolicySettings, parse_policy_settings
 from maplestile.invoke.operator_tables import (
     KEYED_SEMANTICS,
     ArrayTables,
@@ -120,7 +120,7 @@
     """
     if adopted is not None and adopted.document is not None:
         tables = adopted.document.applied_to(tables)
-    policy = policy_settings_of(tables)
+    policy = parse_policy_settings(tables)
     root = TomlTable(tables, "", OperatorError)
     root.values.pop("policy", None)
     name = str(root.values.pop("name", DEFAULT_NAME))
--- a/maplestile/operation/policy_json.py
+++ b/maplestile/operation/policy_json.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from maplestile import __version__
-from maplestile.control.policy.document import PolicyError, document_of
+from maplestile.control.policy.document import PolicyError, decode_document
 from maplestile.control.policy.follower import PolicyAnnouncement
 from maplestile.operation.policy import PolicyCheck, PolicyReport
 
@@ -18,7 +18,7 @@
     fenced_us = _whole_number(message, "fenced_us")
     checking = _whole_number(message, "checking")
     assert isinstance(message, dict)  # _whole_number rejects anything else
-    document = document_of(message.get("document"))
+    document = decode_document(message.get("document"))
     return PolicyAnnouncement(epoch, fenced_us, checking, "document" in message, document)
 
 
@@ -26,7 +26,7 @@
     """Return the check in a message. Raises PolicyError, which names the field."""
     change = _whole_number(message, "change")
     assert isinstance(message, dict)  # _whole_number rejects anything else
-    return PolicyCheck(change, document_of(message.get("document")))
+    return PolicyCheck(change, decode_document(message.get("document")))
 
 
 def encode_report(report: PolicyReport) -> dict[str, Any]:
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from maplestile.control.policy.document import AdoptedPolicy
-from maplestile.control.policy.settings import policy_settings_of
+from maplestile.control.policy.settings import parse_policy_settings
 from maplestile.invoke.operator_file import read_tables, settings_from_tables
 from maplestile.router.config import Config, config_from
 
@@ -28,7 +28,7 @@
         self.policy: PolicyDriver | None = None
         self._seed = os.urandom(SEED_BYTES).hex()  # stays the same over reloads
         tables = read_tables(file)
-        if (settings := policy_settings_of(tables)) is not None:
+        if (settings := parse_policy_settings(tables)) is not None:
             from maplestile.router import policy_driver
 
             self.policy = policy_driver.PolicyDriver(settings, tables, self._build)
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -15,7 +15,7 @@
 from maplestile.common import logs
 from maplestile.common.toml_table import ConfigError
 from maplestile.control.policy import store
-from maplestile.control.policy.document import AdoptedPolicy, Document, PolicyError, Tables, digest_of
+from maplestile.control.policy.document import AdoptedPolicy, Document, PolicyError, Tables, policy_digest
 from maplestile.control.policy.follower import (
     NO_EPOCH,
     AnnouncementAction,
@@ -178,7 +178,7 @@
         self.apply_config(config)
         self.follower.record_adoption(announcement, monotonic_us())
         self.counters["policy.adopted"] += 1
-        self.events.info("applied", epoch=announcement.epoch, digest=digest_of(announcement.document))
+        self.events.info("applied", epoch=announcement.epoch, digest=policy_digest(announcement.document))
 
     def _refuse(self, epoch: int, reason: str) -> None:
         self.counters["policy.refused"] += 1
@@ -196,7 +196,7 @@
         except ConfigError as error:
             raise PolicyError(str(error)) from None
         self.follower.prepare(change.change, change.document)
-        self.events.info("checked", change=change.change, digest=digest_of(change.document))
+        self.events.info("checked", change=change.change, digest=policy_digest(change.document))
 
     # Queries by the router and its operators.
 
@@ -221,7 +221,7 @@
         self.follower.tick(now_us)
         return PolicyReport(
             epoch=self.epoch,
-            digest=digest_of(self.document),
+            digest=policy_digest(self.document),
             status=self.follower.status,
             stale_s=self._stale_s(now_us),
             reason=self.follower.reason,
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -35,7 +35,7 @@
 
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.state import ACTIONS, budget_of
+from maplestile.control.state import ACTIONS, parse_budget
 from maplestile.tools.faults.schedule import ScheduleError
 from maplestile.tools.model.control_experiment import (
     ControlExperiment,
@@ -101,7 +101,7 @@
     """Read the budget, a count or a share of the instances. Raises `ScheduleError` if it is invalid."""
     budget = table.values.pop("budget", 1)
     try:
-        budget_of(budget, instances)
+        parse_budget(budget, instances)
     except CommandRejected as rejection:
         raise ScheduleError(f"budget: {rejection}") from None
     return budget
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -16,7 +16,7 @@
 
 from maplestile.common.toml_table import ConfigError, TomlTable
 from maplestile.control.policy.agreed import AgreedPolicies, Change, ChangePhase, Epoch
-from maplestile.control.policy.document import Document, digest_of, document_of
+from maplestile.control.policy.document import Document, decode_document, policy_digest
 from maplestile.invoke.operator_file import OperatorError, read_tables, settings_from_tables
 from maplestile.tools.agent_client import AgentReply, add_agent_options, request_agent
 
@@ -236,7 +236,7 @@
 
 
 def _print_epoch(epoch: Epoch, kept: list[Epoch]) -> None:
-    policy = digest_of(document_of(epoch.document)) or "the files' own"
+    policy = policy_digest(decode_document(epoch.document)) or "the files' own"
     rollback = f", of epoch {epoch.rollback} again" if epoch.rollback is not None else ""
     numbers = ", ".join(str(kept_epoch.number) for kept_epoch in kept)
     print(f"epoch {epoch.number}: {policy}{rollback}; kept: {numbers}")
--- a/tests/policy_driver_rig.py
+++ b/tests/policy_driver_rig.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from maplestile.control.policy.document import AdoptedPolicy
-from maplestile.control.policy.settings import policy_settings_of
+from maplestile.control.policy.settings import parse_policy_settings
 from maplestile.invoke import operator_file as operator
 from maplestile.operation import policy_json
 from maplestile.router.config import Config, config_from
@@ -26,7 +26,7 @@
     def start(self) -> None:
         """Start the driver, or restart it with the policy stored on disk."""
         tables = operator.parse_tables(self.text)
-        settings = policy_settings_of(tables)
+        settings = parse_policy_settings(tables)
         assert settings is not None
         self.driver = PolicyDriver(settings, tables, self.build)
         self.driver.apply_config = self.applied.append
--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -10,7 +10,7 @@
 
 from maplestile.common import durable_file as durable
 from maplestile.control.policy import store
-from maplestile.control.policy.document import AdoptedPolicy, document_of
+from maplestile.control.policy.document import AdoptedPolicy, decode_document
 from maplestile.control.state import ControlState
 from maplestile.operation.state_folder import FileCordonStore
 from tests.control_recordings import RECORDED, as_document, as_lines
@@ -47,7 +47,7 @@
         durable.write(folder / "durable.json", 3, {"b": [1, None, True], "a": {"é": 1.5}})
         files = {"durable.json": (folder / "durable.json").read_bytes()}
         for name, document in (("own", None), ("document", DOCUMENT)):
-            store.write(folder / name, AdoptedPolicy(7, document_of(document)))
+            store.write(folder / name, AdoptedPolicy(7, decode_document(document)))
             files[f"policy-{name}.json"] = (folder / name / store.FILE_NAME).read_bytes()
         markers = FileCordonStore(folder / "suspended")
         for runner in ("w0", LONG_NAME, "..", "r-w1", ""):
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -3,7 +3,7 @@
 import unittest
 
 from maplestile.common.errors import CommandRejected
-from maplestile.control.state import ControlState, Phase, Stage, budget_of
+from maplestile.control.state import ControlState, Phase, Stage, parse_budget
 from tests.control_rig import ControlRig
 
 
@@ -61,10 +61,10 @@
 
     def test_converts_budget_to_count_or_rejects_it(self) -> None:
         for budget, expected in ((2, 2), ("3", 3), ("25%", 2), ("1%", 1), ("100%", 10)):
-            self.assertEqual(budget_of(budget, 10), expected)
+            self.assertEqual(parse_budget(budget, 10), expected)
         for invalid in (0, -1, True, None, "x", "0%", "101%", 1.5, "-2"):
             with self.assertRaises(CommandRejected):
-                budget_of(invalid, 10)
+                parse_budget(invalid, 10)
 
     def test_state_survives_encoding_and_decoding(self) -> None:
         rig = ControlRig(self)
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -17,7 +17,7 @@
 from maplestile.control.log_storage import check_folder
 from maplestile.control.log_view import ReceivedHeartbeat
 from maplestile.control.policy import store
-from maplestile.control.policy.document import AdoptedPolicy, document_of
+from maplestile.control.policy.document import AdoptedPolicy, decode_document
 from maplestile.control.state import ControlState
 from maplestile.operation.state_folder import FileCordonStore
 from tests import record_voter
@@ -171,7 +171,7 @@
         self.copy_recorded("policy-own.json", "policy.json")
         self.assertEqual(store.read(self.folder), AdoptedPolicy(7, None))
         self.copy_recorded("policy-document.json", "policy.json")
-        self.assertEqual(store.read(self.folder), AdoptedPolicy(7, document_of(DOCUMENT)))
+        self.assertEqual(store.read(self.folder), AdoptedPolicy(7, decode_document(DOCUMENT)))
 
     def test_reads_and_rewrites_process_registry_as_recorded(self) -> None:
         path = self.copy_recorded("roster.json", "roster.json")
