--- a/tests/control_recordings.py
+++ b/tests/control_recordings.py
@@ -9,7 +9,7 @@
 from maplestile.control.settings import ControlSettings
 
 RECORDED = Path(__file__).parent / "recorded" / "control"
-NOBODY = "127.0.0.1:1"  # an address at which nothing listens
+UNUSED_ADDRESS = "127.0.0.1:1"  # an address at which nothing listens
 AGENT_FILE = """
 [agent]
 listen = "127.0.0.1:1"
@@ -48,7 +48,9 @@
     return [json.loads(line) for line in recorded_bytes(name).splitlines()]
 
 
-def agent_settings(folder: Path, control: str, voters: str = "", operator: str = NOBODY) -> AgentSettings:
+def agent_settings(
+    folder: Path, control: str, voters: str = "", operator: str = UNUSED_ADDRESS
+) -> AgentSettings:
     """Write the settings file of agent a0 with these lines in its `[control]` table, and load it."""
     path = folder / "agent.toml"
     path.write_text(AGENT_FILE.format(control=control, operator=operator) + voters)
--- a/tests/operation_fixture.py
+++ b/tests/operation_fixture.py
@@ -46,7 +46,7 @@
     return {name: int(value) for name, value in samples}
 
 
-def until_ready(program: Program) -> None:
+def wait_until_ready(program: Program) -> None:
     """Wait until the router is ready for calls."""
     eventually(lambda: request_operator(program, "/v1/readyz")[0] == 200, "readiness")
 
--- a/tests/record_agent.py
+++ b/tests/record_agent.py
@@ -17,7 +17,7 @@
 )
 
 
-def agent_lines() -> dict[str, bytes]:
+def agent_recordings() -> dict[str, bytes]:
     """Return the content of the recorded files, by file name."""
     files = dict[str, bytes]()
     with tempfile.TemporaryDirectory() as name:
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -184,4 +184,4 @@
         await asyncio.gather(log_task, return_exceptions=True)
     finally:
         scripted.close()
-    return {"asked-of-voter.jsonl": as_lines(scripted.lines)}
+    return {"voter-requests.jsonl": as_lines(scripted.lines)}
--- a/tests/record_agent_commands.py
+++ b/tests/record_agent_commands.py
@@ -20,7 +20,7 @@
     serving,
     without_ports,
 )
-from tests.control_recordings import NOBODY, agent_settings, as_lines
+from tests.control_recordings import UNUSED_ADDRESS, agent_settings, as_lines
 from tests.control_script import DOCUMENT
 
 STATE_DURATION = re.compile(r'"for_s": [0-9.]+')
@@ -102,7 +102,7 @@
     front = RouterFront()
     replicated_log = RecordingLog(control_after_script())
     async with serving(front.serve) as router_port:
-        settings = agent_settings(folder, f'ask = ["{NOBODY}"]', operator=f"127.0.0.1:{router_port}")
+        settings = agent_settings(folder, f'ask = ["{UNUSED_ADDRESS}"]', operator=f"127.0.0.1:{router_port}")
         assert settings.control is not None
         supervisor = Supervisor(settings, read_settings)
         async with serving(supervisor.command_server.serve) as port:
--- a/tests/record_agent_lines.py
+++ b/tests/record_agent_lines.py
@@ -53,7 +53,7 @@
             return f"> {line}\n{answer.read().decode()}"
 
 
-def agent_lines() -> str:
+def command_server_transcript() -> str:
     """Return the answers of an agent with a router, a process that keeps running, and one that fails."""
     with tempfile.TemporaryDirectory() as folder:
         workers = [Worker(), Worker()]
@@ -73,5 +73,5 @@
 
 
 RECORDERS: dict[str, Recorder] = {
-    "agent-lines.txt": agent_lines,
+    "agent-lines.txt": command_server_transcript,
 }
--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -15,7 +15,7 @@
 from maplestile.operation.state_folder import FileCordonStore
 from tests.control_recordings import RECORDED, as_document, as_lines
 from tests.control_script import DOCUMENT, SCRIPT
-from tests.record_agent import agent_lines
+from tests.record_agent import agent_recordings
 from tests.record_datagrams import datagrams
 from tests.record_voter import record_folder, voter_files
 
@@ -60,7 +60,7 @@
 
 def recorded() -> dict[str, bytes]:
     """Return the recorded files' content by name, except the process registry and the voter's folder."""
-    return {**log_commands(), **voter_files(), **disk_records(), **datagrams(), **agent_lines()}
+    return {**log_commands(), **voter_files(), **disk_records(), **datagrams(), **agent_recordings()}
 
 
 def main(arguments: list[str]) -> None:
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -13,7 +13,7 @@
 from maplestile.control.state import ControlState, Phase
 from maplestile.router.policy_driver import monotonic_us
 from tests.agent_doubles import PATIENCE_S, RecordingLog, RecordingProcess, recording_router
-from tests.control_recordings import NOBODY, as_lines, control_settings
+from tests.control_recordings import UNUSED_ADDRESS, as_lines, control_settings
 from tests.control_script import DOCUMENT
 from tests.policy_driver_rig import PolicyDriverRig
 from tests.standins import wait_until
@@ -28,7 +28,7 @@
         self.log = RecordingLog(ControlState())
         self.log.is_leader = True
         self.controller = RolloutController(
-            control_settings(folder, f'ask = ["{NOBODY}"]'),
+            control_settings(folder, f'ask = ["{UNUSED_ADDRESS}"]'),
             self.log,
             {"r0": recording_router()},
             {"w0": RecordingProcess()},
@@ -58,12 +58,12 @@
     finally:
         controller_task.cancel()
         await asyncio.gather(controller_task, return_exceptions=True)
-    return {"steward-submitted.jsonl": as_lines(rig.log.submitted)}
+    return {"rollout-controller-submitted.jsonl": as_lines(rig.log.submitted)}
 
 
 async def sent_by_policy_controller(folder: Path) -> dict[str, bytes]:
     """Return the commands and the requests to a router for two changes of policy."""
-    settings = control_settings(folder, f'ask = ["{NOBODY}"]')
+    settings = control_settings(folder, f'ask = ["{UNUSED_ADDRESS}"]')
     replicated_log = RecordingLog(ControlState())
     router = recording_router()
     replicated_log.state.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
@@ -90,8 +90,8 @@
             router_policy, Announcement(replicated_log.state.policy.epoch.number, 700, 0)
         )
     return {
-        "herald-submitted.jsonl": as_lines(replicated_log.submitted),
-        "herald-told-routers.jsonl": as_lines(router.client.requests),
+        "policy-controller-submitted.jsonl": as_lines(replicated_log.submitted),
+        "policy-controller-requests.jsonl": as_lines(router.client.requests),
     }
 
 
@@ -156,4 +156,4 @@
         except PolicyError as error:
             checks.append({"check": message, "refused": str(error)})
     lines = STALE_SECONDS.sub('"stale_s": 0.0', as_lines(announcements).decode())
-    return {"router-words.jsonl": lines.encode(), "router-checks.jsonl": as_lines(checks)}
+    return {"router-announcement-answers.jsonl": lines.encode(), "router-checks.jsonl": as_lines(checks)}
--- a/tests/test_control_commands.py
+++ b/tests/test_control_commands.py
@@ -13,7 +13,11 @@
 from tests.control_recordings import recorded_lines
 from tests.control_script import HEARTBEAT, POLICY_READ, SCRIPT
 
-SUBMITTED = ("steward-submitted.jsonl", "herald-submitted.jsonl", "agent-submitted.jsonl")
+SUBMITTED = (
+    "rollout-controller-submitted.jsonl",
+    "policy-controller-submitted.jsonl",
+    "agent-submitted.jsonl",
+)
 SUBMITTED_BY_AGENTS = {
     "register",
     "word",
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -11,7 +11,7 @@
     scrape_metrics,
     start_callers,
     stop_callers,
-    until_ready,
+    wait_until_ready,
 )
 from tests.standins import PATIENCE_S, Client, Program, eventually
 
@@ -22,7 +22,7 @@
     """Calls during handovers and pauses: repeatable ones may be hedged, the others never run twice."""
 
     def test_two_handovers_under_load_lose_and_repeat_no_call(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         port = self.program.port("platform")
         callers = start_callers(port)
         program = self.program
@@ -45,7 +45,7 @@
         """Start a process on the same port, let it take over from `program`, and return it."""
         successor = self.start_router(port)
         successor.find("(taking over)")
-        until_ready(successor)
+        wait_until_ready(successor)
         program.process.terminate()
         self.assertEqual(program.process.wait(PATIENCE_S), 0)
         program.find("(hands over)")
@@ -61,7 +61,7 @@
         self.assertEqual([key for key in keys if counts[key] > 1], [])
 
     def test_only_repeatable_calls_at_paused_worker_are_hedged(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         callers = start_callers(self.program.port("platform"))
         eventually(self.pause_workers_in_turn, "a hedged call")
         self.assertEqual(stop_callers(callers), [])
@@ -85,9 +85,9 @@
     """A process and its successor, side by side."""
 
     def test_cordon_set_at_either_process_applies_to_both(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         successor = self.start_router(self.program.port("platform"))
-        until_ready(successor)
+        wait_until_ready(successor)
         self.assertEqual(change_runner(successor, "s-0", "suspend"), 204)
         eventually(lambda: scrape_metrics(self.program)["svc_hosts_down"] == 1, "the cordon at the first")
         self.assertEqual(change_runner(self.program, "s-0", "resume"), 204)
@@ -102,7 +102,7 @@
             first.find("(cannot be replaced while it serves)")
             successor = self.start_router(first.port("platform"))
             for program in (first, successor):
-                until_ready(program)
+                wait_until_ready(program)
                 self.assertEqual(change_runner(program, "s-0", "suspend"), 204)  # in force in this process
                 self.assertEqual(scrape_metrics(program)["svc_hosts_down"], 1)
             first.process.terminate()
@@ -112,7 +112,7 @@
             client.close()
 
     def test_successor_killed_before_it_is_ready_has_no_effect(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         client = self.connect()
         client.call_until_served("review", b"abc")  # a new connection has a time limit for its first message
         self.names.lose_queries()
@@ -131,7 +131,7 @@
         self.assertFalse([line for line in self.program.log if "hands over" in line])
 
     def test_stopped_process_serves_until_its_successor_is_ready(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         port = self.program.port("platform")
         client = self.connect()
         pending_id = client.call_until_sent(self.program, "test-submit", b"hang:", limit_ms=3_000)
--- a/tests/test_process_operation.py
+++ b/tests/test_process_operation.py
@@ -18,7 +18,7 @@
     change_runner,
     request_operator,
     scrape_metrics,
-    until_ready,
+    wait_until_ready,
 )
 from tests.standins import (
     ITEM,
@@ -71,7 +71,7 @@
         router = self.start_router()
         self.assertEqual(request_operator(router, "/v1/readyz")[0], 503)
         self.names.answer_queries()
-        until_ready(router)
+        wait_until_ready(router)
 
     def test_metrics_agree_with_client_and_runners(self) -> None:
         self.assertEqual(scrape_metrics(self.program)['svc_success_total{tier="deck-make"}'], 0)
@@ -113,7 +113,7 @@
     """Runners suspended by operators."""
 
     def test_suspended_runner_gets_no_calls_until_resumed(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         client = self.connect()
         serve_calls(client, 12)
         self.assertTrue(all(worker.ran for worker in self.workers))
@@ -145,7 +145,7 @@
     """A client that reads long results slowly."""
 
     def test_slow_reader_gets_complete_answers_and_delays_no_other_client(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         slow = self.connect_slow_reader()
         for id_ in range(1, LONG_CALLS + 1):
             slow.sendall(long_call_frame(id_))
@@ -174,7 +174,7 @@
     """Commands of the command line, through an agent."""
 
     def test_commands_reach_the_operators_front_through_the_agent(self) -> None:
-        until_ready(self.program)
+        wait_until_ready(self.program)
         agent = self.start_agent()
         address = ["--agent", "127.0.0.1:" + agent.find(r"agent listens on 127\.0\.0\.1:(\d+)")]
 
--- a/tools/compare_builds.py
+++ b/tools/compare_builds.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from tests.fleet import AGENTS, START_PATIENCE_S, NonVoter
-from tests.operation_fixture import change_runner, scrape_metrics, until_ready
+from tests.operation_fixture import change_runner, scrape_metrics, wait_until_ready
 from tests.policy_fleet import PolicyFleet
 from tests.rollout_fleet import Calls
 from tests.standins import PATIENCE_S, ROOT, Client, NameServer, Program, Worker, eventually, start_router
@@ -302,14 +302,14 @@
     with cleanups() as test:
         routers = PlatformRouters(test)
         first = routers.start(first_build)
-        until_ready(first)
+        wait_until_ready(first)
         port = first.port("platform")
         client = Client(port)
         test.addCleanup(client.close)
         client.call_until_served("review", b"abc")
         require(change_runner(first, "s-0", "suspend") == 204, "the cordon was not taken")
         second = routers.start(second_build, port)
-        until_ready(second)
+        wait_until_ready(second)
         require(scrape_metrics(second)["svc_hosts_down"] == 1, "the successor does not know the cordon")
         require(change_runner(second, "s-0", "resume") == 204, "the cordon was not lifted")
         eventually(lambda: scrape_metrics(first)["svc_hosts_down"] == 0, "its end at the predecessor")
