--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -63,8 +63,8 @@
     names = [instance.name for instance in settings.instances]
     if len(set(names)) < len(names):
         raise OperatorError("instance: a name stands twice")
-    agent.end()
-    root.end()
+    agent.reject_unknown_fields()
+    root.reject_unknown_fields()
     return settings
 
 
@@ -100,7 +100,7 @@
         raise OperatorError(f"{table.path}.command: must be a list of strings")
     if not isinstance(environment, dict) or not all(isinstance(v, str) for v in environment.values()):
         raise OperatorError(f"{table.path}.env: must be a table of strings")
-    table.end()
+    table.reject_unknown_fields()
     return InstanceSettings(
         name=name,
         command=tuple(command),
--- a/maplestile/common/toml_table.py
+++ b/maplestile/common/toml_table.py
@@ -1,7 +1,7 @@
 """Reads the tables of TOML files field by field, with errors that name the field.
 
 Used for the operator's file, the agent's file, fault schedules and experiments. A field that no method has
-read is unknown, which is an error: `end` raises it.
+read is unknown, which is an error: `reject_unknown_fields` raises it.
 """
 
 import contextlib
@@ -34,18 +34,18 @@
 
     # Errors.
 
-    def place(self, name: str) -> str:
+    def field_path(self, name: str) -> str:
         """Return the dotted name of a field."""
         return f"{self.path}.{name}" if self.path else name
 
-    def wrong(self, name: str, problem: str) -> Exception:
+    def field_error(self, name: str, problem: str) -> Exception:
         """Create the error for a field, for the caller to raise."""
-        return self.error(f"{self.place(name)}: {problem}")
+        return self.error(f"{self.field_path(name)}: {problem}")
 
-    def end(self) -> None:
+    def reject_unknown_fields(self) -> None:
         """Raise an error if there are fields that have not been read, since they are unknown."""
         if self.values:
-            raise self.wrong(next(iter(self.values)), "is not known here")
+            raise self.field_error(next(iter(self.values)), "is not known here")
 
     # Strings.
 
@@ -57,7 +57,7 @@
         """Read a string that is one of `choices`."""
         value = self.text(name, default)
         if value not in choices:
-            raise self.wrong(name, f"must be one of {', '.join(choices)}")
+            raise self.field_error(name, f"must be one of {', '.join(choices)}")
         return value
 
     def address(self, name: str) -> str:
@@ -65,7 +65,7 @@
         value = self.text(name)
         host, _, port = value.rpartition(":")
         if not host or not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
-            raise self.wrong(name, "must be host:port")
+            raise self.field_error(name, "must be host:port")
         return value
 
     def loopback(self, name: str) -> str:
@@ -77,7 +77,7 @@
         with contextlib.suppress(ValueError):
             if ipaddress.ip_address(value.rpartition(":")[0]).is_loopback:
                 return value
-        raise self.wrong(name, "must be a loopback address")
+        raise self.field_error(name, "must be a loopback address")
 
     # Numbers and booleans.
 
@@ -87,63 +87,63 @@
         """Read a number from `minimum` to `maximum`; None for no maximum but NUMBER_LIMIT."""
         value = float(self._take(name, (int, float), "a number", default))
         if not minimum <= value < NUMBER_LIMIT or (maximum is not None and value > maximum):
-            raise self.wrong(name, _range(minimum, maximum))
+            raise self.field_error(name, _range(minimum, maximum))
         return value
 
-    def whole(
+    def integer(
         self, name: str, default: int | None = None, minimum: int = 0, maximum: int | None = None
     ) -> int:
         """Read an integer from `minimum` to `maximum`; None for no maximum."""
         value = int(self._take(name, (int,), "a whole number", default))
         if value < minimum or (maximum is not None and value > maximum):
-            raise self.wrong(name, _range(minimum, maximum))
+            raise self.field_error(name, _range(minimum, maximum))
         return value
 
-    def flag(self, name: str, default: bool) -> bool:
+    def boolean(self, name: str, default: bool) -> bool:
         """Read a boolean."""
         return bool(self._take(name, (bool,), "true or false", default))
 
     # Lists of integers, such as the numbers of members.
 
-    def numbers(self, name: str, below: int) -> tuple[int, ...]:
+    def indexes(self, name: str, below: int) -> tuple[int, ...]:
         """Read a non-empty list of integers from 0 to `below` - 1."""
         value = self._take(name, (list,), "a list", None)
-        return self._numbers(name, value, below)
+        return self._indexes(name, value, below)
 
-    def groups(self, name: str, below: int) -> tuple[tuple[int, ...], ...]:
+    def index_lists(self, name: str, below: int) -> tuple[tuple[int, ...], ...]:
         """Read a non-empty list of non-empty lists of integers from 0 to `below` - 1."""
         value = self._take(name, (list,), "a list of lists", None)
         if not value:
-            raise self.wrong(name, "must not be empty")
-        return tuple(self._numbers(name, group, below) for group in value)
+            raise self.field_error(name, "must not be empty")
+        return tuple(self._indexes(name, group, below) for group in value)
 
     # Tables.
 
     def table(self, name: str) -> "TomlTable":
         """Read a table; an empty one if it is missing."""
-        return TomlTable(self.values.pop(name, {}), self.place(name), self.error)
+        return TomlTable(self.values.pop(name, {}), self.field_path(name), self.error)
 
     def tables(self, name: str, needed: bool = True) -> list["TomlTable"]:
         """Read an array of tables; if `needed`, it must not be empty."""
         items = self.values.pop(name, [])
         if not isinstance(items, list) or (needed and not items):
-            raise self.wrong(name, f"at least one [[{name}]] is needed")
-        return [TomlTable(item, f"{self.place(name)}[{n}]", self.error) for n, item in enumerate(items)]
+            raise self.field_error(name, f"at least one [[{name}]] is needed")
+        return [TomlTable(item, f"{self.field_path(name)}[{n}]", self.error) for n, item in enumerate(items)]
 
     def _take(self, name: str, types: tuple[type, ...], description: str, default: Any) -> Any:
         value = self.values.pop(name, default)
         if value is None:
-            raise self.wrong(name, "is missing")
+            raise self.field_error(name, "is missing")
         is_unwanted_flag = (
             isinstance(value, bool) and bool not in types
         )  # in Python, bool is a subclass of int
         if not isinstance(value, types) or is_unwanted_flag:
-            raise self.wrong(name, f"must be {description}")
+            raise self.field_error(name, f"must be {description}")
         return value
 
-    def _numbers(self, name: str, value: Any, below: int) -> tuple[int, ...]:
+    def _indexes(self, name: str, value: Any, below: int) -> tuple[int, ...]:
         if not isinstance(value, list) or not value or not all(_is_index(item, below) for item in value):
-            raise self.wrong(name, f"must be a list of numbers from 0 to {below - 1}")
+            raise self.field_error(name, f"must be a list of numbers from 0 to {below - 1}")
         return tuple(value)
 
 
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -39,8 +39,10 @@
     operation = TomlTable(tables.get("operation", {}), "operation", PolicyError)
     if "listen" not in operation.values:
         raise PolicyError("policy: needs [operation] listen: there its agent tells what is committed")
-    settings = PolicySettings(Path(table.text("folder")), _parse_timeouts(table), table.flag("trace", False))
-    table.end()
+    settings = PolicySettings(
+        Path(table.text("folder")), _parse_timeouts(table), table.boolean("trace", False)
+    )
+    table.reject_unknown_fields()
     return settings
 
 
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -65,12 +65,12 @@
     parsed_voters = tuple(_parse_voter(voter) for voter in voters)
     names = [voter.name for voter in parsed_voters]
     if listen and (len(parsed_voters) not in VOTER_COUNTS or name not in names):
-        raise table.wrong("name", "must be one of one, three or five [[voter]]")
+        raise table.field_error("name", "must be one of one, three or five [[voter]]")
     if len(set(names)) < len(names):
-        raise table.wrong("voter", "a name stands twice")
+        raise table.field_error("voter", "a name stands twice")
     if not listen and not voter_agents:
-        raise table.wrong("ask", "must name agents of voters where there is no 'listen'")
-    table.end()
+        raise table.field_error("ask", "must name agents of voters where there is no 'listen'")
+    table.reject_unknown_fields()
     return ControlSettings(name, listen, folder, parsed_voters, voter_agents, budget, rules)
 
 
@@ -79,7 +79,7 @@
         step_us=int(table.number("step_s", 60.0, minimum=0.1) * US_PER_S),
         settle_us=int(table.number("settle_s", 1.0) * US_PER_S),
         max_failed_share=table.number("failed_most", 0.1, maximum=1.0),
-        min_calls=table.whole("calls_least", 20, minimum=1),
+        min_calls=table.integer("calls_least", 20, minimum=1),
     )
 
 
@@ -88,14 +88,14 @@
     try:
         parse_budget(budget, EXAMPLE_FLEET_SIZE)
     except CommandRejected as rejection:
-        raise table.error(f"{table.place('budget')}: {rejection}") from None
+        raise table.error(f"{table.field_path('budget')}: {rejection}") from None
     return budget
 
 
 def _parse_voter_agents(table: TomlTable) -> tuple[Address, ...]:
     addresses = table.values.pop("ask", [])
     if not isinstance(addresses, list) or not all(isinstance(address, str) for address in addresses):
-        raise table.wrong("ask", "must be a list of host:port")
+        raise table.field_error("ask", "must be a list of host:port")
     return tuple(_parse_loopback_address(table, address) for address in addresses)
 
 
@@ -107,5 +107,5 @@
     address = table.loopback("address")
     reach = table.loopback("reach") if "reach" in table.values else address
     voter = Voter(table.text("name"), address, reach)
-    table.end()
+    table.reject_unknown_fields()
     return voter
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -81,10 +81,10 @@
     operation: TomlTable
     peers: TomlTable
 
-    def end(self) -> None:
+    def reject_unknown_fields(self) -> None:
         """Check that no unknown field is left in any table. Raises OperatorError."""
         for table_field in fields(self):
-            getattr(self, table_field.name).end()
+            getattr(self, table_field.name).reject_unknown_fields()
 
 
 def load_settings(path: Path) -> OperatorSettings:
@@ -128,8 +128,8 @@
     arrays = read_array_tables(root)
     node = _router_config(name, single, arrays)
     operator = _invoke_settings(single, arrays, node, policy, 0 if adopted is None else adopted.epoch)
-    single.end()
-    root.end()
+    single.reject_unknown_fields()
+    root.reject_unknown_fields()
     return operator
 
 
@@ -160,11 +160,11 @@
         tenants=arrays.tenants,
         deadlines_us={call_class.name: call_class.deadline_us for call_class in arrays.classes},
         keyed=frozenset(keyed),
-        records=limits.whole("records", 1_000, minimum=1),
+        records=limits.integer("records", 1_000, minimum=1),
         record_us=int(limits.number("record_s", 60.0, minimum=0.1) * 1e6),
-        body_bytes=limits.whole("body_bytes", 16 * 1024, minimum=1),
+        body_bytes=limits.integer("body_bytes", 16 * 1024, minimum=1),
         max_deadline_us=int(limits.number("deadline_most_s", 60.0, minimum=0.01) * 1e6),
-        connections=limits.whole("connections", 300, minimum=1),
+        connections=limits.integer("connections", 300, minimum=1),
         idle_s=limits.number("idle_s", 30.0, minimum=0.1),
         node=node,
         policy=policy,
@@ -180,7 +180,7 @@
     config: dict[str, Any] = {
         "name": name,
         "settings": _router_settings(single, arrays),
-        "limits": {"sockets": single.limits.whole("sockets", 1024, minimum=64)},
+        "limits": {"sockets": single.limits.integer("sockets", 1024, minimum=64)},
         "known": {"index": 0, "updates": [{"index": 0, "endpoints": endpoints}]},
     }
     if single.platform.values:
@@ -204,7 +204,7 @@
         "grades": [service_class.router_settings() for service_class in arrays.classes],
         "tenants": [{"name": tenant} for tenant in arrays.tenants],
         "kinds": [kind.name for kind in arrays.kinds],
-        "instances": single.rules.whole("routers", 1, minimum=1),
+        "instances": single.rules.integer("routers", 1, minimum=1),
         "granularityUs": TIMER_TICK_US,
         "discovery": "push",
         "familyInfo": _family_info(single.rules, arrays),
@@ -215,7 +215,7 @@
 
 def _family_info(rules: TomlTable, arrays: ArrayTables) -> dict[str, Any]:
     return {
-        "orders": rules.flag("orders", True),
+        "orders": rules.boolean("orders", True),
         "whenAbsent": "load",
         "lingerIdleUs": int(rules.number("keep_s", 10.0, minimum=0.1) * 1e6),
         "machineMb": [kind.memory_mb for kind in arrays.kinds],
@@ -225,14 +225,14 @@
 
 def _router_limits(rules: TomlTable, limits: TomlTable) -> dict[str, Any]:
     return {
-        "attemptsCap": rules.whole("attempts", 5, minimum=1),
+        "attemptsCap": rules.integer("attempts", 5, minimum=1),
         "cancelling": True,
-        "mayDuplicate": rules.flag("second_copies", True),
+        "mayDuplicate": rules.boolean("second_copies", True),
         "probes": True,
         "streamsPerConn": STREAMS_PER_CONNECTION,
         "idleCloseUs": CONNECTION_IDLE_US,
         "connectTimeoutUs": int(rules.number("connect_timeout_ms", 250.0, minimum=1) * 1e3),
-        "maxOpen": limits.whole("open_requests", 2_000, minimum=1),
+        "maxOpen": limits.integer("open_requests", 2_000, minimum=1),
     }
 
 
@@ -244,7 +244,7 @@
         "advertise": table.loopback("advertise") if "advertise" in table.values else None,
         "periodUs": int(table.number("period_ms", 1000.0, minimum=10) * 1000),
         "ackUs": int(table.number("ack_ms", 400.0, minimum=1) * 1000),
-        "lifeguard": table.flag("lifeguard", True),
+        "lifeguard": table.boolean("lifeguard", True),
         "watchUs": int(table.number("watch_ms", 1000.0) * 1000),
     }
     try:
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -122,7 +122,7 @@
         key_window_us=int(table.number("window_ms", 0.0) * 1e3),
         late_value=table.number("late_priority_weight", 0.0),
     )
-    table.end()
+    table.reject_unknown_fields()
     return service_class
 
 
@@ -131,21 +131,21 @@
         name=table.text("name"),
         class_name=table.choice("class", class_names),
         memory_mb=table.number("memory_mb", minimum=0.1),
-        lanes=table.whole("lanes", 1, minimum=1),
+        lanes=table.integer("lanes", 1, minimum=1),
     )
-    table.end()
+    table.reject_unknown_fields()
     return function
 
 
 def _tenant(table: TomlTable) -> TenantSettings:
-    tenant = TenantSettings(table.text("name"), table.whole("open_most", 0))
-    table.end()
+    tenant = TenantSettings(table.text("name"), table.integer("open_most", 0))
+    table.reject_unknown_fields()
     return tenant
 
 
 def _kind(table: TomlTable) -> MachineKind:
     kind = MachineKind(table.text("name"), table.number("memory_mb", minimum=1))
-    table.end()
+    table.reject_unknown_fields()
     return kind
 
 
@@ -155,10 +155,10 @@
         "endpoint": table.address("address"),
         "az": table.text("zone", ""),
         "model": table.choice("kind", kind_names, kind_names[0]),
-        "pod_group": table.whole("cell", 0),
+        "pod_group": table.integer("cell", 0),
         "state": "Ready",
         "capacity_hint": table.number("weight", 1.0, minimum=0.001),
         "boot_ms": 0,
     }
-    table.end()
+    table.reject_unknown_fields()
     return worker
--- a/maplestile/tools/faults/command.py
+++ b/maplestile/tools/faults/command.py
@@ -52,5 +52,5 @@
     schedule = schedule_from(table)
     for field in MODEL_FIELDS:
         table.values.pop(field, None)
-    table.end()
+    table.reject_unknown_fields()
     return schedule
--- a/maplestile/tools/faults/control_port.py
+++ b/maplestile/tools/faults/control_port.py
@@ -50,7 +50,7 @@
         try:
             table = relay_commands.parse(line)
             reply = await self._carry_out(relay_commands.decode(table, self._relay.schedule))
-            table.end()  # reports unknown fields; the command has been carried out by then
+            table.reject_unknown_fields()  # reports unknown fields; the command has been carried out by then
         except ScheduleError as error:
             return {"error": str(error)}
         return relay_commands.encode(reply)
--- a/maplestile/tools/faults/relay_commands.py
+++ b/maplestile/tools/faults/relay_commands.py
@@ -96,11 +96,11 @@
     last_member = default.members - 1
     match table.choice("do", COMMANDS):
         case "udp":
-            member = table.whole("member", maximum=last_member)
+            member = table.integer("member", maximum=last_member)
             return RegisterMember(member, parse_address(table.loopback("address")))
         case "tcp":
-            origin = table.whole("from", maximum=last_member)
-            target = table.whole("to", maximum=last_member)
+            origin = table.integer("from", maximum=last_member)
+            target = table.integer("to", maximum=last_member)
             return OpenLink(origin, target, parse_address(table.loopback("address")))
         case "begin":
             return Begin(_decode_schedule(table, default))
@@ -128,6 +128,6 @@
     has_net = "net" in table.values
     table.values = {"seed": default.seed, **table.values, "members": default.members}
     schedule = schedule_from(table)
-    table.end()
+    table.reject_unknown_fields()
     # A schedule without a `net` table delays and loses nothing on the links.
     return schedule if has_net else replace(schedule, net=NO_DELAY)
--- a/maplestile/tools/faults/schedule.py
+++ b/maplestile/tools/faults/schedule.py
@@ -165,8 +165,8 @@
 
     Raises `ScheduleError`, which names the field.
     """
-    members = top.whole("members", minimum=2, maximum=MAX_MEMBERS)
-    seed = top.whole("seed", maximum=MAX_SEED)
+    members = top.integer("members", minimum=2, maximum=MAX_MEMBERS)
+    seed = top.integer("seed", maximum=MAX_SEED)
     net = _decode_net(top.table("net"))
     faults = [
         _decode_fault(kind, table, members)
@@ -185,7 +185,7 @@
         reorder=table.number("reorder", 0.0, maximum=1.0),
         reorder_us=_optional_time_us(table, "reorder_ms", 20.0),
     )
-    table.end()
+    table.reject_unknown_fields()
     return net
 
 
@@ -200,19 +200,19 @@
             )
         case FaultKind.SPLIT:
             until_us = _decode_end_us(table, at_us)
-            sides = tuple(frozenset(side) for side in table.groups("sides", members))
+            sides = tuple(frozenset(side) for side in table.index_lists("sides", members))
             fault = Fault(kind, at_us, until_us, sides=sides)
         case _:
             fault = _decode_link_fault(kind, table, at_us, members)
-    table.end()
+    table.reject_unknown_fields()
     return fault
 
 
 def _decode_link_fault(kind: FaultKind, table: TomlTable, at_us: int, members: int) -> Fault:
     """Decode a cut or a flap."""
     until_us = _decode_end_us(table, at_us)
-    origins = frozenset(table.numbers("from", members))
-    targets = frozenset(table.numbers("to", members))
+    origins = frozenset(table.indexes("from", members))
+    targets = frozenset(table.indexes("to", members))
     if kind is FaultKind.CUT:
         return Fault(kind, at_us, until_us, origins, targets)
     down_us = required_time_us(table, "down_s", MIN_FLAP_S)
@@ -223,7 +223,7 @@
 def _decode_end_us(table: TomlTable, at_us: int) -> int:
     until_us = required_time_us(table, "until_s")
     if until_us < at_us:
-        raise table.wrong("until_s", "must not be before at_s")
+        raise table.field_error("until_s", "must not be before at_s")
     return until_us
 
 
@@ -237,4 +237,4 @@
 
 
 def _decode_member(table: TomlTable, members: int) -> frozenset[int]:
-    return frozenset((table.whole("member", maximum=members - 1),))
+    return frozenset((table.integer("member", maximum=members - 1),))
--- a/maplestile/tools/model/control_experiment.py
+++ b/maplestile/tools/model/control_experiment.py
@@ -27,7 +27,7 @@
 
 def seed_from(table: TomlTable) -> int:
     """Read the seed from a table. Raises the table's error if it is invalid."""
-    return table.whole("seed", maximum=MAX_SEED)
+    return table.integer("seed", maximum=MAX_SEED)
 
 
 def microseconds_from_ms(table: TomlTable, name: str, default: float) -> int:
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -55,8 +55,8 @@
     """
     at_us = required_time_us(table, "at_s")
     for_us = required_time_us(table, "for_s")
-    index = table.whole(name, maximum=count - 1) if name else 0
-    table.end()
+    index = table.integer(name, maximum=count - 1) if name else 0
+    table.reject_unknown_fields()
     return TimeRange(at_us, for_us, index)
 
 
@@ -81,9 +81,9 @@
     experiment = Experiment(
         schedule_from(top),
         duration_us=required_time_us(top, "duration_s", MIN_DURATION_S),
-        lifeguard=top.flag("lifeguard", True),
+        lifeguard=top.boolean("lifeguard", True),
         period_us=int(top.number("period_ms", 1000, minimum=10, maximum=60_000) * US_PER_MS),
-        health_check_targets=top.whole("duties", 0, maximum=10_000),
+        health_check_targets=top.integer("duties", 0, maximum=10_000),
     )
-    top.end()
+    top.reject_unknown_fields()
     return experiment
--- a/maplestile/tools/model/policy_experiment.py
+++ b/maplestile/tools/model/policy_experiment.py
@@ -71,13 +71,13 @@
     """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("policy",))
-    routers = top.whole("routers", minimum=1, maximum=MAX_ROUTERS)
-    agents = top.whole("agents", 3, minimum=1, maximum=routers)
+    routers = top.integer("routers", minimum=1, maximum=MAX_ROUTERS)
+    agents = top.integer("agents", 3, minimum=1, maximum=routers)
     experiment = PolicyExperiment(
         seed=seed_from(top),
         routers=routers,
         agents=agents,
-        changes=top.whole("changes", 10, minimum=1, maximum=MAX_CHANGES),
+        changes=top.integer("changes", 10, minimum=1, maximum=MAX_CHANGES),
         pause_us=microseconds_from_ms(top, "pause_ms", 500.0),
         duration_us=microseconds_from_s(top, "duration_s", 600.0),
         rate=top.number("rate", 20.0),
@@ -93,5 +93,5 @@
             time_range_from(down, "router", routers) for down in top.tables("down", needed=False)
         ),
     )
-    top.end()
+    top.reject_unknown_fields()
     return experiment
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -71,14 +71,14 @@
     """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("rollout",))
-    instances = top.whole("instances", minimum=2, maximum=MAX_INSTANCES)
+    instances = top.integer("instances", minimum=2, maximum=MAX_INSTANCES)
     budget = _budget_from(top, instances)
     outages = [time_range_from(table, "instance", instances) for table in top.tables("outage", needed=False)]
     elections = [time_range_from(table) for table in top.tables("election", needed=False)]
     experiment = RolloutExperiment(
         seed=seed_from(top),
         instances=instances,
-        agents=top.whole("agents", 3, minimum=1, maximum=instances),
+        agents=top.integer("agents", 3, minimum=1, maximum=instances),
         action=top.choice("action", MODELLED_ACTIONS, "restart"),
         budget=budget,
         duration_us=microseconds_from_s(top, "duration_s", 600.0),
@@ -93,7 +93,7 @@
         outages=tuple(outages),
         elections=tuple(elections),
     )
-    top.end()
+    top.reject_unknown_fields()
     return experiment
 
 
--- a/tests/test_process_policy.py
+++ b/tests/test_process_policy.py
@@ -138,7 +138,7 @@
         folder = Path(tempfile.mkdtemp())
         shutil.copytree(ROOT / "maplestile", folder / "maplestile")
         file = folder / "maplestile" / "invoke" / "operator_file.py"
-        setting = 'rules.flag("second_copies", True)'
+        setting = 'rules.boolean("second_copies", True)'
         self.assertIn(setting, file.read_text())
         file.write_text(file.read_text().replace(setting, "True"))
         return PolicyFleet(self, older_build=str(folder))
