--- a/maplestile/common/durable_file.py
+++ b/maplestile/common/durable_file.py
@@ -25,7 +25,7 @@
     except FileNotFoundError:
         return None
     except (OSError, ValueError, KeyError, TypeError) as error:
-        log.warning("%s is of no use: %s", path, error)
+        log.warning("%s is invalid and is ignored: %s", path, error)
         return None
 
 
@@ -50,7 +50,7 @@
     record = json.loads(content)
     body = record["body"]
     if record["version"] != version or record["sum"] != _checksum(body):
-        raise ValueError("another version, or not as it was written")
+        raise ValueError("unsupported version or wrong checksum")
     return body
 
 
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -164,7 +164,7 @@
             self.assertIsNone(durable.read(path, 4))
             path.write_bytes(recorded_bytes("durable.json").replace(b"1.5", b"1.6"))
             self.assertIsNone(durable.read(path, 3))
-        warning = f"{path} is of no use: another version, or not as it was written"
+        warning = f"{path} is invalid and is ignored: unsupported version or wrong checksum"
         self.assertEqual([line.getMessage() for line in logged.records], [warning, warning])
 
     def test_reads_policy_record_of_router(self) -> None:
