--- a/benchmarks/policy_changes.py
+++ b/benchmarks/policy_changes.py
@@ -11,7 +11,7 @@
 from benchmarks.fit import Series
 from maplestile.tools.model import policy
 from maplestile.tools.model.control_experiment import with_seeds
-from maplestile.tools.model.policy_experiment import parse
+from maplestile.tools.model.policy_experiment import parse_experiment
 from maplestile.tools.model.policy_metrics import PolicyMetrics
 
 ROUTERS = (50, 100, 200, 570)
@@ -30,7 +30,7 @@
 
 def run_seeds(tables: dict[str, Any], seeds: int) -> list[PolicyMetrics]:
     """Run an experiment with this many seeds and return the metrics of each run."""
-    return [policy.run(seeded) for seeded in with_seeds(parse(tables), seeds)]
+    return [policy.run(seeded) for seeded in with_seeds(parse_experiment(tables), seeds)]
 
 
 def _mean_abort_rate(runs: Sequence[PolicyMetrics]) -> float:
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -97,12 +97,12 @@
         )
         stderr = self.process.stderr
         if stderr is None:
-            raise CaseError("the program has no standard error")
+            raise CaseError("the router process has no standard error stream")
         async with asyncio.timeout(TIMEOUT_S):
             while len(self.fronts) < len(FRONTS):
                 line = await stderr.readline()
                 if not line:
-                    raise CaseError("the program ended at its start")
+                    raise CaseError("the router process exited before its fronts listened")
                 self._record_front(line.decode())
         self.log_reader = asyncio.get_running_loop().create_task(self._read_log(stderr))
 
@@ -131,7 +131,7 @@
         try:
             await call(self.fronts["operator"], method, path, TIMEOUT_S)
         except CallError as error:
-            raise CaseError(f"the operators' front: {error}") from None
+            raise CaseError(f"request to the operators' front failed: {error}") from None
 
     def exit_code(self) -> int | None:
         """Return the exit code of the process; None if it is still running."""
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -148,7 +148,7 @@
         end_s = time.monotonic() + EVENT_TIMEOUT_S
         while await self._is_last_call_shed():
             if time.monotonic() > end_s:
-                raise CaseError(f"events: '{EventKind.SUBMIT}' did not come about on sockets")
+                raise _no_effect_error(EventKind.SUBMIT)
             await asyncio.sleep(SHED_PAUSE_S)
             await self.clients.submit_again(front)
 
@@ -208,7 +208,7 @@
         end_s = time.monotonic() + EVENT_TIMEOUT_S
         while not condition():
             if time.monotonic() > end_s:
-                raise CaseError(f"events: '{kind}' did not come about on sockets")
+                raise _no_effect_error(kind)
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _answer(self, connection: AcceptedConnection, command: Command, kind: str) -> None:
@@ -249,6 +249,10 @@
     return [link.worker for link in simulation.links]
 
 
+def _no_effect_error(kind: EventKind) -> CaseError:
+    return CaseError(f"events: '{kind}' did not take effect on sockets within {EVENT_TIMEOUT_S:g} s")
+
+
 async def _replay(example: Example, root: Path) -> ReplayResult:
     with tempfile.TemporaryDirectory() as folder:
         return await SocketReplay(example, Path(folder), root).run()
@@ -263,4 +267,4 @@
         return asyncio.run(_replay(example, root))
     except (TimeoutError, IndexError) as error:
         reason = error or type(error).__name__
-        raise CaseError(f"events: not to be played on sockets: {reason}") from None
+        raise CaseError(f"events: cannot be replayed on sockets: {reason}") from None
--- a/maplestile/tools/faults/command.py
+++ b/maplestile/tools/faults/command.py
@@ -48,7 +48,7 @@
 def _read_schedule(file: Path) -> Schedule:
     from maplestile.tools.model import experiment
 
-    table = TomlTable(experiment.read(file), "", ScheduleError)
+    table = TomlTable(experiment.read_tables(file), "", ScheduleError)
     schedule = schedule_from(table)
     for field in MODEL_FIELDS:
         table.values.pop(field, None)
--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -36,11 +36,11 @@
     from maplestile.tools.model import experiment
 
     try:
-        tables = experiment.read(arguments.file)
+        tables = experiment.read_tables(arguments.file)
         if tables.get("kind") in CONTROL_KINDS:
             _run_control(tables, arguments)
         else:
-            _run_membership(experiment.parse(tables), arguments)
+            _run_membership(experiment.parse_experiment(tables), arguments)
     except ScheduleError as error:
         print(f"maplestile: {arguments.file}: {error}", file=sys.stderr)
         return 2
@@ -53,10 +53,10 @@
     from maplestile.tools.model.control_experiment import with_seeds
 
     if tables["kind"] == "rollout":
-        rollouts = with_seeds(rollout_experiment.parse(tables), arguments.seeds)
+        rollouts = with_seeds(rollout_experiment.parse_experiment(tables), arguments.seeds)
         spread = report.spread_of_runs(rollout.metrics, rollouts)
     else:
-        policies = with_seeds(policy_experiment.parse(tables), arguments.seeds)
+        policies = with_seeds(policy_experiment.parse_experiment(tables), arguments.seeds)
         spread = report.spread_of_runs(policy.metrics, policies)
     _print_spread(spread, arguments.format)
 
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -60,12 +60,12 @@
     return TimeRange(at_us, for_us, index)
 
 
-def load(path: Path) -> Experiment:
+def read_experiment(path: Path) -> Experiment:
     """Read an experiment from a file. Raises `ScheduleError` if the file is invalid."""
-    return parse(read(path))
+    return parse_experiment(read_tables(path))
 
 
-def read(path: Path) -> dict[str, Any]:
+def read_tables(path: Path) -> dict[str, Any]:
     """Read the tables of a TOML file. Raises `ScheduleError` if the file cannot be read or is not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
@@ -75,7 +75,7 @@
         raise ScheduleError(f"{path}: not TOML: {error}") from None
 
 
-def parse(tables: dict[str, Any]) -> Experiment:
+def parse_experiment(tables: dict[str, Any]) -> Experiment:
     """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     experiment = Experiment(
--- a/maplestile/tools/model/policy_experiment.py
+++ b/maplestile/tools/model/policy_experiment.py
@@ -67,7 +67,7 @@
     router_outages: tuple[TimeRange, ...]
 
 
-def parse(tables: dict[str, Any]) -> PolicyExperiment:
+def parse_experiment(tables: dict[str, Any]) -> PolicyExperiment:
     """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("policy",))
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -67,7 +67,7 @@
     elections: tuple[TimeRange, ...]
 
 
-def parse(tables: dict[str, Any]) -> RolloutExperiment:
+def parse_experiment(tables: dict[str, Any]) -> RolloutExperiment:
     """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("rollout",))
--- a/tests/record_faults.py
+++ b/tests/record_faults.py
@@ -43,7 +43,7 @@
     """Return what each example schedule does to datagrams at some times, with a fixed seed."""
     results: dict[str, object] = {}
     for file in sorted((ROOT / "examples" / "model").glob("*.toml")):
-        schedule = schedule_from(TomlTable(experiment.read(file), "", ScheduleError))
+        schedule = schedule_from(TomlTable(experiment.read_tables(file), "", ScheduleError))
         generator = random.Random(SEED)
         results[relative(file)] = [
             [
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -211,7 +211,7 @@
     assert (result["broken"], result["answers"], len(result["attempts"])) == ([], {"0": [200]}, 1), result
     replace_source(intake, 'lags = self._counters["requests.taken"] == 1', "lags = True")
     short_timeout = unittest.mock.patch.object(sockets, "EVENT_TIMEOUT_S", 1.0)
-    with short_timeout, pytest.raises(CaseError, match="'submit' did not come about"):
+    with short_timeout, pytest.raises(CaseError, match="'submit' did not take effect on sockets within 1 s"):
         sockets.replay(example, folder)
 
 
@@ -224,7 +224,7 @@
         result = sockets.replay(Example(case, "", events_of(events))).as_json()
         assert (result["broken"], result["answers"]) == ([], {"0": statuses}), result
     short_timeout = unittest.mock.patch.object(sockets, "EVENT_TIMEOUT_S", 5.0)
-    with short_timeout, pytest.raises(CaseError, match="did not come about|not to be played"):
+    with short_timeout, pytest.raises(CaseError, match="did not take effect|cannot be replayed"):
         sockets.replay(Example("safe", "", events_of("up 3")))
 
 
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -6,7 +6,7 @@
 
 from maplestile.tools.faults.schedule import ScheduleError
 from maplestile.tools.model import report
-from maplestile.tools.model.experiment import parse
+from maplestile.tools.model.experiment import parse_experiment
 from maplestile.tools.model.membership_metrics import MembershipMetrics
 from maplestile.tools.model.report import as_csv, as_json
 from maplestile.tools.model.run import metrics, run, with_seeds
@@ -18,7 +18,7 @@
 
 def run_model(members: int = 10, seconds: int = 60, **faults: Any) -> MembershipMetrics:
     """Simulate one run with these faults and return its metrics."""
-    return run(parse({"seed": 5, "members": members, "duration_s": seconds, **faults}))[0]
+    return run(parse_experiment({"seed": 5, "members": members, "duration_s": seconds, **faults}))[0]
 
 
 class DetectionTest(unittest.TestCase):
@@ -78,7 +78,9 @@
         self.assertIn("detection_median_periods,", as_csv(run_model(seconds=5).by_name()))
 
     def test_reports_spread_over_several_seeds(self) -> None:
-        experiment = parse({"seed": 5, "members": 5, "duration_s": 20, "kill": [{"at_s": 5, "member": 1}]})
+        experiment = parse_experiment(
+            {"seed": 5, "members": 5, "duration_s": 20, "kill": [{"at_s": 5, "member": 1}]}
+        )
         runs = [metrics(seeded) for seeded in with_seeds(experiment, 3)]
         spread = report.spread_of_runs(metrics, with_seeds(experiment, 3))
         detection = spread["detection_median_periods"]
@@ -101,7 +103,7 @@
             (good | {"cut": [{"at_s": 3, "until_s": 2}]}, "cut[0].until_s"),
         ):
             with self.assertRaisesRegex(ScheduleError, f"^{re.escape(place)}"):
-                parse(tables)
+                parse_experiment(tables)
 
 
 if __name__ == "__main__":
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -6,7 +6,7 @@
 from maplestile.membership.health_checks import REPEAT_INTERVALS, HealthFinding, SharedHealthChecks
 from maplestile.membership.swim import Swim
 from maplestile.membership.tuning import Tuning
-from maplestile.tools.model.experiment import parse
+from maplestile.tools.model.experiment import parse_experiment
 from maplestile.tools.model.run import run
 from tests.swim_group import deliver_all
 
@@ -75,7 +75,7 @@
     def test_the_fleet_sends_about_one_probe_for_each_check_also_when_an_owner_dies(self) -> None:
         kill = {"at_s": 20, "member": 3}
         tables = {"seed": 5, "members": 10, "duration_s": 60, "duties": 20, "kill": [kill]}
-        metrics = run(parse(tables))[0]
+        metrics = run(parse_experiment(tables))[0]
         # One in a period and check; every member for itself would make it ten.
         self.assertAlmostEqual(metrics.probes_per_duty_per_period or 0, 1.0, delta=0.1)
         self.assertLess(metrics.longest_gap_of_a_duty_periods or 99, 12)  # detected, then taken over
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks.hollow_check import total_sent
-from maplestile.tools.model.experiment import parse
+from maplestile.tools.model.experiment import parse_experiment
 from maplestile.tools.model.report import Metrics
 from maplestile.tools.model.run import metrics
 from tests.fleet import PERIOD_S, Routers
@@ -88,7 +88,7 @@
         "net": {"delay_ms": 0.05, "jitter_ms": 0.1},
         "kill": [kill],
     }
-    return metrics(parse(tables))
+    return metrics(parse_experiment(tables))
 
 
 def _spread_of(runs: Sequence[Metrics], name: str) -> dict[str, float]:
