--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -7,7 +7,7 @@
 
 from maplestile.common.address import parse_address
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.settings import ControlSettings, control_from
+from maplestile.control.settings import ControlSettings, parse_control_settings
 from maplestile.invoke.operator_file import OperatorError
 
 
@@ -63,8 +63,8 @@
     names = [instance.name for instance in settings.instances]
     if len(set(names)) < len(names):
         raise OperatorError("instance: a name stands twice")
-    agent.end()
-    root.end()
+    agent.reject_unknown_fields()
+    root.reject_unknown_fields()
     return settings
 
 
@@ -80,7 +80,7 @@
 def _control_settings(root: TomlTable) -> ControlSettings | None:
     voters = root.tables("voter", needed=False)
     if "control" in root.values:
-        return control_from(root.table("control"), voters)
+        return parse_control_settings(root.table("control"), voters)
     if voters:
         raise OperatorError("voter: needs a [control] table")
     return None
@@ -100,7 +100,7 @@
         raise OperatorError(f"{table.path}.command: must be a list of strings")
     if not isinstance(environment, dict) or not all(isinstance(v, str) for v in environment.values()):
         raise OperatorError(f"{table.path}.env: must be a table of strings")
-    table.end()
+    table.reject_unknown_fields()
     return InstanceSettings(
         name=name,
         command=tuple(command),
--- a/maplestile/control/policy/settings.py
+++ b/maplestile/control/policy/settings.py
@@ -28,7 +28,7 @@
     trace: bool = False  # whether to log an event for each attempt with its epoch
 
 
-def policy_settings_of(tables: Mapping[str, Any]) -> PolicySettings | None:
+def parse_policy_settings(tables: Mapping[str, Any]) -> PolicySettings | None:
     """Parse the settings of an operator's file; return None if it has no `[policy]` table.
 
     Raises PolicyError, which names the invalid field.
@@ -39,8 +39,10 @@
     operation = TomlTable(tables.get("operation", {}), "operation", PolicyError)
     if "listen" not in operation.values:
         raise PolicyError("policy: needs [operation] listen: there its agent tells what is committed")
-    settings = PolicySettings(Path(table.text("folder")), _parse_timeouts(table), table.flag("trace", False))
-    table.end()
+    settings = PolicySettings(
+        Path(table.text("folder")), _parse_timeouts(table), table.boolean("trace", False)
+    )
+    table.reject_unknown_fields()
     return settings
 
 
--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from maplestile.common import durable_file as durable
-from maplestile.control.policy.document import AdoptedPolicy, PolicyError, document_of
+from maplestile.control.policy.document import AdoptedPolicy, PolicyError, decode_document
 
 log = logging.getLogger("maplestile.policy")
 
 RECORD_VERSION = 1
-NAME = "policy.json"
+FILE_NAME = "policy.json"
 
 
 def read(folder: Path) -> AdoptedPolicy | None:
@@ -18,7 +18,7 @@
 
     An invalid one is logged. Without a stored epoch the router waits for its agent to announce one.
     """
-    record = durable.read(folder / NAME, RECORD_VERSION)
+    record = durable.read(folder / FILE_NAME, RECORD_VERSION)
     if record is None:
         return None
     try:
@@ -30,7 +30,7 @@
 
 def _decode(record: Any) -> AdoptedPolicy:
     epoch = record["epoch"]
-    document = document_of(record["document"])
+    document = decode_document(record["document"])
     if type(epoch) is not int or epoch < 0:
         raise ValueError("its epoch is no number")
     return AdoptedPolicy(epoch, document)
@@ -39,4 +39,4 @@
 def write(folder: Path, adopted: AdoptedPolicy) -> None:
     """Store an epoch. Raises OSError, in which case the previous record stays."""
     tables = None if adopted.document is None else adopted.document.tables()
-    durable.write(folder / NAME, RECORD_VERSION, {"epoch": adopted.epoch, "document": tables})
+    durable.write(folder / FILE_NAME, RECORD_VERSION, {"epoch": adopted.epoch, "document": tables})
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -24,7 +24,7 @@
 from maplestile.common.address import Address, parse_address
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.budget import budget_of
+from maplestile.control.budget import parse_budget
 from maplestile.control.rollout_planner import RolloutRules
 
 VOTER_COUNTS = (1, 3, 5)  # a single voter is for experiments only: it tolerates no failure
@@ -54,7 +54,7 @@
     rules: RolloutRules
 
 
-def control_from(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
+def parse_control_settings(table: TomlTable, voters: list[TomlTable]) -> ControlSettings:
     """Parse the settings. Raises the error type of the table, naming the invalid field."""
     rules = _parse_rules(table)
     budget = _parse_budget(table)
@@ -65,12 +65,12 @@
     parsed_voters = tuple(_parse_voter(voter) for voter in voters)
     names = [voter.name for voter in parsed_voters]
     if listen and (len(parsed_voters) not in VOTER_COUNTS or name not in names):
-        raise table.wrong("name", "must be one of one, three or five [[voter]]")
+        raise table.field_error("name", "must be one of one, three or five [[voter]]")
     if len(set(names)) < len(names):
-        raise table.wrong("voter", "a name stands twice")
+        raise table.field_error("voter", "a name stands twice")
     if not listen and not voter_agents:
-        raise table.wrong("ask", "must name agents of voters where there is no 'listen'")
-    table.end()
+        raise table.field_error("ask", "must name agents of voters where there is no 'listen'")
+    table.reject_unknown_fields()
     return ControlSettings(name, listen, folder, parsed_voters, voter_agents, budget, rules)
 
 
@@ -79,23 +79,23 @@
         step_us=int(table.number("step_s", 60.0, minimum=0.1) * US_PER_S),
         settle_us=int(table.number("settle_s", 1.0) * US_PER_S),
         max_failed_share=table.number("failed_most", 0.1, maximum=1.0),
-        min_calls=table.whole("calls_least", 20, minimum=1),
+        min_calls=table.integer("calls_least", 20, minimum=1),
     )
 
 
 def _parse_budget(table: TomlTable) -> int | str:
     budget: int | str = table.values.pop("budget", 1)
     try:
-        budget_of(budget, EXAMPLE_FLEET_SIZE)
+        parse_budget(budget, EXAMPLE_FLEET_SIZE)
     except CommandRejected as rejection:
-        raise table.error(f"{table.place('budget')}: {rejection}") from None
+        raise table.error(f"{table.field_path('budget')}: {rejection}") from None
     return budget
 
 
 def _parse_voter_agents(table: TomlTable) -> tuple[Address, ...]:
     addresses = table.values.pop("ask", [])
     if not isinstance(addresses, list) or not all(isinstance(address, str) for address in addresses):
-        raise table.wrong("ask", "must be a list of host:port")
+        raise table.field_error("ask", "must be a list of host:port")
     return tuple(_parse_loopback_address(table, address) for address in addresses)
 
 
@@ -107,5 +107,5 @@
     address = table.loopback("address")
     reach = table.loopback("reach") if "reach" in table.values else address
     voter = Voter(table.text("name"), address, reach)
-    table.end()
+    table.reject_unknown_fields()
     return voter
--- a/maplestile/invoke/operator_file.py
+++ b/maplestile/invoke/operator_file.py
@@ -12,7 +12,7 @@
 
 from maplestile.common.toml_table import TomlTable
 from maplestile.control.policy.document import AdoptedPolicy, Tables
-from maplestile.control.policy.settings import PolicySettings, policy_settings_of
+from maplestile.control.policy.settings import PolicySettings, parse_policy_settings
 from maplestile.invoke.operator_tables import (
     KEYED_SEMANTICS,
     ArrayTables,
@@ -23,7 +23,15 @@
 )
 from maplestile.membership.settings import MembershipSettingsError, membership_settings_from
 
-__all__ = ["OperatorSettings", "OperatorError", "from_tables", "load", "parse", "read", "tables_of"]
+__all__ = [
+    "OperatorSettings",
+    "OperatorError",
+    "load_settings",
+    "parse_settings",
+    "parse_tables",
+    "read_tables",
+    "settings_from_tables",
+]
 
 DEFAULT_NAME = "maplestile"
 TIMER_TICK_US = 4_000
@@ -73,31 +81,31 @@
     operation: TomlTable
     peers: TomlTable
 
-    def end(self) -> None:
+    def reject_unknown_fields(self) -> None:
         """Check that no unknown field is left in any table. Raises OperatorError."""
         for table_field in fields(self):
-            getattr(self, table_field.name).end()
+            getattr(self, table_field.name).reject_unknown_fields()
 
 
-def load(path: Path) -> OperatorSettings:
+def load_settings(path: Path) -> OperatorSettings:
     """Return the settings in a file. Raises ConfigError."""
-    return from_tables(read(path))
+    return settings_from_tables(read_tables(path))
 
 
-def parse(text: str) -> OperatorSettings:
+def parse_settings(text: str) -> OperatorSettings:
     """Return the settings in the text of a file. Raises ConfigError."""
-    return from_tables(tables_of(text))
+    return settings_from_tables(parse_tables(text))
 
 
-def read(path: Path) -> Tables:
+def read_tables(path: Path) -> Tables:
     """Return the tables of a file without checking their fields. Raises OperatorError."""
     try:
-        return tables_of(path.read_text(encoding="utf-8"))
+        return parse_tables(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
         raise OperatorError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
 
 
-def tables_of(text: str) -> Tables:
+def parse_tables(text: str) -> Tables:
     """Return the tables in the text of a file without checking their fields. Raises OperatorError."""
     try:
         return tomllib.loads(text)
@@ -105,14 +113,14 @@
         raise OperatorError(f"no TOML: {error}") from None
 
 
-def from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> OperatorSettings:
+def settings_from_tables(tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> OperatorSettings:
     """Return the settings in the tables of a file. Raises ConfigError.
 
     An adopted policy replaces the policy of the file.
     """
     if adopted is not None and adopted.document is not None:
         tables = adopted.document.applied_to(tables)
-    policy = policy_settings_of(tables)
+    policy = parse_policy_settings(tables)
     root = TomlTable(tables, "", OperatorError)
     root.values.pop("policy", None)
     name = str(root.values.pop("name", DEFAULT_NAME))
@@ -120,8 +128,8 @@
     arrays = read_array_tables(root)
     node = _router_config(name, single, arrays)
     operator = _invoke_settings(single, arrays, node, policy, 0 if adopted is None else adopted.epoch)
-    single.end()
-    root.end()
+    single.reject_unknown_fields()
+    root.reject_unknown_fields()
     return operator
 
 
@@ -152,11 +160,11 @@
         tenants=arrays.tenants,
         deadlines_us={call_class.name: call_class.deadline_us for call_class in arrays.classes},
         keyed=frozenset(keyed),
-        records=limits.whole("records", 1_000, minimum=1),
+        records=limits.integer("records", 1_000, minimum=1),
         record_us=int(limits.number("record_s", 60.0, minimum=0.1) * 1e6),
-        body_bytes=limits.whole("body_bytes", 16 * 1024, minimum=1),
+        body_bytes=limits.integer("body_bytes", 16 * 1024, minimum=1),
         max_deadline_us=int(limits.number("deadline_most_s", 60.0, minimum=0.01) * 1e6),
-        connections=limits.whole("connections", 300, minimum=1),
+        connections=limits.integer("connections", 300, minimum=1),
         idle_s=limits.number("idle_s", 30.0, minimum=0.1),
         node=node,
         policy=policy,
@@ -172,7 +180,7 @@
     config: dict[str, Any] = {
         "name": name,
         "settings": _router_settings(single, arrays),
-        "limits": {"sockets": single.limits.whole("sockets", 1024, minimum=64)},
+        "limits": {"sockets": single.limits.integer("sockets", 1024, minimum=64)},
         "known": {"index": 0, "updates": [{"index": 0, "endpoints": endpoints}]},
     }
     if single.platform.values:
@@ -196,7 +204,7 @@
         "grades": [service_class.router_settings() for service_class in arrays.classes],
         "tenants": [{"name": tenant} for tenant in arrays.tenants],
         "kinds": [kind.name for kind in arrays.kinds],
-        "instances": single.rules.whole("routers", 1, minimum=1),
+        "instances": single.rules.integer("routers", 1, minimum=1),
         "granularityUs": TIMER_TICK_US,
         "discovery": "push",
         "familyInfo": _family_info(single.rules, arrays),
@@ -207,7 +215,7 @@
 
 def _family_info(rules: TomlTable, arrays: ArrayTables) -> dict[str, Any]:
     return {
-        "orders": rules.flag("orders", True),
+        "orders": rules.boolean("orders", True),
         "whenAbsent": "load",
         "lingerIdleUs": int(rules.number("keep_s", 10.0, minimum=0.1) * 1e6),
         "machineMb": [kind.memory_mb for kind in arrays.kinds],
@@ -217,14 +225,14 @@
 
 def _router_limits(rules: TomlTable, limits: TomlTable) -> dict[str, Any]:
     return {
-        "attemptsCap": rules.whole("attempts", 5, minimum=1),
+        "attemptsCap": rules.integer("attempts", 5, minimum=1),
         "cancelling": True,
-        "mayDuplicate": rules.flag("second_copies", True),
+        "mayDuplicate": rules.boolean("second_copies", True),
         "probes": True,
         "streamsPerConn": STREAMS_PER_CONNECTION,
         "idleCloseUs": CONNECTION_IDLE_US,
         "connectTimeoutUs": int(rules.number("connect_timeout_ms", 250.0, minimum=1) * 1e3),
-        "maxOpen": limits.whole("open_requests", 2_000, minimum=1),
+        "maxOpen": limits.integer("open_requests", 2_000, minimum=1),
     }
 
 
@@ -236,7 +244,7 @@
         "advertise": table.loopback("advertise") if "advertise" in table.values else None,
         "periodUs": int(table.number("period_ms", 1000.0, minimum=10) * 1000),
         "ackUs": int(table.number("ack_ms", 400.0, minimum=1) * 1000),
-        "lifeguard": table.flag("lifeguard", True),
+        "lifeguard": table.boolean("lifeguard", True),
         "watchUs": int(table.number("watch_ms", 1000.0) * 1000),
     }
     try:
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING, Any
 
 from maplestile.control.policy.document import AdoptedPolicy
-from maplestile.control.policy.settings import policy_settings_of
-from maplestile.invoke.operator_file import from_tables, read
+from maplestile.control.policy.settings import parse_policy_settings
+from maplestile.invoke.operator_file import read_tables, settings_from_tables
 from maplestile.router.config import Config, config_from
 
 if TYPE_CHECKING:  # imported at run time only if the file has a policy, to save start time and memory
@@ -27,18 +27,18 @@
         self.file = file
         self.policy: PolicyDriver | None = None
         self._seed = os.urandom(SEED_BYTES).hex()  # stays the same over reloads
-        tables = read(file)
-        if (settings := policy_settings_of(tables)) is not None:
+        tables = read_tables(file)
+        if (settings := parse_policy_settings(tables)) is not None:
             from maplestile.router import policy_driver
 
             self.policy = policy_driver.PolicyDriver(settings, tables, self._build)
 
     def read(self) -> Config:
         """Read and check the file again, and return its configuration. Raises ConfigError."""
-        tables = read(self.file)
+        tables = read_tables(self.file)
         return self._build(tables) if self.policy is None else self.policy.build_config(tables)
 
     def _build(self, tables: Mapping[str, Any], adopted: AdoptedPolicy | None = None) -> Config:
         """Check the tables of the file; an adopted policy, if there is one, replaces the file's own."""
-        operator = from_tables(tables, adopted)
+        operator = settings_from_tables(tables, adopted)
         return config_from({**operator.node, "seed": self._seed}, operator)
--- a/maplestile/tools/model/experiment.py
+++ b/maplestile/tools/model/experiment.py
@@ -55,17 +55,17 @@
     """
     at_us = required_time_us(table, "at_s")
     for_us = required_time_us(table, "for_s")
-    index = table.whole(name, maximum=count - 1) if name else 0
-    table.end()
+    index = table.integer(name, maximum=count - 1) if name else 0
+    table.reject_unknown_fields()
     return TimeRange(at_us, for_us, index)
 
 
-def load(path: Path) -> Experiment:
+def read_experiment(path: Path) -> Experiment:
     """Read an experiment from a file. Raises `ScheduleError` if the file is invalid."""
-    return parse(read(path))
+    return parse_experiment(read_tables(path))
 
 
-def read(path: Path) -> dict[str, Any]:
+def read_tables(path: Path) -> dict[str, Any]:
     """Read the tables of a TOML file. Raises `ScheduleError` if the file cannot be read or is not TOML."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
@@ -75,15 +75,15 @@
         raise ScheduleError(f"{path}: not TOML: {error}") from None
 
 
-def parse(tables: dict[str, Any]) -> Experiment:
+def parse_experiment(tables: dict[str, Any]) -> Experiment:
     """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     experiment = Experiment(
         schedule_from(top),
         duration_us=required_time_us(top, "duration_s", MIN_DURATION_S),
-        lifeguard=top.flag("lifeguard", True),
+        lifeguard=top.boolean("lifeguard", True),
         period_us=int(top.number("period_ms", 1000, minimum=10, maximum=60_000) * US_PER_MS),
-        health_check_targets=top.whole("duties", 0, maximum=10_000),
+        health_check_targets=top.integer("duties", 0, maximum=10_000),
     )
-    top.end()
+    top.reject_unknown_fields()
     return experiment
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -35,7 +35,7 @@
 
 from maplestile.common.errors import CommandRejected
 from maplestile.common.toml_table import TomlTable
-from maplestile.control.state import ACTIONS, budget_of
+from maplestile.control.state import ACTIONS, parse_budget
 from maplestile.tools.faults.schedule import ScheduleError
 from maplestile.tools.model.control_experiment import (
     ControlExperiment,
@@ -67,18 +67,18 @@
     elections: tuple[TimeRange, ...]
 
 
-def parse(tables: dict[str, Any]) -> RolloutExperiment:
+def parse_experiment(tables: dict[str, Any]) -> RolloutExperiment:
     """Parse an experiment from a file's tables. Raises `ScheduleError` naming the invalid field."""
     top = TomlTable(tables, "", ScheduleError)
     top.choice("kind", ("rollout",))
-    instances = top.whole("instances", minimum=2, maximum=MAX_INSTANCES)
+    instances = top.integer("instances", minimum=2, maximum=MAX_INSTANCES)
     budget = _budget_from(top, instances)
     outages = [time_range_from(table, "instance", instances) for table in top.tables("outage", needed=False)]
     elections = [time_range_from(table) for table in top.tables("election", needed=False)]
     experiment = RolloutExperiment(
         seed=seed_from(top),
         instances=instances,
-        agents=top.whole("agents", 3, minimum=1, maximum=instances),
+        agents=top.integer("agents", 3, minimum=1, maximum=instances),
         action=top.choice("action", MODELLED_ACTIONS, "restart"),
         budget=budget,
         duration_us=microseconds_from_s(top, "duration_s", 600.0),
@@ -93,7 +93,7 @@
         outages=tuple(outages),
         elections=tuple(elections),
     )
-    top.end()
+    top.reject_unknown_fields()
     return experiment
 
 
@@ -101,7 +101,7 @@
     """Read the budget, a count or a share of the instances. Raises `ScheduleError` if it is invalid."""
     budget = table.values.pop("budget", 1)
     try:
-        budget_of(budget, instances)
+        parse_budget(budget, instances)
     except CommandRejected as rejection:
         raise ScheduleError(f"budget: {rejection}") from None
     return budget
--- a/maplestile/tools/policy_command.py
+++ b/maplestile/tools/policy_command.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from maplestile.common.toml_table import ConfigError, TomlTable
-from maplestile.control.policy.agreed import AgreedPolicies, Change, Epoch, Phase
-from maplestile.control.policy.document import Document, digest_of, document_of
-from maplestile.invoke.operator_file import OperatorError, from_tables, read
+from maplestile.control.policy.agreed import AgreedPolicies, Change, ChangePhase, Epoch
+from maplestile.control.policy.document import Document, decode_document, policy_digest
+from maplestile.invoke.operator_file import OperatorError, read_tables, settings_from_tables
 from maplestile.tools.agent_client import AgentReply, add_agent_options, request_agent
 
 DECISION_TIMEOUT_S = 30.0  # for a change: its check takes at most 6 s, a leader election 2 s
@@ -88,14 +88,14 @@
     The policy is checked together with a minimal router file that has one function. Raises ConfigError, which
     names the invalid field.
     """
-    document = Document.from_tables(read(path))
+    document = Document.from_tables(read_tables(path))
     router = {
         "invoke": {"listen": "127.0.0.1:0"},
         "kind": [{"name": "k", "memory_mb": 1}],
         "worker": [{"id": "w", "address": "127.0.0.1:1"}],
         "function": [{"name": "f", "class": _first_class_name(document) or "?", "memory_mb": 1}],
     }
-    from_tables(document.applied_to(router))
+    settings_from_tables(document.applied_to(router))
     return document
 
 
@@ -182,7 +182,7 @@
         if status is None:
             return EXIT_FAILED
         change = _find_change(AgreedPolicies.decode(status["agreed"]), number)
-        if change is not None and change.phase is not Phase.CHECKING:
+        if change is not None and change.phase is not ChangePhase.CHECKING:
             return _print_decision(arguments, change)
         time.sleep(POLL_INTERVAL_S)
     text = (
@@ -198,7 +198,7 @@
 
 
 def _print_decision(arguments: argparse.Namespace, change: Change) -> int:
-    is_committed = change.phase is Phase.COMMITTED
+    is_committed = change.phase is ChangePhase.COMMITTED
     epoch = change.base + 1 if is_committed else change.base
     if arguments.json:
         print(json.dumps(_decision_json(change, epoch)))
@@ -236,7 +236,7 @@
 
 
 def _print_epoch(epoch: Epoch, kept: list[Epoch]) -> None:
-    policy = digest_of(document_of(epoch.document)) or "the files' own"
+    policy = policy_digest(decode_document(epoch.document)) or "the files' own"
     rollback = f", of epoch {epoch.rollback} again" if epoch.rollback is not None else ""
     numbers = ", ".join(str(kept_epoch.number) for kept_epoch in kept)
     print(f"epoch {epoch.number}: {policy}{rollback}; kept: {numbers}")
@@ -271,5 +271,5 @@
 
 def is_policy_file(path: Path) -> bool:
     """Return whether `maplestile check` takes a file for a policy: it has no `invoke` or `function` table."""
-    tables = TomlTable(read(path), "", OperatorError).values
+    tables = TomlTable(read_tables(path), "", OperatorError).values
     return bool(tables) and "invoke" not in tables and "function" not in tables
--- a/tests/fleet_events.py
+++ b/tests/fleet_events.py
@@ -65,14 +65,14 @@
 def max_instances_out(events: Iterable[Json]) -> int:
     """Return the highest number of instances that were out of service at once.
 
-    An instance is out from the event `begin` or `take up` of its step until the event `back`, and for good
-    after a drain.
+    An instance is out from the event `step begun` or `step resumed` until the event `back in service`,
+    and for good after a drain.
     """
     changes = list[OutageChange]()
     for event in events:
-        if event["event"] in ("begin", "take up") and event.get("action") != "start":
+        if event["event"] in ("step begun", "step resumed") and event.get("action") != "start":
             changes.append(OutageChange(event["t_us"], 1, event["instance"]))
-        elif event["event"] == "back":
+        elif event["event"] == "back in service":
             changes.append(OutageChange(event["t_us"], -1, event["instance"]))
     outages = Counter[str]()
     maximum = 0
--- a/tests/policy_driver_rig.py
+++ b/tests/policy_driver_rig.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from maplestile.control.policy.document import AdoptedPolicy
-from maplestile.control.policy.settings import policy_settings_of
+from maplestile.control.policy.settings import parse_policy_settings
 from maplestile.invoke import operator_file as operator
 from maplestile.operation import policy_json
 from maplestile.router.config import Config, config_from
@@ -25,8 +25,8 @@
 
     def start(self) -> None:
         """Start the driver, or restart it with the policy stored on disk."""
-        tables = operator.tables_of(self.text)
-        settings = policy_settings_of(tables)
+        tables = operator.parse_tables(self.text)
+        settings = parse_policy_settings(tables)
         assert settings is not None
         self.driver = PolicyDriver(settings, tables, self.build)
         self.driver.apply_config = self.applied.append
@@ -35,25 +35,27 @@
     @staticmethod
     def build(tables: dict[str, Any], adopted: AdoptedPolicy | None) -> Config:
         """Build the configuration of a router from the tables of its file and the adopted policy."""
-        settings = operator.from_tables(tables, adopted)
+        settings = operator.settings_from_tables(tables, adopted)
         return config_from(settings.node, settings)
 
     def reload(self, old: str = "", new: str = "") -> Config:
         """Reload the file with `old` replaced by `new`, and return the configuration."""
-        return self.driver.build_config(operator.tables_of(self.text.replace(old, new)))
+        return self.driver.build_config(operator.parse_tables(self.text.replace(old, new)))
 
     def announce(self, epoch: int, **more: Any) -> dict[str, Any]:
         """Announce a committed epoch that was read just now, and return the driver's report."""
         answers: list[dict[str, Any]] = []
         message = {"epoch": epoch, "fenced_us": monotonic_us(), "checking": 0, **more}
-        self.take_announcement(message, answers.append)
+        self.process_announcement(message, answers.append)
         (answer,) = answers
         return answer
 
-    def take_announcement(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
+    def process_announcement(self, message: object, reply: Callable[[dict[str, Any]], None]) -> None:
         """Decode an announcement and encode the driver's reply, as the operators' front does."""
         announcement = policy_json.decode_announcement(message)
-        self.driver.take_announcement(announcement, lambda report: reply(policy_json.encode_report(report)))
+        self.driver.process_announcement(
+            announcement, lambda report: reply(policy_json.encode_report(report))
+        )
 
     def check(self, message: object) -> dict[str, Any]:
         """Decode a policy change, check it, and encode the positive answer, as the operators' front does."""
@@ -62,4 +64,4 @@
 
     def policy(self, **rules: Any) -> dict[str, Any]:
         """Return the tables of a policy with these rules and the file's classes."""
-        return {"rules": rules, "class": operator.tables_of(self.text)["class"]}
+        return {"rules": rules, "class": operator.parse_tables(self.text)["class"]}
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -13,7 +13,7 @@
 from maplestile.control.state import ControlState, Phase
 from maplestile.router.policy_driver import monotonic_us
 from tests.agent_doubles import PATIENCE_S, RecordingLog, RecordingProcess, recording_router
-from tests.control_recordings import NOBODY, as_lines, control_settings
+from tests.control_recordings import UNUSED_ADDRESS, as_lines, control_settings
 from tests.control_script import DOCUMENT
 from tests.policy_driver_rig import PolicyDriverRig
 from tests.standins import wait_until
@@ -28,7 +28,7 @@
         self.log = RecordingLog(ControlState())
         self.log.is_leader = True
         self.controller = RolloutController(
-            control_settings(folder, f'ask = ["{NOBODY}"]'),
+            control_settings(folder, f'ask = ["{UNUSED_ADDRESS}"]'),
             self.log,
             {"r0": recording_router()},
             {"w0": RecordingProcess()},
@@ -38,8 +38,8 @@
     async def execute(self, operation: str, command: dict[str, Any], phase: Phase) -> None:
         """Execute an operator's command, and wait until the rollout is in a phase."""
         await self.controller.execute(operation, command)
-        control = self.log.control
-        await wait_until(lambda: control.rollout is not None and control.rollout.phase is phase, PATIENCE_S)
+        state = self.log.state
+        await wait_until(lambda: state.rollout is not None and state.rollout.phase is phase, PATIENCE_S)
 
 
 async def submitted_by_rollout_controller(folder: Path) -> dict[str, bytes]:
@@ -47,7 +47,7 @@
     rig = RolloutRig(folder)
     controller_task = asyncio.get_running_loop().create_task(rig.controller.run())
     try:
-        await wait_until(lambda: bool(rig.log.control.runners), PATIENCE_S)
+        await wait_until(lambda: bool(rig.log.state.runners), PATIENCE_S)
         for action in ("restart", "replace", "drain"):
             await rig.execute("start", {"action": action, "targets": ["r0"], "budget": None}, Phase.DONE)
         await rig.execute("undo", {"reason": ""}, Phase.UNDONE)
@@ -58,15 +58,15 @@
     finally:
         controller_task.cancel()
         await asyncio.gather(controller_task, return_exceptions=True)
-    return {"steward-submitted.jsonl": as_lines(rig.log.submitted)}
+    return {"rollout-controller-submitted.jsonl": as_lines(rig.log.submitted)}
 
 
 async def sent_by_policy_controller(folder: Path) -> dict[str, bytes]:
     """Return the commands and the requests to a router for two changes of policy."""
-    settings = control_settings(folder, f'ask = ["{NOBODY}"]')
+    settings = control_settings(folder, f'ask = ["{UNUSED_ADDRESS}"]')
     replicated_log = RecordingLog(ControlState())
     router = recording_router()
-    replicated_log.control.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
+    replicated_log.state.apply_encoded({"do": "register", "agent": "a0", "instances": ["r0"]})
     replicated_log.is_leader = True
     controller = PolicyController(settings, replicated_log, {"r0": router})
     router_policy = controller.router_policies["r0"] = RouterPolicy("r0", router, 1)
@@ -78,7 +78,7 @@
         ("rollback", {"base": 1, "to": None}),
     ):
         await controller.execute(operation, command)
-        change = replicated_log.control.policy.checking()
+        change = replicated_log.state.policy.change_being_checked()
         assert change is not None
         await controller.announce(router_policy, Announcement(router_policy.epoch, 600, change.number))
         await controller.check(router_policy, change)
@@ -87,11 +87,11 @@
         await controller.leader.submission
         router.client.wants_document = operation == "rollback"
         await controller.announce(
-            router_policy, Announcement(replicated_log.control.policy.epoch.number, 700, 0)
+            router_policy, Announcement(replicated_log.state.policy.epoch.number, 700, 0)
         )
     return {
-        "herald-submitted.jsonl": as_lines(replicated_log.submitted),
-        "herald-told-routers.jsonl": as_lines(router.client.requests),
+        "policy-controller-submitted.jsonl": as_lines(replicated_log.submitted),
+        "policy-controller-requests.jsonl": as_lines(router.client.requests),
     }
 
 
@@ -145,7 +145,7 @@
             announcement | {"fenced_us": monotonic_us()} if isinstance(announcement, dict) else announcement
         )
         try:
-            rig.take_announcement(_fill_in_policy(fenced, rig), answers.append)
+            rig.process_announcement(_fill_in_policy(fenced, rig), answers.append)
         except PolicyError as error:
             answers.append({"refused": str(error)})
         announcements.append({"word": _fill_in_policy(announcement, rig), "answers": answers})
@@ -156,4 +156,4 @@
         except PolicyError as error:
             checks.append({"check": message, "refused": str(error)})
     lines = STALE_SECONDS.sub('"stale_s": 0.0', as_lines(announcements).decode())
-    return {"router-words.jsonl": lines.encode(), "router-checks.jsonl": as_lines(checks)}
+    return {"router-announcement-answers.jsonl": lines.encode(), "router-checks.jsonl": as_lines(checks)}
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -17,7 +17,7 @@
 from maplestile.control.log_storage import check_folder
 from maplestile.control.log_view import ReceivedHeartbeat
 from maplestile.control.policy import store
-from maplestile.control.policy.document import AdoptedPolicy, document_of
+from maplestile.control.policy.document import AdoptedPolicy, decode_document
 from maplestile.control.state import ControlState
 from maplestile.operation.state_folder import FileCordonStore
 from tests import record_voter
@@ -104,7 +104,7 @@
 
     def test_voter_on_recorded_folder_has_recorded_state(self) -> None:
         raft = asyncio.run(record_voter.run_voter(self.settings, []))
-        self.assertEqual(raft.control.encoded(), json.loads(recorded_bytes("state.json")))
+        self.assertEqual(raft.state.encoded(), json.loads(recorded_bytes("state.json")))
         self.assertEqual(dict(raft.heartbeats), {"a0": ReceivedHeartbeat(1, HEALTH_REPORTS)})
 
     def test_voter_on_recorded_journal_records_has_state_of_script(self) -> None:
@@ -122,7 +122,7 @@
         expected = ControlState()
         for command in (*SCRIPT, POLICY_READ):
             expected.apply_encoded(command)
-        self.assertEqual(raft.control.encoded(), expected.encoded())
+        self.assertEqual(raft.state.encoded(), expected.encoded())
         reported = {agent: status.routers for agent, status in raft.router_status.items()}
         self.assertEqual(reported, {"a0": POLICY_READ["told"]})
 
@@ -164,14 +164,14 @@
             self.assertIsNone(durable.read(path, 4))
             path.write_bytes(recorded_bytes("durable.json").replace(b"1.5", b"1.6"))
             self.assertIsNone(durable.read(path, 3))
-        warning = f"{path} is of no use: another version, or not as it was written"
+        warning = f"{path} is invalid and is ignored: unsupported version or wrong checksum"
         self.assertEqual([line.getMessage() for line in logged.records], [warning, warning])
 
     def test_reads_policy_record_of_router(self) -> None:
         self.copy_recorded("policy-own.json", "policy.json")
         self.assertEqual(store.read(self.folder), AdoptedPolicy(7, None))
         self.copy_recorded("policy-document.json", "policy.json")
-        self.assertEqual(store.read(self.folder), AdoptedPolicy(7, document_of(DOCUMENT)))
+        self.assertEqual(store.read(self.folder), AdoptedPolicy(7, decode_document(DOCUMENT)))
 
     def test_reads_and_rewrites_process_registry_as_recorded(self) -> None:
         path = self.copy_recorded("roster.json", "roster.json")
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -6,7 +6,7 @@
 from maplestile.membership.health_checks import REPEAT_INTERVALS, HealthFinding, SharedHealthChecks
 from maplestile.membership.swim import Swim
 from maplestile.membership.tuning import Tuning
-from maplestile.tools.model.experiment import parse
+from maplestile.tools.model.experiment import parse_experiment
 from maplestile.tools.model.run import run
 from tests.swim_group import deliver_all
 
@@ -76,7 +76,7 @@
     def test_group_probes_each_runner_about_once_per_period_although_an_assignee_dies(self) -> None:
         kill = {"at_s": 20, "member": 3}
         tables = {"seed": 5, "members": 10, "duration_s": 60, "duties": 20, "kill": [kill]}
-        metrics = run(parse(tables))[0]
+        metrics = run(parse_experiment(tables))[0]
         # One probe per check and period; without sharing, the ten members would send ten.
         self.assertAlmostEqual(metrics.probes_per_duty_per_period or 0, 1.0, delta=0.1)
         # The longest gap lasts until the death is detected and the check is reassigned.
