--- a/maplestile/invoke/api.py
+++ b/maplestile/invoke/api.py
@@ -19,11 +19,11 @@
 from maplestile.invoke.store import InvocationRecord, InvocationStore
 from maplestile.requests.core import Core
 from maplestile.wire.http import (
-    Bounds,
+    FrontLimits,
     HttpRequest,
     RequestRejected,
     Response,
-    nothing,
+    do_nothing,
     problem,
     require_method,
     retry_after,
@@ -47,7 +47,7 @@
         self.core = core
         self.operator = operator
         self.counters = counters
-        self.store = InvocationStore(operator.records, operator.record_us, core.at, counters)
+        self.store = InvocationStore(operator.records, operator.record_us, core.call_at, counters)
         self.in_flight: Counter[str] = Counter()  # open calls by tenant
         self.bounds = self._bounds()
 
@@ -84,9 +84,9 @@
         self.store.retention_us = operator.record_us
         self.bounds = self._bounds()
 
-    def _bounds(self) -> Bounds:
+    def _bounds(self) -> FrontLimits:
         limits = self.core.limits
-        return Bounds(
+        return FrontLimits(
             self.operator.connections,
             self.operator.idle_s,
             limits.invoke.request_us,
@@ -105,7 +105,7 @@
             return self._route(request, respond_counted)
         except RequestRejected as rejection:
             respond_counted(rejection.response)
-            return nothing
+            return do_nothing
 
     def _respond_counted(self, respond: Respond, response: Response) -> None:
         self.counters[f"invoke.status.{response.status}"] += 1
@@ -120,7 +120,7 @@
             require_method(request, "GET", "DELETE")
             answer = self._cancel if request.method == "DELETE" else self._poll
             respond(answer(match[1]))
-            return nothing
+            return do_nothing
         raise RequestRejected(problem(404, "no such resource"))
 
     # Invocations.
@@ -138,10 +138,10 @@
         if invocation.deferred:
             record.deferred = True
             respond(_accepted(record))
-            return nothing
+            return do_nothing
         if record.answer is not None:
             respond(self.store.deliver(record))
-            return nothing
+            return do_nothing
         record.waiters.append(respond)
         return lambda: self._remove_waiter(record, respond)
 
@@ -188,7 +188,7 @@
 
     def _finish_recorded(self, tenant: str, record: InvocationRecord, outcome: Outcome) -> None:
         self.in_flight[tenant] -= 1
-        if record.abandoned and not record.waiters and not outcome.ran:
+        if record.abandoned and not record.waiters and not outcome.may_have_run:
             self.store.drop(record)  # nothing ran and no caller got an answer, so the key may be used again
         else:
             self.store.finish(record, problems.response_to(outcome))
--- a/maplestile/tools/explore/simulation.py
+++ b/maplestile/tools/explore/simulation.py
@@ -218,7 +218,7 @@
         line = encode_answer(tag, kind)
         self.pool.input_received(link.connection)
         self.pool.answer_received(link.connection, wire.parse(memoryview(line)))
-        self.core.catch_up()
+        self.core.run_due_timers()
         self.pool.input_handled(link.connection)
 
     def _change_worker(self, number: int, kind: EventKind) -> None:
@@ -227,7 +227,7 @@
 
     def _publish_list(self) -> None:
         """Pass the current endpoint list to the router."""
-        self.endpoints.apply_whole(self.endpoints.version + 1, self.workers.endpoint_list(self.now_us))
+        self.endpoints.apply_list(self.endpoints.version + 1, self.workers.endpoint_list(self.now_us))
         self.pool.update(self.endpoints)
         self.core.list_changed(self.endpoints.event())
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -34,7 +34,7 @@
     def finish(self, call: int, outcome: Outcome) -> None:  # puts the call back into the table
         pending = self.open.get(call)
         self.original_finish(call, outcome)
-        if pending is not None and outcome.ran:
+        if pending is not None and outcome.may_have_run:
             self.open[call] = pending
 
 
@@ -52,12 +52,12 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         replace_method(self.retry, "may_repeat", self.may_repeat)
-        replace_method(self.router, "retry_after", self.retry_after)
+        replace_method(self.router, "retry_or_finish", self.retry_or_finish)
 
     def may_repeat(self, call: Call, worker: Worker) -> bool:  # omits the idempotency check
         return len(call.attempts) < call.settings.max_attempts and self.fleet.is_running(worker)
 
-    def retry_after(self, call: Call, result: Result) -> None:
+    def retry_or_finish(self, call: Call, result: Result) -> None:
         self.router.route(call)
 
 
@@ -98,7 +98,7 @@
     def update(self, fleet: EndpointList) -> None:
         super().update(fleet)
         for runner in self.runners.values():
-            runner.takes_new = True
+            runner.accepts_new_work = True
 
 
 class CountsNoAttempts(Dispatcher):
@@ -126,7 +126,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        replace_method(self.admission, "may_refuse", lambda call: True)
+        replace_method(self.admission, "may_reject", lambda call: True)
 
 
 class LosesCancelledAttempts(Dispatcher):
@@ -159,13 +159,13 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        replace_method(self.intake, "end_all", lambda: None)
+        replace_method(self.intake, "answer_all", lambda: None)
 
 
 class SendsForDisconnectedClients(SimulatedPool):
     """Starts attempts for clients that have disconnected."""
 
-    def withhold(self, attempt: AttemptId) -> bool:
+    def drop_unwritten(self, attempt: AttemptId) -> bool:
         return False
 
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -82,7 +82,7 @@
     def test_suspended_runner_appears_as_draining(self) -> None:
         endpoints = EndpointList()
         targets = [target("a", 1), target("b", 2)]
-        endpoints.apply_known({"updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]})
+        endpoints.apply_updates({"updates": [{"index": 1, "endpoints": {"all": True, "targets": targets}}]})
         endpoints.suspended = frozenset({"a", "not-listed"})
         states = {listed.worker: listed.state for listed in endpoints.event().entries}
         self.assertEqual(states, {"a": api.WorkerState.DRAINING, "b": api.WorkerState.RUNNING})
@@ -105,5 +105,5 @@
         dispatcher = driver.dispatcher
         (send,) = sends(driver.give(arrival(1)))
         driver.give(ended(1, 0, send.worker, api.Result.CONNECT_FAILED))
-        avoided = [name for name, worker in dispatcher.workers.items() if dispatcher.avoids(worker)]
+        avoided = [name for name, worker in dispatcher.workers.items() if dispatcher.is_avoided(worker)]
         self.assertEqual(avoided, [send.worker])
