--- a/maplestile/agent/policy_router.py
+++ b/maplestile/agent/policy_router.py
@@ -110,7 +110,7 @@
         self.epoch = report.epoch
         self.report = report
         if has_changed_epoch:
-            logs.events("policy").info("router uses epoch", instance=self.name, epoch=epoch.number)
+            logs.events("policy").info("router changed epoch", instance=self.name, epoch=epoch.number)
         return has_changed_epoch
 
     async def _put(
@@ -134,7 +134,7 @@
             return None
         if not reply.ok:
             log.warning(
-                "policy: router %s did not accept an announcement, which is repeated: %s",
+                "policy: router %s did not accept an announcement; retrying: %s",
                 self.name,
                 reply.text,
             )
@@ -142,7 +142,7 @@
         try:
             return RouterReport.decode(reply.text)
         except (ValueError, KeyError, TypeError) as error:
-            log.warning("policy: router %s sent an invalid report, which is ignored: %s", self.name, error)
+            log.warning("policy: router %s sent an invalid report; ignoring it: %s", self.name, error)
             return None
 
     async def check(self, change: Change) -> str | None:
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -101,7 +101,7 @@
                 reply = await self.replicated_log.submit(command)
             except LogError as error:
                 log.warning(
-                    "control: the log has not confirmed the command '%s', which is submitted again: %s",
+                    "control: the log has not confirmed the command '%s'; submitting it again: %s",
                     name_of(command),
                     error,
                 )
--- a/maplestile/agent/rollout_steps.py
+++ b/maplestile/agent/rollout_steps.py
@@ -53,4 +53,4 @@
         for number in finished:
             task = self.tasks.pop(number)
             if not task.cancelled() and task.exception() is not None:
-                log.error("control: a rollout step has failed and is retried", exc_info=task.exception())
+                log.error("control: a rollout step failed; retrying", exc_info=task.exception())
--- a/maplestile/control/remote_log.py
+++ b/maplestile/control/remote_log.py
@@ -59,7 +59,7 @@
             except LogError as error:
                 self.is_voter_ready = False
                 log.warning(
-                    "control: no voter's agent answers, keeping the last known state, retrying: %s", error
+                    "control: no voter's agent answered; keeping the last known state and retrying: %s", error
                 )
             await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -15,7 +15,7 @@
         self.workers: dict[str, Worker] = {}  # by name
         self.draining: set[str] = set()  # names of the listed workers that are not running
         self.lost_zones: set[str] = set()
-        self.total_weight = 0.0  # of the running workers; 1 if there are none
+        self.total_weight = 0.0  # of the running workers; 1 after an update that finds none
         self.ranking_updated_us = 0  # when the set of workers that may be ranked was last updated
         self.index: RankingIndex[Worker] = RankingIndex()
 
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -124,7 +124,9 @@
         finding = self.health_checks.record_result(runner, result is Result.OK)
         if finding is not None:
             self.counters["peers.health_checks.findings"] += 1
-            self.events.info("finding", runner=runner, answers=finding.answers, version=finding.version)
+            self.events.info(
+                "health finding", runner=runner, answers=finding.answers, version=finding.version
+            )
 
     # Views for operators.
 
--- a/maplestile/net/http.py
+++ b/maplestile/net/http.py
@@ -1,4 +1,4 @@
-"""Serves HTTP fronts: accepts connections within the limits of each front, and closes them at a drain."""
+"""Serves HTTP fronts: accepts connections within each front's limits, and closes connections on drain."""
 
 import asyncio
 import logging
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -12,7 +12,7 @@
 from maplestile.wire.limits import ControlRequestLimits, Limits, RunnerLimits
 
 START_US = 1_000_000_000_000  # simulated time at which every run starts
-STEP_US = 100 * US_PER_MS  # by which one `time` event advances the clock
+STEP_US = 100 * US_PER_MS  # how far one `time` event advances the clock
 DEADLINE_US = 400 * US_PER_MS  # of every call
 DRAIN_US = 300 * US_PER_MS  # from SIGTERM to exit; shorter than a call's deadline, so the exit comes first
 LOAD_TIMEOUT_US = 300 * US_PER_MS  # of each load request
--- a/maplestile/tools/explore/socket_checks.py
+++ b/maplestile/tools/explore/socket_checks.py
@@ -1,4 +1,4 @@
-"""Checks the properties of `properties.py` on what workers and clients observed in a replay on sockets."""
+"""Checks the properties of `properties.py` on what workers and clients saw in a replay over real sockets."""
 
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
--- a/maplestile/tools/faults/command.py
+++ b/maplestile/tools/faults/command.py
@@ -26,7 +26,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Serve the relay until the process is interrupted."""
+    """Run the relay until the process is interrupted."""
     # Imported here, because it would delay the start of other commands.
     from maplestile.tools.faults import control_port
 
--- a/maplestile/tools/faults/relay.py
+++ b/maplestile/tools/faults/relay.py
@@ -31,7 +31,7 @@
 CHUNK_BYTES = 16_384
 MAX_DELAYED_DATAGRAMS = 20_000  # bounds the memory for a flood of datagrams under a long delay
 RETRANSMIT_S = 0.2  # the shortest retransmission timeout of Linux
-POLL_INTERVAL_S = 0.02  # between checks whether a cut has ended
+POLL_INTERVAL_S = 0.02  # how often to check whether a cut has ended
 
 
 # Called for each datagram with the member at whose front it arrived, the data, and the address of the sender.
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -115,7 +115,7 @@
         except ValueError:
             invalid_text = text
     if invalid_text is not None:
-        raise ArgumentsError(f"--function {invalid_text}: the weight is no number")
+        raise ArgumentsError(f"--function {invalid_text}: the weight is not a number")
     return weights
 
 
--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -54,10 +54,10 @@
 
     if tables["kind"] == "rollout":
         rollouts = with_seeds(rollout_experiment.parse(tables), arguments.seeds)
-        spread = report.spread_of_runs(rollout.metrics, rollouts)
+        spread = report.spread_of_runs(rollout.measure, rollouts)
     else:
         policies = with_seeds(policy_experiment.parse(tables), arguments.seeds)
-        spread = report.spread_of_runs(policy.metrics, policies)
+        spread = report.spread_of_runs(policy.measure, policies)
     _print_spread(spread, arguments.format)
 
 
@@ -65,7 +65,7 @@
     from maplestile.tools.model import report, run
 
     if arguments.seeds > 1:
-        spread = report.spread_of_runs(run.metrics, run.with_seeds(experiment, arguments.seeds))
+        spread = report.spread_of_runs(run.measure, run.with_seeds(experiment, arguments.seeds))
         _print_spread(spread, arguments.format)
         return
     metrics, time_series = run.run(experiment)
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -251,6 +251,6 @@
     return PolicyModel(experiment).run()
 
 
-def metrics(experiment: PolicyExperiment) -> Metrics:
+def measure(experiment: PolicyExperiment) -> Metrics:
     """Run an experiment and return its metrics by name."""
     return asdict(run(experiment))
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -167,6 +167,6 @@
     return RolloutModel(experiment).run()
 
 
-def metrics(experiment: RolloutExperiment) -> Metrics:
+def measure(experiment: RolloutExperiment) -> Metrics:
     """Run an experiment and return its metrics by name."""
     return asdict(run(experiment))
--- a/maplestile/tools/model/run.py
+++ b/maplestile/tools/model/run.py
@@ -229,7 +229,7 @@
     return model.run(), model.measurements.series
 
 
-def metrics(experiment: Experiment) -> Metrics:
+def measure(experiment: Experiment) -> Metrics:
     """Run an experiment and return its metrics by name."""
     return run(experiment)[0].by_name()
 
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -150,8 +150,8 @@
     # `restart_us` and `restart_replies` replies in a row.
     restart_us: int = 12_000_000
     restart_replies: int = 20
-    # How long a new process waits for the first list. It is to be ready within 6 s of its start, of which the
-    # start itself takes 1 to 2 s.
+    # How long a new process waits for the first list. It must be ready within 6 s of being started, and
+    # startup itself takes 1 to 2 s of that.
     start_wait_us: int = 3_500_000
 
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -62,7 +62,7 @@
 
 
 class IgnoresDeduplicationScope(Dispatcher):
-    """Sends a call with a key again outside the scope in which workers recognise the key."""
+    """Resends a call that has a key to workers outside the key's deduplication scope."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
--- a/tests/left_processes.py
+++ b/tests/left_processes.py
@@ -57,7 +57,7 @@
 
 
 def _left_processes(test_id: str, before: set[int]) -> set[int]:
-    """Return the processes that a test has left: marked ones, and descendants that are not in `before`."""
+    """Return the processes a test left behind: those with its marker, and descendants not in `before`."""
     parents = _parents()
     marked = {pid for pid in parents if pid != os.getpid() and _has_marker(pid, test_id)}
     return marked | (_descendants(parents) - before)
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -113,7 +113,7 @@
         eventually(is_logged, f"the event {name} {instance}")
 
     def wait_until_no_lease(self, number: int) -> None:
-        """Wait until the agent's replica has no lease; it may lag behind what a command answered."""
+        """Wait until the agent's replica has no lease; it may lag behind the reply to a command."""
         eventually(lambda: self.fleet.status(number)["leases"] == [], "the end of all leases")
 
 
--- a/tests/slow_start.py
+++ b/tests/slow_start.py
@@ -107,7 +107,7 @@
         self.steps += self.arrivals()
         heapq.heapify(self.steps)
         self.calls = 0
-        self.processed = 0  # number of processed actions of the driver's log
+        self.processed = 0  # number of actions in the driver's log that were processed
         self.is_cold_listed = False
         self.sent_to_cold_us: list[int] = []  # times of sends to the cold worker, since its start
 
--- a/tests/test_decide_admission.py
+++ b/tests/test_decide_admission.py
@@ -1,4 +1,4 @@
-"""Test that final answers come in time, and that overload rejects calls or gives them up early."""
+"""Tests that final answers arrive in time, and that calls are rejected or abandoned early under overload."""
 
 from dataclasses import replace
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -184,7 +184,7 @@
     events = "submit, up 0, error 0 0"
     result = sockets.replay(Example("unsafe", "unsafe-once", events_of(events))).as_json()
     assert (result["broken"], len(result["attempts"]), result["answers"]) == ([], 1, {"0": [502]})
-    # In a copy of the program with the fault, the replay on sockets violates the same property.
+    # Replayed against a copy of the program with a fault injected, the example violates the property.
     folder = copy_program()
     dispatch = folder / "maplestile" / "dispatch"
     replace_source(
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -19,7 +19,7 @@
 
 Arrival = arrivals.Arrival
 Address = tuple[str, int]
-MAX_CALLS = 100  # recorded of a trace
+MAX_CALLS = 100  # maximum number of calls to record from a trace
 TIMEOUT_S = 5.0
 
 
@@ -201,7 +201,7 @@
             (["127.0.0.1:1"], "either --rate or --trace"),
             (["127.0.0.1:1", "--rate", "5"], "--rate needs a --function"),
             (["192.0.2.1:1", "--rate", "5", "--function", "f"], "loopback"),
-            (["127.0.0.1:1", "--rate", "5", "--function", "f=x"], "the weight is no number"),
+            (["127.0.0.1:1", "--rate", "5", "--function", "f=x"], "the weight is not a number"),
             (["127.0.0.1:1", "--rate", "5", "--function", "f", "--seconds", "0"], "must be over 0"),
         ):
             with contextlib.redirect_stderr(io.StringIO()) as errors:
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -9,7 +9,7 @@
 from maplestile.tools.model.experiment import parse
 from maplestile.tools.model.membership_metrics import MembershipMetrics
 from maplestile.tools.model.report import as_csv, as_json
-from maplestile.tools.model.run import metrics, run, with_seeds
+from maplestile.tools.model.run import measure, run, with_seeds
 
 # A round of probes, then a suspicion of at most 24 periods, which confirmations shorten.
 DETECTED_WITHIN_PERIODS = 26
@@ -79,8 +79,8 @@
 
     def test_reports_spread_over_several_seeds(self) -> None:
         experiment = parse({"seed": 5, "members": 5, "duration_s": 20, "kill": [{"at_s": 5, "member": 1}]})
-        runs = [metrics(seeded) for seeded in with_seeds(experiment, 3)]
-        spread = report.spread_of_runs(metrics, with_seeds(experiment, 3))
+        runs = [measure(seeded) for seeded in with_seeds(experiment, 3)]
+        spread = report.spread_of_runs(measure, with_seeds(experiment, 3))
         detection = spread["detection_median_periods"]
         assert detection is not None
         values = sorted(by_name["detection_median_periods"] or 0 for by_name in runs)
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -20,7 +20,7 @@
 from benchmarks.hollow_check import total_sent
 from maplestile.tools.model.experiment import parse
 from maplestile.tools.model.report import Metrics
-from maplestile.tools.model.run import metrics
+from maplestile.tools.model.run import measure as measure_model
 from tests.fleet import PERIOD_S, Routers
 from tests.standins import eventually
 
@@ -88,7 +88,7 @@
         "net": {"delay_ms": 0.05, "jitter_ms": 0.1},
         "kill": [kill],
     }
-    return metrics(parse(tables))
+    return measure_model(parse(tables))
 
 
 def _spread_of(runs: Sequence[Metrics], name: str) -> dict[str, float]:
