--- a/maplestile/agent/supervised_process.py
+++ b/maplestile/agent/supervised_process.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("maplestile.agent")
 SIGNAL_ANSWER_TIMEOUT_S = 3.0
-BACKOFF_FACTOR = 2  # by which the backoff grows with each early end
+BACKOFF_FACTOR = 2  # growth of the backoff with each early end
 
 
 class ProcessState(Enum):
--- a/maplestile/net/platform.py
+++ b/maplestile/net/platform.py
@@ -23,7 +23,7 @@
 from maplestile.wire.limits import Limits
 
 log = logging.getLogger(__name__)
-CLOSE_POLL_S = 0.05  # between checks for a closed client, on a connection that is no longer read
+CLOSE_POLL_S = 0.05  # how often to check for a closed client, on a connection that is no longer read
 
 
 class PlatformFront:
--- a/maplestile/router/clock.py
+++ b/maplestile/router/clock.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable
 
-POLL_S = 0.02  # between two checks of a condition
+POLL_S = 0.02  # how often to check a condition
 
 
 def clock() -> int:
--- a/maplestile/router/gc_scheduler.py
+++ b/maplestile/router/gc_scheduler.py
@@ -12,8 +12,8 @@
 # Collections of a generation before the next older one is collected, for the two older generations. They are
 # so high that practically all full collections are those started here.
 OLDER_THRESHOLDS = (20, 50)
-MIN_FULL_INTERVAL_S = 15.0  # between two full collections; one takes 100 ms in a process at full load
-# New connections between two full collections; a closed connection holds some KB until it is collected.
+MIN_FULL_INTERVAL_S = 15.0  # between full collections; one takes 100 ms in a process at full load
+# New connections between full collections; a closed connection holds some KB until it is collected.
 CONNECTIONS_PER_FULL_COLLECTION = 100
 CONNECTION_COUNTERS = (
     "clients.connections",
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -25,7 +25,7 @@
 from maplestile.router.policy_jobs import RunJob, run_inline
 
 log = logging.getLogger("maplestile.policy")
-TICK_INTERVAL_S = 0.1  # between two updates of the status
+TICK_INTERVAL_S = 0.1  # between updates of the status
 US_PER_S = 1e6
 
 Reply = Callable[[PolicyReport], None]  # sends the report as the reply to an announcement
--- a/maplestile/router/process.py
+++ b/maplestile/router/process.py
@@ -33,7 +33,7 @@
     from maplestile.router.takeover import HandoverMonitor
 
 log = logging.getLogger("maplestile")
-SWEEP_S = 1.0  # between two sweeps, which close idle runner connections and collect garbage
+SWEEP_S = 1.0  # how often to close idle runner connections and collect garbage
 
 
 class RouterProcess:
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -41,7 +41,7 @@
 from maplestile.tools.explore.worker_lines import Command, CommandKind
 
 EVENT_TIMEOUT_S = 10.0  # for an event to take effect
-POLL_INTERVAL_S = 0.005  # between checks of whether an event has taken effect
+POLL_INTERVAL_S = 0.005  # how often to check whether an event has taken effect
 FINAL_WAIT_S = 1.5  # after the last event, before the properties are checked
 PAUSE_AFTER_EVENT_S = 0.03  # lets the router react before the next event
 SHED_PAUSE_S = 0.1  # before a shed call is submitted again
--- a/maplestile/tools/model/membership_metrics.py
+++ b/maplestile/tools/model/membership_metrics.py
@@ -27,7 +27,7 @@
     false_positives_per_1000_member_minutes: float
     messages_per_member_per_period: float
     probes_per_duty_per_period: float | None  # a duty is a target of shared health checks
-    longest_gap_of_a_duty_periods: float | None  # between two checks of one target
+    longest_gap_of_a_duty_periods: float | None  # between consecutive checks of one target
     ever_isolated: int  # number of members
     isolated_at_end: int  # number of members
     converged_after_heal_s: float | None  # the longest time after any split
@@ -47,7 +47,7 @@
 
     sent: int = 0  # number of messages
     health_checks: int = 0  # number of checks made
-    longest_gap_us: int = 0  # between two checks of one target
+    longest_gap_us: int = 0  # between consecutive checks of one target
     checked_us: dict[str, int] = field(default_factory=dict)  # time of the last check of each target
     # When an observer first declared a member dead, by (observer, member).
     confirmed_us: dict[tuple[int, int], int] = field(default_factory=dict)
--- a/maplestile/tools/model/policy.py
+++ b/maplestile/tools/model/policy.py
@@ -39,7 +39,7 @@
 POLL_INTERVAL_US = int(POLL_INTERVAL_S * US_PER_S)
 READ_INTERVAL_US = int(READ_INTERVAL_S * US_PER_S)
 READ_INTERVAL_CHECKING_US = int(READ_INTERVAL_CHECKING_S * US_PER_S)
-TICK_INTERVAL_US = 500_000  # between two runs of the routers' timers
+TICK_INTERVAL_US = 500_000  # between runs of the routers' timers
 
 
 class Fence(NamedTuple):
--- a/maplestile/tools/model/rollout.py
+++ b/maplestile/tools/model/rollout.py
@@ -27,8 +27,8 @@
 from maplestile.tools.model.rollout_metrics import RolloutMeasurements, RolloutMetrics
 
 # The intervals of the shipped rollout controller.
-PLAN_INTERVAL_US = 50_000  # between two runs of the planner
-REPORT_INTERVAL_US = 500_000  # between two health reports
+PLAN_INTERVAL_US = 50_000  # between runs of the planner
+REPORT_INTERVAL_US = 500_000  # between health reports
 
 
 class RolloutModel(ControlModel):
--- a/tests/left_processes.py
+++ b/tests/left_processes.py
@@ -17,7 +17,7 @@
 
 MARKER = "MAPLESTILE_TEST"  # environment variable with an id of the running test
 GRACE_S = 2.0  # time for processes that are already ending
-POLL_S = 0.02  # between scans of /proc
+POLL_S = 0.02  # how often to scan /proc
 PROC = Path("/proc")
 
 
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 PATIENCE_S = 20.0  # how long a test waits for an expected event; not a requirement on the program's speed
-THREAD_POLL_S = 0.01  # between two checks of a blocking wait
-LOOP_POLL_S = 0.005  # between two checks of a wait on the event loop
+THREAD_POLL_S = 0.01  # how often a blocking wait checks its condition
+LOOP_POLL_S = 0.005  # how often a wait on the event loop checks its condition
 
 
 def eventually(condition: Callable[[], Any], what: str = "it", patience_s: float = PATIENCE_S) -> Any:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -41,9 +41,9 @@
 LIMIT_MS = 6_000
 SLACK_MS = 150  # by how much the time sent to a worker may exceed the remaining time of its client
 SUSPENDED_S = 0.6  # how long the process or a connection is held up
-BACKOFF_S = 1.0  # time within which the next attempt is due after a second rejection by a worker
+BACKOFF_S = 1.0  # the next attempt is due within this time after a worker's second rejection
 BUSY_S = 0.2  # how long the event loop reads nothing
-CALL_ARRIVED_S = 0.3  # time within which a call that is written has arrived at the worker
+CALL_ARRIVED_S = 0.3  # a call that was written has arrived at the worker within this time
 SEED = 7
 # For a router in the process of the test: it rejects nothing for lag, however busy the machine is.
 LIMITS = Limits(requests=RequestLimits(max_lag_us=60_000_000))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,7 +9,7 @@
 from tests.router_fixture import RouterTestCase
 from tests.standins import HoldingWorker, Worker, call_lines, eventually, in_base64, params
 
-CLOSE_SEEN_S = 0.3  # time within which the program notices that a client has closed
+CLOSE_SEEN_S = 0.3  # the program notices within this time that a client has closed
 BACKOFF_OVER_S = 3.0  # longer than the backoff after a worker's rejection
 LOOP_WAIT_OVER_S = 1.5  # longer than any wait of the program's event loop
 
--- a/tests/test_endings_drain.py
+++ b/tests/test_endings_drain.py
@@ -23,7 +23,7 @@
 )
 
 KILLED_S = 3.7  # time from SIGTERM to SIGKILL: the longest deadline, at most 3 s, and 0.7 s more
-END_WITH_UNREAD_ANSWERS_S = 4.5  # time within which the process exits although a client reads no answers
+END_WITH_UNREAD_ANSWERS_S = 4.5  # the process exits within this time although a client reads no answers
 LONG_LIMIT_MS = 15_000  # longer than any process here lives after SIGTERM
 
 
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -10,7 +10,7 @@
 from tests.rollout_fleet import Calls, HangingCall
 from tests.standins import PATIENCE_S, Program, eventually
 
-STEP_UNDER_WAY_S = 0.3  # after a step's `begin` event, the time by which the router is certainly draining
+STEP_UNDER_WAY_S = 0.3  # the router is certainly draining this long after a step's `begin` event
 
 
 class AdoptTest(PolicyTest):
--- a/tests/test_process_runners.py
+++ b/tests/test_process_runners.py
@@ -8,7 +8,7 @@
 from tests.standins import eventually
 
 SUSPEND_LIMIT_S = 2.0  # routers must stop sending calls to a runner within this time after it is suspended
-QUIET_S = 1.0  # for which no call may arrive
+QUIET_S = 1.0  # no call may arrive for this long
 
 
 class RunnerTest(FleetTest):
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -10,7 +10,7 @@
 from maplestile.net.gossip import GossipDriver
 
 LONG_S = 30.0  # a timeout that no wait of these tests reaches
-ITERATIONS = 5  # of the event loop, after which a task has reached its wait
+ITERATIONS = 5  # event loop iterations after which a task has reached its wait
 END_TIMEOUT_S = 2.0  # for a cancelled task to end
 
 
