--- a/maplestile/agent/command_server.py
+++ b/maplestile/agent/command_server.py
@@ -138,7 +138,7 @@
                 writer.write(json.dumps(result.encoded()).encode() + b"\n")
                 await writer.drain()
         except (OSError, ValueError, TimeoutError) as error:
-            log.warning("agent: a command could not be answered; its connection is closed: %s", error)
+            log.warning("agent: a command could not be answered; closing its connection: %s", error)
         finally:
             writer.close()
 
