--- a/maplestile/tools/explore/example_files.py
+++ b/maplestile/tools/explore/example_files.py
@@ -42,7 +42,7 @@
     except OSError as error:
         raise CaseError(f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise CaseError(f"{path}: no JSON: {error}") from None
+        raise CaseError(f"{path}: invalid JSON: {error}") from None
     if not isinstance(document, dict):
         raise CaseError(f"{path}: must be an object")
     return _parse_example(path, document)
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -241,7 +241,7 @@
     try:
         value = float(text)
     except ValueError:
-        raise RowError(f"column '{column}' is no number: '{text[:40]}'") from None
+        raise RowError(f"column '{column}' is not a number: '{text[:40]}'") from None
     if not 0 <= value < math.inf:
         raise RowError(f"column '{column}' is out of range: '{text[:40]}'")
     return value
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize(
     ("text", "place"),
     [
-        ("{", "no JSON"),
+        ("{", "invalid JSON"),
         ("[]", "must be an object"),
         ('{"version": 2}', "version: must be 1"),
         ('{"version": 1, "case": "x"}', "case: must be one of"),
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -29,7 +29,7 @@
     trace.read(io.StringIO("HashOwner,HashApp,SampleCount,AverageAllocatedMb\no,a,2,100\no,a,2,200"), "m")
     assert trace.row_errors == [
         "day.csv, line 3: found 5 fields, expected 1444",
-        "day.csv, line 4: column 'minute 1' is no number: 'x'",
+        "day.csv, line 4: column 'minute 1' is not a number: 'x'",
     ]
     (row,) = trace_output.summarize(trace)
     assert (row.calls, row.rate_per_s, row.longest_gap_s) == (1440, 0.01667, 600.0)
