--- a/maplestile/control/log_view.py
+++ b/maplestile/control/log_view.py
@@ -59,5 +59,5 @@
 
 
 def decode_router_status(encoded: Mapping[str, Any]) -> dict[str, RouterStatus]:
-    """Decode the `told` table of an answer to the status by agent. Raises TypeError or ValueError."""
+    """Decode an answer's `told` table, the routers' status by agent. Raises TypeError or ValueError."""
     return {agent: RouterStatus(age_s, routers) for agent, (age_s, routers, *_) in encoded.items()}
--- a/maplestile/control/registration.py
+++ b/maplestile/control/registration.py
@@ -25,7 +25,7 @@
 def _update_runners(fleet: FleetState, agent: str, runners: Mapping[str, bool]) -> None:
     """Update the runners that the agent's routers list.
 
-    `runners` tells for each whether the agent manages its process. Runners that no agent lists any more are
+    `runners` maps the name of each to whether the agent manages its process. Runners that no agent lists any more are
     removed unless they have a lease.
     """
     fleet.listed[agent] = sorted(runners)
--- a/maplestile/tools/explore/properties.py
+++ b/maplestile/tools/explore/properties.py
@@ -16,7 +16,7 @@
     "answer-by-deadline": "exactly one final answer, by the deadline, to each call whose client waits",
     "unsafe-once": "an unsafe call is never out again where it may have run",
     "keyed-in-scope": "a keyed call goes again only where its repeats are dropped, and only while they are",
-    "nothing-after-drain": "nothing new is written to a worker after its drain or end was told",
+    "nothing-after-drain": "nothing new is written to a worker after its drain or end was announced",
     "nothing-for-the-gone": "nothing begins for a client that has closed, and what waits for it is given up",
     "attempt-limit": "no call has more attempts than the settings allow",
     "one-policy": "all attempts of a call are decided under the policy that it came under",
--- a/maplestile/tools/explore/search.py
+++ b/maplestile/tools/explore/search.py
@@ -1,6 +1,6 @@
 """Searches for violations breadth first, so that the first counterexample found is among the shortest.
 
-Each state is reached by replaying its events from the start, and its fingerprint tells whether it is new.
+Each state is reached by replaying its events from the start, and its fingerprint shows whether it is new.
 After every replay, time also passes without events, to check the properties that must hold once everything
 has ended.
 """
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -28,7 +28,7 @@
 
 def add(commands: Any) -> None:
     """Add the command to argparse's sub-parsers."""
-    command = commands.add_parser("load", help="call invoke fronts, at a rate or as a trace tells")
+    command = commands.add_parser("load", help="call invoke fronts, at a rate or as recorded in a trace")
     command.add_argument("target", nargs="+", metavar="HOST:PORT", help="invoke fronts, called in turn")
     _add_arrival_options(command)
     _add_request_options(command)
--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -26,7 +26,9 @@
     command = commands.add_parser("model", help="run an experiment of the membership protocol on the model")
     command.add_argument("file", type=Path)
     command.add_argument("--format", choices=("json", "csv"), default="json")
-    command.add_argument("--seeds", type=int, default=1, metavar="N", help="run so many; tell the spread")
+    command.add_argument(
+        "--seeds", type=int, default=1, metavar="N", help="run this many seeds and print the spread"
+    )
     command.add_argument("--plot", type=Path, metavar="PNG", help="draw the course of the run there")
     command.set_defaults(run=run)
 
--- a/maplestile/tools/traces_command.py
+++ b/maplestile/tools/traces_command.py
@@ -19,7 +19,7 @@
     command.add_argument("--top", type=int, default=0, help="only so many functions, the busiest first")
     command.add_argument("--class", dest="class_name", default="default", help="class in the function table")
     command.add_argument(
-        "--memory-mb", type=float, default=DEFAULT_MEMORY_MB, help="memory where the trace tells none"
+        "--memory-mb", type=float, default=DEFAULT_MEMORY_MB, help="memory where the trace has none"
     )
     command.set_defaults(run=run)
 
