--- a/maplestile/tools/explore/connections.py
+++ b/maplestile/tools/explore/connections.py
@@ -1,4 +1,4 @@
-"""Simulated connections: the shipped pool, on sockets that the explorer controls instead of the kernel."""
+"""Simulated connections: the shipped pool, over sockets that the explorer controls instead of the kernel."""
 
 from collections import Counter
 from dataclasses import dataclass
--- a/maplestile/tools/explore/router_process.py
+++ b/maplestile/tools/explore/router_process.py
@@ -1,4 +1,4 @@
-"""The router of a replay on sockets: its settings file and its process, `maplestile serve`."""
+"""The router of a replay over real sockets: its settings file and its process, `maplestile serve`."""
 
 import asyncio
 import os
--- a/maplestile/tools/explore/sockets.py
+++ b/maplestile/tools/explore/sockets.py
@@ -53,7 +53,7 @@
     """The result of a replay."""
 
     example: Example
-    left_out: list[str]  # events that cannot be played on sockets
+    left_out: list[str]  # events that cannot be played over real sockets
     violations: list[Violation]
     statuses: dict[int, list[int]]  # HTTP statuses of the answers, by the number of the call
     attempts: list[ReceivedCall]  # in the order of receipt
@@ -85,7 +85,7 @@
         self.shed_calls = 0  # number of calls that the router has shed so far
         self.draining_since_s: dict[str, float] = {}  # by worker, on the monotonic clock
         self.unlisted: set[str] = set()  # workers that are not in the router's settings file
-        self.left_out: list[str] = []  # events that cannot be played on sockets
+        self.left_out: list[str] = []  # events that cannot be played over real sockets
         self.refused_links = [event.numbers[0] for event in example.events if event.kind is EventKind.REFUSE]
         self.link_workers = _link_workers(example)
 
@@ -255,7 +255,7 @@
 
 
 def replay(example: Example, root: Path = ROOT) -> ReplayResult:
-    """Replay an example on sockets.
+    """Replay an example over real sockets.
 
     `root` is the folder that contains the program's package. Raises `CaseError` if an event cannot be played.
     """
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the runner pool on sockets, between a core that only records and a fake worker."""
+"""Tests of the runner pool over real sockets, between a core that only records and a fake worker."""
 
 import errno
 import unittest
