--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -39,7 +39,7 @@
     stale: float  # 1 if the router is cut off, so that its epoch may not be the committed one; else 0
     stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
     refused: float  # 1 if the router cannot apply the committed epoch; else 0
-    reloads_refused: float  # reloads of a file with another policy than at the start; it was not applied
+    reloads_refused: float  # reloads of a file with another policy than at startup; it was not applied
     mixed_calls: float  # attempts decided under another epoch than their call; always 0
 
 
--- a/maplestile/router/file_configuration.py
+++ b/maplestile/router/file_configuration.py
@@ -1,4 +1,4 @@
-"""Reads the configuration of an instance from an operator's file, at the start and at each reload.
+"""Reads the configuration of an instance from an operator's file, at startup and on each reload.
 
 Platform nodes do not import this module: they have no operator's file and no policy of their own.
 """
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -71,7 +71,7 @@
     def build_config(self, tables: Tables) -> Config:
         """Return the configuration of the file, with the adopted policy in place of the file's own.
 
-        Called at the start and at each reload. If it raises ConfigError, nothing has changed.
+        Called at startup and on each reload. If it raises ConfigError, nothing has changed.
         """
         if not self.has_built_config:
             self.has_built_config = True
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -1,4 +1,4 @@
-"""The sizes, counts and times that limit a router; set at its start and passed to its components.
+"""The sizes, counts and times that limit a router; set at startup and passed to its components.
 
 `Limits` groups them by concern. The suffix of a name gives the unit: `_us` for whole microseconds, `_bytes`
 for bytes, `_mb` for megabytes; all others are counts of what they name.
--- a/tests/record_voter.py
+++ b/tests/record_voter.py
@@ -79,7 +79,7 @@
 def record_folder() -> None:
     """Record the voter's folder after two runs.
 
-    The library writes a snapshot at the start; the journal contains the whole script.
+    The library writes a snapshot at startup; the journal contains the whole script.
     """
     shutil.rmtree(RECORDED_FOLDER, ignore_errors=True)
     with tempfile.TemporaryDirectory() as name:
--- a/tests/test_log_storage.py
+++ b/tests/test_log_storage.py
@@ -1,4 +1,4 @@
-"""Tests of the check of a voter's files at its start."""
+"""Tests of the check of a voter's files at startup."""
 
 import gzip
 import pickle
