--- a/maplestile/agent/process_launcher.py
+++ b/maplestile/agent/process_launcher.py
@@ -25,7 +25,7 @@
         self.registry = registry
 
     def find_orphan(self) -> AdoptedProcess | None:
-        """Return the running process that an earlier agent has left, or None."""
+        """Return the running process that an earlier agent left behind, or None."""
         return None if self.registry is None else self.registry.find_orphan(self.name)
 
     def log_size(self) -> int:
--- a/maplestile/agent/process_registry.py
+++ b/maplestile/agent/process_registry.py
@@ -41,7 +41,7 @@
         return path
 
     def find_orphan(self, name: str) -> AdoptedProcess | None:
-        """Return the running process of an instance that an earlier agent has left, or None.
+        """Return the running process of an instance that an earlier agent left behind, or None.
 
         The process may be missing from the record: the agent may have been killed before it wrote the record,
         the disk may have been full, or the record is damaged. Such a process still holds its ports, so
--- a/maplestile/tools/explore/cases.py
+++ b/maplestile/tools/explore/cases.py
@@ -147,7 +147,7 @@
         ),
         Case(
             name="policy",
-            summary="the policy changes while calls are in hand",
+            summary="the policy changes while calls are in flight",
             classes=("safe", "safe"),
             fault_events=(EventKind.POLICY, EventKind.ERROR, EventKind.RESET),
             max_faults=3,
--- a/tests/test_adopted_process.py
+++ b/tests/test_adopted_process.py
@@ -1,4 +1,4 @@
-"""Processes that an earlier agent has left running: how they are adopted, and how their logs are read."""
+"""Processes that an earlier agent left running: how they are adopted, and how their logs are read."""
 
 import asyncio
 import signal
