--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -32,7 +32,7 @@
     epoch = record["epoch"]
     document = document_of(record["document"])
     if type(epoch) is not int or epoch < 0:
-        raise ValueError("its epoch is not an integer of 0 or more")
+        raise ValueError("its epoch is not a non-negative integer")
     return AdoptedPolicy(epoch, document)
 
 
--- a/maplestile/control/registration.py
+++ b/maplestile/control/registration.py
@@ -25,8 +25,8 @@
 def _update_runners(fleet: FleetState, agent: str, runners: Mapping[str, bool]) -> None:
     """Update the runners that the agent's routers list.
 
-    `runners` maps the name of each to whether the agent manages its process. Runners that no agent lists any more are
-    removed unless they have a lease.
+    `runners` maps each name to whether the agent manages the runner's process. Runners that are no longer
+    listed by any agent are removed unless they have a lease.
     """
     fleet.listed[agent] = sorted(runners)
     for name, managed in runners.items():
--- a/maplestile/dispatch/__init__.py
+++ b/maplestile/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Decide, without any I/O, which worker gets a call and which calls are retried or rejected.
+"""Decides, without any I/O, which worker gets a call and which calls are retried or rejected.
 
 A good place to start reading is `dispatcher.py`, which handles each event. An arriving call goes through
 `intake.py` (with admission control in `admission.py`), `call_router.py` (sending, waiting, retrying, hedging
--- a/maplestile/dispatch/actions.py
+++ b/maplestile/dispatch/actions.py
@@ -1,4 +1,4 @@
-"""Define the actions that a dispatcher returns for an event; all times are whole microseconds.
+"""Defines the actions that a dispatcher returns for an event; all times are whole microseconds.
 
 Dataclasses that are created for each call are not frozen: that would double the time to create one.
 """
--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -1,4 +1,4 @@
-"""Reject some calls, or give them up early, when too many answers are late (admission control)."""
+"""Rejects some calls, or gives them up early, when too many answers are late (admission control)."""
 
 from maplestile.dispatch.api import (
     ANSWERS,
--- a/maplestile/dispatch/age_heap.py
+++ b/maplestile/dispatch/age_heap.py
@@ -1,4 +1,4 @@
-"""Find the oldest entry of a tier without a scan of the tier.
+"""Finds the oldest entry of a tier without a scan of the tier.
 
 The age of an entry changes only when its function is called or inserted into a tier. The oldest entry is the
 first of a heap with lazy deletion: an element of the heap is valid as long as its entry is in this tier and
--- a/maplestile/dispatch/api.py
+++ b/maplestile/dispatch/api.py
@@ -1,4 +1,4 @@
-"""Export the public types of the dispatcher: its events, actions and settings."""
+"""Exports the public types of the dispatcher: its events, actions and settings."""
 
 from maplestile.dispatch.actions import (
     Action,
--- a/maplestile/dispatch/call_router.py
+++ b/maplestile/dispatch/call_router.py
@@ -1,4 +1,4 @@
-"""Handle pending calls: place, hold, send, retry and hedge them, and give the final answer."""
+"""Handles pending calls: places, holds, sends, retries and hedges them, and gives the final answer."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
--- a/maplestile/dispatch/context.py
+++ b/maplestile/dispatch/context.py
@@ -1,4 +1,4 @@
-"""Hold what the components of one dispatcher share: time, settings, actions, timers and random numbers."""
+"""Holds what the components of one dispatcher share: time, settings, actions, timers and random numbers."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol, TypeVar
--- a/maplestile/dispatch/copy_records.py
+++ b/maplestile/dispatch/copy_records.py
@@ -1,4 +1,4 @@
-"""Keep track of functions' copies at workers, from sent attempts, answers and load requests."""
+"""Keeps track of functions' copies at workers, from sent attempts, answers and load requests."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.api import Result, Warmth
--- a/maplestile/dispatch/dispatcher.py
+++ b/maplestile/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Pass each event to the component that handles it, and return the resulting actions.
+"""Passes each event to the component that handles it, and returns the resulting actions.
 
 The dispatcher reads no clock, file or socket: each event comes with the current time, and timers are set by
 actions. The same events with the same seed give the same actions. This depends on the order in which the
--- a/maplestile/dispatch/estimates.py
+++ b/maplestile/dispatch/estimates.py
@@ -1,4 +1,4 @@
-"""Estimate service and load times by running means of measured times."""
+"""Estimates service and load times by running means of measured times."""
 
 import math
 
--- a/maplestile/dispatch/events.py
+++ b/maplestile/dispatch/events.py
@@ -1,4 +1,4 @@
-"""Define the events that a dispatcher handles; all times are whole microseconds, memory is in megabytes.
+"""Defines the events that a dispatcher handles; all times are whole microseconds, memory is in megabytes.
 
 Dataclasses that are created for each call are not frozen: that would double the time to create one.
 """
--- a/maplestile/dispatch/fleet.py
+++ b/maplestile/dispatch/fleet.py
@@ -1,4 +1,4 @@
-"""Keep the workers of the current worker list, and rank them for each function by rendezvous hashing."""
+"""Keeps the workers of the current worker list, and ranks them for each function by rendezvous hashing."""
 
 from maplestile.dispatch.api import Settings, WorkerListReceived, WorkerState
 from maplestile.dispatch.context import Context
--- a/maplestile/dispatch/hashing.py
+++ b/maplestile/dispatch/hashing.py
@@ -1,4 +1,4 @@
-"""Compute hashes without a seed, which are the same at all dispatchers and in all processes."""
+"""Computes hashes without a seed, which are the same at all dispatchers and in all processes."""
 
 import hashlib
 
--- a/maplestile/dispatch/intake.py
+++ b/maplestile/dispatch/intake.py
@@ -1,4 +1,4 @@
-"""Take in arriving calls: record each call, update its function, and admit or reject it."""
+"""Takes in arriving calls: records each call, updates its function, and admits or rejects it."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
--- a/maplestile/dispatch/keep_warm.py
+++ b/maplestile/dispatch/keep_warm.py
@@ -1,4 +1,4 @@
-"""Keep the copies of functions in the caching tier warm, and move copies away from draining workers."""
+"""Keeps the copies of functions in the caching tier warm, and moves copies away from draining workers."""
 
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
--- a/maplestile/dispatch/load_rate.py
+++ b/maplestile/dispatch/load_rate.py
@@ -1,4 +1,4 @@
-"""Measure the rate at which this dispatcher's calls bring work, by an exponentially decayed sum."""
+"""Measures the rate at which this dispatcher's calls bring work, by an exponentially decayed sum."""
 
 import math
 
--- a/maplestile/dispatch/load_requests.py
+++ b/maplestile/dispatch/load_requests.py
@@ -1,4 +1,4 @@
-"""Send load and keep-warm requests, within a quota of requests and a cap on loads in progress."""
+"""Sends load and keep-warm requests, within a quota of requests and a cap on loads in progress."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.context import Context
--- a/maplestile/dispatch/loads_in_progress.py
+++ b/maplestile/dispatch/loads_in_progress.py
@@ -1,4 +1,4 @@
-"""Track the loads of copies that this dispatcher knows to be in progress."""
+"""Tracks the loads of copies that this dispatcher knows to be in progress."""
 
 from collections.abc import Iterable
 
--- a/maplestile/dispatch/outcomes.py
+++ b/maplestile/dispatch/outcomes.py
@@ -1,4 +1,4 @@
-"""Handle the ends of attempts and load requests: record the outcome and continue the affected calls."""
+"""Handles the ends of attempts and load requests: records the outcome and continues the affected calls."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.admission import AdmissionController
--- a/maplestile/dispatch/outliers.py
+++ b/maplestile/dispatch/outliers.py
@@ -1,4 +1,4 @@
-"""Detect outliers among the workers by failure scores and slowness, and back off from failing workers."""
+"""Detects outliers among the workers by failure scores and slowness, and backs off from failing workers."""
 
 from collections.abc import Collection
 
--- a/maplestile/dispatch/packed_hashes.py
+++ b/maplestile/dispatch/packed_hashes.py
@@ -1,4 +1,4 @@
-"""Pack the hashes of many items into one integer, so that one multiplication combines them all with a salt.
+"""Packs the hashes of many items into one integer, so that one multiplication combines them all with a salt.
 
 Each item has a lane of 128 bits, in which `(salt ^ hash) * MULTIPLIER` cannot overflow into the next lane.
 The eighth byte of a lane is the most significant byte of the product modulo 2**64, so this byte alone tells
--- a/maplestile/dispatch/placement.py
+++ b/maplestile/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""Choose the worker that runs a call's next attempt or loads a copy for it.
+"""Chooses the worker that runs a call's next attempt or loads a copy for it.
 
 Workers are ranked for each function by weighted rendezvous hashing, in the same order at all dispatchers. The
 first workers of the ranking are the function's replicas. Their number depends on the function's share of this
--- a/maplestile/dispatch/ranking.py
+++ b/maplestile/dispatch/ranking.py
@@ -1,4 +1,4 @@
-"""Rank workers by weighted rendezvous hashing, in short lists that are updated incrementally.
+"""Ranks workers by weighted rendezvous hashing, in short lists that are updated incrementally.
 
 In rendezvous hashing, or Highest Random Weight (D. G. Thaler and C. V. Ravishankar, "Using name-based
 mappings to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998), each function ranks all
--- a/maplestile/dispatch/results.py
+++ b/maplestile/dispatch/results.py
@@ -1,4 +1,4 @@
-"""Define the results of attempts, health checks and load requests."""
+"""Defines the results of attempts, health checks and load requests."""
 
 from enum import Enum
 
--- a/maplestile/dispatch/retry.py
+++ b/maplestile/dispatch/retry.py
@@ -1,4 +1,4 @@
-"""Decide whether a call may be sent again: idempotency, deduplication, attempt limit and retry budget."""
+"""Decides whether a call may be sent again: idempotency, deduplication, attempt limit and retry budget."""
 
 from maplestile.dispatch.api import DeduplicationScope, Idempotency, Result, WorkerEntry
 from maplestile.dispatch.context import Context
--- a/maplestile/dispatch/send_gate.py
+++ b/maplestile/dispatch/send_gate.py
@@ -1,4 +1,4 @@
-"""Check every attempt before it is sent: drains, backoff, memory, idempotency, attempt limit, slow start."""
+"""Checks every attempt before it is sent: drains, backoff, memory, idempotency, attempt limit, slow start."""
 
 import math
 
--- a/maplestile/dispatch/settings.py
+++ b/maplestile/dispatch/settings.py
@@ -1,4 +1,4 @@
-"""Define the settings of a dispatcher; all times are whole microseconds, memory is in megabytes."""
+"""Defines the settings of a dispatcher; all times are whole microseconds, memory is in megabytes."""
 
 from dataclasses import dataclass
 from enum import Enum
--- a/maplestile/dispatch/slow_start.py
+++ b/maplestile/dispatch/slow_start.py
@@ -1,4 +1,4 @@
-"""Limit the work that all dispatchers together send to a worker that has just started (slow start)."""
+"""Limits the work that all dispatchers together send to a worker that has just started (slow start)."""
 
 from maplestile.dispatch.api import Settings
 from maplestile.dispatch.context import Context
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -1,4 +1,4 @@
-"""Define the records that a dispatcher keeps; they hold observations and make no decisions.
+"""Defines the records that a dispatcher keeps; they hold observations and make no decisions.
 
 Times are in microseconds on the clock of the events; 0 means never unless a field's comment says otherwise.
 """
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -1,4 +1,4 @@
-"""Sort functions into three tiers, single, multiple and caching, by the gaps between their calls.
+"""Sorts functions into three tiers, single, multiple and caching, by the gaps between their calls.
 
 Each call promotes its function by one tier. In a full tier, the function replaces the one with the longest
 aged gap, which is demoted. The copies of functions in the caching tier are kept warm. The tiers follow the
--- a/maplestile/dispatch/warm_copies.py
+++ b/maplestile/dispatch/warm_copies.py
@@ -1,4 +1,4 @@
-"""Determine which workers have a warm copy of a function, known or inferred from other dispatchers' calls."""
+"""Finds which workers have a warm copy of a function, known or inferred from other dispatchers' calls."""
 
 from maplestile.dispatch.context import Context
 from maplestile.dispatch.fleet import Fleet
--- a/maplestile/dispatch/worker_health.py
+++ b/maplestile/dispatch/worker_health.py
@@ -1,4 +1,4 @@
-"""Track the health of single workers and whole zones, by the outcomes of attempts and by silence."""
+"""Tracks the health of single workers and whole zones, by the outcomes of attempts and by silence."""
 
 from maplestile.dispatch.api import ANSWERS, AttemptEnded, Result
 from maplestile.dispatch.outliers import OutlierDetector, is_silent_since
--- a/maplestile/dispatch/worker_list.py
+++ b/maplestile/dispatch/worker_list.py
@@ -1,4 +1,4 @@
-"""Apply a received worker list, or its changes, to the records of the workers."""
+"""Applies a received worker list, or its changes, to the records of the workers."""
 
 from collections.abc import Mapping
 
--- a/maplestile/dispatch/workers.py
+++ b/maplestile/dispatch/workers.py
@@ -1,4 +1,4 @@
-"""Define the entries of the worker list, and the event that delivers the list or its changes."""
+"""Defines the entries of the worker list, and the event that delivers the list or its changes."""
 
 from dataclasses import dataclass
 from enum import Enum
--- a/maplestile/dispatch/zone_failure.py
+++ b/maplestile/dispatch/zone_failure.py
@@ -1,4 +1,4 @@
-"""Detect the loss of a whole zone: several of its workers are silent, and none has answered since."""
+"""Detects the loss of a whole zone: several of its workers are silent, and none has answered since."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.context import Context
--- a/maplestile/tools/explore/command.py
+++ b/maplestile/tools/explore/command.py
@@ -151,7 +151,7 @@
 def _replay(arguments: argparse.Namespace) -> int:
     example = read_example(arguments.replay)
     if arguments.sockets:
-        return _replay_on_sockets(example)
+        return _replay_over_sockets(example)
     violations = play(CASES[example.case], example.events).violations
     if arguments.json:
         print(json.dumps({"case": example.case, "broken": [list(violation) for violation in violations]}))
@@ -163,7 +163,7 @@
     return int(bool(violations))
 
 
-def _replay_on_sockets(example: Example) -> int:
+def _replay_over_sockets(example: Example) -> int:
     # Imported here so that other commands do not load it at startup.
     from maplestile.tools.explore import sockets
 
--- a/maplestile/tools/explore/socket_clients.py
+++ b/maplestile/tools/explore/socket_clients.py
@@ -1,4 +1,4 @@
-"""The clients of a replay over real sockets; each makes one call over HTTP and records the answers' statuses."""
+"""Clients for a replay over real sockets; each makes one call over HTTP and records the answers' statuses."""
 
 import asyncio
 import contextlib
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -180,7 +180,7 @@
     module.write_text(text.replace(original, replacement))
 
 
-def test_replays_counterexample_on_sockets_with_real_program() -> None:
+def test_replays_counterexample_over_sockets_with_real_program() -> None:
     events = "submit, up 0, error 0 0"
     result = sockets.replay(Example("unsafe", "unsafe-once", events_of(events))).as_json()
     assert (result["broken"], len(result["attempts"]), result["answers"]) == ([], 1, {"0": [502]})
@@ -201,7 +201,7 @@
     assert [name for name, _ in result["broken"]] == ["unsafe-once"], result
 
 
-def test_submits_call_again_on_sockets_after_shedding_for_lag() -> None:
+def test_submits_call_again_over_sockets_after_shedding_for_lag() -> None:
     folder = copy_program()
     intake = folder / "maplestile" / "requests" / "request_intake.py"
     lag = "lags = lag_us > limits.max_lag_us"
@@ -215,7 +215,7 @@
         sockets.replay(example, folder)
 
 
-def test_replays_endpoint_list_and_connection_faults_on_sockets() -> None:
+def test_replays_endpoint_list_and_connection_faults_over_sockets() -> None:
     for case, events, statuses in (
         ("unsafe", "submit, refuse 0, up 1, ok 1 0", [200]),
         ("drain", "submit, up 0, drain 0, drain 1, reset 0", [502]),
