--- a/maplestile/agent/adopted_process.py
+++ b/maplestile/agent/adopted_process.py
@@ -1,4 +1,4 @@
-"""Finding, watching and signalling processes that another process has started.
+"""Finding, watching and signaling processes that another process has started.
 
 The state of a process is read from /proc, see proc(5). A pidfd, see pidfd_open(2), still refers to the same
 process after its pid was reused.
--- a/maplestile/tools/dispatcher_settings.py
+++ b/maplestile/tools/dispatcher_settings.py
@@ -1,6 +1,6 @@
 """The dispatcher settings that the explorer and the benchmarks share.
 
-All optional behaviour is enabled, and the number of load requests is not limited. The explorer and each
+All optional behavior is enabled, and the number of load requests is not limited. The explorer and each
 benchmark replace the settings that depend on their workers and calls.
 """
 
--- a/maplestile/tools/load/report.py
+++ b/maplestile/tools/load/report.py
@@ -12,7 +12,7 @@
 US_PER_MS = 1000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 PLOTTED_PERCENTILES = (0.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 100.0)
-COLOURS = {
+COLORS = {
     CallEnd.SERVED: "tab:green",
     CallEnd.REJECTED: "tab:orange",
     CallEnd.FAILED: "tab:red",
@@ -41,7 +41,7 @@
 
 
 def summarize(result: Result) -> LoadSummary:
-    """Summarise a run: how the calls ended, and the latency percentiles of the served calls."""
+    """Summarize a run: how the calls ended, and the latency percentiles of the served calls."""
     calls = result.ends.total()
     served = result.ends[CallEnd.SERVED]
     latency_ms = {f"p{percentile:g}": _latency_ms(result, percentile) for percentile in PERCENTILES}
@@ -83,10 +83,10 @@
     """Draw a stacked bar for each second, with the calls that were due in it by how they ended."""
     seconds = range(max(result.ends_by_second, default=0) + 1)
     below = [0] * len(seconds)
-    for end, colour in COLOURS.items():
+    for end, color in COLORS.items():
         counts = [result.ends_by_second.get(second, Counter())[end] for second in seconds]
         if any(counts):
-            axes.bar(seconds, counts, bottom=below, label=end.value, color=colour, width=1.0)
+            axes.bar(seconds, counts, bottom=below, label=end.value, color=color, width=1.0)
             below = [lower + count for lower, count in zip(below, counts, strict=True)]
     axes.set_xlabel("seconds")
     axes.set_ylabel("calls")
--- a/maplestile/tools/model/rollout_experiment.py
+++ b/maplestile/tools/model/rollout_experiment.py
@@ -46,7 +46,7 @@
 from maplestile.tools.model.experiment import TimeRange, time_range_from
 
 MAX_INSTANCES = 2000
-MODELLED_ACTIONS = tuple(action for action in ACTIONS if action != "drain")
+MODELED_ACTIONS = tuple(action for action in ACTIONS if action != "drain")
 
 
 @dataclass(slots=True, frozen=True)
@@ -79,7 +79,7 @@
         seed=seed_from(top),
         instances=instances,
         agents=top.whole("agents", 3, minimum=1, maximum=instances),
-        action=top.choice("action", MODELLED_ACTIONS, "restart"),
+        action=top.choice("action", MODELED_ACTIONS, "restart"),
         budget=budget,
         duration_us=microseconds_from_s(top, "duration_s", 600.0),
         commit_us=microseconds_from_ms(top, "commit_ms", 20.0),
--- a/maplestile/tools/trace_output.py
+++ b/maplestile/tools/trace_output.py
@@ -29,7 +29,7 @@
 
 
 def summarize(trace: Trace, top: int = 0) -> Iterator[FunctionSummary]:
-    """Summarise the `top` busiest functions, or all if `top` is 0; the busiest comes first."""
+    """Summarize the `top` busiest functions, or all if `top` is 0; the busiest comes first."""
     for usage in trace.ranked(top):
         yield FunctionSummary(
             app=usage.app,
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -1,6 +1,6 @@
 """Reader of public cluster traces in CSV; it adds up the usage of each function row by row.
 
-The format is recognised by the header: the Azure Functions trace of 2019 (invocations per minute, durations,
+The format is recognized by the header: the Azure Functions trace of 2019 (invocations per minute, durations,
 and memory by app) or that of 2021 (one row per call). Several files of one trace are joined by function.
 See https://github.com/Azure/AzurePublicDataset for the formats.
 """
--- a/maplestile/tools/traces_command.py
+++ b/maplestile/tools/traces_command.py
@@ -1,4 +1,4 @@
-"""`maplestile traces`: summarise public cluster traces, or make function tables from them."""
+"""`maplestile traces`: summarize public cluster traces, or make function tables from them."""
 
 import argparse
 import sys
@@ -13,7 +13,7 @@
 
 def add(commands: Any) -> None:
     """Add the command to argparse's sub-parsers."""
-    command = commands.add_parser("traces", help="summarise public cluster traces in CSV")
+    command = commands.add_parser("traces", help="summarize public cluster traces in CSV")
     command.add_argument("file", type=Path, nargs="+")
     command.add_argument("--format", choices=("table", "json", "functions"), default="table")
     command.add_argument("--top", type=int, default=0, help="only so many functions, the busiest first")
--- a/tests/record_fronts.py
+++ b/tests/record_fronts.py
@@ -1,4 +1,4 @@
-"""Records the program's external behaviour: `python -m tests.record_fronts` writes it to `tests/recorded`.
+"""Records the program's external behavior: `python -m tests.record_fronts` writes it to `tests/recorded`.
 
 Each recorder returns the text of one file: answers of the fronts, files read and written, or protocol lines.
 `tests/test_recorded_fronts.py` compares these texts with the recorded files.
--- a/tests/test_adopted_process.py
+++ b/tests/test_adopted_process.py
@@ -29,7 +29,7 @@
 
 
 def test_adopts_only_process_with_recorded_pid_and_start_time() -> None:
-    """The adopted process can be signalled and waited for; a damaged record is read as an empty one."""
+    """The adopted process can be signaled and waited for; a damaged record is read as an empty one."""
     folder = Path(tempfile.mkdtemp())
     child = start_sleeping_process()
 
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -102,7 +102,7 @@
 def measure(rounds: int) -> dict[str, Any]:
     """Run this many rounds with real routers and in the model, and return the spread of the metrics."""
     measured = [measure_routers(seed) for seed in range(rounds)]
-    modelled = [run_model(seed) for seed in range(rounds)]
+    modeled = [run_model(seed) for seed in range(rounds)]
     detection = [value for round_ in measured for value in round_.detection_periods]
     names = ("detection_median_periods", "detection_p99_periods", "messages_per_member_per_period")
     return {
@@ -110,7 +110,7 @@
             "detection_periods": spread(detection),
             "messages_per_member_per_period": spread([round_.messages for round_ in measured]),
         },
-        "model": {name: _spread_of(modelled, name) for name in names},
+        "model": {name: _spread_of(modeled, name) for name in names},
     }
 
 
