--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -27,7 +27,7 @@
         """Carry out this agent's part in the lease of a runner until the lease has ended.
 
         While the runner is out of use, the routers are checked repeatedly, because a router that was
-        restarted does not know that the runner is suspended.
+        restarted does not know that the runner is cordoned.
         """
         while (lease := self._lease(runner)) is not None and lease.number == lease_number:
             if lease.stage is Stage.RETURNING:
@@ -40,7 +40,7 @@
     async def _is_used_or_leased(self, runner: str) -> bool:
         """Resume a runner whose lease has ended; return whether all routers use it, or it has a new lease.
 
-        The runner may still be suspended here if an operator, who vouches for it, has released the lease.
+        The runner may still be cordoned here if an operator, who vouches for it, has released the lease.
         """
         return self._lease(runner) is not None or await self._set_used(runner, True)
 
@@ -100,7 +100,7 @@
             return True
         listed = runners[runner]
         if listed.suspended == used:
-            # A runner that was just suspended may have attempts in flight; the next call checks that.
+            # A runner that was just cordoned may have attempts in flight; the next call checks that.
             return await router.client.set_suspended(runner, not used) and used
         return used or not listed.in_flight
 
--- a/maplestile/operation/cordons.py
+++ b/maplestile/operation/cordons.py
@@ -129,6 +129,6 @@
     def _report_store_error(self, error: OSError) -> None:
         self._counters["operation.cordon_store_faults"] += 1
         log.warning(
-            "cannot access the folder of suspended runners: %s; suspensions known here stay in force",
+            "cannot access the folder of cordoned runners: %s; cordons known here stay in force",
             error,
         )
--- a/maplestile/operation/metrics.py
+++ b/maplestile/operation/metrics.py
@@ -35,7 +35,7 @@
     backend_calls: int  # attempts that were written completely to runners
     inflight: int  # open calls
     hosts_listed: int  # listed runners
-    hosts_down: int  # listed runners that get no calls: suspended by operators or avoided by the dispatcher
+    hosts_down: int  # listed runners that get no calls: cordoned by operators or avoided by the dispatcher
     membership: "MembershipMetrics | None" = None  # None if membership is off
     policy: PolicyMetrics | None = None  # None if the policy is that of the router's own file
     # Counts by epoch and counter name; empty if the policy is that of the router's own file.
--- a/maplestile/requests/endpoint_list.py
+++ b/maplestile/requests/endpoint_list.py
@@ -27,7 +27,7 @@
     """The runners by uid.
 
     `version` is the serial of the last list or event that was applied, -1 before the first; a list that is
-    not newer than it is out of date. Runners whose uids are in `suspended` appear as draining.
+    not newer than it is out of date. Cordoned runners, whose uids are in `suspended`, appear as draining.
     """
 
     version: int = -1
@@ -83,7 +83,7 @@
         self.addresses = dict(other.addresses)
 
     def visible_entries(self) -> tuple[api.WorkerEntry, ...]:
-        """Return the entries for dispatcher and pool; suspended runners are draining, whatever is listed."""
+        """Return the entries for dispatcher and pool; cordoned runners are draining, whatever is listed."""
         draining = api.WorkerState.DRAINING
         return tuple(
             replace(entry, state=draining) if uid in self.suspended else entry
