--- a/tests/test_adopted_process.py
+++ b/tests/test_adopted_process.py
@@ -1,4 +1,4 @@
-"""Processes that an earlier agent left running: how they are adopted, and how their logs are read."""
+"""Tests of processes that an earlier agent left running: how they are adopted, and their logs read."""
 
 import asyncio
 import signal
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""An agent that supervises real processes."""
+"""Tests of an agent that supervises real processes."""
 
 import asyncio
 import re
--- a/tests/test_decide_loads.py
+++ b/tests/test_decide_loads.py
@@ -1,4 +1,4 @@
-"""Test load requests and their limits, keep-warm requests, and inferred copies."""
+"""Tests of load requests and their limits, keep-warm requests, and inferred copies."""
 
 from dataclasses import replace
 
--- a/tests/test_decide_repeats.py
+++ b/tests/test_decide_repeats.py
@@ -1,4 +1,4 @@
-"""Test retries: idempotency, deduplication, streams, and disconnected clients."""
+"""Tests of retries: idempotency, deduplication, streams, and disconnected clients."""
 
 from maplestile.dispatch import api
 from tests.helpers import (
--- a/tests/test_decide_slow_start.py
+++ b/tests/test_decide_slow_start.py
@@ -1,4 +1,4 @@
-"""Test slow start: the work that a worker gets from all dispatchers together right after its start."""
+"""Tests of slow start: the work that a worker gets from all dispatchers together right after its start."""
 
 from maplestile.dispatch import api
 from tests.helpers import MS, SERVICE_US, Driver, arrival, ended, entry, sends, settings, worker_list
--- a/tests/test_decide_tiers.py
+++ b/tests/test_decide_tiers.py
@@ -1,4 +1,4 @@
-"""Test the tiers, homes and replicas of functions, and the cost of choosing a worker."""
+"""Tests of the tiers, homes and replicas of functions, and the cost of choosing a worker."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.state import CACHING, MULTIPLE, SINGLE, Call, Worker
--- a/tests/test_decide_worker_health.py
+++ b/tests/test_decide_worker_health.py
@@ -1,4 +1,4 @@
-"""Test which workers calls avoid: drains, failure scores, silence, slowness and backoff."""
+"""Tests of which workers calls avoid: drains, failure scores, silence, slowness and backoff."""
 
 from dataclasses import replace
 
--- a/tests/test_endings_slow_start.py
+++ b/tests/test_endings_slow_start.py
@@ -1,4 +1,4 @@
-"""Test of the slow start of a worker at twenty routers of the real program.
+"""Tests of the slow start of a worker at twenty routers of the real program.
 
 `docs/endings.md` lists the cases.
 """
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""Tests the explorer: deliberate faults are found, shipped components hold, and counterexamples replay."""
+"""Tests of the explorer: deliberate faults are found, shipped components hold, and counterexamples replay."""
 
 import contextlib
 import io
--- a/tests/test_hangs.py
+++ b/tests/test_hangs.py
@@ -1,4 +1,4 @@
-"""The test timeout of this project's pytest configuration ends and reports a test that hangs."""
+"""Tests that the timeout in this project's pytest configuration ends and reports a test that hangs."""
 
 import subprocess
 import sys
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""Isolation: when a member counts as isolated, depending on when the others are declared dead."""
+"""Tests of isolation: when a member counts as isolated, depending on when the others are declared dead."""
 
 from maplestile.membership.events import EventLog
 from maplestile.membership.isolation import PROBE_PASSES, IsolationDetector
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Checks that modules import only from their own or lower layers, and that there are no import cycles."""
+"""Tests that modules import only from their own or lower layers, and that there are no import cycles."""
 
 import ast
 from collections.abc import Iterator
--- a/tests/test_left_processes.py
+++ b/tests/test_left_processes.py
@@ -1,4 +1,4 @@
-"""The fixture that reports tests which leave processes behind, and kills these processes."""
+"""Tests of the fixture that reports tests which leave processes behind, and kills these processes."""
 
 import subprocess
 import sys
--- a/tests/test_many_routers.py
+++ b/tests/test_many_routers.py
@@ -1,4 +1,4 @@
-"""Test the combined behavior of many dispatchers, simulated one after another with different seeds."""
+"""Tests of the combined behavior of many dispatchers, simulated one after another with different seeds."""
 
 from maplestile.dispatch import api
 from tests.helpers import MS, Driver, arrival, ended, entry, sends, settings
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of membership datagrams, and the errors that name an invalid field."""
+"""Tests of encoding and decoding membership datagrams, and of the errors that name an invalid field."""
 
 import unittest
 
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -1,4 +1,4 @@
-"""Tests the membership model: the shipped `Swim` members on a simulated clock, with faults."""
+"""Tests of the membership model: the shipped `Swim` members on a simulated clock, with faults."""
 
 import re
 import unittest
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""Test the dispatch package: pure imports, short modules, and output that depends only on the input."""
+"""Tests of the dispatch package: pure imports, short modules, and output that depends only on the input."""
 
 import ast
 import os
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -1,4 +1,4 @@
-"""Agents that are killed and started again: their routers keep serving and are adopted."""
+"""Tests of agents that are killed and started again: their routers keep serving and are adopted."""
 
 import os
 import signal
--- a/tests/test_process_peers.py
+++ b/tests/test_process_peers.py
@@ -1,4 +1,4 @@
-"""Membership among five router processes, with the fault relay on every link between them."""
+"""Tests of membership among five router processes, with the fault relay on every link between them."""
 
 import json
 import time
--- a/tests/test_process_rollout.py
+++ b/tests/test_process_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts by three agents with two real routers each, under load, connected through the fault relay."""
+"""Tests of rollouts by three agents with two real routers each, under load and through the fault relay."""
 
 import asyncio
 import os
--- a/tests/test_process_runners.py
+++ b/tests/test_process_runners.py
@@ -1,4 +1,4 @@
-"""Rollouts of runners with real processes: all routers stop using a runner, and use it again."""
+"""Tests of rollouts of runners with real processes: all routers stop using a runner, and use it again."""
 
 import time
 import unittest
--- a/tests/test_process_unrecorded.py
+++ b/tests/test_process_unrecorded.py
@@ -1,4 +1,4 @@
-"""An agent that is killed after it has started a process and before it has recorded it in the registry."""
+"""Tests of an agent that is killed after it has started a process, before it records it in the registry."""
 
 import asyncio
 import contextlib
--- a/tests/test_process_voters.py
+++ b/tests/test_process_voters.py
@@ -1,4 +1,4 @@
-"""Rollouts with real processes: with a voter whose journal is damaged, and with an agent without a vote."""
+"""Tests of rollouts with real processes: a voter with a damaged journal, and an agent without a vote."""
 
 import os
 import unittest
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""Test that incrementally updated rankings and age heaps agree with sorting or scanning everything."""
+"""Tests that incrementally updated rankings and age heaps agree with sorting or scanning everything."""
 
 import math
 from dataclasses import dataclass
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""Runs the Python example of the README."""
+"""Tests that the Python example of the README runs."""
 
 import os
 import re
--- a/tests/test_recorded_datagrams.py
+++ b/tests/test_recorded_datagrams.py
@@ -1,4 +1,4 @@
-"""Decoding of the membership datagrams that are recorded in `tests/recorded/control`."""
+"""Tests of decoding the membership datagrams that are recorded in `tests/recorded/control`."""
 
 import unittest
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,4 +1,4 @@
-"""Test that generated traces give the same actions at the same times as when they were recorded.
+"""Tests that generated traces give the same actions at the same times as when they were recorded.
 
 After an intended change of decisions, record them again with `python -m tests.decision_trace --write`, and
 explain the change in the commit message.
--- a/tests/test_recorded_fronts.py
+++ b/tests/test_recorded_fronts.py
@@ -1,4 +1,4 @@
-"""Compares fronts, files and protocol lines with recordings: statuses, headers, bodies, values, errors."""
+"""Tests that fronts, files and protocol lines are as recorded: statuses, headers, bodies, values, errors."""
 
 import pytest
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Test that the actions of one dispatcher keep the rules below for any valid sequence of events.
+"""Tests that the actions of one dispatcher keep the rules below for any valid sequence of events.
 
 - Each call gets exactly one final answer, in time.
 - No attempt begins after the final answer, after the deadline, or at a worker that is not running.
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks shared among members: the assignment of checks, and the spread of findings to all members."""
+"""Tests of health checks shared among members: their assignment, and the spread of findings to all members."""
 
 import unittest
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Test the slow-start limit for the sum of the calls of 3, 30 and 200 simulated routers."""
+"""Tests of the slow-start limit for the sum of the calls of 3, 30 and 200 simulated routers."""
 
 import pytest
 
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -1,4 +1,4 @@
-"""Members that join, leave and rejoin; every message is delivered at once."""
+"""Tests of members that join, leave and rejoin; every message is delivered at once."""
 
 import unittest
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""A cancelled task ends, even if the event that it waits for is set in the same event loop iteration."""
+"""Tests that a cancelled task ends, even if its event is set in the same event loop iteration."""
 
 import asyncio
 from collections import Counter
