--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Tests of health checks shared among members: their assignment, and the spread of findings to all members."""
+"""Tests of health checks shared among members: their assignment, and the spread of findings to members."""
 
 import unittest
 
