--- a/maplestile/agent/log_reader.py
+++ b/maplestile/agent/log_reader.py
@@ -13,7 +13,7 @@
     """Yield the lines of a log file from an offset on as they are written, until the writer has ended.
 
     A file larger than MAX_LOG_BYTES is truncated once it has been read to its end. The writer opened it in
-    append mode, so it goes on at the new end of the file.
+    append mode, so it continues at the new end of the file.
     """
     incomplete = b""
     with path.open("r+b") as file:
--- a/maplestile/agent/policy_leader.py
+++ b/maplestile/agent/policy_leader.py
@@ -40,7 +40,7 @@
             log.warning("policy: the log has not confirmed the command '%s': %s", name, error)
             return
         if not reply["ok"]:
-            log.info("policy: the log refused the command '%s': %s", name, reply["reason"])
+            log.info("policy: the log rejected the command '%s': %s", name, reply["reason"])
             return
         logged = logged_fields(encode(command), LOGGED_KEYS)
         content = {key: value for key, value in reply.items() if key != "ok"}
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -79,7 +79,7 @@
         self.counters = counters
 
     async def submit(self, command: Command) -> EncodedReply | None:
-        """Submit a command; return the reply, or None if the log refuses the command or gives no reply."""
+        """Submit a command; return the reply, or None if the log rejects the command or gives no reply."""
         try:
             reply = await self.replicated_log.submit(command)
         except LogError as error:
@@ -88,7 +88,7 @@
         if reply["ok"]:
             return reply
         self.counters["control.refused"] += 1
-        log.warning("control: the log refused the command '%s': %s", name_of(command), reply["reason"])
+        log.warning("control: the log rejected the command '%s': %s", name_of(command), reply["reason"])
         return None
 
     async def submit_until_answered(self, command: Command) -> None:
@@ -107,7 +107,7 @@
                 )
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            # Refused if an earlier submission was committed after all, or an operator released the lease.
+            # Rejected if an earlier submission was committed after all, or an operator released the lease.
             if not reply["ok"]:
-                log.info("control: the log refused the command '%s': %s", name_of(command), reply["reason"])
+                log.info("control: the log rejected the command '%s': %s", name_of(command), reply["reason"])
             return
--- a/maplestile/membership/view.py
+++ b/maplestile/membership/view.py
@@ -25,7 +25,7 @@
     taken_over: int  # checks newly assigned to this member while it already had others
     given_up: int  # checks no longer assigned to this member
     overlap: int  # checks assigned here that the agreed view assigned to another member
-    skipped_probes: int  # own probes skipped since the assignee finds the runner silent
+    skipped_probes: int  # own probes skipped because the assignee reports the runner as silent
 
 
 @dataclass(slots=True, frozen=True)
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -70,7 +70,9 @@
         self.swim = self._new_swim(self.settings.advertise or (host, port))
         self.swim.join(self.settings.seeds)
         self._flush()
-        log.info("%s: members meet on UDP %s:%d, seeds %d", self.name, host, port, len(self.settings.seeds))
+        log.info(
+            "%s: group membership on UDP %s:%d, %d seeds", self.name, host, port, len(self.settings.seeds)
+        )
         try:
             while True:
                 await self._wait_until_due()
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -122,7 +122,7 @@
 def _check_numbers(arguments: argparse.Namespace) -> None:
     """Check that the options are consistent and in range. Raises `ArgumentsError`."""
     if bool(arguments.rate) == bool(arguments.trace):
-        raise ArgumentsError("either --rate or --trace")
+        raise ArgumentsError("specify either --rate or --trace")
     if arguments.rate and not arguments.function:
         raise ArgumentsError("--rate needs a --function")
     positive = (arguments.speed, arguments.seconds, arguments.count, arguments.open, arguments.wait_s)
--- a/maplestile/wire/dns.py
+++ b/maplestile/wire/dns.py
@@ -35,7 +35,7 @@
 
 
 class DnsError(Exception):
-    """A reply that cannot be used."""
+    """Raised for a reply that cannot be used."""
 
 
 class Truncated(DnsError):
--- a/tests/record_control.py
+++ b/tests/record_control.py
@@ -41,7 +41,7 @@
 
 
 def disk_records() -> dict[str, bytes]:
-    """Return a durable record, two records of a router's policy, and the names of suspended runners."""
+    """Return a durable record, two records of a router's policy, and the names of cordoned runners."""
     with tempfile.TemporaryDirectory() as path:
         folder = Path(path)
         durable.write(folder / "durable.json", 3, {"b": [1, None, True], "a": {"é": 1.5}})
--- a/tests/router_group.py
+++ b/tests/router_group.py
@@ -63,7 +63,7 @@
 
     def register_udp_address(self, number: int) -> None:
         """Register the address of the router's UDP socket with the relay."""
-        address = self.programs[number].find(r"members meet on UDP (127\.0\.0\.1:\d+)")
+        address = self.programs[number].find(r"group membership on UDP (127\.0\.0\.1:\d+)")
         self.relay.send_command("udp", member=number, address=address)
 
     def restart(self, number: int) -> None:
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -77,7 +77,7 @@
 
 
 class SuspendedRunnerTest(unittest.TestCase):
-    """The effect of a suspended runner on the endpoint list and the dispatcher."""
+    """The effect of a cordoned runner on the endpoint list and the dispatcher."""
 
     def test_suspended_runner_appears_as_draining(self) -> None:
         endpoints = EndpointList()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -198,7 +198,7 @@
 
     def test_invalid_arguments_are_reported_with_the_reason(self) -> None:
         for arguments, reason in (
-            (["127.0.0.1:1"], "either --rate or --trace"),
+            (["127.0.0.1:1"], "specify either --rate or --trace"),
             (["127.0.0.1:1", "--rate", "5"], "--rate needs a --function"),
             (["192.0.2.1:1", "--rate", "5", "--function", "f"], "loopback"),
             (["127.0.0.1:1", "--rate", "5", "--function", "f=x"], "the weight is not a number"),
