--- a/maplestile/control/policy/store.py
+++ b/maplestile/control/policy/store.py
@@ -32,7 +32,7 @@
     epoch = record["epoch"]
     document = decode_document(record["document"])
     if type(epoch) is not int or epoch < 0:
-        raise ValueError("its epoch is no number")
+        raise ValueError("its epoch is not a non-negative integer")
     return AdoptedPolicy(epoch, document)
 
 
--- a/maplestile/net/gossip.py
+++ b/maplestile/net/gossip.py
@@ -70,7 +70,9 @@
         self.swim = self._new_swim(self.settings.advertise or (host, port))
         self.swim.join(self.settings.seeds)
         self._flush()
-        log.info("%s: members meet on UDP %s:%d, seeds %d", self.name, host, port, len(self.settings.seeds))
+        log.info(
+            "%s: group membership on UDP %s:%d, %d seeds", self.name, host, port, len(self.settings.seeds)
+        )
         try:
             while True:
                 await self._wait_until_due()
@@ -124,7 +126,9 @@
         finding = self.health_checks.record_result(runner, result is Result.OK)
         if finding is not None:
             self.counters["peers.health_checks.findings"] += 1
-            self.events.info("finding", runner=runner, answers=finding.answers, version=finding.version)
+            self.events.info(
+                "health finding", runner=runner, answers=finding.answers, version=finding.version
+            )
 
     # Views for operators.
 
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -31,7 +31,7 @@
 from maplestile.router.policy_jobs import RunJob, run_inline
 
 log = logging.getLogger("maplestile.policy")
-TICK_INTERVAL_S = 0.1  # between two updates of the status
+TICK_INTERVAL_S = 0.1  # between updates of the status
 US_PER_S = 1e6
 
 Reply = Callable[[PolicyReport], None]  # sends the report as the reply to an announcement
@@ -77,7 +77,7 @@
     def build_config(self, tables: Tables) -> Config:
         """Return the configuration of the file, with the adopted policy in place of the file's own.
 
-        Called at the start and at each reload. If it raises ConfigError, nothing has changed.
+        Called at startup and on each reload. If it raises ConfigError, nothing has changed.
         """
         if not self.has_built_config:
             self.has_built_config = True
--- a/maplestile/tools/explore/scenario.py
+++ b/maplestile/tools/explore/scenario.py
@@ -12,11 +12,11 @@
 from maplestile.wire.limits import ControlRequestLimits, Limits, RunnerLimits
 
 START_US = 1_000_000_000_000  # simulated time at which every run starts
-STEP_US = 100 * US_PER_MS  # by which one `time` event advances the clock
+STEP_US = 100 * US_PER_MS  # how far one `time` event advances the clock
 DEADLINE_US = 400 * US_PER_MS  # of every call
 DRAIN_US = 300 * US_PER_MS  # from SIGTERM to exit; shorter than a call's deadline, so the exit comes first
 LOAD_TIMEOUT_US = 300 * US_PER_MS  # of each load request
-DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # during which a worker drops calls that repeat an idempotency key
+DEDUPLICATION_WINDOW_US = 250 * US_PER_MS  # how long a worker drops calls that repeat an idempotency key
 LATENCY_OBJECTIVE_US = 200 * US_PER_MS  # of every call class
 RUNNER_SILENT_US = 150 * US_PER_MS  # a connection without an answer for this long may be dead
 IDLE_STEPS = 12  # before the check for leftovers; longer than any call, load or health check
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -28,7 +28,7 @@
 
 def add(commands: Any) -> None:
     """Add the command to argparse's sub-parsers."""
-    command = commands.add_parser("load", help="call invoke fronts, at a rate or as a trace tells")
+    command = commands.add_parser("load", help="call invoke fronts, at a rate or as recorded in a trace")
     command.add_argument("target", nargs="+", metavar="HOST:PORT", help="invoke fronts, called in turn")
     _add_arrival_options(command)
     _add_request_options(command)
@@ -115,14 +115,14 @@
         except ValueError:
             invalid_text = text
     if invalid_text is not None:
-        raise ArgumentsError(f"--function {invalid_text}: the weight is no number")
+        raise ArgumentsError(f"--function {invalid_text}: the weight is not a number")
     return weights
 
 
 def _check_numbers(arguments: argparse.Namespace) -> None:
     """Check that the options are consistent and in range. Raises `ArgumentsError`."""
     if bool(arguments.rate) == bool(arguments.trace):
-        raise ArgumentsError("either --rate or --trace")
+        raise ArgumentsError("specify either --rate or --trace")
     if arguments.rate and not arguments.function:
         raise ArgumentsError("--rate needs a --function")
     positive = (arguments.speed, arguments.seconds, arguments.count, arguments.open, arguments.wait_s)
--- a/maplestile/tools/model/command.py
+++ b/maplestile/tools/model/command.py
@@ -26,7 +26,9 @@
     command = commands.add_parser("model", help="run an experiment of the membership protocol on the model")
     command.add_argument("file", type=Path)
     command.add_argument("--format", choices=("json", "csv"), default="json")
-    command.add_argument("--seeds", type=int, default=1, metavar="N", help="run so many; tell the spread")
+    command.add_argument(
+        "--seeds", type=int, default=1, metavar="N", help="run this many seeds and print the spread"
+    )
     command.add_argument("--plot", type=Path, metavar="PNG", help="draw the course of the run there")
     command.set_defaults(run=run)
 
@@ -54,10 +56,10 @@
 
     if tables["kind"] == "rollout":
         rollouts = with_seeds(rollout_experiment.parse_experiment(tables), arguments.seeds)
-        spread = report.spread_of_runs(rollout.metrics, rollouts)
+        spread = report.spread_of_runs(rollout.measure, rollouts)
     else:
         policies = with_seeds(policy_experiment.parse_experiment(tables), arguments.seeds)
-        spread = report.spread_of_runs(policy.metrics, policies)
+        spread = report.spread_of_runs(policy.measure, policies)
     _print_spread(spread, arguments.format)
 
 
@@ -65,7 +67,7 @@
     from maplestile.tools.model import report, run
 
     if arguments.seeds > 1:
-        spread = report.spread_of_runs(run.metrics, run.with_seeds(experiment, arguments.seeds))
+        spread = report.spread_of_runs(run.measure, run.with_seeds(experiment, arguments.seeds))
         _print_spread(spread, arguments.format)
         return
     metrics, time_series = run.run(experiment)
--- a/maplestile/tools/traces.py
+++ b/maplestile/tools/traces.py
@@ -1,6 +1,6 @@
 """Reader of public cluster traces in CSV; it adds up the usage of each function row by row.
 
-The format is recognised by the header: the Azure Functions trace of 2019 (invocations per minute, durations,
+The format is recognized by the header: the Azure Functions trace of 2019 (invocations per minute, durations,
 and memory by app) or that of 2021 (one row per call). Several files of one trace are joined by function.
 See https://github.com/Azure/AzurePublicDataset for the formats.
 """
@@ -241,7 +241,7 @@
     try:
         value = float(text)
     except ValueError:
-        raise RowError(f"column '{column}' is no number: '{text[:40]}'") from None
+        raise RowError(f"column '{column}' is not a number: '{text[:40]}'") from None
     if not 0 <= value < math.inf:
         raise RowError(f"column '{column}' is out of range: '{text[:40]}'")
     return value
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""Tests the explorer: deliberate faults are found, shipped components hold, and counterexamples replay."""
+"""Tests of the explorer: deliberate faults are found, shipped components hold, and counterexamples replay."""
 
 import contextlib
 import io
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize(
     ("text", "place"),
     [
-        ("{", "no JSON"),
+        ("{", "invalid JSON"),
         ("[]", "must be an object"),
         ('{"version": 2}', "version: must be 1"),
         ('{"version": 1, "case": "x"}', "case: must be one of"),
@@ -180,11 +180,11 @@
     module.write_text(text.replace(original, replacement))
 
 
-def test_replays_counterexample_on_sockets_with_real_program() -> None:
+def test_replays_counterexample_over_sockets_with_real_program() -> None:
     events = "submit, up 0, error 0 0"
     result = sockets.replay(Example("unsafe", "unsafe-once", events_of(events))).as_json()
     assert (result["broken"], len(result["attempts"]), result["answers"]) == ([], 1, {"0": [502]})
-    # In a copy of the program with the fault, the replay on sockets violates the same property.
+    # Replayed against a copy of the program with a fault injected, the example violates the property.
     folder = copy_program()
     dispatch = folder / "maplestile" / "dispatch"
     replace_source(
@@ -201,7 +201,7 @@
     assert [name for name, _ in result["broken"]] == ["unsafe-once"], result
 
 
-def test_submits_call_again_on_sockets_after_shedding_for_lag() -> None:
+def test_submits_call_again_over_sockets_after_shedding_for_lag() -> None:
     folder = copy_program()
     intake = folder / "maplestile" / "requests" / "request_intake.py"
     lag = "lags = lag_us > limits.max_lag_us"
@@ -215,7 +215,7 @@
         sockets.replay(example, folder)
 
 
-def test_replays_endpoint_list_and_connection_faults_on_sockets() -> None:
+def test_replays_endpoint_list_and_connection_faults_over_sockets() -> None:
     for case, events, statuses in (
         ("unsafe", "submit, refuse 0, up 1, ok 1 0", [200]),
         ("drain", "submit, up 0, drain 0, drain 1, reset 0", [502]),
--- a/tests/test_process_adopt.py
+++ b/tests/test_process_adopt.py
@@ -1,4 +1,4 @@
-"""Agents that are killed and started again: their routers keep serving and are adopted."""
+"""Tests of agents that are killed and started again: their routers keep serving and are adopted."""
 
 import os
 import signal
@@ -10,7 +10,7 @@
 from tests.rollout_fleet import Calls, HangingCall
 from tests.standins import PATIENCE_S, Program, eventually
 
-STEP_UNDER_WAY_S = 0.3  # after the `step begun` event, the time by which the router is certainly draining
+STEP_UNDER_WAY_S = 0.3  # the router is certainly draining this long after the event `step begun`
 
 
 class AdoptTest(PolicyTest):
--- a/tests/test_process_runners.py
+++ b/tests/test_process_runners.py
@@ -1,4 +1,4 @@
-"""Rollouts of runners with real processes: all routers stop using a runner, and use it again."""
+"""Tests of rollouts of runners with real processes: all routers stop using a runner, and use it again."""
 
 import time
 import unittest
@@ -8,7 +8,7 @@
 from tests.standins import eventually
 
 SUSPEND_LIMIT_S = 2.0  # routers must stop sending calls to a runner within this time after it is suspended
-QUIET_S = 1.0  # for which no call may arrive
+QUIET_S = 1.0  # no call may arrive for this long
 
 
 class RunnerTest(FleetTest):
