--- a/maplestile/agent/settings.py
+++ b/maplestile/agent/settings.py
@@ -62,7 +62,7 @@
     )
     names = [instance.name for instance in settings.instances]
     if len(set(names)) < len(names):
-        raise OperatorError("instance: a name stands twice")
+        raise OperatorError("instance: duplicate name")
     agent.reject_unknown_fields()
     root.reject_unknown_fields()
     return settings
@@ -74,7 +74,7 @@
     except OSError as error:
         raise OperatorError(f"{path}: {error.strerror}") from None
     except tomllib.TOMLDecodeError as error:
-        raise OperatorError(f"{path}: no TOML: {error}") from None
+        raise OperatorError(f"{path}: invalid TOML: {error}") from None
 
 
 def _control_settings(root: TomlTable) -> ControlSettings | None:
--- a/maplestile/control/settings.py
+++ b/maplestile/control/settings.py
@@ -65,11 +65,13 @@
     parsed_voters = tuple(_parse_voter(voter) for voter in voters)
     names = [voter.name for voter in parsed_voters]
     if listen and (len(parsed_voters) not in VOTER_COUNTS or name not in names):
-        raise table.field_error("name", "must be one of one, three or five [[voter]]")
+        raise table.field_error(
+            "name", "must be the name of a [[voter]] table, of which there must be one, three or five"
+        )
     if len(set(names)) < len(names):
-        raise table.field_error("voter", "a name stands twice")
+        raise table.field_error("voter", "duplicate name")
     if not listen and not voter_agents:
-        raise table.field_error("ask", "must name agents of voters where there is no 'listen'")
+        raise table.field_error("ask", "required without 'listen': the addresses of the voters' agents")
     table.reject_unknown_fields()
     return ControlSettings(name, listen, folder, parsed_voters, voter_agents, budget, rules)
 
@@ -95,7 +97,7 @@
 def _parse_voter_agents(table: TomlTable) -> tuple[Address, ...]:
     addresses = table.values.pop("ask", [])
     if not isinstance(addresses, list) or not all(isinstance(address, str) for address in addresses):
-        raise table.field_error("ask", "must be a list of host:port")
+        raise table.field_error("ask", "must be a list of host:port addresses")
     return tuple(_parse_loopback_address(table, address) for address in addresses)
 
 
