--- a/maplestile/agent/policy_controller.py
+++ b/maplestile/agent/policy_controller.py
@@ -186,7 +186,8 @@
             reply = await self.replicated_log.submit(verdict)
         except LogError as error:
             log.warning(
-                "policy: the log has not confirmed the verdict of router %s; checking the router again: %s",
+                "policy: the replicated log has not confirmed the verdict of router %s; "
+                "checking the router again: %s",
                 verdict.instance,
                 error,
             )
--- a/maplestile/agent/policy_leader.py
+++ b/maplestile/agent/policy_leader.py
@@ -37,10 +37,10 @@
         try:
             reply = await self.replicated_log.submit(command)
         except LogError as error:
-            log.warning("policy: the log has not confirmed the command '%s': %s", name, error)
+            log.warning("policy: the replicated log has not confirmed the command '%s': %s", name, error)
             return
         if not reply["ok"]:
-            log.info("policy: the log rejected the command '%s': %s", name, reply["reason"])
+            log.info("policy: the replicated log rejected the command '%s': %s", name, reply["reason"])
             return
         logged = logged_fields(encode(command), LOGGED_KEYS)
         content = {key: value for key, value in reply.items() if key != "ok"}
--- a/maplestile/agent/replicated_log.py
+++ b/maplestile/agent/replicated_log.py
@@ -83,12 +83,16 @@
         try:
             reply = await self.replicated_log.submit(command)
         except LogError as error:
-            log.warning("control: the log has not confirmed the command '%s': %s", name_of(command), error)
+            log.warning(
+                "control: the replicated log has not confirmed the command '%s': %s", name_of(command), error
+            )
             return None
         if reply["ok"]:
             return reply
         self.counters["control.refused"] += 1
-        log.warning("control: the log rejected the command '%s': %s", name_of(command), reply["reason"])
+        log.warning(
+            "control: the replicated log rejected the command '%s': %s", name_of(command), reply["reason"]
+        )
         return None
 
     async def submit_until_answered(self, command: Command) -> None:
@@ -101,7 +105,7 @@
                 reply = await self.replicated_log.submit(command)
             except LogError as error:
                 log.warning(
-                    "control: the log has not confirmed the command '%s'; submitting it again: %s",
+                    "control: the replicated log has not confirmed the command '%s'; submitting it again: %s",
                     name_of(command),
                     error,
                 )
@@ -109,5 +113,9 @@
                 continue
             # Rejected if an earlier submission was committed after all, or an operator released the lease.
             if not reply["ok"]:
-                log.info("control: the log rejected the command '%s': %s", name_of(command), reply["reason"])
+                log.info(
+                    "control: the replicated log rejected the command '%s': %s",
+                    name_of(command),
+                    reply["reason"],
+                )
             return
--- a/maplestile/agent/runner_steps.py
+++ b/maplestile/agent/runner_steps.py
@@ -51,7 +51,7 @@
         """Make the routers here use the runner again, and report it once all of them do."""
         assert lease.parts is not None
         if lease.parts.get(self.agent) != PART_IN and await self._set_used(lease.instance, True):
-            StepEvents(lease).info("runner in use")
+            StepEvents(lease).info("runner resumed")
             await self.log_client.submit_until_answered(self._part_report(lease, PART_IN))
 
     async def _suspend_runner(self, lease: Lease) -> bool:
@@ -65,7 +65,7 @@
             return False
         is_idle = await self._set_used(lease.instance, False)
         if is_idle and lease.parts.get(self.agent) == PART_BEGUN:
-            StepEvents(lease).info("runner out of use")
+            StepEvents(lease).info("runner taken out of service")
             await self.log_client.submit_until_answered(self._part_report(lease, PART_OUT))
         if lease.stage is Stage.AWAY and lease.holder == self.agent:
             await self._replace_process(lease)
--- a/maplestile/agent/supervisor.py
+++ b/maplestile/agent/supervisor.py
@@ -64,7 +64,7 @@
         log.info("agent listens on %s:%d, %d instances", host, port, len(self.instances))
         tasks = self._start_tasks()
         await self.stopping.wait()
-        log.info("agent stops: waiting for its instances to end")
+        log.info("agent is stopping: waiting for its instances to exit")
         await asyncio.gather(*(instance.process.stop() for instance in self.instances.values()))
         server.close()
         for task in tasks:
--- a/maplestile/control/policy/follower.py
+++ b/maplestile/control/policy/follower.py
@@ -1,15 +1,16 @@
-"""Decides which epoch one router applies and whether it may take new calls. Does no I/O.
+"""Decides which epoch one router applies and whether it may accept new calls. Does no I/O.
 
     WAITING --the committed epoch is announced--> CURRENT <--announced again-- STALE
        |                                             +--no announcement for `stale_us`--> STALE
        +--no announcement for `wait_us`, and an epoch is on disk--> STALE
     CURRENT, STALE --the process was paused for over `pause_us`--> WAITING
-    any --its build or file refuses the committed epoch--> REFUSED --one that fits is adopted--> CURRENT
+    any --the committed epoch is incompatible--> REFUSED --a compatible one is adopted--> CURRENT
 
-A router that starts, or whose process was paused, may have missed a commit. It takes no new calls until its
+A router that starts, or whose process was paused, may have missed a commit. It rejects new calls until its
 agent announces an epoch that was the committed one after that moment. A router that merely gets no
 announcements is cut off and goes on with the last epoch that it knows, which was committed. A router never
-returns to an older epoch.
+returns to an older epoch. An epoch is incompatible if the router's build or its configuration file does not
+support it.
 
 Times are microseconds of the machine's monotonic clock, which the router and its agent share.
 """
@@ -25,10 +26,10 @@
 class PolicyStatus(Enum):
     """How a router's epoch relates to the committed one."""
 
-    WAITING = "waiting"  # the committed epoch is not known yet; no new calls are taken
+    WAITING = "waiting"  # the committed epoch is not known yet; new calls are rejected
     CURRENT = "current"  # the epoch was confirmed as the committed one within `stale_us`
     STALE = "stale"  # the router is cut off and applies the last epoch that it knows
-    REFUSED = "refused"  # the router cannot apply the committed epoch; no new calls are taken
+    REFUSED = "refused"  # the router cannot apply the committed epoch; new calls are rejected
 
 
 class AnnouncementAction(Enum):
@@ -119,7 +120,7 @@
         return now_us - (self.confirmed_us or self.since_us)
 
     def prepare(self, change: int, document: Document | None) -> None:
-        """Record that the caller has checked that the change fits this build and file."""
+        """Record that the change is compatible with this build and the configuration file."""
         self.prepared = PreparedPolicy(change, document)
 
     def process_announcement(self, announcement: PolicyAnnouncement, now_us: int) -> AnnouncementAction:
@@ -129,7 +130,7 @@
             return AnnouncementAction.OLDER
         if self.prepared is not None and announcement.checking != self.prepared.change:
             self.prepared = None  # the change is decided; if committed, its document comes with the new epoch
-        # A refused epoch may be the one on disk, which no longer fits this file or build.
+        # A refused epoch may be the one on disk, if this build or the configuration file does not support it.
         if announcement.epoch > self.epoch or self.status is PolicyStatus.REFUSED:
             return AnnouncementAction.ADOPT if announcement.has_document else AnnouncementAction.FETCH
         self._confirm(announcement, now_us)
@@ -144,7 +145,10 @@
         self._confirm(announcement, now_us)
 
     def record_refusal(self, reason: str) -> None:
-        """Record that the committed epoch does not fit this build or file, so that no new calls are taken."""
+        """Record that the committed epoch is incompatible with this build or the configuration file.
+
+        New calls are rejected from then on.
+        """
         self.status = PolicyStatus.REFUSED
         self.reason = reason
 
--- a/maplestile/dispatch/admission.py
+++ b/maplestile/dispatch/admission.py
@@ -83,7 +83,8 @@
     def _gives_up_late_calls(self, call_class: CallClass) -> bool:
         """Return whether calls of the class are given up at their latency objective.
 
-        This is done in overload: the place of a late call goes to one that can still be answered in time.
+        This is done in overload, for idempotent classes whose late answers are worth little: it leaves room
+        for calls that can still be answered in time.
         """
         return (
             self.late_ratio > REJECTION_LATE_RATIO
--- a/maplestile/dispatch/state.py
+++ b/maplestile/dispatch/state.py
@@ -190,7 +190,10 @@
     client_disconnected: bool = False
 
     def accepts_attempts(self, now_us: int) -> bool:
-        """Return whether a new attempt may begin: no answer is streaming, and the client still waits."""
+        """Return whether a new attempt may begin.
+
+        It may while no answer is streaming, the client is still connected, and the deadline has not passed.
+        """
         return not (self.streaming or self.client_disconnected or now_us >= self.due_us)
 
     def possibly_run_attempts(self) -> list[Attempt]:
--- a/maplestile/dispatch/tiers.py
+++ b/maplestile/dispatch/tiers.py
@@ -33,7 +33,7 @@
         self.functions: dict[str, FunctionEntry] = {}
         self.tiers: tuple[dict[str, FunctionEntry], ...] = ({}, {}, {})
         self.by_age = [AgeHeap[FunctionEntry](tier) for tier in (SINGLE, MULTIPLE, CACHING)]
-        self.capacity = 1  # maximum number of functions in the multiple tier, and in the caching tier
+        self.capacity = 1  # maximum number of functions in each of the multiple and caching tiers
         self.kind_memory_mb = dict(context.settings.kind_memory_mb)
 
     def add(self, function: str, service_us: float, load_us: float) -> FunctionEntry:
--- a/maplestile/dispatch/warm_copies.py
+++ b/maplestile/dispatch/warm_copies.py
@@ -50,9 +50,9 @@
         return self.is_used_by_others(entry, max(0.0, min(1.0, since_us / keep_alive_us)))
 
     def is_used_by_others(self, entry: FunctionEntry, keep_alives: float = 1.0) -> bool:
-        """Return whether the calls of other dispatchers should keep the copies at all replicas warm.
+        """Return whether calls of other dispatchers can be expected to keep the copies at all replicas warm.
 
-        They do if enough of their calls are expected at each replica within `keep_alives` keep-alive times.
+        This holds if enough such calls are expected at each replica within `keep_alives` keep-alive times.
         """
         others = self.context.settings.router_count - 1
         calls = others * entry.decayed_work / (HALF_LIFE_KEEP_ALIVES * entry.service_us)
--- a/maplestile/invoke/operator_tables.py
+++ b/maplestile/invoke/operator_tables.py
@@ -80,14 +80,14 @@
 
 def read_array_tables(root: TomlTable) -> ArrayTables:
     """Read the array tables of a file and remove them from `root`. Raises OperatorError."""
-    classes = tuple(_service_class(table) for table in _unique(root.tables("class")))
+    classes = tuple(_parse_service_class(table) for table in _unique(root.tables("class")))
     class_names = tuple(service_class.name for service_class in classes)
-    functions = [_function(table, class_names) for table in _unique(root.tables("function"))]
-    tenants = [_tenant(table) for table in _unique(root.tables("tenant", needed=False))]
-    kinds = tuple(_kind(table) for table in _unique(root.tables("kind")))
+    functions = [_parse_function(table, class_names) for table in _unique(root.tables("function"))]
+    tenants = [_parse_tenant(table) for table in _unique(root.tables("tenant", needed=False))]
+    kinds = tuple(_parse_kind(table) for table in _unique(root.tables("kind")))
     kind_names = tuple(kind.name for kind in kinds)
     workers = tuple(
-        _worker(table, kind_names) for table in _unique(root.tables("worker", needed=False), "id")
+        _parse_worker(table, kind_names) for table in _unique(root.tables("worker", needed=False), "id")
     )
     return ArrayTables(
         classes=classes,
@@ -111,7 +111,7 @@
     return tables
 
 
-def _service_class(table: TomlTable) -> ServiceClass:
+def _parse_service_class(table: TomlTable) -> ServiceClass:
     objective_ms = table.number("aim_ms", minimum=1)
     service_class = ServiceClass(
         name=table.text("name"),
@@ -126,7 +126,7 @@
     return service_class
 
 
-def _function(table: TomlTable, class_names: tuple[str, ...]) -> FunctionSettings:
+def _parse_function(table: TomlTable, class_names: tuple[str, ...]) -> FunctionSettings:
     function = FunctionSettings(
         name=table.text("name"),
         class_name=table.choice("class", class_names),
@@ -137,19 +137,19 @@
     return function
 
 
-def _tenant(table: TomlTable) -> TenantSettings:
+def _parse_tenant(table: TomlTable) -> TenantSettings:
     tenant = TenantSettings(table.text("name"), table.integer("open_most", 0))
     table.reject_unknown_fields()
     return tenant
 
 
-def _kind(table: TomlTable) -> MachineKind:
+def _parse_kind(table: TomlTable) -> MachineKind:
     kind = MachineKind(table.text("name"), table.number("memory_mb", minimum=1))
     table.reject_unknown_fields()
     return kind
 
 
-def _worker(table: TomlTable, kind_names: tuple[str, ...]) -> dict[str, Any]:
+def _parse_worker(table: TomlTable, kind_names: tuple[str, ...]) -> dict[str, Any]:
     worker = {
         "uid": table.text("id"),
         "endpoint": table.address("address"),
--- a/maplestile/membership/suspicion.py
+++ b/maplestile/membership/suspicion.py
@@ -26,7 +26,7 @@
             yield self._deadline_us(self._members.members[name])
 
     def tick(self, now_us: int) -> None:
-        """Declare each member dead whose suspicion has timed out."""
+        """Declare dead every member whose suspicion has timed out."""
         for name in list(self._members.suspects):
             member = self._members.members[name]
             if now_us >= self._deadline_us(member):
--- a/maplestile/operation/policy.py
+++ b/maplestile/operation/policy.py
@@ -40,7 +40,8 @@
     stale_s: float  # seconds since the epoch was last confirmed as the committed one; 0 if not stale
     refused: float  # 1 if the router cannot apply the committed epoch; else 0
     reloads_refused: float  # reloads of a file with another policy than at startup; it was not applied
-    mixed_calls: float  # attempts decided under another epoch than their call; always 0
+    # Attempts decided under a different epoch from their call; not 0 only if there is a bug.
+    mixed_calls: float
 
 
 class PolicyOperations(Protocol):
--- a/maplestile/operation/policy_json.py
+++ b/maplestile/operation/policy_json.py
@@ -46,7 +46,7 @@
 
 
 def encode_check_passed() -> dict[str, Any]:
-    """Return the response to a check of a change that fits this build and file."""
+    """Return the response to a check of a change compatible with this build and the configuration file."""
     return {"build": __version__}
 
 
--- a/maplestile/router/policy_driver.py
+++ b/maplestile/router/policy_driver.py
@@ -92,7 +92,8 @@
         except ConfigError as error:
             reason = str(error)
         log.error(
-            "policy: the stored epoch %d does not fit this build or file, so no new calls are taken: %s",
+            "policy: the stored epoch %d is incompatible with this build or the configuration file, "
+            "so new calls are rejected: %s",
             self.follower.epoch,
             reason,
         )
@@ -184,11 +185,14 @@
         self.counters["policy.refused"] += 1
         if (epoch, reason) != self.last_logged_refusal:  # log once: the agent keeps announcing the epoch
             self.last_logged_refusal = epoch, reason
-            log.error("policy: epoch %d is refused, so no new calls are taken: %s", epoch, reason)
+            log.error("policy: refusing epoch %d and all new calls: %s", epoch, reason)
         self.follower.record_refusal(reason)
 
     def check(self, change: PolicyCheck) -> None:
-        """Check that a policy change fits this build and file. Raises PolicyError, which names the field."""
+        """Check that a policy change is compatible with this build and the configuration file.
+
+        Raises PolicyError, which names the field.
+        """
         try:
             self.configuration.build_with_policy(self.epoch + 1, change.document)
         except PolicyError:
--- a/maplestile/tools/load/command.py
+++ b/maplestile/tools/load/command.py
@@ -127,7 +127,9 @@
         raise ArgumentsError("--rate needs a --function")
     positive = (arguments.speed, arguments.seconds, arguments.count, arguments.open, arguments.wait_s)
     if min(positive) <= 0 or arguments.rate < 0:
-        raise ArgumentsError("--rate, --speed, --seconds, --count, --open and --wait-s must be over 0")
+        raise ArgumentsError(
+            "--rate, --speed, --seconds, --count, --open and --wait-s must be greater than 0"
+        )
 
 
 def _plan_arrivals(arguments: argparse.Namespace, weights: dict[str, float]) -> "Iterable[Arrival]":
--- a/maplestile/tools/model/rollout_metrics.py
+++ b/maplestile/tools/model/rollout_metrics.py
@@ -28,7 +28,7 @@
     most_out: int = 0  # maximum number of instances out of service at the same time
     most_out_planned: int = 0  # the same, without instances in an outage
     step_starts_us: list[int] = field(default_factory=list)  # simulated times
-    # From each operator's halt until the last step began.
+    # For each halt by an operator: the time until the last step that began after it; 0 if none did.
     last_after_halt_us: list[int] = field(default_factory=list)
     halts: int = 0  # number of halts by the planner
     ended_us: int | None = None  # when the rollout ended; None if it has not
--- a/maplestile/wire/limits.py
+++ b/maplestile/wire/limits.py
@@ -17,7 +17,7 @@
 # For connections that are accepted and not counted yet, or rejected and not closed yet: two bursts.
 BURST_DESCRIPTORS = 32
 BASE_MEMORY_MB = 20  # memory of the process before it has served any request
-MIN_SPARE_MEMORY_MB = 8  # least memory for requests and unread answers, however little is available
+MIN_SPARE_MEMORY_MB = 8  # minimum memory for requests and unread answers, however little is available
 ANSWER_BYTES = 230_000  # longest body of a runner's answer
 
 
@@ -112,7 +112,8 @@
     queued_messages: int = 4096  # messages that wait on one connection
     # Lower bound of the learned idle timeout; there, each pause in the traffic costs a new handshake.
     min_learned_idle_us: int = 50_000
-    learned_idle_recovery_us: int = 5_000_000  # time without a break after which the learned timeout doubles
+    # Time without a broken connection after which the learned timeout doubles.
+    learned_idle_recovery_us: int = 5_000_000
     line_bytes: int = 4 * ANSWER_BYTES // 3 + 4 * KB  # the longest answer in base64, and its head
     # Longest pause between two pieces of one answer: a tenth of the shortest latency objectives, and far
     # longer than a pause of the network.
@@ -164,7 +165,7 @@
     idle_us: int = 20_000  # time without activity after which a connection is closed
     idle_wait_us: int = 1_000_000  # how long the process waits for its connections to be idle
     spare_us: int = 250_000  # how long before SIGKILL the process exits
-    min_budget_us: int = 250_000  # least remaining time with which a request is still accepted
+    min_budget_us: int = 250_000  # minimum remaining time with which a request is still accepted
     linger_us: int = 100_000  # how long input that crossed the close of a connection is read
 
 
@@ -172,7 +173,7 @@
 class ShutdownLimits:
     """Shutdown. Connections still arrive for 0.4 s after SIGTERM, requests on open ones for 0.2 s more."""
 
-    min_drain_us: int = 900_000  # least time for which requests are served after SIGTERM
+    min_drain_us: int = 900_000  # minimum time for which requests are served after SIGTERM
     # How long the process then waits for a moment without open requests. After that it rejects new requests,
     # since clients that never stop calling would keep it waiting.
     drain_patience_us: int = 1_000_000
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Provide settings and events for tests of the dispatcher, and a driver that passes the events to one."""
+"""Settings and events for tests of the dispatcher, and a driver that passes events to a dispatcher."""
 
 from maplestile.dispatch import api
 from maplestile.dispatch.dispatcher import Dispatcher
--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -16,7 +16,7 @@
 POLICY = "stale_s = 2\nwait_s = 4\ntrace = true\n"
 # From a commit until every live and connected router has applied it; it takes 0.3 s on an idle machine.
 APPLIED_WITHIN_S = 5.0
-MIN_CALLS = 20  # the least number of calls in the logs of a test under load
+MIN_CALLS = 20  # minimum number of calls that a test under load must have logged
 METRIC_MISSING = -1.0
 
 
--- a/tests/record_agent.py
+++ b/tests/record_agent.py
@@ -11,7 +11,7 @@
 from tests.record_agent_clients import sent_by_command_line, sent_to_voter
 from tests.record_agent_commands import command_answers
 from tests.record_controllers import (
-    answered_by_router,
+    router_answers,
     sent_by_policy_controller,
     submitted_by_rollout_controller,
 )
@@ -30,5 +30,5 @@
         ):
             files.update(asyncio.run(recorder(folder)))
         files.update(sent_by_command_line(folder))
-        files.update(answered_by_router(folder / "router"))
+        files.update(router_answers(folder / "router"))
     return files
--- a/tests/record_agent_clients.py
+++ b/tests/record_agent_clients.py
@@ -170,7 +170,7 @@
 
 
 async def sent_to_voter(folder: Path) -> dict[str, bytes]:
-    """Return the lines by which an agent without a vote submits a command and requests the state."""
+    """Return the lines that an agent without a vote sends to submit a command and to request the state."""
     control = control_after_script().encoded()
     reply = {"control": {"ready": True, "reply": {"ok": True, "rollout": 15}, "state": control, "told": {}}}
     scripted = ScriptedAgent([json.dumps(reply).encode() + b"\n"] * REQUESTS)
--- a/tests/record_command_line.py
+++ b/tests/record_command_line.py
@@ -17,7 +17,7 @@
 from tests.standins import ROOT
 
 
-def helps() -> str:
+def help_texts() -> str:
     """Return the help text of each command."""
     return "\n".join(run(*command, "--help") for command in COMMANDS)
 
@@ -37,7 +37,7 @@
     return "\n".join(run(*arguments) for arguments in GOOD_USES)
 
 
-def checks() -> str:
+def check_outputs() -> str:
     """Return the output of `check` for each example and deployment file."""
     files = sorted([*(ROOT / "deploy").rglob("*.toml"), *(ROOT / "examples").rglob("*.toml")])
     return "\n".join(run("check", relative(file)) for file in files)
@@ -94,11 +94,11 @@
 
 
 RECORDERS: dict[str, Recorder] = {
-    "command-line-help.txt": helps,
+    "command-line-help.txt": help_texts,
     "command-line-bad-uses.txt": bad_uses,
     "command-line-bad-loads.txt": bad_loads,
     "command-line-good-uses.txt": good_uses,
-    "command-line-check.txt": checks,
+    "command-line-check.txt": check_outputs,
     "command-line-spoilt-files.txt": damaged_files,
     "command-line-agent-answers.txt": agent_answers,
     "files-agent.json": agent_files,
--- a/tests/record_controllers.py
+++ b/tests/record_controllers.py
@@ -134,7 +134,7 @@
     return message
 
 
-def answered_by_router(folder: Path) -> dict[str, bytes]:
+def router_answers(folder: Path) -> dict[str, bytes]:
     """Return a router's answers to valid and invalid announcements and checks."""
     rig = PolicyDriverRig(folder)
     announcements = list[object]()
--- a/tests/record_router_fronts.py
+++ b/tests/record_router_fronts.py
@@ -166,7 +166,7 @@
     ]
 
 
-def policy_front() -> str:
+def policy_front_transcript() -> str:
     """Record the policy endpoints of a router before and after it adopts a policy, and checks of changes."""
 
     def record(program: Program) -> str:
@@ -198,6 +198,6 @@
 
 RECORDERS: dict[str, Recorder] = {
     "front-operators.txt": operators_front,
-    "front-policy.txt": policy_front,
+    "front-policy.txt": policy_front_transcript,
     "front-invoke.txt": invoke_front,
 }
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -53,7 +53,7 @@
         budget=st.integers(1, 2),
         chosen=st.sampled_from((["w0"], ["w1"], ["w0", "w1"])),
     )
-    def start_runners(self, action: str, budget: int, chosen: list[str]) -> None:
+    def start_runner_rollout(self, action: str, budget: int, chosen: list[str]) -> None:
         """An operator starts a rollout of runners."""
         command = {"do": "start", "action": action, "targets": chosen, "budget": budget, "kind": "runners"}
         self.control.apply_encoded(command)
--- a/tests/test_decide_loads.py
+++ b/tests/test_decide_loads.py
@@ -119,8 +119,8 @@
     assert len(sends(small.actions())) == 2
 
 
-def test_full_answer_to_a_load_does_not_block_loaded_functions() -> None:
-    """In a run with large workers, all 4,052 full answers were to loads, but blocked the whole call class."""
+def test_load_rejected_as_full_does_not_block_loaded_functions() -> None:
+    """In a run with large workers, all 4,052 FULL answers were to loads, but blocked the whole call class."""
     driver = Driver(settings(), WORKERS[:1])
     driver.give(arrival(1, "warm"))
     driver.give(ended(1, 0, "w0", api.Result.OK))
--- a/tests/test_decide_worker_health.py
+++ b/tests/test_decide_worker_health.py
@@ -102,7 +102,7 @@
     assert outliers.failure_score(worker, "safe ") > EJECTION_SCORE > outliers.failure_score(worker, "")
 
 
-def test_full_answers_back_off_only_that_tenant_and_longer_each_time() -> None:
+def test_rejections_as_full_back_off_only_that_tenant_and_longer_each_time() -> None:
     driver = Driver(settings(), WORKERS[:1])
     backoffs_us = []
     for call in range(3):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -202,7 +202,7 @@
             (["127.0.0.1:1", "--rate", "5"], "--rate needs a --function"),
             (["192.0.2.1:1", "--rate", "5", "--function", "f"], "loopback"),
             (["127.0.0.1:1", "--rate", "5", "--function", "f=x"], "the weight is not a number"),
-            (["127.0.0.1:1", "--rate", "5", "--function", "f", "--seconds", "0"], "must be over 0"),
+            (["127.0.0.1:1", "--rate", "5", "--function", "f", "--seconds", "0"], "must be greater than 0"),
         ):
             with contextlib.redirect_stderr(io.StringIO()) as errors:
                 self.assertEqual(main(["load", *arguments]), 2)
--- a/tests/test_process_runners.py
+++ b/tests/test_process_runners.py
@@ -25,8 +25,10 @@
         self.start_rollout(1, "--runners", "--action", "drain", "--budget", "1", "w1")
         self.wait_for_event("step begun", "w1")
         self.fleet.wait_for_phase(2, "done")
-        eventually(lambda: len(self.events_named("runner out of use")) == AGENTS, "an event of each agent")
-        events = self.events_named("runner out of use")
+        eventually(
+            lambda: len(self.events_named("runner taken out of service")) == AGENTS, "an event of each agent"
+        )
+        events = self.events_named("runner taken out of service")
         # All routers have suspended the runner by the time of the last agent's event.
         time.sleep(max(0.0, SUSPEND_LIMIT_S - (time.monotonic() - events[-1]["t_us"] / 1e6)))
         self.assert_no_calls_arrive()
@@ -50,11 +52,15 @@
         self.start_rollout(2, "--runners", "--budget", "1", "w2")
         self.fleet.wait_for_phase(1, "done")
         self.assertNotEqual(self.pid(), pid)
-        eventually(lambda: len(self.events_named("runner in use")) == AGENTS, "an event of each agent")
+        eventually(lambda: len(self.events_named("runner resumed")) == AGENTS, "an event of each agent")
         order = [event["event"] for event in self.fleet.events() if event.get("instance") == "w2"]
         self.assertEqual(
-            [event for event in order if event in ("runner out of use", "process replaced", "runner in use")],
-            AGENTS * ["runner out of use"] + ["process replaced"] + AGENTS * ["runner in use"],
+            [
+                event
+                for event in order
+                if event in ("runner taken out of service", "process replaced", "runner resumed")
+            ],
+            AGENTS * ["runner taken out of service"] + ["process replaced"] + AGENTS * ["runner resumed"],
         )
         result = calls.result()
         self.assertLessEqual(set(result["ends"]), {"served", "refused"}, result)
--- a/tests/trace_simulation.py
+++ b/tests/trace_simulation.py
@@ -29,7 +29,7 @@
         self.now_us = START_US
         self.overload_until_us = 0
         self.events = 0  # events handled so far
-        self.scheduled = 0  # steps scheduled so far; orders steps of the same time
+        self.scheduled = 0  # number of steps scheduled so far; breaks ties between steps at the same time
         self.queue: list[tuple[int, int, Callable[[], None]]] = []  # a heap of time, number and step
 
     def run_until(self, events: int) -> None:
